--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -3,10 +3,10 @@
     python benchmarks/fleet_count.py LOGS/n*.log [--workers]
 
 Each line of these logs begins with the seconds since the day's start, as the bench keeps them. Reads the
-lines `step`, `no` and `list` of `yewrill.facade` (docs/on-call.md) and prints, for each second of the day:
-attempts, how each ended, how many waited at their worker and for how long, the spread of attempts over
-workers, jobs refused by the module's ground, how many lists were told. With --workers: each worker's steps,
-endings and waits over the day, worst first. The last line is one JSON object.
+lines `step`, `no` and `list` of `yewrill.dispatch.engine` (docs/on-call.md) and prints, for each second of
+the day: attempts, how each ended, how many waited at their worker and for how long, the spread of
+attempts over workers, jobs refused by the module's ground, how many lists were told. With
+--workers: each worker's steps, endings and waits over the day, worst first. The last line is one JSON object.
 """
 
 from __future__ import annotations
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -26,12 +26,12 @@
 
 import here  # noqa: F401
 
-from yewrill.config import OwnershipConfig
+from yewrill.config.reading import OwnershipConfig
 from yewrill.lab.netsim import Path as Wire
 from yewrill.lab.ownnet import OwnNet, trouble
 from yewrill.lab.raftcheck import Bounds, Broken, Checker
-from yewrill.ownership import disk as on_disk
-from yewrill.ownership.raft import ORDER, Disk, Raft, Snapshot
+from yewrill.leases import disk as on_disk
+from yewrill.leases.raft import ORDER, Disk, Raft, Snapshot
 from yewrill.store import Store
 
 SPAN = OwnershipConfig.__dataclass_fields__["span"].default  # seconds of a grant
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -38,7 +38,7 @@
 def play(workers: int, reports: bool, keys: bool, jobs: int) -> float:
     """Microseconds a job, in this process, of whatever yewrill it imports."""
     from yewrill import Dispatcher, Settings
-    from yewrill import interface as api
+    from yewrill.policy import interface as api
 
     rng = random.Random(7)
     dispatchers = max(1, workers // 10)
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -13,7 +13,7 @@
 from itertools import count
 
 from yewrill import Dispatcher, Settings
-from yewrill import interface as api
+from yewrill.policy import interface as api
 
 TRIP = 0.5  # one way between a dispatcher and a worker
 # share, mean run time, chances of 1, 2 and 4 slots, aim, stretch, worth
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -15,9 +15,9 @@
 import ujson
 from trio.testing import MockClock
 
-from yewrill.config import read_config
+from yewrill.config.reading import read_config
 from yewrill.lab.cluster.pace import Slow, measured
-from yewrill.service import Service
+from yewrill.service.service import Service
 
 SETTINGS = {
     "areas": ["room"],
--- a/tests/test_basics.py
+++ b/tests/test_basics.py
@@ -4,7 +4,7 @@
 import sys
 
 from yewrill import Dispatcher, Settings
-from yewrill import interface as api
+from yewrill.policy import interface as api
 
 
 def test_a_job_goes_to_a_known_worker_and_is_finished_by_its_answer():
@@ -22,7 +22,7 @@
     loaded = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True
     ).stdout.split()
-    assert "yewrill.service" in loaded
+    assert "yewrill.service.service" in loaded
     unused = {
         "click",
         "msgpack",
@@ -30,11 +30,11 @@
         "structlog",
         "google_crc32c",
         "yewrill.cli",
-        "yewrill.configwrite",
-        "yewrill.fronts.progress",
+        "yewrill.config.writing",
+        "yewrill.frontends.progress",
         "yewrill.net.management",
-        "yewrill.net.handover",
-        "yewrill.state",
-        "yewrill.traced",
+        "yewrill.service.hot_restart",
+        "yewrill.persistence",
+        "yewrill.service.tracing_hooks",
     }
     assert not unused & set(loaded)
--- a/tests/test_calendar.py
+++ b/tests/test_calendar.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from yewrill.calendar.asking import (
+from yewrill.reservations.asking import (
     Ask,
     Booked,
     Cancel,
@@ -22,9 +22,9 @@
     encode,
     read_result,
 )
-from yewrill.calendar.book import Book
-from yewrill.calendar.timeline import Timeline
-from yewrill.calendar.windows import MINUTE, Window, occurrences
+from yewrill.reservations.book import Book
+from yewrill.reservations.timeline import Timeline
+from yewrill.reservations.windows import MINUTE, Window, occurrences
 
 SPAN = 40
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -6,7 +6,7 @@
 from helper import Peer, done, story, world
 from machine_faults import SetClock
 
-from yewrill.starttimes import MEMORY_MS, MOST_STARTS, StartTimes
+from yewrill.dispatch.start_times import MEMORY_MS, MOST_STARTS, StartTimes
 
 HOUR = 3600.0
 WARM_AFTER_MS = 6000.0  # of the helper's settings
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -10,7 +10,7 @@
 import pytest
 from fleet_world import World
 
-from yewrill import interface as api
+from yewrill.policy import interface as api
 
 SIZES = (1, 5, 20, 30, 200)
 OLD = 3  # workers long there; as many appear, cold
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,7 @@
 from helper import SETTINGS
 
 from yewrill.cli import main
-from yewrill.config import ConfigError, load_config, read_config
+from yewrill.config.reading import ConfigError, load_config, read_config
 
 ROOT = Path(__file__).parent.parent
 GOOD = {
@@ -333,7 +333,7 @@
 
 
 def test_a_long_trace_is_sampled_and_the_same_each_time(tmp_path, monkeypatch):
-    from yewrill import trace as traces
+    from yewrill.config import cluster_trace as traces
 
     monkeypatch.setattr(traces, "SAMPLE", 100)
     path = tmp_path / "t.csv"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,10 +9,10 @@
 from helper import SETTINGS, Client, Discovery, Peer, done, story, timed_story, world
 from test_state import program
 
-from yewrill.config import Places, read_settings
-from yewrill.facade import Decisions
-from yewrill.net import poolconfig
-from yewrill.net.poolconfig import PoolConfig, Watch
+from yewrill.config.reading import Places, read_settings
+from yewrill.dispatch.engine import Decisions
+from yewrill.net import discovery as poolconfig
+from yewrill.net.discovery import PoolConfig, Watch
 
 MANY = {"instances": 200, "registry_mode": "ask"}  # all ask one discovery
 TOLD = 6.0  # seconds after discovery had a change and could be reached
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -9,8 +9,8 @@
 from machine_faults import FaultyDisk, SetClock
 from test_operators import shared_world, start_heir
 
-from yewrill.state.disk import Disk, Unreadable
-from yewrill.state.keeper import SENT, TIDY
+from yewrill.persistence.disk import Disk, Unreadable
+from yewrill.persistence.keeper import SENT, TIDY
 from yewrill.store import Store
 
 PATIENCE_MS = 1000
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -12,14 +12,14 @@
 import ujson
 from helper import SETTINGS, Peer, story, world
 
-from yewrill.service import Service
+from yewrill.service.service import Service
 
 # Sends the signal to itself in the middle of the program's own imports.
 IN_THE_IMPORTS = """
 import builtins, os, runpy, signal
 real = builtins.__import__
 def hooked(name, *args, **kwargs):
-    if name == "yewrill.service":
+    if name == "yewrill.service.service":
         builtins.__import__ = real
         os.kill(os.getpid(), signal.SIGHUP)
     return real(name, *args, **kwargs)
@@ -29,8 +29,8 @@
 # The same as the configuration has been read, before anybody listens for signals.
 AS_IT_WAS_READ = """
 import os, runpy, signal, sys
-import yewrill.config
-real = yewrill.config.load_config
+import yewrill.config.reading
+real = yewrill.config.reading.load_config
 def loads(path, environment):
     config = real(path, environment)
     if loads.first:
@@ -39,7 +39,7 @@
         os.kill(os.getpid(), signal.SIGHUP)
     return config
 loads.first = True
-yewrill.config.load_config = loads
+yewrill.config.reading.load_config = loads
 runpy.run_module("yewrill", run_name="__main__")
 """
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,11 +18,11 @@
 from helper import SETTINGS, Client, Discovery, Exchange, Peer, done, story, timed_story, world
 from test_state import program
 
-from yewrill import interface as api
 from yewrill.net import listener
 from yewrill.net.connection import RING, Connection
-from yewrill.net.destinations import DestinationPool
 from yewrill.net.listener import Client as Served
+from yewrill.net.worker_connections import DestinationPool
+from yewrill.policy import interface as api
 
 # Time enough for a job to be held for as long as a story needs.
 ROOMY = {
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from yewrill.lab.netsim import Net, Path
-from yewrill.members.evidence import CUT, DEAF, MUTE, WELL, WINDOW, Arrivals, Link
-from yewrill.members.machine import Message
+from yewrill.membership.evidence import CUT, DEAF, MUTE, WELL, WINDOW, Arrivals, Link
+from yewrill.membership.machine import Message
 
 BEAT = 0.25
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,8 +8,8 @@
 from helper import SETTINGS, Peer, done, story, world
 
 from yewrill import Dispatcher, Settings
-from yewrill import interface as api
-from yewrill.config import ConfigError, read_settings
+from yewrill.config.reading import ConfigError, read_settings
+from yewrill.policy import interface as api
 
 
 @pytest.mark.parametrize("key", ["instances", "index"])
--- a/tests/test_log_states.py
+++ b/tests/test_log_states.py
@@ -5,11 +5,11 @@
 
 from yewrill.lab.netsim import Path
 from yewrill.lab.ownnet import OwnNet
-from yewrill.ownership.duties import Duties
-from yewrill.ownership.format import pack, unpack
-from yewrill.ownership.node import KEPT, MOST_SUBMITTED, Submit, Submitted
-from yewrill.ownership.raft import LEADER
-from yewrill.ownership.states import pack_all, restore_all
+from yewrill.leases.duties import Duties
+from yewrill.leases.format import pack, unpack
+from yewrill.leases.node import KEPT, MOST_SUBMITTED, Submit, Submitted
+from yewrill.leases.raft import LEADER
+from yewrill.leases.states import pack_all, restore_all
 
 
 class Ledger:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -14,7 +14,7 @@
 import ujson
 from helper import SETTINGS, Peer, story, world
 
-from yewrill.logs import MOST_LINES, Thinner, event_of, formatter, logging_to
+from yewrill.observability.logs import MOST_LINES, Thinner, event_of, formatter, logging_to
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -5,7 +5,7 @@
 import pytest
 
 from yewrill import Dispatcher, Settings
-from yewrill import interface as api
+from yewrill.policy import interface as api
 from yewrill.policy.admission import Controller, Gap
 from yewrill.policy.patience import UsualPatience
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -10,13 +10,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yewrill.config import ConfigError, MembersConfig, read_config
+from yewrill.config.reading import ConfigError, MembersConfig, read_config
 from yewrill.lab.netsim import Net, Path
-from yewrill.members import Members
-from yewrill.members.format import MOST, Codec, Refused, Stranger
-from yewrill.members.intake import Intake
-from yewrill.members.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim, Message
-from yewrill.members.suspicion import CONFIRMATIONS, MOST_DOUBT, Suspicion
+from yewrill.membership import Members
+from yewrill.membership.format import MOST, Codec, Refused, Stranger
+from yewrill.membership.intake import Intake
+from yewrill.membership.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim, Message
+from yewrill.membership.suspicion import CONFIRMATIONS, MOST_DOUBT, Suspicion
 
 HERE, THERE = ("127.0.0.1", 1), ("127.0.0.1", 2)
 KEYS = [b"k" * 32, b"l" * 32]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -12,16 +12,16 @@
 import trio.testing
 from helper import Client, Peer, done, story, timed_story, world
 
-from yewrill import interface as api
-from yewrill.config import read_config
-from yewrill.ending import Ending
-from yewrill.facade import Operation
+from yewrill.config.reading import read_config
+from yewrill.dispatch.engine import Operation
+from yewrill.dispatch.outcome import Ending
+from yewrill.dispatch.safety import CloseReason, HeldBack, Rule
 from yewrill.net import listener
-from yewrill.net.handover import HandOver, link_path
 from yewrill.net.management import ManagementListener
+from yewrill.policy import interface as api
 from yewrill.policy.dispatcher import HELD_TIMER, Dispatcher
-from yewrill.rules import CloseReason, HeldBack, Rule
-from yewrill.service import LEAST_SOCKETS, SPARE, Service
+from yewrill.service.hot_restart import HandOver, link_path
+from yewrill.service.service import LEAST_SOCKETS, SPARE, Service
 
 MGMT = {"mgmt": "127.0.0.1:0"}
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -8,12 +8,12 @@
 
 from yewrill.lab.ownnet import OwnNet, trouble
 from yewrill.lab.raftcheck import Broken
-from yewrill.members.parts import Joiner, Malformed, cut
-from yewrill.ownership import disk as on_disk
-from yewrill.ownership import duties as duties_module
-from yewrill.ownership.duties import CLAIM, GIVE_UP, RENEW, Command, Duties, Fence, Result
-from yewrill.ownership.format import Reply, Request, pack, unpack
-from yewrill.ownership.raft import ORDER, VOTERS, Disk, Entry, Message, Snapshot
+from yewrill.leases import disk as on_disk
+from yewrill.leases import duties as duties_module
+from yewrill.leases.duties import CLAIM, GIVE_UP, RENEW, Command, Duties, Fence, Result
+from yewrill.leases.format import Reply, Request, pack, unpack
+from yewrill.leases.raft import ORDER, VOTERS, Disk, Entry, Message, Snapshot
+from yewrill.membership.parts import Joiner, Malformed, cut
 from yewrill.store import Store
 
 COMMAND = st.builds(
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,11 +10,11 @@
 import trio
 from helper import SETTINGS, Discovery, Peer, done, hang, story, timed_story, world
 
-from yewrill import interface as api
-from yewrill.ending import Ending
-from yewrill.facade import BusyReply, Decisions, Destination, Operation, RouteStep
+from yewrill.dispatch.engine import BusyReply, Decisions, Destination, Operation, RouteStep
+from yewrill.dispatch.outcome import Ending
 from yewrill.net import listener
 from yewrill.net.connection import Connection
+from yewrill.policy import interface as api
 
 
 @story
@@ -219,7 +219,7 @@
 
 @timed_story
 async def test_the_watch_goes_on_at_once_and_outlives_a_silent_discovery(monkeypatch):
-    from yewrill.net import poolconfig
+    from yewrill.net import discovery as poolconfig
 
     monkeypatch.setattr(poolconfig, "PATIENCE", 0.1)
     monkeypatch.setattr(poolconfig, "HOLD_MS", 100)
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -8,10 +8,10 @@
 import ujson
 from helper import Peer, done, hang, story, timed_story, world
 
-from yewrill.facade import Operation, RouteStep
-from yewrill.fronts.progress import EventStreamParser, _Outlet, encode_event
+from yewrill.dispatch.engine import Operation, RouteStep
+from yewrill.frontends.progress import EventStreamParser, _Outlet, encode_event
 from yewrill.net import listener
-from yewrill.net.destinations import Garbled
+from yewrill.net.worker_connections import Garbled
 
 FINAL = {"served", "refused", "failed"}
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -9,8 +9,8 @@
 from yewrill.lab.netsim import Path
 from yewrill.lab.raftcheck import Bounds, Broken, Checker, World
 from yewrill.lab.raftnet import RaftNet
-from yewrill.ownership import raft as raft_module
-from yewrill.ownership.raft import ORDER, VOTERS, Disk, Entry, Raft, Snapshot
+from yewrill.leases import raft as raft_module
+from yewrill.leases.raft import ORDER, VOTERS, Disk, Entry, Raft, Snapshot
 
 # ------------------------------------------------------------------------------------- mutants of the machine
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -15,9 +15,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewrill import Dispatcher, Settings, loadreport, rendezvous
-from yewrill import interface as api
-from yewrill.ending import Ending
+from yewrill import Dispatcher, Settings
+from yewrill.dispatch import load_report as loadreport
+from yewrill.dispatch.outcome import Ending
+from yewrill.policy import interface as api
+from yewrill.policy import rendezvous_hashing as rendezvous
 
 FIELDS = ("qps", "inflight", "x0")
 ANY = st.recursive(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from yewrill import Dispatcher, Settings
-from yewrill import interface as api
+from yewrill.policy import interface as api
 
 CLASSES = [
     api.JobClass("safe", 200.0, 2000.0, 1.0, 0.3, api.SAFE, stretch=2.0),
--- a/tests/test_rules_checks.py
+++ b/tests/test_rules_checks.py
@@ -3,8 +3,7 @@
 import pytest
 from helper import Peer, done, story, timed_story, world
 
-from yewrill import interface as api
-from yewrill.rules import (
+from yewrill.dispatch.safety import (
     AttemptFacts,
     HeldBack,
     Rule,
@@ -13,6 +12,7 @@
     check_told,
     may_send,
 )
+from yewrill.policy import interface as api
 
 
 @pytest.mark.parametrize(
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,10 +13,10 @@
 from yewrill.lab.scale.module import state
 from yewrill.lab.scale.plan import Mix, TooLarge
 from yewrill.lab.scale.virtual import Fleet, VirtualFleet
-from yewrill.members.format import Codec
-from yewrill.members.intake import BURST, Bucket, Intake, Priority
-from yewrill.members.machine import Claim, Machine, Message
-from yewrill.members.transport import VIEWS, Transport
+from yewrill.membership.format import Codec
+from yewrill.membership.intake import BURST, Bucket, Intake, Priority
+from yewrill.membership.machine import Claim, Machine, Message
+from yewrill.membership.transport import VIEWS, Transport
 from yewrill.views import admission
 from yewrill.views.agreement import Word
 from yewrill.views.cut import marks
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -17,10 +17,8 @@
 from helper import SETTINGS, Client, Discovery, Peer, done, story, world
 from machine_faults import FaultyDisk
 
-from yewrill import interface as api
-from yewrill.config import ConfigError, read_config
-from yewrill.policy import Dispatcher
-from yewrill.state.attempts import (
+from yewrill.config.reading import ConfigError, read_config
+from yewrill.persistence.attempts import (
     CLOCK_DOUBT_MS,
     LONG_AGO,
     AttemptRecord,
@@ -29,6 +27,8 @@
     greatest_age,
     least_age,
 )
+from yewrill.policy import Dispatcher
+from yewrill.policy import interface as api
 from yewrill.store import Store
 
 MGMT = {"mgmt": "127.0.0.1:0"}
@@ -291,7 +291,7 @@
             server["addr"] = f"127.0.0.1:{peer.port}"
         kept.put(b"list", ujson.dumps(listed).encode())
         kept.close()
-        from yewrill.service import Service
+        from yewrill.service.service import Service
 
         service = Service(
             read_config(
@@ -346,8 +346,8 @@
         and "held by" in ended.stderr
     )
     code = (
-        "import sys, yewrill.cli, yewrill.service\n"
-        "print([m for m in sys.modules if 'store' in m or 'crc' in m or 'yewrill.state' in m])"
+        "import sys, yewrill.cli, yewrill.service.service\n"
+        "print([m for m in sys.modules if 'store' in m or 'crc' in m or 'yewrill.persistence' in m])"
     )
     assert (
         subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -17,7 +17,7 @@
 from opentelemetry.proto.collector.trace.v1 import trace_service_pb2 as service
 
 from yewrill.cli import main
-from yewrill.config import ConfigError, read_config
+from yewrill.config.reading import ConfigError, read_config
 from yewrill.tracing import breakdown, context, export, otlp, retry, sampling
 from yewrill.tracing.export import Exporter, StoreSpool, Target
 from yewrill.tracing.tracer import Bounds, Tracer
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -9,7 +9,7 @@
 
 from yewrill.lab.netsim import Path
 from yewrill.lab.viewnet import ViewNet
-from yewrill.members.parts import Malformed
+from yewrill.membership.parts import Malformed
 from yewrill.views.agreement import Word
 from yewrill.views.cut import judge, marks
 from yewrill.views.format import (
--- a/tests/test_views_hook.py
+++ b/tests/test_views_hook.py
@@ -3,7 +3,7 @@
 import pytest
 from helper import SETTINGS, story, timed_story
 
-from yewrill.config import ConfigError, read_config
+from yewrill.config.reading import ConfigError, read_config
 from yewrill.lab.cluster.audit import Terms, audit
 from yewrill.store import StoreError, StorePoisoned
 from yewrill.views import facade
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,8 +7,8 @@
 import orjson
 import pytest
 
-from yewrill.benchlink import serve
-from yewrill.wire import WireError, decode_settings
+from yewrill.simulator.codec import WireError, decode_settings
+from yewrill.simulator.host import serve
 
 CONFIG = {
     "request_classes": [
@@ -78,7 +78,7 @@
 
 def test_bad_input_ends_the_process_with_one_message():
     done = subprocess.run(
-        [sys.executable, "-m", "yewrill.benchlink"], input=b"[1\n", capture_output=True
+        [sys.executable, "-m", "yewrill.simulator.host"], input=b"[1\n", capture_output=True
     )
     assert done.returncode == 1 and done.stdout == b""
     assert done.stderr.startswith(b"yewrill: line 1:") and done.stderr.count(b"\n") == 1
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,15 +8,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewrill import interface as api
-from yewrill.config import ConfigError, read_config
+from yewrill.config.reading import ConfigError, read_config
 from yewrill.lab.netsim import Path
 from yewrill.lab.zonenet import ZoneNet
 from yewrill.policy import Dispatcher
-from yewrill.zones.evidence import Evidence
-from yewrill.zones.format import MOST_COUNT, TELL, Malformed, Said, pack, unpack
-from yewrill.zones.machine import Machine, Member
-from yewrill.zones.plan import EPOCH, WHOLE, Entry, Plan, least_share, up
+from yewrill.policy import interface as api
+from yewrill.zone_failover.evidence import Evidence
+from yewrill.zone_failover.format import MOST_COUNT, TELL, Malformed, Said, pack, unpack
+from yewrill.zone_failover.machine import Machine, Member
+from yewrill.zone_failover.plan import EPOCH, WHOLE, Entry, Plan, least_share, up
 
 ENTRY = st.builds(Entry, st.integers(0, WHOLE - 1), st.integers(1, 64), st.booleans())
 PLAN = st.builds(
--- a/yewrill/__main__.py
+++ b/yewrill/__main__.py
@@ -9,15 +9,15 @@
 
 gc.disable()  # nearly all that a start makes stays for good; `Service.run` looks at it once and turns it on
 
-from yewrill.reloads import note_requests  # noqa: E402
+from yewrill.service.early_reload import note_requests  # noqa: E402
 
 note_requests()  # before all that takes long to import: a reload may come at any moment
 
 import os  # noqa: E402
 import sys  # noqa: E402
 
-from yewrill.config import ENV_CONFIG, ConfigError, load_config  # noqa: E402
-from yewrill.service import serve  # noqa: E402
+from yewrill.config.reading import ENV_CONFIG, ConfigError, load_config  # noqa: E402
+from yewrill.service.service import serve  # noqa: E402
 
 
 def main() -> int:
--- a/yewrill/cli.py
+++ b/yewrill/cli.py
@@ -10,9 +10,10 @@
 import click
 import ujson
 
-from yewrill import __version__, configwrite
-from yewrill.config import ENV_CONFIG, FRONTS, ConfigError, load_config
-from yewrill.trace import FORMATS, BadRow, TraceError, formats
+from yewrill import __version__
+from yewrill.config import writing as configwrite
+from yewrill.config.cluster_trace import FORMATS, BadRow, TraceError, formats
+from yewrill.config.reading import ENV_CONFIG, FRONTS, ConfigError, load_config
 
 MOST_BAD_ROWS = 20  # told one by one; the rest are counted
 
@@ -56,7 +57,7 @@
 )
 def serve(path: str, log_level: str, log_format: str) -> None:
     """Run the dispatcher in the foreground until SIGTERM."""
-    from yewrill.service import serve as run
+    from yewrill.service.service import serve as run
 
     try:
         config = load_config(path, os.environ)
@@ -235,7 +236,7 @@
 )
 main.add_command(
     _Later(
-        "yewrill.zones.commands",
+        "yewrill.zone_failover.commands",
         "zones",
         "members",
         help="See the fleet's plan of zones; order or forbid a leave.",
@@ -243,7 +244,7 @@
 )
 main.add_command(
     _Later(
-        "yewrill.ownership.commands",
+        "yewrill.leases.commands",
         "owners",
         "members",
         help="See who owns the fleet's duties; have one given up.",
--- /dev/null
+++ b/yewrill/config/__init__.py
@@ -0,0 +1,1 @@
+"""Configuration: reading, checking, defaults, and the tool that writes it."""
--- a/yewrill/config.py
+++ b/yewrill/config/reading.py
@@ -10,9 +10,9 @@
 
 import ujson
 
-from yewrill import interface as api
-from yewrill.facade import Destination
-from yewrill.wire import WireError, decode_settings
+from yewrill.dispatch.engine import Destination
+from yewrill.policy import interface as api
+from yewrill.simulator.codec import WireError, decode_settings
 
 ENV_CONFIG = "BALANCER_CONFIG"
 FRONTS = ("platform", "progress")
@@ -467,7 +467,7 @@
     """A section that its own package describes, in words that are imported with it."""
     if raw.get(key) is None:
         return None
-    from yewrill.sections import SectionError, read_section
+    from yewrill.config.sections import SectionError, read_section
 
     try:
         return read_section(raw, key, where, needs)
--- a/yewrill/configwrite.py
+++ b/yewrill/config/writing.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from yewrill.config import ConfigError, check_sense, read_config
-from yewrill.trace import Trace
+from yewrill.config.cluster_trace import Trace
+from yewrill.config.reading import ConfigError, check_sense, read_config
 
 # What is written when nothing else is said: cautious figures for a small fleet on one network.
 LIMITS = {
--- a/yewrill/facade.py
+++ b/yewrill/dispatch/engine.py
@@ -16,11 +16,12 @@
 
 import trio
 
-from yewrill import interface as api
-from yewrill import loadreport, rules
-from yewrill.ending import Ending
+from yewrill.dispatch import load_report as loadreport
+from yewrill.dispatch import safety as rules
+from yewrill.dispatch.outcome import Ending
+from yewrill.dispatch.start_times import StartTimes
 from yewrill.policy import Dispatcher
-from yewrill.starttimes import StartTimes
+from yewrill.policy import interface as api
 
 log = logging.getLogger("yewrill.facade")
 
--- a/yewrill/core.py
+++ b/yewrill/dispatch/lifecycle.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from yewrill.ending import Ending
-from yewrill.facade import BusyReply, Decisions, Failure, Operation, RouteStep
+from yewrill.dispatch.engine import BusyReply, Decisions, Failure, Operation, RouteStep
+from yewrill.dispatch.outcome import Ending
 
 log = logging.getLogger("yewrill.core")
 
--- a/yewrill/ending.py
+++ b/yewrill/dispatch/outcome.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from yewrill import interface as api
+from yewrill.policy import interface as api
 
 
 class Ending(Enum):
--- a/yewrill/rules.py
+++ b/yewrill/dispatch/safety.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from yewrill import interface as api
+from yewrill.policy import interface as api
 
 log = logging.getLogger("yewrill.rules")
 
--- a/yewrill/fronts/platform.py
+++ b/yewrill/frontends/platform.py
@@ -9,12 +9,12 @@
 
 import ujson
 
-from yewrill.core import Answer, Served
-from yewrill.facade import BusyReply, Operation, RouteStep
-from yewrill.interface import Settings
-from yewrill.net.destinations import Garbled, Word
+from yewrill.dispatch.engine import BusyReply, Operation, RouteStep
+from yewrill.dispatch.lifecycle import Answer, Served
 from yewrill.net.http import MAX_BODY, BadRequest, Reply, Request
 from yewrill.net.listener import Client
+from yewrill.net.worker_connections import Garbled, Word
+from yewrill.policy.interface import Settings
 
 Carried = Callable[[], Awaitable[Answer | None]]
 Closing = Callable[[], bool]  # whether connections are to be closed after their answer
--- a/yewrill/fronts/progress.py
+++ b/yewrill/frontends/progress.py
@@ -13,12 +13,12 @@
 import trio
 import ujson
 
-from yewrill.core import Answer, Served
-from yewrill.facade import BusyReply, Operation, RouteStep
-from yewrill.fronts.platform import Carried, Closing, Reader, passed_on, word_of
-from yewrill.net.destinations import Garbled, Word
+from yewrill.dispatch.engine import BusyReply, Operation, RouteStep
+from yewrill.dispatch.lifecycle import Answer, Served
+from yewrill.frontends.platform import Carried, Closing, Reader, passed_on, word_of
 from yewrill.net.http import MAX_BODY, Reply, Request
 from yewrill.net.listener import Client
+from yewrill.net.worker_connections import Garbled, Word
 
 CONTENT_TYPE = "text/event-stream"
 HEADERS = [
--- a/yewrill/lab/cluster/entry.py
+++ b/yewrill/lab/cluster/entry.py
@@ -23,7 +23,7 @@
 
 def through_hub(port: int) -> None:
     """Have the membership's datagrams go by the rig's hub."""
-    from yewrill.members import link
+    from yewrill.membership import link
 
     hub = ("127.0.0.1", port)
 
@@ -130,7 +130,7 @@
 
 def _overlap() -> None:
     """Two attempts at once: each is carried twice."""
-    from yewrill.net.destinations import DestinationPool
+    from yewrill.net.worker_connections import DestinationPool
 
     attempt = DestinationPool.attempt
 
@@ -156,8 +156,8 @@
 
 def _drain() -> None:
     """Drains are not heard of."""
-    from yewrill import config
-    from yewrill import interface as api
+    from yewrill.config import reading as config
+    from yewrill.policy import interface as api
 
     config._STATES["DRAINING"] = api.RUNNING
 
@@ -180,7 +180,7 @@
 
 def _old_plan() -> None:
     """Whatever plan comes last is taken, and what was taken first is told again."""
-    from yewrill.zones.machine import Machine
+    from yewrill.zone_failover.machine import Machine
 
     def hear(self: Any, plan: Any, sender: str, out: list) -> None:
         if plan.version != self.plan.version:  # what it has already would be told on for ever
@@ -197,7 +197,7 @@
 
 def _again() -> None:
     """What may not run twice is sent again, once it has run."""
-    from yewrill.net.destinations import DestinationPool
+    from yewrill.net.worker_connections import DestinationPool
 
     attempt = DestinationPool.attempt
 
--- a/yewrill/lab/cluster/rig.py
+++ b/yewrill/lab/cluster/rig.py
@@ -20,12 +20,12 @@
 import trio
 import ujson
 
-from yewrill import rendezvous
 from yewrill.lab.cluster.audit import Terms
 from yewrill.lab.cluster.history import History
 from yewrill.lab.cluster.links import Address, Links
 from yewrill.lab.cluster.pace import WORD, Lateness, clock, watch
 from yewrill.lab.cluster.standins import Clients, Discovery, Http, Profiler, listening
+from yewrill.policy import rendezvous_hashing as rendezvous
 
 KEY = "7a" * 16
 TIMEOUT = 2.5  # seconds that clients wait
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from yewrill import interface as api
-from yewrill.facade import hanging
+from yewrill.dispatch.engine import hanging
 from yewrill.lab.netsim import Path
 from yewrill.lab.zonenet import Dispatcher as Member
 from yewrill.lab.zonenet import ZoneNet
 from yewrill.policy import Dispatcher
-from yewrill.zones.facade import HANGING
-from yewrill.zones.machine import Rules
+from yewrill.policy import interface as api
+from yewrill.zone_failover.facade import HANGING
+from yewrill.zone_failover.machine import Rules
 
 TRIP = 0.0005  # seconds to a worker and back
 LOST = (api.TIMEOUT, api.NO_CONNECTION, api.CONNECTION_LOST, api.CANCELLED, api.ERROR)
--- a/yewrill/lab/netsim.py
+++ b/yewrill/lab/netsim.py
@@ -16,8 +16,8 @@
 from itertools import count
 from typing import Self
 
-from yewrill.members.format import Codec, Refused, Stranger
-from yewrill.members.machine import DEAD, Claim, Machine, Message, Out, Rules
+from yewrill.membership.format import Codec, Refused, Stranger
+from yewrill.membership.machine import DEAD, Claim, Machine, Message, Out, Rules
 
 KEY = b"a key of the virtual network's own"
 
--- a/yewrill/lab/ownnet.py
+++ b/yewrill/lab/ownnet.py
@@ -13,12 +13,12 @@
 
 from yewrill.lab.netsim import Path, Wires
 from yewrill.lab.raftcheck import Broken
-from yewrill.members.parts import Joiner, cut
-from yewrill.ownership.duties import Fence
-from yewrill.ownership.format import pack, unpack
-from yewrill.ownership.node import Node, Step
-from yewrill.ownership.raft import Disk, Snapshot
-from yewrill.ownership.states import StateMachine
+from yewrill.leases.duties import Fence
+from yewrill.leases.format import pack, unpack
+from yewrill.leases.node import Node, Step
+from yewrill.leases.raft import Disk, Snapshot
+from yewrill.leases.states import StateMachine
+from yewrill.membership.parts import Joiner, cut
 
 
 @dataclass(eq=False)
--- a/yewrill/lab/raftcheck.py
+++ b/yewrill/lab/raftcheck.py
@@ -17,7 +17,7 @@
 from functools import partial
 from itertools import chain, permutations, product
 
-from yewrill.ownership.raft import LEADER, ORDER, Disk, Entry, Message, Out, Raft, Snapshot
+from yewrill.leases.raft import LEADER, ORDER, Disk, Entry, Message, Out, Raft, Snapshot
 
 
 @dataclass(frozen=True, slots=True)
--- a/yewrill/lab/raftnet.py
+++ b/yewrill/lab/raftnet.py
@@ -13,8 +13,8 @@
 
 from yewrill.lab.netsim import Path, Wires
 from yewrill.lab.raftcheck import Broken
-from yewrill.ownership.raft import LEADER, ORDER, Disk, Entry, Message, Out, Raft, Snapshot
-from yewrill.ownership.timing import Driver, Times
+from yewrill.leases.raft import LEADER, ORDER, Disk, Entry, Message, Out, Raft, Snapshot
+from yewrill.leases.timing import Driver, Times
 
 
 @dataclass(eq=False)
--- a/yewrill/lab/scale/hollow.py
+++ b/yewrill/lab/scale/hollow.py
@@ -22,9 +22,9 @@
 import trio
 import ujson
 
-from yewrill.config import Config, read_config
-from yewrill.hooks import Around, Hook, hooks_of
-from yewrill.members import Members
+from yewrill.config.reading import Config, read_config
+from yewrill.membership import Members
+from yewrill.service.subsystems import Around, Hook, hooks_of
 
 
 class _NoWork:
--- a/yewrill/lab/scale/measure.py
+++ b/yewrill/lab/scale/measure.py
@@ -11,7 +11,7 @@
 from yewrill.lab.scale import plan
 from yewrill.lab.scale.fleet import CONTROL, FleetPlan, ScaleFleet, Status, in_one_view, leases
 from yewrill.lab.scale.sampling import LEAST_IDLE, Cost, cost, idle_share, machine_times
-from yewrill.members.transport import HEADERS
+from yewrill.membership.transport import HEADERS
 
 SETTLE_S = 4.0  # between agreement and the span at rest
 POLL_S = 0.5
--- a/yewrill/lab/scale/module.py
+++ b/yewrill/lab/scale/module.py
@@ -10,9 +10,9 @@
 import ujson
 
 from yewrill import Dispatcher, Settings
-from yewrill import interface as api
-from yewrill.config import Places, read_destinations
+from yewrill.config.reading import Places, read_destinations
 from yewrill.lab.scale.fit import line
+from yewrill.policy import interface as api
 
 WORKER_SIZES = (60, 120, 240, 480, 680)
 TEAM_SIZES = (2, 15, 30, 60, 120)
--- a/yewrill/lab/scale/virtual.py
+++ b/yewrill/lab/scale/virtual.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 
 from yewrill.lab.netsim import KEY, Path, Wires
-from yewrill.members.format import Codec
-from yewrill.members.machine import DEAD, LEFT, Claim
-from yewrill.members.machine import Machine as MembersMachine
-from yewrill.members.machine import Rules as MembersRules
-from yewrill.members.parts import Malformed
-from yewrill.members.transport import HEADERS, VIEWS, Address, Datagram, Transport
+from yewrill.membership.format import Codec
+from yewrill.membership.machine import DEAD, LEFT, Claim
+from yewrill.membership.machine import Machine as MembersMachine
+from yewrill.membership.machine import Rules as MembersRules
+from yewrill.membership.parts import Malformed
+from yewrill.membership.transport import HEADERS, VIEWS, Address, Datagram, Transport
 from yewrill.views.format import Parts, pack, priority_of
 from yewrill.views.machine import Machine as ViewsMachine
 from yewrill.views.machine import Step
--- a/yewrill/lab/viewnet.py
+++ b/yewrill/lab/viewnet.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from yewrill.lab.netsim import Path, Stopped
-from yewrill.members.parts import Malformed
+from yewrill.membership.parts import Malformed
 from yewrill.views.format import Parts, pack
 from yewrill.views.machine import Machine, Rules, Step
 from yewrill.views.view import Entry, Kept, View
--- a/yewrill/lab/zonenet.py
+++ b/yewrill/lab/zonenet.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from yewrill.lab.netsim import Path, Wires
-from yewrill.zones.machine import Machine, Member, Rules
+from yewrill.zone_failover.machine import Machine, Member, Rules
 
 
 @dataclass(eq=False)
--- a/yewrill/ownership/__init__.py
+++ b/yewrill/leases/__init__.py
@@ -12,6 +12,6 @@
 docs/ownership-design.md.
 """
 
-from yewrill.ownership.facade import Ownership, OwnershipConfig
+from yewrill.leases.facade import Ownership, OwnershipConfig
 
 __all__ = ["Ownership", "OwnershipConfig"]
--- a/yewrill/ownership/commands.py
+++ b/yewrill/leases/commands.py
@@ -9,7 +9,7 @@
 import click
 import ujson
 
-from yewrill import management_client as at
+from yewrill.net import management_client as at
 
 
 @click.group()
--- a/yewrill/ownership/disk.py
+++ b/yewrill/leases/disk.py
@@ -4,7 +4,7 @@
 
 import msgpack
 
-from yewrill.ownership.raft import Disk, Entry, Snapshot
+from yewrill.leases.raft import Disk, Entry, Snapshot
 from yewrill.store import Batch, Store
 
 META, SNAPSHOT, ENTRY, FENCE = b"raft/meta", b"raft/snapshot", b"raft/log/", b"fence/"
--- a/yewrill/ownership/facade.py
+++ b/yewrill/leases/facade.py
@@ -10,15 +10,15 @@
 
 import trio
 
-from yewrill.hooks import Around
-from yewrill.members import Members
-from yewrill.members.link import OWNERSHIP, Link
-from yewrill.members.parts import Joiner, Malformed, cut
-from yewrill.ownership import disk as on_disk
-from yewrill.ownership.format import pack, unpack
-from yewrill.ownership.node import Node, Step
-from yewrill.ownership.raft import Disk
-from yewrill.ownership.states import StateMachine
+from yewrill.leases import disk as on_disk
+from yewrill.leases.format import pack, unpack
+from yewrill.leases.node import Node, Step
+from yewrill.leases.raft import Disk
+from yewrill.leases.states import StateMachine
+from yewrill.membership import Members
+from yewrill.membership.link import OWNERSHIP, Link
+from yewrill.membership.parts import Joiner, Malformed, cut
+from yewrill.service.subsystems import Around
 from yewrill.store import Store, StoreError
 
 log = logging.getLogger("yewrill.ownership")
--- a/yewrill/ownership/format.py
+++ b/yewrill/leases/format.py
@@ -9,10 +9,10 @@
 
 import msgpack
 
-from yewrill.members.format import text, whole
-from yewrill.members.parts import MOST_PART, MOST_PARTS, Malformed
-from yewrill.ownership.duties import Command, Result
-from yewrill.ownership.raft import Entry, Message, Snapshot
+from yewrill.leases.duties import Command, Result
+from yewrill.leases.raft import Entry, Message, Snapshot
+from yewrill.membership.format import text, whole
+from yewrill.membership.parts import MOST_PART, MOST_PARTS, Malformed
 
 LOG, REQUEST, REPLY, SUBMIT, SUBMITTED = 0, 1, 2, 3, 4
 MOST_DATA = 60_000  # bytes that a state machine is given, or gives back
--- a/yewrill/ownership/node.py
+++ b/yewrill/leases/node.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from yewrill.ownership.duties import (
+from yewrill.leases.duties import (
     CLAIM,
     GIVE_UP,
     RENEW,
@@ -21,9 +21,9 @@
     pack_command,
     unpack_command,
 )
-from yewrill.ownership.format import Reply, Request, Said, Submit, Submitted
-from yewrill.ownership.raft import LEADER, ORDER, Disk, Message, Out, Raft
-from yewrill.ownership.states import (
+from yewrill.leases.format import Reply, Request, Said, Submit, Submitted
+from yewrill.leases.raft import LEADER, ORDER, Disk, Message, Out, Raft
+from yewrill.leases.states import (
     STATE,
     StateMachine,
     pack_all,
@@ -31,7 +31,7 @@
     restore_all,
     unpack_entry,
 )
-from yewrill.ownership.timing import Driver, Times
+from yewrill.leases.timing import Driver, Times
 
 KEPT = 256  # entries of the log behind which it is made into a snapshot
 PATIENCE = 0.4  # seconds for an answer before another voter is asked
--- a/yewrill/ownership/states.py
+++ b/yewrill/leases/states.py
@@ -13,7 +13,7 @@
 
 import msgpack
 
-from yewrill.ownership.duties import Duties
+from yewrill.leases.duties import Duties
 
 STATE = "state"  # the kind of such an entry
 PARTS = "parts"  # what a snapshot with more than duties begins with
--- a/yewrill/ownership/timing.py
+++ b/yewrill/leases/timing.py
@@ -8,7 +8,7 @@
 import random
 from dataclasses import dataclass
 
-from yewrill.ownership.raft import LEADER, Message, Out, Raft
+from yewrill.leases.raft import LEADER, Message, Out, Raft
 
 
 @dataclass(frozen=True, slots=True)
--- a/yewrill/members/__init__.py
+++ b/yewrill/membership/__init__.py
@@ -15,6 +15,6 @@
 in `facade.py` is all that others use.
 """
 
-from yewrill.members.facade import Members, MembersConfig, View
+from yewrill.membership.facade import Members, MembersConfig, View
 
 __all__ = ["Members", "MembersConfig", "View"]
--- a/yewrill/members/facade.py
+++ b/yewrill/membership/facade.py
@@ -9,11 +9,11 @@
 
 import trio
 
-from yewrill.hooks import Around
-from yewrill.members.evidence import LINK_STATES, WELL
-from yewrill.members.format import key_of
-from yewrill.members.link import Link, open_link
-from yewrill.members.machine import STATES, Claim, Machine, Rules
+from yewrill.membership.evidence import LINK_STATES, WELL
+from yewrill.membership.format import key_of
+from yewrill.membership.link import Link, open_link
+from yewrill.membership.machine import STATES, Claim, Machine, Rules
+from yewrill.service.subsystems import Around
 
 
 class MembersConfig(Protocol):
--- a/yewrill/members/format.py
+++ b/yewrill/membership/format.py
@@ -19,7 +19,7 @@
 
 import msgpack
 
-from yewrill.members.machine import ALIVE, LEFT, MOST_INCARNATION, Claim, Message
+from yewrill.membership.machine import ALIVE, LEFT, MOST_INCARNATION, Claim, Message
 
 MAGIC, FORMAT = b"YM", 1
 CODE = 16  # bytes
--- a/yewrill/members/link.py
+++ b/yewrill/membership/link.py
@@ -11,10 +11,10 @@
 
 import trio
 
-from yewrill.members.format import MOST, Codec
-from yewrill.members.intake import Priority
-from yewrill.members.machine import STATES, Machine, Out
-from yewrill.members.transport import (
+from yewrill.membership.format import MOST, Codec
+from yewrill.membership.intake import Priority
+from yewrill.membership.machine import STATES, Machine, Out
+from yewrill.membership.transport import (
     OWNERSHIP,
     VIEWS,
     ZONES,
@@ -23,7 +23,7 @@
     Payload,
     Transport,
 )
-from yewrill.members.udp import UdpSocket
+from yewrill.membership.udp import UdpSocket
 
 __all__ = ["OWNERSHIP", "VIEWS", "ZONES", "Address", "Link", "open_link"]
 
--- a/yewrill/members/machine.py
+++ b/yewrill/membership/machine.py
@@ -47,8 +47,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field, replace
 
-from yewrill.members.evidence import WELL, Arrivals, Link
-from yewrill.members.suspicion import Health, Suspicion, shortest
+from yewrill.membership.evidence import WELL, Arrivals, Link
+from yewrill.membership.suspicion import Health, Suspicion, shortest
 
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
 STATES = ("alive", "suspect", "dead", "left")
--- a/yewrill/members/transport.py
+++ b/yewrill/membership/transport.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from yewrill.members.format import Codec, Refused, Stranger
-from yewrill.members.intake import Bucket, Intake, Priority
-from yewrill.members.machine import Claim, Machine, Message, Out
+from yewrill.membership.format import Codec, Refused, Stranger
+from yewrill.membership.intake import Bucket, Intake, Priority
+from yewrill.membership.machine import Claim, Machine, Message, Out
 
 Address = tuple[str, int]
 Payload = Callable[[bytes, str, Address], list[tuple[Address, bytes]]]
--- a/yewrill/net/poolconfig.py
+++ b/yewrill/net/discovery.py
@@ -12,11 +12,11 @@
 import trio
 import ujson
 
-from yewrill import interface as api
-from yewrill.config import STATE_WORDS, ConfigError, Places, read_destinations
-from yewrill.facade import Decisions, Destination
+from yewrill.config.reading import STATE_WORDS, ConfigError, Places, read_destinations
+from yewrill.dispatch.engine import Decisions, Destination
 from yewrill.net.connection import Connection
 from yewrill.net.http import ClientSide, PeerEnded
+from yewrill.policy import interface as api
 
 log = logging.getLogger("yewrill.discovery")
 
--- a/yewrill/net/listener.py
+++ b/yewrill/net/listener.py
@@ -13,11 +13,11 @@
 import h11
 import trio
 
-from yewrill.facade import Operation
+from yewrill.dispatch.engine import Operation
+from yewrill.dispatch.safety import CloseReason
 from yewrill.net.backlog import Accepted, Backlog
 from yewrill.net.connection import NO_DESCRIPTORS, Connection, Quiet
 from yewrill.net.http import MAX_BODY, BadRequest, Reply, Request, ServerSide, check_framing
-from yewrill.rules import CloseReason
 
 log = logging.getLogger("yewrill.clients")
 
--- a/yewrill/net/destinations.py
+++ b/yewrill/net/worker_connections.py
@@ -13,12 +13,13 @@
 import trio
 import ujson
 
-from yewrill import loadreport, rules
-from yewrill.ending import Ending
-from yewrill.facade import Decisions, Destination, Operation, RouteStep
+from yewrill.dispatch import load_report as loadreport
+from yewrill.dispatch import safety as rules
+from yewrill.dispatch.engine import Decisions, Destination, Operation, RouteStep
+from yewrill.dispatch.outcome import Ending
 from yewrill.net.connection import OWN_SHORTAGE, Connection, Quiet
+from yewrill.net.discovery import PoolConfig
 from yewrill.net.http import ClientSide, PeerEnded
-from yewrill.net.poolconfig import PoolConfig
 
 log = logging.getLogger("yewrill.destinations")
 
--- /dev/null
+++ b/yewrill/observability/__init__.py
@@ -0,0 +1,1 @@
+"""The log and the metrics. Imports nothing of yewrill."""
--- a/yewrill/state/attempts.py
+++ b/yewrill/persistence/attempts.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from yewrill import interface as api
+from yewrill.policy import interface as api
 
 LONG_AGO = 1e12  # milliseconds: past every window
 CLOCK_DOUBT_MS = 2 * 3_600_000.0  # by how much a wall clock may have been set, and some more
--- a/yewrill/state/keeper.py
+++ b/yewrill/persistence/keeper.py
@@ -19,13 +19,12 @@
 import trio
 import ujson
 
-from yewrill.config import StateConfig
-from yewrill.ending import Ending
-from yewrill.facade import Operation, RouteStep
-from yewrill.figures import Figures
-from yewrill.interface import NEVER_RAN, JobClass
-from yewrill.net.poolconfig import REMEMBERED, PoolConfig
-from yewrill.state.attempts import (
+from yewrill.config.reading import StateConfig
+from yewrill.dispatch.engine import Operation, RouteStep
+from yewrill.dispatch.outcome import Ending
+from yewrill.net.discovery import REMEMBERED, PoolConfig
+from yewrill.observability.metrics import Figures
+from yewrill.persistence.attempts import (
     AttemptRecord,
     Clocks,
     EarlierAttempt,
@@ -34,7 +33,8 @@
     least_age,
     window_of,
 )
-from yewrill.state.disk import Disk, Unreadable, log
+from yewrill.persistence.disk import Disk, Unreadable, log
+from yewrill.policy.interface import NEVER_RAN, JobClass
 from yewrill.store import Batch, StoreError
 
 OUT, BACK, LAME, LIST, SENT = b"out/", b"back/", b"lame", b"list", b"sent/"
--- a/yewrill/policy/admission.py
+++ b/yewrill/policy/admission.py
@@ -6,7 +6,7 @@
 from bisect import bisect_left
 from dataclasses import dataclass, field
 
-from yewrill import interface as api
+from yewrill.policy import interface as api
 from yewrill.policy.fleet import Fleet
 from yewrill.policy.jobs import ClassState, Job
 
--- a/yewrill/policy/attempts.py
+++ b/yewrill/policy/attempts.py
@@ -5,7 +5,7 @@
 from bisect import bisect_left, insort
 from heapq import heappop, heappush
 
-from yewrill import interface as api
+from yewrill.policy import interface as api
 from yewrill.policy.beliefs import Worker
 from yewrill.policy.fleet import Fleet
 from yewrill.policy.jobs import Attempt, Job
--- a/yewrill/policy/dispatcher.py
+++ b/yewrill/policy/dispatcher.py
@@ -6,7 +6,7 @@
 from bisect import bisect_left, insort
 from heapq import heappop, heappush
 
-from yewrill import interface as api
+from yewrill.policy import interface as api
 from yewrill.policy.admission import Admission
 from yewrill.policy.attempts import Attempts
 from yewrill.policy.choice import Choice
--- a/yewrill/policy/fleet.py
+++ b/yewrill/policy/fleet.py
@@ -5,10 +5,10 @@
 import random
 from collections.abc import Mapping
 
-from yewrill import interface as api
-from yewrill import rendezvous
+from yewrill.policy import interface as api
+from yewrill.policy import rendezvous_hashing as rendezvous
 from yewrill.policy.beliefs import Kind, Worker
-from yewrill.windows import LEAST_OWN, SHARERS, window
+from yewrill.policy.subset import LEAST_OWN, SHARERS, window
 
 X_QUANTILE = 0.7  # x is this quantile of recent run times over the slots this dispatcher may fill
 BLIND = 5000.0  # without a new load report for this long, start notices alone tell of room
--- a/yewrill/policy/jobs.py
+++ b/yewrill/policy/jobs.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from yewrill import interface as api
+from yewrill.policy import interface as api
 from yewrill.policy.beliefs import Worker
 from yewrill.policy.patience import UsualPatience
 
--- a/yewrill/calendar/asking.py
+++ b/yewrill/reservations/asking.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from yewrill.calendar.windows import Window
+from yewrill.reservations.windows import Window
 
 MOST_SLOTS = 4096
 MOST_WINDOWS = 60
--- a/yewrill/calendar/book.py
+++ b/yewrill/reservations/book.py
@@ -8,8 +8,8 @@
 from msgspec import Struct
 from sortedcontainers import SortedDict, SortedSet
 
-from yewrill.calendar import asking
-from yewrill.calendar.asking import (
+from yewrill.reservations import asking
+from yewrill.reservations.asking import (
     Ask,
     Booked,
     Cancel,
@@ -21,8 +21,8 @@
     Spread,
     TakeOffer,
 )
-from yewrill.calendar.timeline import Timeline
-from yewrill.calendar.windows import MINUTE, Window
+from yewrill.reservations.timeline import Timeline
+from yewrill.reservations.windows import MINUTE, Window
 
 HOUR = 3_600_000
 MOST_OPEN = 50_000  # occurrences, of bookings and held offers
--- a/yewrill/operatorcalls.py
+++ b/yewrill/service/management_calls.py
@@ -13,14 +13,14 @@
 
 import ujson
 
+from yewrill.dispatch.safety import CloseReason, HeldBack
 from yewrill.net.connection import Retries
 from yewrill.net.http import Reply
 from yewrill.net.management import Call
-from yewrill.rules import CloseReason, HeldBack
 
 if TYPE_CHECKING:
-    from yewrill.hooks import Hook
-    from yewrill.service import Service
+    from yewrill.service.service import Service
+    from yewrill.service.subsystems import Hook
 
 log = logging.getLogger("yewrill")
 
--- a/yewrill/service.py
+++ b/yewrill/service/service.py
@@ -13,27 +13,27 @@
 
 import trio
 
-from yewrill.config import Config, ConfigError, check_succession, differing
-from yewrill.core import Answer, Served, carry
-from yewrill.ending import Ending
-from yewrill.facade import BusyReply, Decisions, Operation, RouteStep
-from yewrill.figures import ERROR, OVERLOAD, SUCCESS, Figures
-from yewrill.fronts.platform import PlatformFront, Reader
-from yewrill.hooks import Around, hooks_of
-from yewrill.logs import logging_to, of_operation
-from yewrill.net.destinations import DestinationPool
+from yewrill.config.reading import Config, ConfigError, check_succession, differing
+from yewrill.dispatch.engine import BusyReply, Decisions, Operation, RouteStep
+from yewrill.dispatch.lifecycle import Answer, Served, carry
+from yewrill.dispatch.outcome import Ending
+from yewrill.dispatch.safety import Rule
+from yewrill.frontends.platform import PlatformFront, Reader
+from yewrill.net.discovery import REMEMBERED, PoolConfig, Watch
 from yewrill.net.http import BadRequest, Reply, Request
 from yewrill.net.listener import Client, Listener
-from yewrill.net.poolconfig import REMEMBERED, PoolConfig, Watch
-from yewrill.reloads import note_requests, take_request
-from yewrill.rules import Rule
+from yewrill.net.worker_connections import DestinationPool
+from yewrill.observability.logs import logging_to, of_operation
+from yewrill.observability.metrics import ERROR, OVERLOAD, SUCCESS, Figures
+from yewrill.service.early_reload import note_requests, take_request
+from yewrill.service.subsystems import Around, hooks_of
 
 if TYPE_CHECKING:
-    from yewrill.fronts.progress import ProgressFront
-    from yewrill.net.handover import HandOver
+    from yewrill.frontends.progress import ProgressFront
     from yewrill.net.management import ManagementListener
-    from yewrill.state import StateKeeper
-    from yewrill.traced import Traced
+    from yewrill.persistence import StateKeeper
+    from yewrill.service.hot_restart import HandOver
+    from yewrill.service.tracing_hooks import Traced
 
 log = logging.getLogger("yewrill")
 
@@ -103,7 +103,7 @@
         self.listener.closed_unanswered = self._closed_unanswered
         self.keeper: StateKeeper | None = None  # what is kept over a restart
         if config.state is not None:
-            from yewrill.state import StateKeeper
+            from yewrill.persistence import StateKeeper
 
             self.keeper = StateKeeper(config.state, self.pool, self.figures)
             self.figures.know_state()
@@ -118,17 +118,17 @@
         self.management: ManagementListener | None = None
         if config.mgmt is not None:
             from yewrill.net.management import ManagementListener
-            from yewrill.operatorcalls import OperatorCalls
+            from yewrill.service.management_calls import OperatorCalls
 
             self.management = ManagementListener(config.mgmt, OperatorCalls(self).by_path())
         self.traced: Traced | None = None  # told of every operation
         if config.tracing is not None:
-            from yewrill.traced import Traced
+            from yewrill.service.tracing_hooks import Traced
 
             self.traced = Traced(config)
         self.handover: HandOver | None = None
         if config.inherited_fd is not None and config.link_dir is not None:
-            from yewrill.net.handover import HandOver, link_path
+            from yewrill.service.hot_restart import HandOver, link_path
 
             self.handover = HandOver(
                 link_path(config.link_dir, config.name, config.listen),
@@ -569,7 +569,7 @@
     reader = Reader(config.settings, config.answer_margin_ms)
     if config.front == "platform":
         return PlatformFront(reader)
-    from yewrill.fronts.progress import ProgressFront
+    from yewrill.frontends.progress import ProgressFront
 
     return ProgressFront(reader)
 
--- a/yewrill/hooks.py
+++ b/yewrill/service/subsystems.py
@@ -14,10 +14,10 @@
 import trio
 
 if TYPE_CHECKING:
-    from yewrill.config import Config
-    from yewrill.core import Attempt
-    from yewrill.facade import Decisions
-    from yewrill.net.poolconfig import PoolConfig
+    from yewrill.config.reading import Config
+    from yewrill.dispatch.engine import Decisions
+    from yewrill.dispatch.lifecycle import Attempt
+    from yewrill.net.discovery import PoolConfig
 
 
 @dataclass
@@ -48,10 +48,10 @@
 
 # Key of the configuration: package, class. In this order, so that each finds what it builds on.
 _HOOKS = {
-    "members": ("yewrill.members", "Members"),
+    "members": ("yewrill.membership", "Members"),
     "views": ("yewrill.views.facade", "Views"),
-    "ownership": ("yewrill.ownership", "Ownership"),
-    "zones": ("yewrill.zones", "Zones"),
+    "ownership": ("yewrill.leases", "Ownership"),
+    "zones": ("yewrill.zone_failover", "Zones"),
 }
 
 
--- a/yewrill/traced.py
+++ b/yewrill/service/tracing_hooks.py
@@ -14,11 +14,11 @@
 import trio
 
 from yewrill import __version__
-from yewrill.config import Config, TracingConfig
-from yewrill.core import Answer, Served
-from yewrill.facade import BusyReply, Operation
-from yewrill.interface import JobClass
+from yewrill.config.reading import Config, TracingConfig
+from yewrill.dispatch.engine import BusyReply, Operation
+from yewrill.dispatch.lifecycle import Answer, Served
 from yewrill.net.http import Request
+from yewrill.policy.interface import JobClass
 from yewrill.tracing.export import Exporter, StoreSpool, Target
 from yewrill.tracing.tracer import Bounds, Tracer
 
--- a/yewrill/wire.py
+++ b/yewrill/simulator/codec.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from yewrill import interface as api
+from yewrill.policy import interface as api
 
 
 class WireError(Exception):
--- a/yewrill/benchlink.py
+++ b/yewrill/simulator/host.py
@@ -1,6 +1,6 @@
 """Hosts dispatchers behind the simulator's wire: decodes batches, routes events, encodes actions.
 
-No decision is made here. `python -m yewrill.benchlink` reads standard input and writes standard output.
+No decision is made here. `python -m yewrill.simulator.host` reads standard input and writes standard output.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 
 import orjson
 
-from yewrill import interface as api
 from yewrill.policy import Dispatcher
-from yewrill.wire import WireError, decode_event, decode_settings, encode_action
+from yewrill.policy import interface as api
+from yewrill.simulator.codec import WireError, decode_event, decode_settings, encode_action
 
 END = orjson.dumps({"what": "End"}) + b"\n"
 
--- a/yewrill/views/facade.py
+++ b/yewrill/views/facade.py
@@ -12,11 +12,11 @@
 import msgspec
 import trio
 
-from yewrill.hooks import Around
-from yewrill.members import Members
-from yewrill.members.link import VIEWS, Address, Link
-from yewrill.members.machine import DEAD, LEFT
-from yewrill.members.parts import Malformed
+from yewrill.membership import Members
+from yewrill.membership.link import VIEWS, Address, Link
+from yewrill.membership.machine import DEAD, LEFT
+from yewrill.membership.parts import Malformed
+from yewrill.service.subsystems import Around
 from yewrill.store import Batch, Store, StoreError, StorePoisoned
 from yewrill.views.config import ViewsConfig
 from yewrill.views.format import Parts, pack, priority_of
--- a/yewrill/views/format.py
+++ b/yewrill/views/format.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from yewrill.members.intake import Priority
-from yewrill.members.parts import Joiner, Malformed, cut
+from yewrill.membership.intake import Priority
+from yewrill.membership.parts import Joiner, Malformed, cut
 from yewrill.views.agreement import MOST_TRY, Word
 from yewrill.views.rollcall import Round
 from yewrill.views.view import MOST_ENTRIES, MOST_VALUE, Entry, Kept, Number, Rank
--- a/yewrill/views/machine.py
+++ b/yewrill/views/machine.py
@@ -17,8 +17,8 @@
 import random
 from dataclasses import dataclass, field
 
-from yewrill.members.evidence import WELL
-from yewrill.members.parts import Malformed
+from yewrill.membership.evidence import WELL
+from yewrill.membership.parts import Malformed
 from yewrill.views import admission
 from yewrill.views.format import PAGE, Answer, Ask, Beat, Call, Message, Page
 from yewrill.views.founding import Founding
--- a/yewrill/views/rules.py
+++ b/yewrill/views/rules.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from yewrill.members.evidence import WELL, Link
+from yewrill.membership.evidence import WELL, Link
 from yewrill.views.agreement import Ballot
 from yewrill.views.view import Entry, depth_of
 
--- a/yewrill/zones/__init__.py
+++ b/yewrill/zone_failover/__init__.py
@@ -11,6 +11,6 @@
 in `facade.py` is all that others use.
 """
 
-from yewrill.zones.facade import Zones, ZonesConfig
+from yewrill.zone_failover.facade import Zones, ZonesConfig
 
 __all__ = ["Zones", "ZonesConfig"]
--- a/yewrill/zones/commands.py
+++ b/yewrill/zone_failover/commands.py
@@ -13,7 +13,7 @@
 import click
 import ujson
 
-from yewrill.management_client import addresses_option, each, told
+from yewrill.net.management_client import addresses_option, each, told
 
 
 @click.group()
--- a/yewrill/zones/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -10,15 +10,15 @@
 
 import trio
 
-from yewrill.ending import Ending
-from yewrill.facade import RouteStep
-from yewrill.hooks import Around
-from yewrill.members import Members
-from yewrill.members.link import ZONES
-from yewrill.members.machine import DEAD, LEFT
-from yewrill.members.suspicion import MOST_DOUBT
-from yewrill.zones.machine import Address, Machine, Member, Out, Rules
-from yewrill.zones.plan import WHOLE
+from yewrill.dispatch.engine import RouteStep
+from yewrill.dispatch.outcome import Ending
+from yewrill.membership import Members
+from yewrill.membership.link import ZONES
+from yewrill.membership.machine import DEAD, LEFT
+from yewrill.membership.suspicion import MOST_DOUBT
+from yewrill.service.subsystems import Around
+from yewrill.zone_failover.machine import Address, Machine, Member, Out, Rules
+from yewrill.zone_failover.plan import WHOLE
 
 log = logging.getLogger("yewrill.zones")
 
--- a/yewrill/zones/format.py
+++ b/yewrill/zone_failover/format.py
@@ -11,8 +11,8 @@
 
 import msgpack
 
-from yewrill.members.format import text, whole
-from yewrill.zones.plan import MOST_ZONES, WHOLE, Entry, Plan
+from yewrill.membership.format import text, whole
+from yewrill.zone_failover.plan import MOST_ZONES, WHOLE, Entry, Plan
 
 DIGEST, ASK, TELL, PLAN, GET, HINT = range(6)
 MOST_COUNT = 10_000
--- a/yewrill/zones/machine.py
+++ b/yewrill/zone_failover/machine.py
@@ -16,7 +16,7 @@
   time, or loses its attempts in most zones, answers that it doubts and proposes nothing.
 - *Without news* from anyone, the plan stands for a while, then no longer binds: own evidence is left.
 
-Where the duty of making plans has an owner (`yewrill/ownership`), it alone proposes; its number stands in
+Where the duty of making plans has an owner (`yewrill/leases`), it alone proposes; its number stands in
 front of the plan's, so that whatever an earlier owner sends late is lower, and refused. Polls bear its plans
 out like anybody's. Without an owner all of this holds as it is.
 
@@ -30,9 +30,20 @@
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
-from yewrill.zones.evidence import Counts, Evidence
-from yewrill.zones.format import ASK, DIGEST, GET, HINT, PLAN, TELL, Malformed, Said, pack, unpack
-from yewrill.zones.plan import EPOCH, STEPS, WHOLE, Entry, Plan, least_share, up
+from yewrill.zone_failover.evidence import Counts, Evidence
+from yewrill.zone_failover.format import (
+    ASK,
+    DIGEST,
+    GET,
+    HINT,
+    PLAN,
+    TELL,
+    Malformed,
+    Said,
+    pack,
+    unpack,
+)
+from yewrill.zone_failover.plan import EPOCH, STEPS, WHOLE, Entry, Plan, least_share, up
 
 MOST_PENDING = 8
 REFUSAL = 3.0  # seconds for which a plan that was spoken against is not looked at again
