--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 STEP = re.compile(
-    r" step destination=(\S+) ending=(\w+) class=(\d+) attempt=(\d+) width=(\S+) sent=(\d+) "
+    r" step worker=(\S+) outcome=(\w+) class=(\d+) attempt=(\d+) width=(\S+) sent=(\d+) "
     r"waited=(-?\d+) ran=(-?\d+)"
 )
 NO = re.compile(r"^(\S+) .* no class=(\d+) tries=(\d+) why=(.*)")
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -45,8 +45,8 @@
     d = Dispatcher(
         Settings(
             [
-                api.JobClass("a", 300.0, 5000.0, stretch=2.0),
-                api.JobClass("b", 500.0, 9000.0, 2.0, 0.3, stretch=1.75),
+                api.RequestClass("a", 300.0, 5000.0, objective_run_factor=2.0),
+                api.RequestClass("b", 500.0, 9000.0, 2.0, 0.3, objective_run_factor=1.75),
             ],
             dispatchers=dispatchers,
             index=0,
@@ -83,7 +83,7 @@
             (number,) = args
             if number < jobs:
                 at(now + rng.expovariate(1.0 / gap), "arrive", number + 1)
-            job = api.JobArrived(str(number), number % 2, now + 5000.0)
+            job = api.RequestArrived(str(number), number % 2, now + 5000.0)
             if keys:
                 job.key = f"k{rng.choices(range(2 * workers), weights)[0]}"
             events = [job]
@@ -108,9 +108,9 @@
                 at(now + action.delay, "timer", action.token)
             elif isinstance(action, api.Send):
                 if free[action.worker] > 0:
-                    begin(at, free, waiting, now, action.job, action.worker, rng)
+                    begin(at, free, waiting, now, action.request_id, action.worker, rng)
                 else:
-                    waiting[action.worker].append(action.job)
+                    waiting[action.worker].append(action.request_id)
     return spent / jobs * 1e6
 
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -51,8 +51,8 @@
     )
     return {
         "lost": sum(began <= at < mended for at in fleet.lost_at[0]),
-        "worth": fleet.worth(began, mended),
-        "worth_after": fleet.worth(mended, mended + 15),
+        "worth": fleet.served_weight(began, mended),
+        "worth_after": fleet.served_weight(mended, mended + 15),
         "back_s": full,
         "cold": fleet.cold_over(),
     }
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -84,13 +84,19 @@
         self.settings = (
             dict(
                 classes=[
-                    api.JobClass(n, aim=c[3], deadline=deadline, worth=c[5], stretch=c[4])
+                    api.RequestClass(
+                        n,
+                        latency_objective=c[3],
+                        deadline=deadline,
+                        priority_weight=c[5],
+                        objective_run_factor=c[4],
+                    )
                     for n, c in classes.items()
                 ],
                 dispatchers=dispatchers,
                 tells_start=True,
                 fifo=True,
-                worth_by_work=True,
+                weight_by_work=True,
                 max_attempts=6,
                 progress_every=1000.0,
                 cold_multiple=3.0,
@@ -116,7 +122,7 @@
             )
         self.rate = load * workers * slots / self.work
         self.used: list[set[str]] = [set() for _ in range(dispatchers)]
-        self.jobs = {}
+        self.requests = {}
         self.next_arrival()
 
     def add_host(self, launched=0.0, slow=1.0, errs=0.0):
@@ -180,8 +186,8 @@
         _, mean, widths, *_ = list(self.classes.values())[cls]
         run = mean * self.rng.lognormvariate(*self.spread)
         need = self.rng.choices((1, 2, 4), widths)[0]
-        job = self.jobs[name] = Job(name, cls, self.now, run, need, self.now + self.deadline)
-        self.tell(i, [api.JobArrived(name, cls, job.deadline, 0, float(need))])
+        job = self.requests[name] = Job(name, cls, self.now, run, need, self.now + self.deadline)
+        self.tell(i, [api.RequestArrived(name, cls, job.deadline, 0, float(need))])
 
     def tell(self, i, events):
         module = self.modules[i]
@@ -190,12 +196,12 @@
             if kind is api.SetTimer:
                 self.at(self.now + max(2.0, action.delay), self.ring, i, module, action.token)
             elif kind is api.Send:
-                job = self.jobs[action.job]
+                job = self.requests[action.request_id]
                 number, job.attempts = job.attempts, job.attempts + 1
                 self.used[i].add(action.worker)
                 self.at(self.now + TRIP, self.reach, i, job, number, action.worker)
             elif kind is api.Cancel:
-                self.back(i, self.jobs[action.job], action.attempt, "", api.CANCELLED)
+                self.back(i, self.requests[action.request_id], action.attempt, "", api.CANCELLED)
 
     def ring(self, i, module, token):
         if self.modules[i] is module:  # a timer ends with the dispatcher that set it
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -13,8 +13,8 @@
 
 
 def worker(w, name):
-    w.service.decisions.tick()
-    return w.service.decisions._module.fleet.workers[name]
+    w.service.engine.tick()
+    return w.service.engine._module.fleet.workers[name]
 
 
 def started(peer: Peer, ago: float) -> dict:
@@ -23,9 +23,9 @@
 
 
 async def tell(w, entry) -> None:
-    before = w.service.pool.version
+    before = w.service.endpoints.version
     w.discovery.tell(entry)
-    await w.until(lambda: w.service.pool.version > before)
+    await w.until(lambda: w.service.endpoints.version > before)
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR, -3.0, 3.0])
@@ -40,7 +40,7 @@
         await tell(w, started(new, ago=0.0))
         found = worker(w, "new")
         assert found.cold_from >= 0
-        age = w.service.decisions.now() - found.cold_from
+        age = w.service.engine.now() - found.cold_from
         assert 0.0 <= age < WARM_AFTER_MS / 2
 
 
@@ -72,7 +72,7 @@
         clock.offset = step
         await tell(w, entry)
         found = worker(w, "d1")
-        age = w.service.decisions.now() - found.cold_from
+        age = w.service.engine.now() - found.cold_from
         assert found.cold_from >= 0 and 0.0 <= age < WARM_AFTER_MS / 2
 
 
@@ -84,7 +84,7 @@
         await w.call("PUT /_profilers/detach?name=d1")
         await w.call("PUT /_profilers/attach?name=d1")
         clock.offset = step
-        assert 0.0 <= w.service.pool.back["d1"] < 20_000.0
+        assert 0.0 <= w.service.endpoints.back["d1"] < 20_000.0
         assert worker(w, "d1").cold_from >= 0
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -118,7 +118,9 @@
         settings.report_fields == ("qps", "inflight", "room")
         and settings.free_slots_field == "room"
     )
-    assert settings.fees == {"cross_zone": 0.0068} and settings.classes[0].late_worth == 0.5
+    assert (
+        settings.fees == {"cross_zone": 0.0068} and settings.classes[0].late_weight_fraction == 0.5
+    )
     wrong = CliRunner().invoke(
         main,
         [
@@ -194,7 +196,7 @@
         raw, {"BALANCER_LISTEN": "127.0.0.1:5001", "BALANCER_DISCOVERY": "127.0.0.1:1"}
     )
     assert config.listen == ("127.0.0.1", 5001) and config.discovery == ("127.0.0.1", 8500)
-    assert config.seed == 0x8C1F and config.places.zones == ("room",)
+    assert config.seed == 0x8C1F and config.topology.zones == ("room",)
 
 
 def started(path, *args):
@@ -263,7 +265,10 @@
         "ok: yewrill on 127.0.0.1:5000, front progress, management 127.0.0.1:9600, "
     )
     config = load_config(path)
-    assert [(c.name, c.stretch) for c in config.settings.classes] == [("tour", 2.5), ("save", 0.0)]
+    assert [(c.name, c.objective_run_factor) for c in config.settings.classes] == [
+        ("tour", 2.5),
+        ("save", 0.0),
+    ]
     path.write_text(path.read_text().replace('"deadline": 5000', '"deadline": -1'))
     done = call("config", "check", path)
     assert done.exit_code == 2 and "settings.request_classes[0].deadline" in done.output
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,10 +9,10 @@
 from helper import SETTINGS, Client, Discovery, Peer, done, story, timed_story, world
 from test_state import program
 
-from yewrill.config.reading import Places, read_settings
-from yewrill.dispatch.engine import Decisions
+from yewrill.config.reading import TopologyNames, read_settings
+from yewrill.dispatch.engine import DecisionEngine
 from yewrill.net import discovery as poolconfig
-from yewrill.net.discovery import PoolConfig, Watch
+from yewrill.net.discovery import EndpointList, Watch
 
 MANY = {"instances": 200, "registry_mode": "ask"}  # all ask one discovery
 TOLD = 6.0  # seconds after discovery had a change and could be reached
@@ -69,7 +69,7 @@
 async def seconds_until_known(w, peer) -> float:
     began = trio.current_time()
     with trio.fail_after(2 * TOLD):
-        while w.service.pool.may_send(peer.name):
+        while w.service.endpoints.may_send(peer.name):
             await trio.sleep(0.05)
     return trio.current_time() - began
 
@@ -108,13 +108,13 @@
         address = await discovery.serve(nursery)
         well, discovery.peer.script = discovery.peer.script, silent
         host, _, port = address.partition(":")
-        pool = PoolConfig(Decisions(read_settings(SETTINGS), 1), Places())
-        nursery.start_soon(Watch((host, int(port)), pool, callers=200).run)
+        endpoints = EndpointList(DecisionEngine(read_settings(SETTINGS), 1), TopologyNames())
+        nursery.start_soon(Watch((host, int(port)), endpoints, callers=200).run)
         while not discovery.peer.exchanges:
             await trio.sleep(0.01)
         discovery.peer.script = well
         began = trio.current_time()
-        while not len(pool):
+        while not len(endpoints):
             await trio.sleep(0.01)
         assert trio.current_time() - began < TOLD
         nursery.cancel_scope.cancel()
@@ -179,7 +179,7 @@
         w.discovery.tell(drains(peer), full=True)
         watch.move(home)
         began = trio.current_time()
-        await w.until(lambda: not w.service.pool.may_send("d1"))
+        await w.until(lambda: not w.service.endpoints.may_send("d1"))
         assert (
             trio.current_time() - began < 4.0
         )  # what counts as told then is what it had at SIGHUP
@@ -194,7 +194,7 @@
     async with world(peer) as w:
         for _ in range(9):
             w.discovery.tell(peer.entry())
-        await w.until(lambda: w.service.pool.version == 10)
+        await w.until(lambda: w.service.endpoints.version == 10)
         there = Discovery([peer])
         there.version = 3
         address = await there.serve(w.nursery)
@@ -212,7 +212,7 @@
     async with world(peer) as w:
         for _ in range(9):
             w.discovery.tell(peer.entry())
-        await w.until(lambda: w.service.pool.version == 10)
+        await w.until(lambda: w.service.endpoints.version == 10)
 
         async def counts_anew(exchange):
             if "from=" in exchange.target:  # nothing is newer: the hold is over
@@ -226,7 +226,7 @@
         w.discovery.peer.script = counts_anew
         w.discovery.tell(peer.entry())
         assert await seconds_until_known(w, peer) < TOLD
-        assert w.service.pool.version == 3
+        assert w.service.endpoints.version == 3
 
 
 @timed_story
@@ -234,7 +234,7 @@
     peers = [Peer("d1", done), Peer("d2", done)]
     async with world(*peers) as w:
         w.discovery.tell(drains(peers[0]))
-        await w.until(lambda: not w.service.pool.may_send("d1"))
+        await w.until(lambda: not w.service.endpoints.may_send("d1"))
         version, peers[0].state = w.discovery.version + 1, "SERVING"
 
         async def indented(exchange):
@@ -248,7 +248,9 @@
 
         w.discovery.peer.script = indented
         w.discovery.tell(peers[1].entry())
-        await w.until(lambda: w.service.pool.may_send("d1") and not w.service.pool.may_send("d2"))
+        await w.until(
+            lambda: w.service.endpoints.may_send("d1") and not w.service.endpoints.may_send("d2")
+        )
 
 
 @pytest.mark.parametrize("callers, a_second", [(1, 3), (40, 38), (200, 175)])
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -10,7 +10,7 @@
 from test_operators import shared_world, start_heir
 
 from yewrill.persistence.disk import Disk, Unreadable
-from yewrill.persistence.keeper import SENT, TIDY
+from yewrill.persistence.persistent_state import SENT, TIDY
 from yewrill.store import Store
 
 PATIENCE_MS = 1000
@@ -127,7 +127,7 @@
         assert (await w.ask("/once", X_Request_ID="a1", Idempotency_Key="k")).status == 503
         assert (await w.ask(X_Request_ID="plain")).status == 200
         failing.clear()
-        await w.until(lambda: w.service.keeper._recalled)
+        await w.until(lambda: w.service.persistent_state._recalled)
         assert (await w.ask("/once", X_Request_ID="a2", Idempotency_Key="k")).status == 502
         assert (await w.ask("/once", X_Request_ID="a3", Idempotency_Key="other")).status == 200
         assert [e.id for e in peer.exchanges] == ["out", "plain", "a3"]
@@ -150,10 +150,16 @@
         disk.error = errno.EIO
         gate.set()
         assert (await client.reply()).status == 200
-        keeper = w.service.keeper
-        await w.until(lambda: keeper._disk._told)  # its end was tried and failed
+        persistent_state = w.service.persistent_state
+        await w.until(lambda: persistent_state._disk._told)  # its end was tried and failed
         disk.error = 0
-        await w.until(lambda: keeper.held and not keeper._ended and not keeper._disk._told)
+        await w.until(
+            lambda: (
+                persistent_state.held
+                and not persistent_state._ended
+                and not persistent_state._disk._told
+            )
+        )
         assert records_left_by_a_kill(tmp_path) == []
 
 
@@ -167,10 +173,10 @@
         await busy.send(X_Request_ID="busy")  # so that the old run stays
         await w.until(lambda: peer.exchanges)
         new = await start_heir(w)
-        assert not new.keeper.held
-        w.elder.listener.stop_accepting()  # the new run alone accepts
+        assert not new.persistent_state.held
+        w.old_process.listener.stop_accepting()  # the new run alone accepts
         client = await w.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="k")
         await w.until(lambda: len(peer.exchanges) == 2)
-        assert new.decisions.pending == 1 and not new.keeper.held
+        assert new.engine.pending == 1 and not new.persistent_state.held
         assert len(records_left_by_a_kill(tmp_path)) == 1
--- a/tests/test_drawn.py
+++ b/tests/test_drawn.py
@@ -126,23 +126,23 @@
 }
 
 
-def kept(job_class: dict, tries: int, attempts: list[dict], status: int) -> None:
+def kept(request_class: dict, tries: int, attempts: list[dict], status: int) -> None:
     """The rules, held against what the workers saw of one request and what its client got."""
     assert len(attempts) <= tries
     ran = [a for a in attempts if a["how"] not in NEVER_RAN]
     for before, after in zip(attempts, attempts[1:], strict=False):
         assert before["over"] is not None and before["over"] <= after["at"], "two attempts out"
-    if job_class["repeat"] == "side_effect":
+    if request_class["repeat"] == "side_effect":
         assert len(ran) <= 1 and (not ran or ran[-1] is attempts[-1]), (
             "sent again though it may have run"
         )
-    if job_class["repeat"] == "token" and ran:
+    if request_class["repeat"] == "token" and ran:
         after = attempts[attempts.index(ran[0]) :]
-        assert after[-1]["at"] - ran[0]["at"] <= job_class["window"] / 1000.0, "past its window"
-        if job_class["group"] == "cell":
+        assert after[-1]["at"] - ran[0]["at"] <= request_class["window"] / 1000.0, "past its window"
+        if request_class["group"] == "cell":
             assert len({a["cell"] for a in after}) == 1, "outside its group"
-    bound = job_class["repeat"] == "side_effect" or (
-        job_class["repeat"] == "token" and job_class["group"] != "all"
+    bound = request_class["repeat"] == "side_effect" or (
+        request_class["repeat"] == "token" and request_class["group"] != "all"
     )
     assert not (status in (429, 503) and ran and bound), "refused though it may have run"
     assert (status == 200) == bool(attempts and attempts[-1]["how"] == "done")
@@ -167,13 +167,13 @@
     peers = [Peer(f"d{i}", witness.script(i // 2), cell=i // 2) for i in range(4)]
     async with world(*peers, settings=customer) as w:
 
-        async def one(i: int, job_class: dict) -> None:
-            id, began = f"r{i}-{job_class['name']}", trio.current_time()
+        async def one(i: int, request_class: dict) -> None:
+            id, began = f"r{i}-{request_class['name']}", trio.current_time()
             tenants = [party["name"] for party in customer["parties"]]
             tenant = tenants[i % len(tenants)] if tenants else None
-            patience = job_class["deadline"]
+            patience = request_class["deadline"]
             reply = await w.ask(
-                f"/{job_class['name']}",
+                f"/{request_class['name']}",
                 X_Request_ID=id,
                 X_Tenant_Id=tenant,
                 X_Timeout_Ms=f"{patience:.0f}",
@@ -181,7 +181,7 @@
             )
             assert trio.current_time() - began <= patience / 1000.0
             kept(
-                job_class,
+                request_class,
                 customer["limits"]["try_limit"],
                 witness.attempts.get(id, []),
                 reply.status,
@@ -191,8 +191,8 @@
 
         async with trio.open_nursery() as nursery:
             for i in range(5):
-                for job_class in customer["request_classes"]:
-                    nursery.start_soon(one, i, job_class)
-        while w.service.decisions.pending or w.service._open:
+                for request_class in customer["request_classes"]:
+                    nursery.start_soon(one, i, request_class)
+        while w.service.engine.pending or w.service._open:
             await trio.sleep(0.05)
         assert (await w.ask("/up", method="GET")).status == 200
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,7 +21,7 @@
 from yewrill.net import listener
 from yewrill.net.connection import RING, Connection
 from yewrill.net.listener import Client as Served
-from yewrill.net.worker_connections import DestinationPool
+from yewrill.net.worker_connections import WorkerConnectionPool
 from yewrill.policy import interface as api
 
 # Time enough for a job to be held for as long as a story needs.
@@ -74,15 +74,15 @@
 def as_a_line_is_taken(monkeypatch, act) -> list[str]:
     """Have something happen as an attempt begins, with no turn of the loop up to its last look. Returns the
     workers for whom attempts have begun."""
-    real, begun = DestinationPool._take, []
+    real, begun = WorkerConnectionPool._take, []
 
-    def takes(pool, destination):
-        begun.append(destination.id)
+    def takes(endpoints, worker):
+        begun.append(worker.id)
         if len(begun) == 1:
             act()
-        return real(pool, destination)
+        return real(endpoints, worker)
 
-    monkeypatch.setattr(DestinationPool, "_take", takes)
+    monkeypatch.setattr(WorkerConnectionPool, "_take", takes)
     return begun
 
 
@@ -91,7 +91,7 @@
     peer = Peer("d1", done)
     async with world(peer, settings=ROOMY) as w:
         assert (await w.ask(X_Request_ID="r0", **LONG)).status == 200
-        await w.until(lambda: w.service.destinations._idle.get("d1"))
+        await w.until(lambda: w.service.worker_connections._idle.get("d1"))
         client = await w.client()
         begun = as_a_line_is_taken(monkeypatch, lambda: hang_up(client))
         await client.send(**LONG)
@@ -104,8 +104,8 @@
     """Which worker the module chooses: the one named here, or none, so that every job is held."""
 
     def __init__(self, w, monkeypatch):
-        self.decisions = w.service.decisions
-        self.module = self.decisions._module
+        self.engine = w.service.engine
+        self.module = self.engine._module
         self.worker = ""
         monkeypatch.setattr(
             self.module.choice,
@@ -122,8 +122,8 @@
         """Have every held job sent there at once, without a turn of the loop."""
         self.worker = worker
         self.module.stirred = True
-        self.decisions.share_out({})  # any event will do
-        self.decisions.tick()
+        self.engine.set_zone_weights({})  # any event will do
+        self.engine.tick()
 
 
 async def keep_connections(w, gate: Gate, peer: Peer, count: int) -> None:
@@ -140,7 +140,7 @@
     async with trio.open_nursery() as nursery:
         for i in range(count):
             nursery.start_soon(lambda i=i: w.ask(X_Request_ID=f"kept{i}", **LONG))
-    await w.until(lambda: len(w.service.destinations._idle.get(peer.name, ())) == count)
+    await w.until(lambda: len(w.service.worker_connections._idle.get(peer.name, ())) == count)
     peer.script, gate.worker = done, ""
 
 
@@ -244,14 +244,14 @@
         [client] = await asking(w, 1)
         await w.until(lambda: gate.held == 1)
         [left] = w.service.listener.clients
-        operation = left.operation
+        request = left.request
         await client.stream.send_all(b"x" * 9000)
         await w.until(lambda: not left.connection.inbound.room)
         if much:
             send_all_that_goes(client)
         leave(client)
         await w.until(lambda: not w.service.listener.clients)
-        assert operation.client_left and not Served.overrunning
+        assert request.client_left and not Served.overrunning
         gate.open("d1")
         assert (await w.ask(X_Request_ID="r2", **LONG)).status == 200
         assert left_ones(peer) == []
@@ -322,8 +322,8 @@
 
 
 def blameless(w, peer: Peer) -> bool:
-    worker = w.service.decisions._module.fleet.workers[peer.name]
-    return not worker.fails and worker.blocked <= w.service.decisions.now()
+    worker = w.service.engine._module.fleet.workers[peer.name]
+    return not worker.fails and worker.blocked <= w.service.engine.now()
 
 
 @FRONTS
@@ -343,8 +343,8 @@
         peer.reads.set()
         await peer.ended.wait()
         await w.until(lambda: not w.service.listener.clients)
-        assert not peer.exchanges and not w.service.destinations.open
-        await w.until(lambda: not w.service.decisions._events)  # the module has heard
+        assert not peer.exchanges and not w.service.worker_connections.open
+        await w.until(lambda: not w.service.engine._events)  # the module has heard
         assert blameless(w, peer)
         assert (await w.ask(X_Request_ID="r2", **LONG)).status == 200
 
@@ -372,8 +372,8 @@
         peer.reads.set()
         await peer.ended.wait()
         assert crossed and not peer.exchanges
-        await w.until(lambda: not w.service.listener.clients and not w.service.decisions._events)
-        assert blameless(w, peer) and not w.service.destinations.open
+        await w.until(lambda: not w.service.listener.clients and not w.service.engine._events)
+        assert blameless(w, peer) and not w.service.worker_connections.open
 
 
 @story
@@ -393,7 +393,7 @@
         assert len(peer.live) == 1
         go_on.set()
         await w.until(
-            lambda: w.service.destinations._idle.get("d1")
+            lambda: w.service.worker_connections._idle.get("d1")
         )  # its end told much, and it is kept
 
 
@@ -418,14 +418,14 @@
         await client.send(**LONG)
         await writing.wait()
         [left] = w.service.listener.clients
-        operation = left.operation
-        await w.until(lambda: operation.choice is not None)  # the module has chosen a worker for it
+        request = left.request
+        await w.until(lambda: request.choice is not None)  # the module has chosen a worker for it
         if leaves:
             hang_up(client)
             await w.until(lambda: left.gone)
         go_on.set()
         await w.until(lambda: not w.service.listener.clients)
-        assert operation.client_left
+        assert request.client_left
         assert (await w.ask(X_Request_ID="r2", **LONG)).status == 200
         assert not sent_for([peer])
 
@@ -436,16 +436,16 @@
     peer = Peer("d1", done)
     async with world(peer, front=front, settings=ROOMY) as w:
         assert (await w.ask(X_Request_ID="r0", **LONG)).status == 200
-        await w.until(lambda: w.service.destinations._idle.get("d1"))
+        await w.until(lambda: w.service.worker_connections._idle.get("d1"))
         client, promised = await w.client(), []
 
-        async def record(step):
+        async def record(attempt):
             if not promised:
                 hang_up(client)
-            promised.append(step)
+            promised.append(attempt)
             return True
 
-        w.service.destinations.record_attempt = record
+        w.service.worker_connections.record_attempt = record
         await client.send(**LONG)
         await w.until(lambda: promised and not w.service.listener.clients)
         assert (await w.ask(X_Request_ID="r2", **LONG)).status == 200
@@ -745,13 +745,13 @@
 async def test_a_request_that_is_whole_only_after_the_last_call_is_not_taken(monkeypatch):
     peer = Peer("d1", done)
     async with world(peer, settings=ROOMY, timing={"linger_ms": 50, "grace_ms": 1400}) as w:
-        real = w.service.decisions.give_up
+        real = w.service.engine.give_up
 
         def gives_up():
             real()
             client.stream.socket._sock.send(raw_request("half")[60:])
 
-        monkeypatch.setattr(w.service.decisions, "give_up", gives_up)
+        monkeypatch.setattr(w.service.engine, "give_up", gives_up)
         held = Gate(w, monkeypatch)  # so that there is somebody to call
         client, other = await w.client(), await w.client()
         w.nursery.start_soon(w.service.drain)
@@ -817,7 +817,7 @@
         async with world(
             Peer("d1", done), signals=True, timing={"linger_ms": 20, "grace_ms": 1000}
         ) as w:
-            real = w.service.destinations.close
+            real = w.service.worker_connections.close
 
             def closes():
                 os.kill(
@@ -826,7 +826,7 @@
                 os.kill(os.getpid(), signal.SIGINT)
                 real()
 
-            w.service.destinations.close = closes
+            w.service.worker_connections.close = closes
             os.kill(os.getpid(), signal.SIGTERM)
             await w.ended.wait()
             assert not stray  # nothing was left to whoever had the signals before
@@ -866,7 +866,7 @@
     async with world(peer, front=front, settings=ROOMY) as w:
         assert (await w.ask(X_Request_ID="r0", **LONG)).status == 200
         await w.until(
-            lambda: w.service.destinations._idle.get("d1")
+            lambda: w.service.worker_connections._idle.get("d1")
         )  # an attempt there needs no wait
         gone = [socket.create_connection(w.service.listener.address) for _ in range(50)]
         for i, sock in enumerate(gone):
@@ -893,7 +893,7 @@
         began = trio.current_time()
         await w.until(lambda: not w.service.listener.clients)
         assert trio.current_time() - began < 0.5
-        assert not w.service._open and not w.service.decisions.pending
+        assert not w.service._open and not w.service.engine.pending
         await client.stream.aclose()
 
 
@@ -908,7 +908,7 @@
     peer = Peer("d1", done)
     async with world(peer, front=front, settings=ROOMY) as w:
         assert (await w.ask(X_Timeout_Ms=given)).status == 400
-        assert not peer.exchanges and not w.service.decisions.pending and not w.service._open
+        assert not peer.exchanges and not w.service.engine.pending and not w.service._open
 
 
 @pytest.mark.parametrize("framing", ["chunked", "in one piece"])
@@ -1001,7 +1001,9 @@
                 )
             else:
                 assert reply.status == (200 if attempts == 2 else 502)
-            await w.until(lambda: w.service.destinations.open <= 1)  # what broke off is not kept
+            await w.until(
+                lambda: w.service.worker_connections.open <= 1
+            )  # what broke off is not kept
 
 
 async def twice(exchange):
@@ -1055,12 +1057,12 @@
 async def test_an_answer_that_comes_as_its_time_is_up_is_the_only_one(front, script, served):
     """The module gives a job up in the very turn in which its attempt has ended."""
     async with world(Peer("d1", script), front=front, settings=ROOMY) as w:
-        real, decisions = w.service._attempt, w.service.decisions
+        real, engine = w.service._attempt, w.service.engine
 
-        async def attempt(step):
-            ending = await real(step)
-            decisions._carry_out(api.Fail(step.operation.key, "its time is up"), decisions.now())
-            return ending
+        async def attempt(attempt):
+            outcome = await real(attempt)
+            engine._carry_out(api.Fail(attempt.request.key, "its time is up"), engine.now())
+            return outcome
 
         w.service._attempt = attempt
         client = await w.client()
@@ -1073,7 +1075,7 @@
             )
         else:
             assert reply.status == (200 if served else 502)
-        await w.until(lambda: not decisions.pending and not decisions._live and not w.service._open)
+        await w.until(lambda: not engine.pending and not engine._live and not w.service._open)
 
 
 @timed_story
@@ -1093,7 +1095,7 @@
         monkeypatch.setattr(Connection, "open", opens)
         assert (await w.ask("/once", **LONG)).status == 200
         assert len(tried) == 2 and tried[0] != tried[1]
-        assert sum(len(p.exchanges) for p in peers) == 1 and w.service.destinations.open == 1
+        assert sum(len(p.exchanges) for p in peers) == 1 and w.service.worker_connections.open == 1
 
 
 @story
@@ -1111,8 +1113,8 @@
                 stream.socket.close()
             gate.worker = "d2"
 
-        await w.until(lambda: w.service.destinations._idle.get("d1"))
-        [line] = w.service.destinations._idle["d1"]
+        await w.until(lambda: w.service.worker_connections._idle.get("d1"))
+        [line] = w.service.worker_connections._idle["d1"]
         real = Connection.quiet
 
         def looks(connection):
@@ -1136,16 +1138,16 @@
 
     go_on, peers = trio.Event(), [Peer("d1", waits), Peer("d2", waits)]
     async with world(*peers, settings=ROOMY) as w:
-        w.service.destinations.limit(1)
+        w.service.worker_connections.limit(1)
         first = await w.client()
         await first.send(**LONG)
         await w.until(lambda: any(p.exchanges for p in peers))
         assert (await w.ask("/once", X_Request_ID="r2", **LONG)).status == 503  # it never ran
-        assert w.service.destinations.open == 1
+        assert w.service.worker_connections.open == 1
         go_on.set()
         assert (await first.reply()).status == 200
         assert (await w.ask("/once", X_Request_ID="r3", **LONG)).status == 200
-        assert w.service.destinations.open == 1
+        assert w.service.worker_connections.open == 1
 
 
 @timed_story
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,15 +23,15 @@
 @pytest.mark.parametrize("index", [-1, 0, 39, 400])
 def test_no_dispatcher_has_a_share_of_nothing_and_a_list_may_shrink_to_none(entries, index):
     d = Dispatcher(
-        Settings(classes=[api.JobClass("c", 500.0, 5000.0)], dispatchers=40, index=index), 7
+        Settings(classes=[api.RequestClass("c", 500.0, 5000.0)], dispatchers=40, index=index), 7
     )
     whole = [api.WorkerEntry(f"w{i % 4999}") for i in range(entries)]  # one of 5,000 is there twice
     d.handle(0.0, [api.WorkerList(api.LIST_FULL, whole)])
-    out = d.handle(1.0, [api.JobArrived("a", 0, 5001.0)])
+    out = d.handle(1.0, [api.RequestArrived("a", 0, 5001.0)])
     assert sum(type(action) is api.Send for action in out) == min(1, entries)
     assert len(d.fleet.mine[-1]) >= min(entries, 6)
     d.handle(2.0, [api.WorkerList(api.LIST_FULL, [])])
-    out = d.handle(3.0, [api.JobArrived("b", 0, 5003.0)])
+    out = d.handle(3.0, [api.RequestArrived("b", 0, 5003.0)])
     assert not d.fleet.mine[-1] and not any(type(action) is api.Send for action in out)
     out = d.handle(4.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w9999")])])
     assert [a.worker for a in out if type(a) is api.Send][:1] == ["w9999"]
@@ -41,7 +41,9 @@
     # One configuration copied to forty places would have all of them at six workers.
     firsts = set()
     for seed in range(40):
-        d = Dispatcher(Settings(classes=[api.JobClass("c", 500.0, 5000.0)], dispatchers=40), seed)
+        d = Dispatcher(
+            Settings(classes=[api.RequestClass("c", 500.0, 5000.0)], dispatchers=40), seed
+        )
         d.handle(
             0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry(f"w{i:02d}") for i in range(60)])]
         )
@@ -53,8 +55,8 @@
     """What each dispatcher uses first, and its part of each of these."""
     found = []
     for i in range(dispatchers):
-        job_class = api.JobClass("c", 500.0, 5000.0)
-        d = Dispatcher(Settings(classes=[job_class], dispatchers=dispatchers, index=i), i)
+        request_class = api.RequestClass("c", 500.0, 5000.0)
+        d = Dispatcher(Settings(classes=[request_class], dispatchers=dispatchers, index=i), i)
         # Where crossing zones costs nothing, those of another zone are as near as ours.
         entries = [api.WorkerEntry(n, zone=int(n[-1], 16) % 2) for n in names]
         d.handle(0.0, [api.WorkerList(api.LIST_FULL, entries)])
@@ -149,4 +151,4 @@
         assert (await w.ask()).status == 200
         w.discovery.peer.script = usual
         w.discovery.tell({**peer.entry(), "state": "DRAINING"})
-        await w.until(lambda: not w.service.pool.may_send("a"))
+        await w.until(lambda: not w.service.endpoints.may_send("a"))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -52,10 +52,10 @@
             "disk full: goes on without",
         ),
         (
-            "no-decision operation=%s: answered without the module",
+            "no-decision request=%s: answered without the module",
             ("a=b",),
             "no-decision",
-            {"operation": "a=b"},
+            {"request": "a=b"},
             "answered without the module",
         ),
         ("a bare 100% line", (), "a bare 100% line", {}, ""),
@@ -82,20 +82,18 @@
 def test_json_lines_have_event_level_keys_and_what_they_belong_to():
     line = ujson.loads(
         formatter("json").format(
-            record(
-                "garbled destination=%s: %s", "d1", "no line", operation="r1", trace="ab", thinned=3
-            )
+            record("garbled worker=%s: %s", "d1", "no line", request="r1", trace="ab", thinned=3)
         )
     )
-    assert line["event"] == "garbled" and line["destination"] == "d1" and line["text"] == "no line"
-    assert (line["operation"], line["trace"], line["thinned"], line["level"]) == (
+    assert line["event"] == "garbled" and line["worker"] == "d1" and line["text"] == "no line"
+    assert (line["request"], line["trace"], line["thinned"], line["level"]) == (
         "r1",
         "ab",
         3,
         "info",
     )
     assert "garbled" in formatter("console").format(
-        record("garbled destination=%s: %s", "d1", "no line")
+        record("garbled worker=%s: %s", "d1", "no line")
     )
     assert (
         formatter("plain")
@@ -163,7 +161,7 @@
     lines = [ujson.loads(line) for line in out.getvalue().splitlines()]
     (line,) = (line for line in lines if line["event"] == "garbled")
     (kept,) = (ujson.loads(text) for text in (tmp_path / "t").read_text().splitlines())
-    assert (line["operation"], line["trace"]) == ("r1", kept["trace"])
+    assert (line["request"], line["trace"]) == ("r1", kept["trace"])
 
 
 def test_the_program_speaks_json_and_names_a_form_it_does_not_know(tmp_path):
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -109,8 +109,8 @@
 
 def dispatcher(**kwargs):
     classes = [
-        api.JobClass("cheap", aim=1000.0, deadline=9000.0, worth=1.0),
-        api.JobClass("dear", aim=1000.0, deadline=9000.0, worth=10.0),
+        api.RequestClass("cheap", latency_objective=1000.0, deadline=9000.0, priority_weight=1.0),
+        api.RequestClass("dear", latency_objective=1000.0, deadline=9000.0, priority_weight=10.0),
     ]
     return Dispatcher(Settings(classes=classes, max_attempts=3, **kwargs), 1)
 
@@ -137,24 +137,24 @@
 def test_jobs_leave_by_deadline_and_wait_while_no_slot_is_free():
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
-    first = d.handle(1.0, [api.JobArrived("a", 0, 9001.0)])
-    assert [a.job for a in first if isinstance(a, api.Send)] == ["a"]
+    first = d.handle(1.0, [api.RequestArrived("a", 0, 9001.0)])
+    assert [a.request_id for a in first if isinstance(a, api.Send)] == ["a"]
     d.handle(2.0, [api.AttemptEnded("a", 0, "w", api.FULL, 1.0)])
-    assert "a" in d.jobs and d.jobs["a"].held
-    early = api.JobArrived("early", 0, 8900.0, retry=True)  # first asked for 103 ms ago
-    out = d.handle(3.0, [api.JobArrived("late", 0, 9003.0), early])
+    assert "a" in d.requests and d.requests["a"].held
+    early = api.RequestArrived("early", 0, 8900.0, retry=True)  # first asked for 103 ms ago
+    out = d.handle(3.0, [api.RequestArrived("late", 0, 9003.0), early])
     assert not [a for a in out if isinstance(a, api.Send)]
     assert [entry[2].id for entry in d.held[-1]][0] == "early"
     w = d.fleet.workers["w"]
     w.free, w.free_at, w.cap, w.blocked = 1.0, 300.0, 9.0, 0.0
     w.kind.slots = 1.0
     out = d.handle(300.0, [api.ProbeEnded("w", api.SERVED, {})])
-    sends = [a.job for a in out if isinstance(a, api.Send)]
+    sends = [a.request_id for a in out if isinstance(a, api.Send)]
     assert sends == ["early", "a", "late"][: len(sends)] and sends
 
 
 def test_traffic_beyond_a_share_is_the_lowest_rung():
-    d = dispatcher(tenants=[api.Tenant("a", 1.0)], over_share_worth=0.1)
+    d = dispatcher(tenants=[api.Tenant("a", 1.0)], over_quota_weight=0.1)
     d.admission.controller.rungs = 3
     tenant = d.admission.tenants[0]
     marks = [tenant.over_share(0.0) for _ in range(8)]
@@ -164,15 +164,15 @@
     d.handle(1001.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
     d.admission.controller.gapped = 1
     d.admission.controller.changed = 1001.0
-    out = d.handle(1002.0, [api.JobArrived("over", 1, 10_000.0)])
-    assert [a.job for a in out if isinstance(a, api.Refuse)] == ["over"]
+    out = d.handle(1002.0, [api.RequestArrived("over", 1, 10_000.0)])
+    assert [a.request_id for a in out if isinstance(a, api.Reject)] == ["over"]
 
 
 def test_utility_is_worth_over_run_time_or_worth_alone_where_work_is_counted():
     for by_work, higher in ((False, "short"), (True, "long")):
-        short = api.JobClass("short", 500.0, 9000.0, worth=2.0)
-        classes = [short, api.JobClass("long", 500.0, 9000.0, worth=3.0)]
-        d = Dispatcher(Settings(classes=classes, worth_by_work=by_work), 1)
+        short = api.RequestClass("short", 500.0, 9000.0, priority_weight=2.0)
+        classes = [short, api.RequestClass("long", 500.0, 9000.0, priority_weight=3.0)]
+        d = Dispatcher(Settings(classes=classes, weight_by_work=by_work), 1)
         d.admission.classes[0].mean, d.admission.classes[1].mean = (
             100.0,
             1000.0,
@@ -197,7 +197,7 @@
     # Found on overloaded days: jams in the workers' own queues were not seen by the controller.
     d = dispatcher(tells_start=True)
     d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
-    d.handle(1.0, [api.JobArrived("j", 0, 9001.0)])
+    d.handle(1.0, [api.RequestArrived("j", 0, 9001.0)])
     assert len(d.attempts.waiting) == 1 and d.fleet.waiting == 1.0
     d.handle(2.0, [api.AttemptStarted("j", 0, "w")])
     assert not d.attempts.waiting and d.fleet.waiting == 0.0
@@ -210,18 +210,18 @@
     w.kind.slots, w.kind.free, w.cap = 4.0, 8.0, 8.0
     out = []
     for i in range(3):
-        out += d.handle(1.0 + i, [api.JobArrived(f"j{i}", 0, 9000.0)])
+        out += d.handle(1.0 + i, [api.RequestArrived(f"j{i}", 0, 9000.0)])
     assert sum(isinstance(a, api.Send) for a in out) == 3
     d.handle(5.0, [api.AttemptEnded("j2", 0, "w", api.FULL, 1.0)])
     assert w.cap == 2.0 and w.room() <= 0.0
 
 
 def test_a_job_goes_only_to_the_machine_kind_it_needs():
-    classes = [api.JobClass("c", 500.0, 5000.0, kind=1)]
+    classes = [api.RequestClass("c", 500.0, 5000.0, kind=1)]
     d = Dispatcher(Settings(classes=classes, kinds=2, max_attempts=3), 1)
     entries = [api.WorkerEntry(f"w{i}", kind=int(i == 7)) for i in range(9)]
     d.handle(0.0, [api.WorkerList(api.LIST_FULL, entries)])
-    out = d.handle(1.0, [api.JobArrived("j", 0, 5001.0)])
+    out = d.handle(1.0, [api.RequestArrived("j", 0, 5001.0)])
     assert [a.worker for a in out if isinstance(a, api.Send)] == ["w7"]
 
 
@@ -277,34 +277,34 @@
     d.fleet.residual = (
         2000.0  # two slots short: a wait of 2.5 times that, beyond any time constraint
     )
-    out = d.handle(1.0, [api.JobArrived("j", 0, 9001.0, **need)])
-    assert not [a for a in out if isinstance(a, api.Send)] and d.jobs["j"].held
+    out = d.handle(1.0, [api.RequestArrived("j", 0, 9001.0, **need)])
+    assert not [a for a in out if isinstance(a, api.Send)] and d.requests["j"].held
     w.kind.free, w.free, w.free_at = 4.0, 4.0, 2.0
     out = d.handle(2.0, [api.TimerFired(2)])
-    assert [a.job for a in out if isinstance(a, api.Send)] == ["j"]
+    assert [a.request_id for a in out if isinstance(a, api.Send)] == ["j"]
 
 
 def test_a_hint_sets_the_expected_run_time_and_so_the_due_time():
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.LIST_FULL, [])])
-    d.handle(10.0, [api.JobArrived("j", 0, 9010.0, hint=300.0)])
-    assert (d.jobs["j"].run, d.jobs["j"].due) == (300.0, 10.0 + 1000.0 - 300.0)
+    d.handle(10.0, [api.RequestArrived("j", 0, 9010.0, hint=300.0)])
+    assert (d.requests["j"].run, d.requests["j"].due) == (300.0, 10.0 + 1000.0 - 300.0)
 
 
 def a_storm_of_late_retries(marked: bool):
     """A dispatcher whose only worker is full, and unlike retries of jobs first asked for 3 s ago or more."""
     settings = Settings(
-        classes=[api.JobClass("c", 100.0, 5000.0)],
+        classes=[api.RequestClass("c", 100.0, 5000.0)],
         tenants=[api.Tenant("t", 1.0)],
         marks_retry=marked,
     )
     d = Dispatcher(settings, 1)
     d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
-    d.handle(1.0, [api.JobArrived("first", 0, 5001.0)])
+    d.handle(1.0, [api.RequestArrived("first", 0, 5001.0)])
     d.fleet.workers["w"].blocked = 1e9
     d.admission.controller.gapped, d.admission.controller.changed = 1, 1.0  # overload, a moment ago
     late = [
-        api.JobArrived(f"late{i}", 0, 2002.0 - 7.0 * (i % 50), retry=marked) for i in range(200)
+        api.RequestArrived(f"late{i}", 0, 2002.0 - 7.0 * (i % 50), retry=marked) for i in range(200)
     ]
     return d, late
 
@@ -314,26 +314,28 @@
     # A storm of retries past their wanted time must not have the tenant's first tries refused as over share.
     d, late = a_storm_of_late_retries(marked)
     credit = d.admission.tenants[0].credit
-    refused = [a.job for a in d.handle(2.0, late[:50]) if isinstance(a, api.Refuse)]
+    refused = [a.request_id for a in d.handle(2.0, late[:50]) if isinstance(a, api.Reject)]
     assert refused == [f"late{i}" for i in range(50)]
     assert d.admission.tenants[0].credit == credit and d.admission.tenants[0].arrivals == 1
 
 
 def test_in_a_storm_of_late_retries_first_tries_are_still_told_from_them():
     d, late = a_storm_of_late_retries(marked=False)
-    first = [api.JobArrived(f"first{i}", 0, 5002.0) for i in range(100)]
+    first = [api.RequestArrived(f"first{i}", 0, 5002.0) for i in range(100)]
     mixed = [job for pair in zip(late[:100], first, strict=True) for job in pair]
     d.handle(2.0, mixed)
     assert {
-        d.jobs[job.job].arrived - d.jobs[job.job].asked for job in first if job.job in d.jobs
+        d.requests[job.request_id].arrived - d.requests[job.request_id].asked
+        for job in first
+        if job.request_id in d.requests
     } <= {0}
-    assert not any(job.job in d.jobs for job in late)
+    assert not any(job.request_id in d.requests for job in late)
 
 
 @pytest.mark.parametrize("fields, learned", [((), True), (("x0",), False)])
 def test_slots_are_learned_from_start_notices_only_while_nothing_reports_load(fields, learned):
     settings = Settings(
-        classes=[api.JobClass("c", 1000.0, 5000.0)],
+        classes=[api.RequestClass("c", 1000.0, 5000.0)],
         tells_start=True,
         report_fields=fields,
         free_slots_field="x0",
@@ -343,27 +345,31 @@
     d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
     now = 1.0
     for i in range(400):
-        actions = d.handle(now, [api.JobArrived(f"j{i}", 0, now + 5000.0)])
+        actions = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 5000.0)])
         for send in [a for a in actions if isinstance(a, api.Send)]:
             d.handle(
-                now + 1.0, [api.AttemptStarted(send.job, 0, "w")]
+                now + 1.0, [api.AttemptStarted(send.request_id, 0, "w")]
             )  # the worker always has a slot
         now += 10.0
         for done in [a for a in d.attempts.out.values() if now - a.sent > 60.0]:
             report = {"x0": -1.0 - i % 7} if fields else None
             d.handle(
                 now,
-                [api.AttemptEnded(done.job.id, done.number, "w", api.SERVED, 60.0, True, report)],
+                [
+                    api.AttemptEnded(
+                        done.request.id, done.number, "w", api.SERVED, 60.0, True, report
+                    )
+                ],
             )
     worker = d.fleet.workers["w"]
     assert (worker.kind.slots > 5.9) is learned and worker.running == len(d.attempts.out)
 
 
-def in_trouble(aim=1000.0, **more):
+def in_trouble(latency_objective=1000.0, **more):
     """A dispatcher before two workers that tell of starts."""
     d = Dispatcher(
         Settings(
-            classes=[api.JobClass("c", aim, 9000.0)],
+            classes=[api.RequestClass("c", latency_objective, 9000.0)],
             tells_start=True,
             max_attempts=4,
             may_cancel=True,
@@ -378,7 +384,7 @@
 def send(d, job, now, worker=None):
     for name, w in d.fleet.workers.items():
         w.blocked = 1e9 if worker and name != worker else 0.0
-    out = d.handle(now, [api.JobArrived(job, 0, now + 9000.0)])
+    out = d.handle(now, [api.RequestArrived(job, 0, now + 9000.0)])
     for w in d.fleet.workers.values():
         w.blocked = 0.0
     return next(a.worker for a in out if isinstance(a, api.Send))
@@ -387,11 +393,25 @@
 def test_one_lost_connection_leaves_its_worker_in_and_a_second_in_a_row_does_not():
     d = in_trouble()
     w = d.fleet.workers["w1"]
-    for now, worn, blocked in ((1.0, False, False), (10.0, False, True), (5000.0, True, False)):
+    for now, stale_connection, blocked in (
+        (1.0, False, False),
+        (10.0, False, True),
+        (5000.0, True, False),
+    ):
         send(d, f"j{now}", now, "w1")
         d.handle(
             now + 1.0,
-            [api.AttemptEnded(f"j{now}", 0, "w1", api.CONNECTION_LOST, 1.0, True, worn=worn)],
+            [
+                api.AttemptEnded(
+                    f"j{now}",
+                    0,
+                    "w1",
+                    api.CONNECTION_LOST,
+                    1.0,
+                    True,
+                    stale_connection=stale_connection,
+                )
+            ],
         )
         assert (w.blocked > now + 1.0) is blocked
     # A sign of life between two losses: it stays in.
@@ -420,10 +440,12 @@
     send(d, "later", 1.0 + gap, "w1")
     d.handle(2.0 + gap, [api.AttemptStarted("later", 0, "w1")])
     out = d.handle(100.0, [api.TimerFired(1)])
-    assert [a.job for a in out if isinstance(a, api.Cancel)] == ["silent"] * lost
+    assert [a.request_id for a in out if isinstance(a, api.Cancel)] == ["silent"] * lost
     if lost:
         out = d.handle(101.0, [api.AttemptEnded("silent", 0, "w1", api.CANCELLED, 100.0)])
-        assert [(a.job, a.worker) for a in out if isinstance(a, api.Send)] == [("silent", "w2")]
+        assert [(a.request_id, a.worker) for a in out if isinstance(a, api.Send)] == [
+            ("silent", "w2")
+        ]
         assert not d.fleet.workers["w1"].fails  # its worker is well
 
 
@@ -439,12 +461,12 @@
 def test_without_load_reports_only_the_left_out_are_probed_and_an_answer_lets_them_back_in():
     d = in_trouble(may_probe=True)
     assert not [
-        a for a in d.handle(1.0, [api.JobArrived("j", 0, 9001.0)]) if isinstance(a, api.Probe)
+        a for a in d.handle(1.0, [api.RequestArrived("j", 0, 9001.0)]) if isinstance(a, api.Probe)
     ]
     d.fleet.workers["w1"].fails, d.fleet.workers["w1"].blocked = 3, 8000.0
     probes = []
     for i in range(30):
-        out = d.handle(300.0 + i, [api.JobArrived(f"k{i}", 0, 9300.0)])
+        out = d.handle(300.0 + i, [api.RequestArrived(f"k{i}", 0, 9300.0)])
         probes += [a.worker for a in out if isinstance(a, api.Probe)]
     assert probes == ["w1"]
     d.handle(400.0, [api.ProbeEnded("w1", api.SERVED)])
@@ -453,24 +475,24 @@
 
 def test_the_first_jobs_of_a_dispatcher_that_knows_no_slots_go_out_at_once_wide_ones_too():
     # A restarted dispatcher must not refuse its first seconds' jobs while it learns how many slots there are.
-    d = in_trouble(aim=200.0)
+    d = in_trouble(latency_objective=200.0)
     d.fleet.residual = 2000.0  # a job without a slot would wait too long
-    out = d.handle(1.0, [api.JobArrived("wide", 0, 9001.0, width=8.0)])
-    out += d.handle(2.0, [api.JobArrived(f"j{i}", 0, 9002.0) for i in range(5)])
+    out = d.handle(1.0, [api.RequestArrived("wide", 0, 9001.0, width=8.0)])
+    out += d.handle(2.0, [api.RequestArrived(f"j{i}", 0, 9002.0) for i in range(5)])
     assert len([a for a in out if isinstance(a, api.Send)]) == 6
 
 
 @pytest.mark.parametrize("width, capped", [(1.0, True), (4.0, False)])
 def test_a_worker_that_keeps_a_job_waiting_gets_no_more_than_it_runs(width, capped):
-    d = in_trouble(aim=200.0)
+    d = in_trouble(latency_objective=200.0)
     w = d.fleet.workers["w1"]
     for i in range(2):
         send(d, f"j{i}", 1.0, "w1")
         d.handle(2.0, [api.AttemptStarted(f"j{i}", 0, "w1")])
     d.fleet.workers["w2"].blocked = 1e9
-    d.handle(3.0, [api.JobArrived("waits", 0, 9003.0, width=width)])
+    d.handle(3.0, [api.RequestArrived("waits", 0, 9003.0, width=width)])
     assert len(w.queue) == 1
-    d.handle(100.0, [api.JobArrived("next", 0, 9100.0)])
+    d.handle(100.0, [api.RequestArrived("next", 0, 9100.0)])
     assert (w.cap == 3.0) is capped
 
 
@@ -489,10 +511,10 @@
     marked, retry, overload, refused
 ):
     d = in_trouble(marks_retry=marked)
-    d.handle(1.0, [api.JobArrived("patient", 0, 9001.0)])
+    d.handle(1.0, [api.RequestArrived("patient", 0, 9001.0)])
     d.admission.controller.level = int(overload)
-    out = d.handle(2.0, [api.JobArrived("short", 0, 1500.0, retry=retry)])
-    assert any(isinstance(a, api.Refuse) for a in out) is refused
+    out = d.handle(2.0, [api.RequestArrived("short", 0, 1500.0, retry=retry)])
+    assert any(isinstance(a, api.Reject) for a in out) is refused
 
 
 def test_the_usual_patience_is_that_of_first_tries_and_no_longer_than_the_settings_say():
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -300,13 +300,13 @@
             "zone": "north",
         },
     ) as w:
-        await w.until(lambda: w.service.hooks[0].status()["members"])
+        await w.until(lambda: w.service.subsystems[0].status()["members"])
         said = ujson.loads((await w.call("GET /_members")).body)
         assert [(m["name"], m["zone"]) for m in said["members"]] == [("yewrill", "north")]
         assert b"members_suspected:0|c" in (await w.call("GET /_vars")).body
         assert (await w.ask()).status == 200
     async with world(Peer("d1", done), mgmt="127.0.0.1:0") as w:
-        assert not w.service.hooks and (await w.call("GET /_members")).status == 404
+        assert not w.service.subsystems and (await w.call("GET /_members")).status == 404
 
 
 @pytest.mark.parametrize(
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -13,14 +13,14 @@
 from helper import Client, Peer, done, story, timed_story, world
 
 from yewrill.config.reading import read_config
-from yewrill.dispatch.engine import Operation
-from yewrill.dispatch.outcome import Ending
+from yewrill.dispatch.engine import Request
+from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.dispatch.safety import CloseReason, HeldBack, Rule
 from yewrill.net import listener
 from yewrill.net.management import ManagementListener
 from yewrill.policy import interface as api
 from yewrill.policy.dispatcher import HELD_TIMER, Dispatcher
-from yewrill.service.hot_restart import HandOver, link_path
+from yewrill.service.hot_restart import HotRestart, link_path
 from yewrill.service.service import LEAST_SOCKETS, SPARE, Service
 
 MGMT = {"mgmt": "127.0.0.1:0"}
@@ -93,16 +93,18 @@
         shared = Shared(deep)
         async with world(*peers, environment=shared.environment(), **{**MGMT, **config}) as w:
             w.shared = shared
-            w.elder = w.service
+            w.old_process = w.service
             yield w
         shared.sock.close()
 
 
 async def start_heir(w, **config) -> Service:
-    heir = Service(read_config({**w.raw, **config}, w.shared.environment()))
-    await w.nursery.start(lambda task_status: heir.run(signals=False, task_status=task_status))
-    w.service = heir
-    return heir
+    new_process = Service(read_config({**w.raw, **config}, w.shared.environment()))
+    await w.nursery.start(
+        lambda task_status: new_process.run(signals=False, task_status=task_status)
+    )
+    w.service = new_process
+    return new_process
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
@@ -119,16 +121,18 @@
     async with shared_world(peer, front=front) as w:
         slow, kept, unread = [await w.shared.client() for _ in range(3)]
         await slow.send(X_Request_ID="slow")
-        await w.until(lambda: peer.exchanges and len(w.elder.listener.clients) == 3)
-        heir = await start_heir(w)
+        await w.until(lambda: peer.exchanges and len(w.old_process.listener.clients) == 3)
+        new_process = await start_heir(w)
         assert (await w.call("GET /_ready")).status == 200
-        w.nursery.start_soon(w.elder.drain)
-        await w.until(lambda: w.elder.draining)
-        assert not w.elder.listener.accepting  # at once, while a plain restart goes on for 0.7 s
+        w.nursery.start_soon(w.old_process.drain)
+        await w.until(lambda: w.old_process.draining)
+        assert (
+            not w.old_process.listener.accepting
+        )  # at once, while a plain restart goes on for 0.7 s
         for i in range(20):  # whoever comes now is the heir's, and is told that all is well
             assert (await w.ask("/up", "GET")).status == 200
             assert (await w.ask(X_Request_ID=f"n{i}")).status == 200
-        assert len(w.elder.listener.clients) == 3
+        assert len(w.old_process.listener.clients) == 3
         up = await kept.ask("/up", "GET")  # the dispatcher is up, whichever run is asked
         assert (up.status, up.headers["connection"]) == (200, "close")
         assert (await unread.ask(X_Request_ID="late")).status == 200  # not read until now
@@ -138,16 +142,16 @@
             assert await client.stream.receive_some() == b""  # they go with their answers
             await client.stream.aclose()
         await w.ended.wait()
-        await w.until(lambda: heir.listener._most == 541)  # 0.55 of all that are not spare
+        await w.until(lambda: new_process.listener._most == 541)  # 0.55 of all that are not spare
 
 
 @story
 async def test_a_stop_right_after_the_yes_finds_the_elder_knowing_its_heir():
     async with shared_world(Peer("d1", done)) as w:
-        heir = await start_heir(w)
+        new_process = await start_heir(w)
         # The program that asked has nothing but the yes: by then the elder must know.
-        assert heir.serving and w.elder.handover.heir_ready
-        assert w.elder.listener._most + heir.listener._most <= 541
+        assert new_process.serving and w.old_process.hot_restart.new_process_ready
+        assert w.old_process.listener._most + new_process.listener._most <= 541
 
 
 @story
@@ -163,18 +167,18 @@
         before = await w.shared.client()
         await before.send(X_Request_ID="r7")
         await w.until(lambda: peer.exchanges)
-        heir = await start_heir(w)
-        assert heir.handover.open_elsewhere("r7")  # what the elder had before
-        w.elder.listener.stop_accepting()
+        new_process = await start_heir(w)
+        assert new_process.hot_restart.open_elsewhere("r7")  # what the elder had before
+        w.old_process.listener.stop_accepting()
         assert (await (await w.shared.client()).ask(X_Request_ID="r7")).status == 409
         after = await w.shared.client()
         await after.send(X_Request_ID="r8")
         await w.until(
-            lambda: w.elder.handover.open_elsewhere("r8")
+            lambda: w.old_process.hot_restart.open_elsewhere("r8")
         )  # and the other way round, later
         gate.set()
         assert (await before.reply()).status == (await after.reply()).status == 200
-        await w.until(lambda: not heir.handover.open_elsewhere("r7"))
+        await w.until(lambda: not new_process.hot_restart.open_elsewhere("r7"))
         assert (await (await w.shared.client()).ask(X_Request_ID="r7")).status == 200
 
 
@@ -183,7 +187,7 @@
 async def test_a_leftover_or_a_silent_elder_delays_no_start(leftover):
     async with shared_world(Peer("d1", done)) as w:
         path = w.shared.link()
-        w.elder.handover.close()
+        w.old_process.hot_restart.close()
         other = socket.socket(socket.AF_UNIX)
         if leftover != "not a socket":
             other.bind(f"/proc/self/fd/{(fd := os.open(path.parent, os.O_RDONLY))}/{path.name}")
@@ -210,20 +214,20 @@
         listener, "SETTLED", 0.0
     )  # each client is there for long, as on a slow machine
     async with shared_world(Peer("d1", done), limits={"sockets": 384}) as w:
-        elder, clients = w.service, []
+        old_process, clients = w.service, []
         for used in (0, 30, 120, 200, 280, 384):
-            while len(elder.listener.clients) < min(used, elder.listener._most):
+            while len(old_process.listener.clients) < min(used, old_process.listener._most):
                 clients.append(await w.client())
                 await clients[-1].send("/up", "GET")
                 await clients[-1].reply()
-            elder.destinations.open = max(0, used - len(elder.listener.clients))
-            heirs = elder._known_here()["sockets"]
-            bounds = elder.listener._most, elder.destinations._most
-            held = SPARE + len(elder.listener.clients) + elder.destinations.open
-            assert heirs >= LEAST_SOCKETS and sum(bounds) + SPARE <= 384 - heirs
-            assert 384 - heirs >= min(held, 384 - LEAST_SOCKETS)
-            elder._bound()  # the heir has gone again
-        elder.destinations.open = 0
+            old_process.worker_connections.open = max(0, used - len(old_process.listener.clients))
+            new_processes = old_process._known_here()["sockets"]
+            bounds = old_process.listener._most, old_process.worker_connections._most
+            held = SPARE + len(old_process.listener.clients) + old_process.worker_connections.open
+            assert new_processes >= LEAST_SOCKETS and sum(bounds) + SPARE <= 384 - new_processes
+            assert 384 - new_processes >= min(held, 384 - LEAST_SOCKETS)
+            old_process._bound()  # the heir has gone again
+        old_process.worker_connections.open = 0
         for client in clients:
             await client.stream.aclose()
 
@@ -231,14 +235,14 @@
 @story
 async def test_an_heir_that_dies_leaves_the_elder_as_it_was():
     async with shared_world(Peer("d1", done)) as w:
-        whole = w.elder.listener._most
-        heir = await start_heir(w)
-        assert w.elder.listener._most < whole
-        heir.nursery.cancel_scope.cancel()
-        await w.until(lambda: not w.elder.handover.heir_ready)
-        assert w.elder.listener._most == whole
+        whole = w.old_process.listener._most
+        new_process = await start_heir(w)
+        assert w.old_process.listener._most < whole
+        new_process.nursery.cancel_scope.cancel()
+        await w.until(lambda: not w.old_process.hot_restart.new_process_ready)
+        assert w.old_process.listener._most == whole
         await start_heir(w)  # the next one finds the elder again
-        assert w.elder.handover.heir_ready
+        assert w.old_process.hot_restart.new_process_ready
 
 
 OUT, BACK = "PUT /_profilers/detach?name=", "PUT /_profilers/attach?name="
@@ -275,10 +279,10 @@
         d1, watch = one.entry(), w.discovery
         for news in ([d1], [{**d1, "state": "DELETED"}], [d1], [{**d1, "started_ms": 1e12}]):
             watch.tell(*news)
-            await w.until(lambda: w.service.pool.version == watch.version)
+            await w.until(lambda: w.service.endpoints.version == watch.version)
             await jobs(5)
         watch.tell(d1, other.entry(), full=True)
-        await w.until(lambda: w.service.pool.version == watch.version)
+        await w.until(lambda: w.service.endpoints.version == watch.version)
         await jobs(5)
         assert len(one.exchanges) == before
         assert (await w.call(BACK + "d1")).status == 200  # once is enough
@@ -289,7 +293,7 @@
                 await jobs(1)
         assert (await w.call(BACK + "d1")).status == 200
         watch.tell({**d1, "state": "DELETED"})
-        await w.until(lambda: w.service.pool.version == watch.version)
+        await w.until(lambda: w.service.endpoints.version == watch.version)
         assert (await w.call(OUT + "d1")).status == 404
 
 
@@ -298,11 +302,11 @@
     one = Peer("d1", done)
     async with world(one, **MGMT) as w:
         service = w.service
-        operation = Operation("r1", 0, service.decisions.now() + 2000.0)
-        step = await service.decisions.pick(operation)
-        assert service.pool.take_out(step.destination)
-        assert (await service.destinations.attempt(step))[0] is Ending.NOT_SENT
-        assert (await service.destinations.probe("d1"))[0] is Ending.TURNED_AWAY
+        request = Request("r1", 0, service.engine.now() + 2000.0)
+        attempt = await service.engine.pick(request)
+        assert service.endpoints.take_out(attempt.worker)
+        assert (await service.worker_connections.run_attempt(attempt))[0] is AttemptOutcome.NOT_SENT
+        assert (await service.worker_connections.probe("d1"))[0] is AttemptOutcome.TURNED_AWAY
         assert not one.exchanges
 
 
@@ -313,17 +317,20 @@
         for name in ("d0", "d1", "d2"):
             assert (await w.call(OUT + name)).status == 200
         assert (await w.call(BACK + "d2")).status == 200
-        elder, heir = w.elder, await start_heir(w)
+        old_process, new_process = w.old_process, await start_heir(w)
         assert (
-            heir.pool.out == ["d0", "d1"] and "d2" in heir.pool.back
+            new_process.endpoints.out == ["d0", "d1"] and "d2" in new_process.endpoints.back
         )  # out, and back but still cold
-        w.service = elder
-        assert (await w.call(OUT + "d3")).status == 200 and "d3" in heir.pool.out
-        w.service = heir
-        assert (await w.call(BACK + "d0")).status == 200 and elder.pool.out == ["d1", "d3"]
-        elder.listener.stop_accepting()
+        w.service = old_process
+        assert (await w.call(OUT + "d3")).status == 200 and "d3" in new_process.endpoints.out
+        w.service = new_process
+        assert (await w.call(BACK + "d0")).status == 200 and old_process.endpoints.out == [
+            "d1",
+            "d3",
+        ]
+        old_process.listener.stop_accepting()
         w.discovery.tell(*(p.entry() for p in peers), full=True)
-        await w.until(lambda: heir.pool.version == w.discovery.version)
+        await w.until(lambda: new_process.endpoints.version == w.discovery.version)
         client, ids = await w.shared.client(), iter(range(10_000))
         with trio.fail_after(5):
             while not peers[0].exchanges:
@@ -333,7 +340,7 @@
 
 def test_a_worker_put_back_is_cold_unblocked_and_first_in_line_until_it_shows_life():
     settings = api.Settings(
-        [api.JobClass("tour", 2000.0, 9000.0)],
+        [api.RequestClass("tour", 2000.0, 9000.0)],
         tells_start=True,
         warm_after=6000.0,
         start_capacity=0.3,
@@ -352,12 +359,12 @@
     moment(5000.0, api.WorkerReturned("w3", 5000.0))
     assert w.cold_from == 5000.0 and w.blocked <= 5000.0 and not w.fails
     w.credit = 0.0
-    moment(7000.0, api.JobArrived("a", 0, 16000.0))
+    moment(7000.0, api.RequestArrived("a", 0, 16000.0))
     assert sends.pop().worker == "w3"
-    moment(7100.0, api.JobArrived("b", 0, 16100.0))
+    moment(7100.0, api.RequestArrived("b", 0, 16100.0))
     assert sends.pop().worker != "w3"  # one is on its way there, and it is cold
     moment(7200.0, api.AttemptEnded("a", 0, "w3", api.NO_CONNECTION, 10.0, final=True))
-    moment(7700.0, api.JobArrived("c", 0, 16700.0))
+    moment(7700.0, api.RequestArrived("c", 0, 16700.0))
     assert sends.pop().worker == "w3"  # it was not up yet, and is still owed one
     moment(7800.0, api.AttemptStarted("c", 0, "w3"))
     assert w.owed < 0 and not module.fleet.owed
@@ -417,12 +424,12 @@
 async def test_the_operators_drain_holds_over_an_upgrade():
     async with shared_world(Peer("d1", done)) as w:
         assert (await w.call("PUT /_lameduck/on")).status == 200
-        elder, heir = w.elder, await start_heir(w)
-        assert heir.lame and (await w.call("GET /_ready")).status == 200
-        assert (await w.call("PUT /_lameduck/off")).status == 200 and not elder.lame
+        old_process, new_process = w.old_process, await start_heir(w)
+        assert new_process.operator_drain and (await w.call("GET /_ready")).status == 200
+        assert (await w.call("PUT /_lameduck/off")).status == 200 and not old_process.operator_drain
 
 
-async def figures(w) -> dict[str, float]:
+async def metrics(w) -> dict[str, float]:
     lines = (await w.call("GET /_vars")).body.decode().splitlines()
     found = {}
     for line in lines:
@@ -446,7 +453,7 @@
 
     one = Peer("d1", script)
     async with world(one, front=front, **MGMT) as w:
-        at = await figures(w)
+        at = await metrics(w)
         assert at == {
             **{
                 f"{status}.{c}": 0
@@ -471,7 +478,7 @@
         await w.ask("/once", X_Request_ID="fails")
         assert (await w.ask("/nothing")).status == 404  # no job, no series
         assert (await w.ask("/save", X_Request_ID=None)).status == 400
-        at = await figures(w)
+        at = await metrics(w)
         assert (at["success.tour"], at["error.once"], at["dispatches"]) == (3, 1, 4)
         assert not any("nothing" in name for name in at) and at["error.save"] == 0
         client = await w.client()
@@ -479,21 +486,21 @@
         await w.until(lambda: one.exchanges[-1].id == "waits")
         await client.stream.aclose()
         await w.until(lambda: not w.service.listener.clients)
-        assert (await figures(w))["concurrent"] == 0  # nothing is owed to those that left
+        assert (await metrics(w))["concurrent"] == 0  # nothing is owed to those that left
         assert (await w.call(OUT + "d1")).status == 200
-        assert (await figures(w))["targets_disabled"] == 1
+        assert (await metrics(w))["targets_disabled"] == 1
         reply = await w.ask("/tour", X_Request_ID="r9")
         assert reply.status == 503 or b"refused" in reply.body
-        at = await figures(w)
+        at = await metrics(w)
         assert at["overload.tour"] == 1 and at["targets"] == 1
         w.discovery.tell({**one.entry(), "state": "DELETED"})
-        await w.until(lambda: not len(w.service.pool))
-        at = await figures(w)
+        await w.until(lambda: not len(w.service.endpoints))
+        at = await metrics(w)
         assert at["targets"] == at["targets_disabled"] == 0
         w.service.reload()
         w.raw["discovery"] = "nowhere"
         w.service.reload()
-        at = await figures(w)
+        at = await metrics(w)
         assert (at["reload_success"], at["reload_failure"]) == (1, 1)
 
 
@@ -510,14 +517,14 @@
         client = await w.client()
         await client.send()
         await w.until(lambda: one.exchanges)
-        assert (await figures(w))["concurrent"] == 1
+        assert (await metrics(w))["concurrent"] == 1
         gate.set()
         assert (await client.reply()).status == 200
-        at = await figures(w)
+        at = await metrics(w)
         assert at["concurrent"] == 0 and at["success.tour"] == 1
-        worker = w.service.decisions._module.fleet.workers["d1"]
-        worker.fails, worker.blocked = 1, w.service.decisions.now() + 1e4
-        assert (await figures(w))["targets_disabled"] == 1
+        worker = w.service.engine._module.fleet.workers["d1"]
+        worker.fails, worker.blocked = 1, w.service.engine.now() + 1e4
+        assert (await metrics(w))["targets_disabled"] == 1
 
 
 def classes(w, **changes) -> list[dict]:
@@ -531,7 +538,7 @@
     return list(found.values())
 
 
-def retune(w, limits=None, **changes) -> None:
+def reconfigure(w, limits=None, **changes) -> None:
     """Write other settings and reload."""
     settings = w.raw["settings"]
     w.raw["settings"] = {
@@ -576,7 +583,7 @@
             ],
         }
         os.kill(os.getpid(), signal.SIGHUP)
-        await w.until(lambda: "success.fresh" in w.service.figures._counts)
+        await w.until(lambda: "success.fresh" in w.service.metrics._counts)
         assert served(await w.ask("/fresh", X_Request_ID="f1", X_Timeout_Ms="2000"))
         assert (await w.ask("/once", X_Request_ID="o1")).status == 404
         await new.send("/tour", X_Request_ID="new")  # as the class is now: not to be repeated
@@ -586,7 +593,7 @@
         assert served(await old.reply())
         for client in (new, dropped):
             assert not served(await client.reply())
-        at = await figures(w)
+        at = await metrics(w)
         assert at["reload_success"] == 1 and at["error.once"] == at["error.tour"] == 1
         assert at["success.fresh"] == 1 and at["success.tour"] == 1
 
@@ -605,7 +612,7 @@
         held = await w.client()
         await held.send(X_Request_ID="open")
         await w.until(lambda: any(p.exchanges for p in peers))
-        retune(w, limits={"try_limit": 2})
+        reconfigure(w, limits={"try_limit": 2})
         gate.set()
         assert (await held.reply()).status == 503
         await w.ask(X_Request_ID="later")
@@ -622,8 +629,8 @@
 
         def put(value, *path):
             at = w.raw
-            for step in path[:-1]:
-                at = at[step]
+            for attempt in path[:-1]:
+                at = at[attempt]
             if value is None:
                 del at[path[-1]]
             else:
@@ -652,7 +659,7 @@
             w.raw["settings"]["request_classes"][2]["name"] = "other"
             put(value, *path)
             w.service.reload()
-            at = await figures(w)
+            at = await metrics(w)
             assert (at["reload_failure"], at["reload_success"]) == (count, 0), path
         assert w.service.config is here and w.service.watch.address == here.discovery
         assert (await w.ask("/once")).status == 200 and (await w.ask("/other")).status == 404
@@ -662,7 +669,7 @@
 def test_classes_and_tenants_keep_what_was_learned_of_them_under_other_settings():
     def settings(*names, **more):
         return api.Settings(
-            [api.JobClass(name, 2000.0, 9000.0) for name in names], max_attempts=3, **more
+            [api.RequestClass(name, 2000.0, 9000.0) for name in names], max_attempts=3, **more
         )
 
     two = [api.Tenant("a", 10.0), api.Tenant("b", 20.0)]
@@ -674,7 +681,7 @@
     module.handle(
         10.0,
         [
-            api.JobArrived("held", 0, 9000.0),
+            api.RequestArrived("held", 0, 9000.0),
             api.SettingsChanged(settings("z", "y", tenants=two[1:])),
         ],
     )
@@ -684,39 +691,41 @@
     ] and module.admission.classes[1] is y
     assert y.index == 1
     assert module.admission.tenants == [b] and set(b.gaps) == set(module.admission.classes)
-    assert module.jobs["held"].cls is x  # it began with that
-    module.handle(20.0, [api.JobArrived("new", 1, 9020.0)])
-    assert module.jobs["new"].cls is y
+    assert module.requests["held"].cls is x  # it began with that
+    module.handle(20.0, [api.RequestArrived("new", 1, 9020.0)])
+    assert module.requests["new"].cls is y
     module.handle(500.0, [api.AttemptEnded("held", 0, "w", api.SERVED, 490.0, final=True)])
-    assert "held" not in module.jobs and x.seen == 1
+    assert "held" not in module.requests and x.seen == 1
 
 
 @pytest.mark.parametrize("held_for, queues", [(0.0, True), (450.0, False)])
 def test_a_job_that_was_held_for_long_does_not_queue_at_a_worker_on_top(held_for, queues):
-    settings = api.Settings([api.JobClass("tour", 1000.0, 9000.0)], tells_start=True)
+    settings = api.Settings([api.RequestClass("tour", 1000.0, 9000.0)], tells_start=True)
     module = Dispatcher(settings, 1)
     module.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
     w, job = module.fleet.workers["w"], None
     module.fleet.residual = 200.0
     w.cap = w.inflight = w.running = 5.0  # full, of jobs that have started
     w.blocked = held_for
-    module.handle(0.0, [api.JobArrived("a", 0, 9000.0)])
-    job = module.jobs["a"]
+    module.handle(0.0, [api.RequestArrived("a", 0, 9000.0)])
+    job = module.requests["a"]
     assert (job.due, job.tries) == (500.0, int(queues))
     module.handle(held_for, [api.TimerFired(HELD_TIMER)])
     assert job.tries == int(queues)
 
 
 def test_a_class_not_known_yet_makes_no_worker_look_slow():
-    settings = api.Settings([api.JobClass("tour", 100.0, 9000.0, stretch=9.0)], tells_start=True)
+    settings = api.Settings(
+        [api.RequestClass("tour", 100.0, 9000.0, objective_run_factor=9.0)], tells_start=True
+    )
     module = Dispatcher(settings, 1)
     module.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
     w, now = module.fleet.workers["w"], 0.0
     ratios = []
     for i in range(20):  # ten times as long as the guess
         sent = [
-            a.job
-            for a in module.handle(now, [api.JobArrived(f"j{i}", 0, now + 9000.0)])
+            a.request_id
+            for a in module.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
             if isinstance(a, api.Send)
         ]
         assert sent == [f"j{i}"]
@@ -744,7 +753,7 @@
 @story
 async def test_after_a_fault_of_the_link_heirs_still_find_the_elder(monkeypatch):
     async with shared_world(Peer("d1", done)) as w:
-        accept, faults = HandOver._accept, []
+        accept, faults = HotRestart._accept, []
 
         async def fails_once(self, sock):
             if not faults:
@@ -752,9 +761,9 @@
                 raise RuntimeError("fault")
             await accept(self, sock)
 
-        monkeypatch.setattr(HandOver, "_accept", fails_once)
-        w.elder.handover._close_name()
-        w.elder.handover.take_name()
+        monkeypatch.setattr(HotRestart, "_accept", fails_once)
+        w.old_process.hot_restart._close_name()
+        w.old_process.hot_restart.take_name()
         with socket.socket(socket.AF_UNIX) as stray:
             directory = os.open(w.shared.directory, os.O_RDONLY)
             stray.connect(f"/proc/self/fd/{directory}/{w.shared.link().name}")
@@ -762,4 +771,4 @@
             await w.until(lambda: faults)
         await trio.sleep(0.2)  # the standing task begins anew
         await start_heir(w)
-        assert w.elder.handover.heir_ready
+        assert w.old_process.hot_restart.new_process_ready
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,8 +10,8 @@
 import trio
 from helper import SETTINGS, Discovery, Peer, done, hang, story, timed_story, world
 
-from yewrill.dispatch.engine import BusyReply, Decisions, Destination, Operation, RouteStep
-from yewrill.dispatch.outcome import Ending
+from yewrill.dispatch.engine import Attempt, DecisionEngine, Endpoint, Rejection, Request
+from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.net import listener
 from yewrill.net.connection import Connection
 from yewrill.policy import interface as api
@@ -145,7 +145,7 @@
         with socket.socket() as unused:  # a port that nobody listens on
             unused.bind(("127.0.0.1", 0))
             w.discovery.tell({**dead.entry(), "addr": f"127.0.0.1:{unused.getsockname()[1]}"})
-            await w.until(lambda: w.service.pool.version == 2)
+            await w.until(lambda: w.service.endpoints.version == 2)
             for i in range(6):
                 assert (await w.ask("/once", X_Request_ID=f"r{i}")).status == 200
         assert not dead.exchanges and len(alive.exchanges) == 6
@@ -188,7 +188,7 @@
 async def test_a_job_that_no_destination_can_take_is_refused_at_once_with_advice():
     async with world(Peer("d1", done)) as w:
         w.discovery.tell(full=True)  # a whole list that omits every destination removes it
-        await w.until(lambda: len(w.service.pool) == 0)
+        await w.until(lambda: len(w.service.endpoints) == 0)
         began = trio.current_time()
         replies = []
         async with trio.open_nursery() as nursery:
@@ -229,13 +229,13 @@
         await w.until(lambda: len(calls) >= 2)
         w.discovery.tell(peer.entry())
         told = trio.current_time()
-        await w.until(lambda: len(calls) >= 3 and w.service.pool.version == 2)
+        await w.until(lambda: len(calls) >= 3 and w.service.endpoints.version == 2)
         assert calls[-1][0] - told < 0.2 and "from=2" in calls[-1][1]
         w.discovery.silent = True
         await w.until(lambda: len(calls) >= 6)
         w.discovery.silent = False
         w.discovery.tell({**peer.entry(), "state": "DRAINING"})
-        await w.until(lambda: w.service.pool.version == 3)
+        await w.until(lambda: w.service.endpoints.version == 3)
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
@@ -248,7 +248,7 @@
             client = await w.client()
             await client.send()
             await w.until(lambda: peers[0].exchanges)
-            learned = w.service.decisions._module.fleet.workers["d1"]
+            learned = w.service.engine._module.fleet.workers["d1"]
             del w.raw["settings"]
             os.kill(os.getpid(), signal.SIGHUP)
             await w.until(lambda: "reload-refused settings: missing" in caplog.text)
@@ -262,11 +262,11 @@
             w.raw.update(discovery=await there.serve(w.nursery), name="other")
             began = trio.current_time()
             os.kill(os.getpid(), signal.SIGHUP)
-            await w.until(lambda: len(w.service.pool) == 2 and len(there.calls) == 2)
+            await w.until(lambda: len(w.service.endpoints) == 2 and len(there.calls) == 2)
             assert trio.current_time() - began < 1.0  # in the midst of a held call
             assert "from=" not in there.calls[0][1]
             assert "reload-ignored keys=name" in caplog.text
-            assert w.service.decisions._module.fleet.workers["d1"] is learned
+            assert w.service.engine._module.fleet.workers["d1"] is learned
             peers[0].script = done
             assert (await w.ask(X_Request_ID="r2")).status == 200
             await w.nursery.start(finish, peers[0].exchanges[0])
@@ -321,8 +321,8 @@
                 reply.status == 200 and b"refused" not in reply.body and b"failed" not in reply.body
             )
         assert all(
-            worker.blocked <= w.service.decisions.now() and not worker.fails
-            for worker in w.service.decisions._module.fleet.workers.values()
+            worker.blocked <= w.service.engine.now() and not worker.fails
+            for worker in w.service.engine._module.fleet.workers.values()
         )
         assert (
             sum(len(p.exchanges) for p in peers) <= 12 + 2
@@ -350,7 +350,7 @@
         assert (await w.ask(X_Request_ID="r1")).status == 200
         await given_up.wait()  # long before its time was up: the later job had started
         assert peer.exchanges[1].id == "r1"
-        assert not w.service.decisions._module.fleet.workers["d1"].fails
+        assert not w.service.engine._module.fleet.workers["d1"].fails
 
 
 @story
@@ -545,14 +545,14 @@
 @story
 async def test_a_fault_in_the_module_or_an_attempt_costs_one_answer_only(monkeypatch):
     async with world(Peer("d1", done)) as w:
-        handle = w.service.decisions._module.handle
+        handle = w.service.engine._module.handle
 
         def faulty(now, events):
-            if any(isinstance(e, api.JobArrived) and e.job_class == 2 for e in events):
+            if any(isinstance(e, api.RequestArrived) and e.request_class == 2 for e in events):
                 raise RuntimeError("a fault for the test")
             return handle(now, events)
 
-        monkeypatch.setattr(w.service.decisions._module, "handle", faulty)
+        monkeypatch.setattr(w.service.engine._module, "handle", faulty)
         assert (await w.ask("/once")).status == 502
         assert (await w.ask("/tour")).status == 200
         monkeypatch.setattr(w.service.front, "decoder", lambda: None)
@@ -595,7 +595,7 @@
         assert (
             await w.ask("/once")
         ).status == 503  # refused, which a class that ran would not allow
-        assert (await w.service.destinations.probe("d1"))[0] is Ending.TURNED_AWAY
+        assert (await w.service.worker_connections.probe("d1"))[0] is AttemptOutcome.TURNED_AWAY
         monkeypatch.setattr(Connection, "open", real)
         began = trio.current_time()
         assert (await w.ask("/once", X_Request_ID="r2")).status == 200
@@ -614,14 +614,14 @@
 
     peer.script = script
     async with world(peer) as w:
-        for script.status, ending in (
-            (200, Ending.SERVED),
-            (503, Ending.TURNED_AWAY),
-            (404, Ending.FAILED),
+        for script.status, outcome in (
+            (200, AttemptOutcome.SERVED),
+            (503, AttemptOutcome.TURNED_AWAY),
+            (404, AttemptOutcome.FAILED),
         ):
-            assert (await w.service.destinations.probe("d1"))[0] is ending
+            assert (await w.service.worker_connections.probe("d1"))[0] is outcome
         peer.script = hang
-        assert (await w.service.destinations.probe("d1"))[0] is Ending.UNREACHED
+        assert (await w.service.worker_connections.probe("d1"))[0] is AttemptOutcome.UNREACHABLE
         assert (
             peer.connections == 4
         )  # each on its own: an old connection says little of the destination
@@ -635,9 +635,9 @@
             monkeypatch.undo()
             raise KeyError("a fault for the test")
 
-        monkeypatch.setattr(w.service.pool, "apply", faulty)
+        monkeypatch.setattr(w.service.endpoints, "apply", faulty)
         w.discovery.tell()
-        await w.until(lambda: w.service.pool.version == 2)
+        await w.until(lambda: w.service.endpoints.version == 2)
         assert (await w.ask()).status == 200
 
 
@@ -733,28 +733,33 @@
         assert (await w.ask(X_Request_ID="r2")).status == 409  # its attempt is still out
         assert [e.id for e in peer.exchanges] == ["r1", "r2"]
         peer.exchanges[1].go_on.set()
-        await w.until(lambda: not w.service.decisions._live)
+        await w.until(lambda: not w.service.engine._live)
         peer.script = done
         assert (await w.ask(X_Request_ID="r2")).status == 200
 
 
 @story
 async def test_pick_report_tick_without_any_sockets():
-    settings = api.Settings(classes=[api.JobClass("c", 500.0, 1000.0)], max_attempts=2)
-    decisions = Decisions(settings, 1)
-    decisions.pool_config([Destination("d1", ("", 0)), Destination("d2", ("", 0))], full=True)
-    operation = Operation("r1", 0, decisions.now() + 1000.0)
+    settings = api.Settings(classes=[api.RequestClass("c", 500.0, 1000.0)], max_attempts=2)
+    engine = DecisionEngine(settings, 1)
+    engine.update_endpoints([Endpoint("d1", ("", 0)), Endpoint("d2", ("", 0))], full=True)
+    request = Request("r1", 0, engine.now() + 1000.0)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(decisions.run, None)
-        first = await decisions.pick(operation)
-        decisions.report(first, Ending.RESET)
-        second = await decisions.pick(operation)
-        assert isinstance(second, RouteStep) and second.destination != first.destination
-        decisions.report(second, Ending.RESET)
-        assert isinstance(await decisions.pick(operation), BusyReply)  # two attempts are the most
+        nursery.start_soon(engine.run, None)
+        first = await engine.pick(request)
+        engine.report(first, AttemptOutcome.RESET)
+        second = await engine.pick(request)
+        assert isinstance(second, Attempt) and second.worker != first.worker
+        engine.report(second, AttemptOutcome.RESET)
+        assert isinstance(await engine.pick(request), Rejection)  # two attempts are the most
         nursery.cancel_scope.cancel()
 
 
 def test_every_ending_has_an_outcome_and_only_unsent_ones_prove_that_nothing_ran():
-    never = {e for e in Ending if e.outcome in api.NEVER_RAN}
-    assert never == {Ending.TURNED_AWAY, Ending.UNREACHED, Ending.WORN_UNREACHED, Ending.NOT_SENT}
+    never = {e for e in AttemptOutcome if e.policy_outcome in api.NEVER_RAN}
+    assert never == {
+        AttemptOutcome.TURNED_AWAY,
+        AttemptOutcome.UNREACHABLE,
+        AttemptOutcome.STALE_UNREACHABLE,
+        AttemptOutcome.NOT_SENT,
+    }
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -8,10 +8,10 @@
 import ujson
 from helper import Peer, done, hang, story, timed_story, world
 
-from yewrill.dispatch.engine import Operation, RouteStep
+from yewrill.dispatch.engine import Attempt, Request
 from yewrill.frontends.progress import EventStreamParser, _Outlet, encode_event
 from yewrill.net import listener
-from yewrill.net.worker_connections import Garbled
+from yewrill.net.worker_connections import MalformedResponse
 
 FINAL = {"served", "refused", "failed"}
 
@@ -106,13 +106,13 @@
         await w.until(lambda: any(p.exchanges for p in peers))
         # The retry will find no destination, so it stays pending until its client has left.
         w.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in peers))
-        await w.until(lambda: w.service.pool.version == 2)
+        await w.until(lambda: w.service.endpoints.version == 2)
         script.passed.set()
         await w.until(lambda: not any(p.live for p in peers))
         await client.stream.aclose()
         await w.until(lambda: not w.service.listener.clients)
         w.discovery.tell(*(p.entry() for p in peers))
-        await w.until(lambda: w.service.pool.version == 3)
+        await w.until(lambda: w.service.endpoints.version == 3)
         reply, events = await ask(w, X_Request_ID="r2")
         assert events[-1].type == "served"
         assert [e.id for p in peers for e in p.exchanges if e.id == "r1"] == ["r1"]
@@ -183,10 +183,10 @@
         held.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.stream.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         await client.send(X_Timeout_Ms="15000")
-        await w.until(lambda: held.operation is not None)
-        operation = held.operation
+        await w.until(lambda: held.request is not None)
+        request = held.request
         await w.until(lambda: held.gone)
-        assert operation.client_left and w.service.decisions.now() < operation.deadline - 5000.0
+        assert request.client_left and w.service.engine.now() < request.deadline - 5000.0
         assert len(held.connection.outbound) <= 8192
         await client.stream.aclose()
 
@@ -257,12 +257,12 @@
         slots = trio.Semaphore(40)
         # Whether the flood has a stream refused is chance: the first one meets no worker that takes work.
         w.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in peers))
-        await w.until(lambda: w.service.pool.version == 2)
+        await w.until(lambda: w.service.endpoints.version == 2)
         reply, events = await ask(w, X_Request_ID="r0")
         assert [e.type for e in events] == ["refused"]
         finals.append(events[-1].type)
         w.discovery.tell(*(p.entry() for p in peers))
-        await w.until(lambda: w.service.pool.version == 3)
+        await w.until(lambda: w.service.endpoints.version == 3)
         async with trio.open_nursery() as nursery:
             for number in range(1, total):
                 await slots.acquire()
@@ -271,7 +271,7 @@
                     w.nursery.start_soon(w.service.drain)
         await w.ended.wait()
         ended = sum(len(p.exchanges) for p in peers)
-        assert not w.service.listener.clients and w.service.decisions.pending == 0
+        assert not w.service.listener.clients and w.service.engine.pending == 0
     assert len(finals) + left + plain == total
     assert {"served", "failed", "refused"} <= set(finals) and left > 100
     assert ended == sum(len(p.exchanges) for p in peers)  # nothing was sent after the drain
@@ -279,11 +279,11 @@
 
 @story
 async def test_progress_of_a_dead_attempt_is_dropped_and_only_the_latest_is_kept():
-    operation = Operation("r1", 0, 0.0)
-    dead, live = (RouteStep(operation, number, "d1", 0.0) for number in (0, 1))
-    outlet = _Outlet(operation)
+    request = Request("r1", 0, 0.0)
+    dead, live = (Attempt(request, number, "d1", 0.0) for number in (0, 1))
+    outlet = _Outlet(request)
     outlet.progress(dead, 0.9)  # never passed on before its attempt died
-    operation.live = live
+    request.live = live
     with trio.move_on_after(0.05) as waited:
         await outlet.next()
     assert waited.cancelled_caught
@@ -311,7 +311,7 @@
     [event] = EventStreamParser().feed(encode_event("served", data, "1"))
     assert (event.type, ujson.loads(event.data), event.id) == ("served", data, "1")
     for flood in (b"data: " + b"x" * 70000, b"data: x\n" * 40000):
-        with pytest.raises(Garbled):
+        with pytest.raises(MalformedResponse):
             EventStreamParser().feed(flood)
 
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -5,6 +5,7 @@
 import math
 import random
 from collections import Counter
+from dataclasses import fields
 
 import pytest
 import trio
@@ -17,7 +18,7 @@
 
 from yewrill import Dispatcher, Settings
 from yewrill.dispatch import load_report as loadreport
-from yewrill.dispatch.outcome import Ending
+from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.policy import interface as api
 from yewrill.policy import rendezvous_hashing as rendezvous
 
@@ -98,7 +99,7 @@
             await exchange.stream.send_all(b"0\r\n\r\n")
 
     async with world(Peer("d1", script), settings=REPORTING) as w:
-        worker = w.service.decisions._module.fleet.workers["d1"]
+        worker = w.service.engine._module.fleet.workers["d1"]
         seen = []
         for i in range(len(said)):
             assert (await w.ask(body=b"%d" % i, X_Request_ID=f"r{i}")).body == b"r"
@@ -108,7 +109,10 @@
         await w.ask(body=b"full", X_Request_ID="full")
         await trio.testing.wait_all_tasks_blocked()
         assert worker.reading == (5.0, 9.0, 0.0)
-        assert await w.service.destinations.probe("d1") == (Ending.SERVED, {**GOOD, "x0": 4.0})
+        assert await w.service.worker_connections.probe("d1") == (
+            AttemptOutcome.SERVED,
+            {**GOOD, "x0": 4.0},
+        )
         assert paths[-1] == "/metrics/load"
 
 
@@ -130,7 +134,7 @@
 
 def reporting(workers=1, **more):
     settings = Settings(
-        [api.JobClass("c", 1000.0, 9000.0)],
+        [api.RequestClass("c", 1000.0, 9000.0)],
         tells_start=True,
         report_fields=FIELDS,
         free_slots_field="x0",
@@ -167,7 +171,7 @@
     again = {"qps": 1.0, "inflight": 1.0, "x0": 4.0}
     d.handle(1000.0, [api.ProbeEnded("w0", api.SERVED, again)])
     for i in range(3):
-        d.handle(1300.0 + i, [api.JobArrived(f"j{i}", 0, 9000.0)])
+        d.handle(1300.0 + i, [api.RequestArrived(f"j{i}", 0, 9000.0)])
     d.handle(1400.0, [api.ProbeEnded("w0", api.SERVED, again)])
     assert (w.free, w.free_at) == (1.0, 1000.0)
 
@@ -179,7 +183,7 @@
     sends = []
     for i in range(40):  # all that comes starts at once, whatever the last report said
         now = 7000.0 + 100.0 * i
-        out = d.handle(now, [api.JobArrived(f"j{i}", 0, now + 9000.0)])
+        out = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
         sends += [a for a in out if isinstance(a, api.Send)]
         d.handle(now + 1.0, [api.AttemptStarted(f"j{i}", 0, "w0")])
         d.handle(now + 90.0, [api.AttemptEnded(f"j{i}", 0, "w0", api.SERVED, 89.0, True)])
@@ -201,12 +205,12 @@
     d = reporting(zone=1)
     now = 1000.0
     for i in range(80):  # each takes 50 ms there and is told at once
-        d.handle(now, [api.JobArrived(f"j{i}", 0, now + 9000.0)])
+        d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
         assert not (i > 40 and d.attempts.waiting)  # the controller closed its gate for them
         d.handle(now + 50.0, [api.AttemptStarted(f"j{i}", 0, "w0")])
         d.handle(now + 200.0, [api.AttemptEnded(f"j{i}", 0, "w0", api.SERVED, 200.0, True)])
         now += 1000.0
-    d.handle(now, [api.JobArrived("late", 0, now + 9000.0)])
+    d.handle(now, [api.RequestArrived("late", 0, now + 9000.0)])
     d.handle(now + 100.0, [api.TimerFired(99)])
     assert len(d.attempts.waiting) == 1 and d.fleet.waiting == 1.0  # this one waits
     d.handle(now + 110.0, [api.AttemptStarted("late", 0, "w0")])
@@ -221,14 +225,14 @@
         for i in range(200):
             now = 1000.0 + 20.0 * i
             told(d, now, 0.0, 5.0)
-            out = d.handle(now, [api.JobArrived(f"j{i}", 0, now + 9000.0)])
+            out = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
             sent += sum(isinstance(a, api.Send) for a in out)
             for attempt in list(d.attempts.out.values()):
                 if not attempt.started and now - attempt.sent >= wait:
-                    d.handle(now, [api.AttemptStarted(attempt.job.id, attempt.number, "w0")])
+                    d.handle(now, [api.AttemptStarted(attempt.request.id, attempt.number, "w0")])
                 elif attempt.started and now - attempt.started >= 100.0:
                     d.handle(
-                        now, [api.AttemptEnded(attempt.job.id, 0, "w0", api.SERVED, 0.0, True)]
+                        now, [api.AttemptEnded(attempt.request.id, 0, "w0", api.SERVED, 0.0, True)]
                     )
         assert len(w.queue) <= 12
         return sent, d.fleet.surprise
@@ -264,7 +268,7 @@
 
 
 def sent_to(d, now, job, key):
-    out = d.handle(now, [api.JobArrived(job, 0, now + 9000.0, key=key)])
+    out = d.handle(now, [api.RequestArrived(job, 0, now + 9000.0, key=key)])
     return next((a.worker for a in out if isinstance(a, api.Send)), None)
 
 
@@ -310,6 +314,20 @@
     assert used.most_common(1)[0][1] >= 0.3 * sum(used.values())
 
 
+# Names of actions and their fields as they were when the digests below were recorded.
+RECORDED_NAMES = {"Reject": "Refuse", "request_id": "job", "reason": "why"}
+
+
+def as_recorded(action: api.Action) -> str:
+    """The action's `repr` with the names of the recording."""
+    name = type(action).__name__
+    values = ", ".join(
+        f"{RECORDED_NAMES.get(field.name, field.name)}={getattr(action, field.name)!r}"
+        for field in fields(action)
+    )
+    return f"{RECORDED_NAMES.get(name, name)}({values})"
+
+
 @pytest.mark.parametrize(
     "warm_after,recorded", [(0.0, "193a9f2a115b9402"), (6200.0, "9405f89826dfb410")]
 )
@@ -327,7 +345,8 @@
 
             def spy(now, events):
                 out = handle(now, events)
-                digest.update(repr([(i, round(now, 3), a) for a in out]).encode())
+                actions = ", ".join(f"({i}, {round(now, 3)}, {as_recorded(a)})" for a in out)
+                digest.update(f"[{actions}]".encode())
                 return out
 
             fleet.modules[i].handle = spy
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,12 +10,34 @@
 from yewrill.policy import interface as api
 
 CLASSES = [
-    api.JobClass("safe", 200.0, 2000.0, 1.0, 0.3, api.SAFE, stretch=2.0),
-    api.JobClass("keyed", 400.0, 4000.0, 3.0, 0.2, api.KEYED, "cell", 1500.0, stretch=2.0),
-    api.JobClass("shared", 400.0, 4000.0, 3.0, 0.2, api.KEYED, "all", 1500.0, stretch=2.0),
-    api.JobClass("unsafe", 400.0, 4000.0, 8.0, 0.0, api.UNSAFE, stretch=2.0, kind=1),
+    api.RequestClass("safe", 200.0, 2000.0, 1.0, 0.3, api.IDEMPOTENT, objective_run_factor=2.0),
+    api.RequestClass(
+        "keyed",
+        400.0,
+        4000.0,
+        3.0,
+        0.2,
+        api.IDEMPOTENT_BY_KEY,
+        "cell",
+        1500.0,
+        objective_run_factor=2.0,
+    ),
+    api.RequestClass(
+        "shared",
+        400.0,
+        4000.0,
+        3.0,
+        0.2,
+        api.IDEMPOTENT_BY_KEY,
+        "all",
+        1500.0,
+        objective_run_factor=2.0,
+    ),
+    api.RequestClass(
+        "unsafe", 400.0, 4000.0, 8.0, 0.0, api.NON_IDEMPOTENT, objective_run_factor=2.0, kind=1
+    ),
 ]
-FINAL = (api.Refuse, api.Fail)
+FINAL = (api.Reject, api.Fail)
 
 
 class World:
@@ -39,12 +61,12 @@
             start_capacity=0.2,
             warm_after=5000.0,
             list_on_request=bool(seed % 2),
-            over_share_worth=0.2,
+            over_quota_weight=0.2,
             max_retry_after=1000.0,
         )
         self.d = Dispatcher(self.settings, seed)
         self.now = 1000.0
-        self.jobs: dict[str, dict] = {}
+        self.requests: dict[str, dict] = {}
         self.timers: list[tuple[float, int]] = []
         self.workers = {
             f"w{i}": api.WorkerEntry(f"w{i}", kind=i % 2, cell=i // 2) for i in range(6)
@@ -62,15 +84,15 @@
         events, self.pending = self.pending, []
         events += [api.TimerFired(token) for at, token in self.timers if at <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
-        for job in sorted(self.jobs):
+        for job in sorted(self.requests):
             events += self.job_events(job)
         for _ in range(rng.randrange(3)):
             self.number += 1
             name = f"j{self.number}"
             cls = rng.randrange(4)
             deadline = self.now + CLASSES[cls].deadline * rng.choice((1.0, 1.0, 0.3))
-            self.jobs[name] = {"cls": cls, "deadline": deadline, "final": False, "attempts": []}
-            events.append(api.JobArrived(name, cls, deadline))
+            self.requests[name] = {"cls": cls, "deadline": deadline, "final": False, "attempts": []}
+            events.append(api.RequestArrived(name, cls, deadline))
         if rng.random() < 0.1:
             entry = self.workers[rng.choice(sorted(self.workers))]
             entry.state = rng.choice((api.RUNNING, api.DRAINING, api.GONE))
@@ -88,14 +110,14 @@
         self.trace.append(repr(actions))
         for action in actions:
             self.check(action)
-        for name, job in self.jobs.items():
+        for name, job in self.requests.items():
             assert (
                 job["final"] or self.now <= job["deadline"] + self.settings.answer_slack + 80.0
             ), name
 
     def job_events(self, name: str) -> list[api.Event]:
         rng = self.rng
-        job = self.jobs[name]
+        job = self.requests[name]
         events: list[api.Event] = []
         for attempt in job["attempts"]:
             if attempt["outcome"]:
@@ -143,17 +165,17 @@
         elif isinstance(action, api.Send):
             self.check_send(action)
         elif isinstance(action, FINAL):
-            job = self.jobs[action.job]
+            job = self.requests[action.request_id]
             assert not job["final"], "two final answers"
             job["final"] = True
-            if isinstance(action, api.Refuse):
+            if isinstance(action, api.Reject):
                 ran = [a for a in job["attempts"] if a["outcome"] not in api.NEVER_RAN]
                 spec = CLASSES[job["cls"]]
-                shared = spec.effect == api.KEYED and spec.group == "all"
-                assert not ran or spec.effect == api.SAFE or shared
+                shared = spec.idempotency == api.IDEMPOTENT_BY_KEY and spec.group == "all"
+                assert not ran or spec.idempotency == api.IDEMPOTENT or shared
 
     def check_send(self, action: api.Send) -> None:
-        job = self.jobs[action.job]
+        job = self.requests[action.request_id]
         spec = CLASSES[job["cls"]]
         assert not job["final"], "a send after the final answer"
         assert action.worker not in self.stopped, "a send to a draining worker"
@@ -161,8 +183,8 @@
         assert spec.kind in (-1, entry.kind)
         assert len(job["attempts"]) < self.settings.max_attempts
         ran = [a for a in job["attempts"] if a["outcome"] not in api.NEVER_RAN]
-        if ran and spec.effect != api.SAFE:
-            assert spec.effect == api.KEYED, "an unsafe job sent again"
+        if ran and spec.idempotency != api.IDEMPOTENT:
+            assert spec.idempotency == api.IDEMPOTENT_BY_KEY, "an unsafe job sent again"
             assert all(self.now - a["at"] <= spec.window for a in ran)
             assert spec.group == "all" or all(
                 self.workers[a["worker"]].cell == entry.cell for a in ran
@@ -180,7 +202,7 @@
         for _ in range(150):
             world.step()
     assert worlds[0].trace == worlds[1].trace
-    assert any(job["attempts"] for job in worlds[0].jobs.values())
+    assert any(job["attempts"] for job in worlds[0].requests.values())
 
 
 @pytest.mark.parametrize("dispatchers", [1, 50])
@@ -189,7 +211,7 @@
     # no warmer than 0.2 + 0.8 * 2 / 10 = 0.36 in it: 3 * 0.36 * 4 * 2 s = 8.6 s.
     sent = 0
     for number in range(dispatchers):
-        cls = api.JobClass("c", 2000.0, 20_000.0)
+        cls = api.RequestClass("c", 2000.0, 20_000.0)
         d = Dispatcher(
             Settings(
                 classes=[cls],
@@ -210,13 +232,13 @@
         for i in range(20):
             now = 1000.0 + 100.0 * i
             d.fleet.kinds[0].free, d.fleet.workers["cold"].cap = 50.0, 50.0
-            out = d.handle(now, [api.JobArrived(f"j{i}", 0, now + 20_000.0)])
+            out = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 20_000.0)])
             sent += sum(isinstance(a, api.Send) for a in out)
     assert sent * 1.0 <= 6.0
 
 
 def test_a_fast_failing_worker_does_not_draw_the_work():
-    classes = [api.JobClass("c", 500.0, 5000.0)]
+    classes = [api.RequestClass("c", 500.0, 5000.0)]
     d = Dispatcher(Settings(classes=classes, max_attempts=3, tells_start=True), 1)
     d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry(f"w{i}") for i in range(6)])])
     for kind in d.fleet.kinds:
@@ -225,15 +247,15 @@
     now = 0.0
     for i in range(300):
         now += 50.0
-        out = d.handle(now, [api.JobArrived(f"j{i}", 0, now + 5000.0)])
+        out = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 5000.0)])
         events = []
         for a in out:
             if isinstance(a, api.Send):
                 sends[a.worker] += 1
-                n = d.jobs[a.job].tries - 1
+                n = d.requests[a.request_id].tries - 1
                 bad = a.worker == "w0"
                 outcome = api.ERROR if bad else api.SERVED
-                events.append(api.AttemptEnded(a.job, n, a.worker, outcome, 20.0, not bad))
+                events.append(api.AttemptEnded(a.request_id, n, a.worker, outcome, 20.0, not bad))
         now += 20.0
         d.handle(now, events)
     assert 0 < sends["w0"] < sum(sends.values()) / 15
@@ -241,21 +263,25 @@
 
 def test_the_final_answer_does_not_wait_for_an_outcome():
     d = Dispatcher(
-        Settings(classes=[api.JobClass("c", 500.0, 5000.0, effect=api.UNSAFE)], max_attempts=3), 1
+        Settings(
+            classes=[api.RequestClass("c", 500.0, 5000.0, idempotency=api.NON_IDEMPOTENT)],
+            max_attempts=3,
+        ),
+        1,
     )
     d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w1")])])
-    out = d.handle(1.0, [api.JobArrived("j", 0, 5001.0)])
+    out = d.handle(1.0, [api.RequestArrived("j", 0, 5001.0)])
     due = min(a.delay for a in out if isinstance(a, api.SetTimer) and a.token == 4) + 1.0
     assert due < 5001.0
     out = d.handle(due, [api.TimerFired(4)])
-    assert [a.job for a in out if isinstance(a, api.Fail)] == ["j"]
+    assert [a.request_id for a in out if isinstance(a, api.Fail)] == ["j"]
 
 
 @pytest.mark.parametrize("count", [0, 1, 400])
 def test_any_size_of_fleet(count):
-    d = Dispatcher(Settings(classes=[api.JobClass("c", 500.0, 5000.0)], max_attempts=3), 1)
+    d = Dispatcher(Settings(classes=[api.RequestClass("c", 500.0, 5000.0)], max_attempts=3), 1)
     d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry(f"w{i}") for i in range(count)])])
-    out = d.handle(1.0, [api.JobArrived("j", 0, 5001.0)])
+    out = d.handle(1.0, [api.RequestArrived("j", 0, 5001.0)])
     assert len([a for a in out if isinstance(a, api.Send)]) == min(count, 1)
     out = d.handle(4999.0, [api.TimerFired(4)])
     assert len([a for a in out if isinstance(a, FINAL)]) == 1
--- a/tests/test_rules_checks.py
+++ b/tests/test_rules_checks.py
@@ -30,19 +30,19 @@
 
 
 @pytest.mark.parametrize(
-    "effect, out, ran_at, expected",
+    "idempotency, out, ran_at, expected",
     [
-        (api.SAFE, False, None, None),
-        (api.SAFE, False, 1.0, None),
-        (api.SAFE, True, None, Rule.OVERLAP),
-        (api.UNSAFE, False, None, None),
-        (api.UNSAFE, False, 1.0, Rule.UNSAFE_REPEAT),
-        (api.KEYED, False, 9000.0, None),
-        (api.KEYED, False, 4000.0, Rule.WINDOW_OVER),
+        (api.IDEMPOTENT, False, None, None),
+        (api.IDEMPOTENT, False, 1.0, None),
+        (api.IDEMPOTENT, True, None, Rule.OVERLAP),
+        (api.NON_IDEMPOTENT, False, None, None),
+        (api.NON_IDEMPOTENT, False, 1.0, Rule.UNSAFE_REPEAT),
+        (api.IDEMPOTENT_BY_KEY, False, 9000.0, None),
+        (api.IDEMPOTENT_BY_KEY, False, 4000.0, Rule.WINDOW_OVER),
     ],
 )
-def test_an_attempt_is_checked_against_what_may_have_run(effect, out, ran_at, expected):
-    facts = AttemptFacts(10_000.0, effect, 5000.0, attempt_out=out, ran_at=ran_at)
+def test_an_attempt_is_checked_against_what_may_have_run(idempotency, out, ran_at, expected):
+    facts = AttemptFacts(10_000.0, idempotency, 5000.0, attempt_out=out, ran_at=ran_at)
     assert check_attempt(facts) is expected
 
 
@@ -60,21 +60,23 @@
     peers = [Peer("d1", breaks), Peer("d2", done)]
     async with world(*peers) as w:
         # A module with a fault: it forgets that an unsafe job may have run.
-        monkeypatch.setattr("yewrill.policy.jobs.Job.spent", lambda job, now: False)
-        monkeypatch.setattr("yewrill.policy.jobs.Job.may_repeat", lambda job, worker, now: True)
+        monkeypatch.setattr("yewrill.policy.requests.PendingRequest.spent", lambda job, now: False)
+        monkeypatch.setattr(
+            "yewrill.policy.requests.PendingRequest.may_repeat", lambda job, worker, now: True
+        )
         for number in range(6):
             assert (await w.ask("/once", X_Request_ID=f"r{number}")).status in (200, 502, 503)
         ids = [e.id for peer in peers for e in peer.exchanges]
         assert len(ids) == len(set(ids))
-        assert w.service.decisions.violations.counts[Rule.UNSAFE_REPEAT] > 0
-        assert "rule-violation rule=unsafe_repeat operation=r" in caplog.text
+        assert w.service.engine.violations.counts[Rule.UNSAFE_REPEAT] > 0
+        assert "rule-violation rule=unsafe_repeat request=r" in caplog.text
 
 
 @story
 async def test_a_close_without_an_answer_is_counted_and_told(caplog, monkeypatch):
     async with world(Peer("d1", done), mgmt="127.0.0.1:0") as w:
 
-        async def no_answer(client, operation, carried, closing):
+        async def no_answer(client, request, carried, closing):
             await carried()
             return False
 
@@ -83,7 +85,7 @@
         await client.send(X_Request_ID="r1")
         assert await client.stream.receive_some() == b""
         await w.until(lambda: not w.service.listener.clients)
-        assert w.service.decisions.violations.counts[Rule.CLOSED_UNANSWERED] == 1
+        assert w.service.engine.violations.counts[Rule.CLOSED_UNANSWERED] == 1
         told = (await w.call("GET /_vars")).body.decode()
         assert "app.rule_violations_total:1|c" in told
         assert "app.closed.last_answer:1|c" in told
--- a/tests/test_soak_oracle.py
+++ b/tests/test_soak_oracle.py
@@ -19,7 +19,7 @@
 from yewrill.lab.soak.plan import Kind, draw, overlapping
 
 TERMS = Terms(
-    {"tour": Effect.SAFE, "save": Effect.KEYED, "once": Effect.UNSAFE},
+    {"tour": Effect.IDEMPOTENT, "save": Effect.IDEMPOTENT_BY_KEY, "once": Effect.NON_IDEMPOTENT},
     keyed_window=3.0,
     grace=3.7,
     slots=4,
@@ -139,7 +139,7 @@
 
 
 def own_check(history):
-    history.violations.append("rule-violation rule=overlap operation=a")
+    history.violations.append("rule-violation rule=overlap request=a")
 
 
 PLANTED = {
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -9,6 +9,7 @@
 from test_endings import FRONTS, LONG, ROOMY, raw_request
 
 from yewrill.net.listener import Listener
+from yewrill.policy import interface as api
 
 FOUR_SECONDS = 4000.0  # in which a dispatcher that gets so many requests has to send one on
 ENOUGH = 15
@@ -60,7 +61,7 @@
         replies = [await client.reply() for client in clients]
         assert trio.current_time() - began < 1.4
         assert len(replies) == 30
-        assert not w.service.decisions.pending
+        assert not w.service.engine.pending
         await w.ended.wait()
 
 
@@ -72,7 +73,7 @@
     tell, reach = fleet.tell, fleet.reach
 
     def telling(index, events):
-        arrived[index] += [fleet.now for event in events if type(event).__name__ == "JobArrived"]
+        arrived[index] += [fleet.now for event in events if isinstance(event, api.RequestArrived)]
         tell(index, events)
 
     def reaching(index, job, number, name):
@@ -111,7 +112,7 @@
         began = trio.current_time()
         w.service.reload()
         there.tell(drains(peers[0]), full=True)  # before the first call to it
-        await w.until(lambda: not w.service.pool.may_send("d1"))
+        await w.until(lambda: not w.service.endpoints.may_send("d1"))
         assert trio.current_time() - began < 4.0
         sent = len(peers[0].exchanges)
         for number in range(10):
@@ -144,7 +145,7 @@
         for number, client in enumerate(clients[4:], 4):
             await client.send(X_Request_ID=f"r{number}", **LONG)
         if front == "platform":
-            await w.until(lambda: w.service.decisions.pending == 8)
+            await w.until(lambda: w.service.engine.pending == 8)
         else:  # no new streams in a drain: each is told so at once
             assert [(await client.reply()).status for client in clients[4:]] == [503] * 4
         go_on.set()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -133,7 +133,7 @@
             )
         )
         out: dict[str, bool | None] = {}  # None: the call was under way, either may hold
-        lame: list[bool | None] = [False]
+        operator_drain: list[bool | None] = [False]
         keys: dict[str, str] = {}
         answered = set()
 
@@ -149,9 +149,9 @@
             what = rng.choice(("detach", "attach", "on", "off"))
             with suppress(OSError, trio.BrokenResourceError, Exception):
                 if what in ("on", "off"):
-                    lame[0] = None
+                    operator_drain[0] = None
                     assert (await first.call(f"PUT /_lameduck/{what}")).status == 200
-                    lame[0] = what == "on"
+                    operator_drain[0] = what == "on"
                 else:
                     name = rng.choice(("d0", "d2"))
                     out[name] = None
@@ -176,8 +176,8 @@
         met = len(rack.met)
         async with program(nursery, config) as second:
             up = await second.ask("/up", "GET", b"")
-            if lame[0] is not None:
-                assert (up.status == 503) == lame[0]
+            if operator_drain[0] is not None:
+                assert (up.status == 503) == operator_drain[0]
             answers = {}
 
             async def again(key: str, target: str) -> None:
@@ -188,8 +188,8 @@
             async with trio.open_nursery() as repeats:
                 for key, target in keys.items():
                     repeats.start_soon(again, key, target)
-            for destination, _ in rack.met[met:]:
-                assert out.get(destination) is not True, "work for a destination that was taken out"
+            for worker, _ in rack.met[met:]:
+                assert out.get(worker) is not True, "work for a destination that was taken out"
             assert (await second.ask(X_Request_ID="last")).status == 200
         for key in keys.keys() - answered:  # a repeat of what was answered is a job of its own
             if keys[key] == "/tour":
@@ -210,7 +210,7 @@
 ):
     peer = Peer("d1", done)
     async with world(peer, **state(tmp_path)) as w:
-        store, gate, waiting = w.service.keeper._disk.store, trio.Event(), []
+        store, gate, waiting = w.service.persistent_state._disk.store, trio.Event(), []
         write = store.awrite
 
         async def held(batch):
@@ -243,7 +243,7 @@
     peer = Peer("d1", done)
     async with world(peer, **state(tmp_path)) as w:
         await w.until(
-            lambda: b"app.state_kept:1|c" in w.service.figures.text({}).encode()
+            lambda: b"app.state_kept:1|c" in w.service.metrics.text({}).encode()
         )  # the list
         disk.error = errno.EIO
         for i in range(3):
@@ -256,7 +256,7 @@
             200,
             b"detached, but not on disk: a restart forgets it\n",
         )
-        assert not w.service.pool.may_send("d1")
+        assert not w.service.endpoints.may_send("d1")
         counted = re.search(rb"app.state_failed:(\d+)", (await w.call("GET /_vars")).body)
         assert int(counted[1]) >= 4
         assert {e.id for e in peer.exchanges} == {"plain0", "plain1", "plain2"}
@@ -264,7 +264,7 @@
         assert len(told) == 1
         disk.error = 0
         await w.until(lambda: any("state-back" in r.getMessage() for r in caplog.records))
-        store = w.service.keeper._disk.store
+        store = w.service.persistent_state._disk.store
         await w.until(lambda: [key for key, _ in store.scan(prefix=b"out/")] == [b"out/d1"])
 
 
@@ -275,11 +275,11 @@
     async with world(peer, Peer("d2", done), Peer("d3", done), **config) as w:
         for call in ("detach?name=d1", "attach?name=d1", "detach?name=d2"):
             assert (await w.call(f"PUT /_profilers/{call}")).status == 200
-        assert w.service.pool.back["d1"] < 20_000.0  # milliseconds ago
+        assert w.service.endpoints.back["d1"] < 20_000.0  # milliseconds ago
         assert (await w.call("PUT /_lameduck/on")).status == 200
-        await w.until(lambda: w.service.keeper._disk.store.get(b"list") is not None)
-        w.service.decisions.give_up()
-        await trio.to_thread.run_sync(w.service.keeper.close_store)
+        await w.until(lambda: w.service.persistent_state._disk.store.get(b"list") is not None)
+        w.service.engine.give_up()
+        await trio.to_thread.run_sync(w.service.persistent_state.close_store)
     async with trio.open_nursery() as nursery:
         await nursery.start(peer.serve)
         nobody = Discovery([])
@@ -299,10 +299,10 @@
             )
         )
         await nursery.start(lambda task_status: service.run(signals=False, task_status=task_status))
-        assert service.lame and service.pool.out == ["d2"]
-        assert 0.0 < service.pool.back["d1"] < 20_000.0
-        service.decisions.tick()
-        worker = service.decisions._module.fleet.workers["d1"]
+        assert service.operator_drain and service.endpoints.out == ["d2"]
+        assert 0.0 < service.endpoints.back["d1"] < 20_000.0
+        service.engine.tick()
+        worker = service.engine._module.fleet.workers["d1"]
         assert worker.cold_from >= 0  # put back a moment ago, by a run that is dead
         async with await trio.open_tcp_stream(*service.listener.address) as stream:
             assert (await Client(stream).ask()).status == 200
@@ -316,13 +316,15 @@
     caplog.set_level("INFO")
     async with shared_world(Peer("d1", done), Peer("d2", done), **state(tmp_path)) as w:
         await w.call("PUT /_profilers/detach?name=d1")
-        heir = await start_heir(w)
-        assert not heir.keeper.held and heir.pool.out == ["d1"]
+        new_process = await start_heir(w)
+        assert not new_process.persistent_state.held and new_process.endpoints.out == ["d1"]
         assert (await w.ask("/save", X_Request_ID="r", Idempotency_Key="k")).status == 200
-        w.nursery.start_soon(w.elder.drain)
+        w.nursery.start_soon(w.old_process.drain)
         await w.ended.wait()
         await w.until(lambda: any("state-taken-over" in r.getMessage() for r in caplog.records))
-        assert [key for key, _ in heir.keeper._disk.store.scan(prefix=b"out/")] == [b"out/d1"]
+        assert [
+            key for key, _ in new_process.persistent_state._disk.store.scan(prefix=b"out/")
+        ] == [b"out/d1"]
 
 
 def test_a_second_program_on_one_directory_is_refused_and_without_one_nothing_is_imported(tmp_path):
@@ -374,8 +376,12 @@
 # -- the module, told of an attempt of an earlier run
 
 
-def decided(effect: str, ago: float, cell: int = 0, now: float = 1e6, **more) -> list:
-    classes = [api.JobClass("tour", 2000.0, 9000.0, effect=effect, group="cell", window=7500.0)]
+def decided(idempotency: str, ago: float, cell: int = 0, now: float = 1e6, **more) -> list:
+    classes = [
+        api.RequestClass(
+            "tour", 2000.0, 9000.0, idempotency=idempotency, group="cell", window=7500.0
+        )
+    ]
     module = Dispatcher(api.Settings(classes, max_attempts=3, **more), 1)
     workers = [api.WorkerEntry(f"w{i}", cell=i // 2) for i in range(4)]
     module.handle(now, [api.WorkerList(api.LIST_FULL, workers)])
@@ -384,25 +390,33 @@
         for i in range(20)
         for action in module.handle(
             now + i,
-            [api.JobArrived(f"j{i}", 0, now + i + 5000.0, ran_ago=ago, ran_zone=0, ran_cell=cell)],
+            [
+                api.RequestArrived(
+                    f"j{i}", 0, now + i + 5000.0, ran_ago=ago, ran_zone=0, ran_cell=cell
+                )
+            ],
         )
-        if isinstance(action, (api.Send, api.Fail, api.Refuse))
+        if isinstance(action, (api.Send, api.Fail, api.Reject))
     ]
 
 
 def test_the_module_decides_on_a_repeat_by_what_an_earlier_run_sent():
-    assert {type(action) for action in decided(api.UNSAFE, 10.0)} == {api.Fail}
-    assert {type(action) for action in decided(api.KEYED, 7000.0)} == {
+    assert {type(action) for action in decided(api.NON_IDEMPOTENT, 10.0)} == {api.Fail}
+    assert {type(action) for action in decided(api.IDEMPOTENT_BY_KEY, 7000.0)} == {
         api.Fail
     }  # nearly past its window
-    assert {type(action) for action in decided(api.KEYED, LONG_AGO, now=1e13)} == {api.Fail}
+    assert {type(action) for action in decided(api.IDEMPOTENT_BY_KEY, LONG_AGO, now=1e13)} == {
+        api.Fail
+    }
     for cell, rack in ((0, {"w0", "w1"}), (1, {"w2", "w3"}), (9, set())):
-        actions = decided(api.KEYED, 3000.0, cell)
+        actions = decided(api.IDEMPOTENT_BY_KEY, 3000.0, cell)
         sent = {action.worker for action in actions if type(action) is api.Send}
         assert sent <= rack and bool(sent) == bool(rack)
         # Refusing would say that it never ran: nobody may say that of a job that may have.
-        assert api.Refuse not in map(type, actions)
-    assert {action.worker for action in decided(api.KEYED, -1.0) if type(action) is api.Send} & {
+        assert api.Reject not in map(type, actions)
+    assert {
+        action.worker for action in decided(api.IDEMPOTENT_BY_KEY, -1.0) if type(action) is api.Send
+    } & {
         "w0",
         "w1",
     }
@@ -410,11 +424,15 @@
 
 def test_a_window_longer_than_the_clock_has_run_counts_whole():
     # The module's clock starts at 1,000 s, and the first run of the job is longer ago than that.
-    classes = [api.JobClass("tour", 2000.0, 9000.0, effect=api.KEYED, group="all", window=7.2e6)]
+    classes = [
+        api.RequestClass(
+            "tour", 2000.0, 9000.0, idempotency=api.IDEMPOTENT_BY_KEY, group="all", window=7.2e6
+        )
+    ]
     for ago, expected in ((7.1e6, api.Fail), (6.0e6, api.Send)):
         module = Dispatcher(api.Settings(classes, max_attempts=3), 1)
         module.handle(1e6, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
-        out = module.handle(1e6 + 1, [api.JobArrived("j", 0, 1e6 + 5000.0, ran_ago=ago)])
+        out = module.handle(1e6 + 1, [api.RequestArrived("j", 0, 1e6 + 5000.0, ran_ago=ago)])
         assert [type(a) for a in out if isinstance(a, (api.Send, api.Fail))] == [expected]
 
 
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -216,15 +216,15 @@
         id,
         "tour",
         "acme",
-        aim=100.0,
-        stretch=2.0,
+        latency_objective=100.0,
+        objective_run_factor=2.0,
         deadline=1000.0,
         parent=parent,
         state=None,
         first_byte=99.0,
     )
     attempt = trace.chosen(0, "d1", 3, "no room", 99.5)
-    attempt.end, attempt.ending = 99.8, "served" if answer == "served" else "reset"
+    attempt.end, attempt.outcome = 99.8, "served" if answer == "served" else "reset"
     trace.decide(99.9, answer, "out of tries")
     return t.finish(trace)
 
@@ -289,7 +289,7 @@
         finished(t, f"r{i}", "served" if i % 2 else "failed")
     assert len(t.queue) == 10 and t.queue.dropped == {"ordinary_full": 15, "bad_full": 5}
     await exporter.flush()
-    assert exporter.figures()["trace_dropped_file_failed"] == 10
+    assert exporter.metrics()["trace_dropped_file_failed"] == 10
 
 
 @story
@@ -509,18 +509,24 @@
     async with shared_world(Peer("d1", waits), tracing={"file": str(paths[0]), "share": 1.0}) as w:
         slow = await w.shared.client()
         await slow.send(X_Request_ID="slow", traceparent=f"00-{TRACE}-{SPAN}-01")
-        await w.until(lambda: w.elder.traced.tracer.open == 1)
-        w.elder.reload()
+        await w.until(lambda: w.old_process.tracing_hooks.tracer.open == 1)
+        w.old_process.reload()
         await start_heir(w, tracing={"file": str(paths[1]), "share": 1.0})
-        w.nursery.start_soon(w.elder.drain)
-        await w.until(lambda: w.elder.draining)
+        w.nursery.start_soon(w.old_process.drain)
+        await w.until(lambda: w.old_process.draining)
         assert (await w.ask(X_Request_ID="next", traceparent=f"00-{TRACE}-{SPAN}-01")).status == 200
         gate.set()
         assert (await slow.reply()).status == 200
         await w.until(lambda: "slow" in reads(paths[0]) and "next" in reads(paths[1]))
-    elder, heir = reads(paths[0])["slow"], reads(paths[1])["next"]
-    assert elder["trace"] == heir["trace"] == TRACE and elder["span"] != heir["span"]
-    assert [e["name"] for e in elder["events"]] == ["reloaded", "draining"] and not heir["events"]
+    old_process, new_process = reads(paths[0])["slow"], reads(paths[1])["next"]
+    assert (
+        old_process["trace"] == new_process["trace"] == TRACE
+        and old_process["span"] != new_process["span"]
+    )
+    assert [e["name"] for e in old_process["events"]] == [
+        "reloaded",
+        "draining",
+    ] and not new_process["events"]
 
 
 @story
@@ -541,7 +547,7 @@
         w.raw["tracing"]["share"] = 0.0
         w.service.reload()
         assert (await w.ask(X_Request_ID="b")).status == 200
-        await w.until(lambda: w.service.traced.tracer.counts["thinned"] == 1)
+        await w.until(lambda: w.service.tracing_hooks.tracer.counts["thinned"] == 1)
     record = reads(path)["a"]
     assert 50e6 <= record["parts"]["running"] <= record["end"] - record["start"] < 3e9
 
@@ -582,16 +588,16 @@
         "r",
         "tour",
         "acme",
-        aim=1,
-        stretch=1,
+        latency_objective=1,
+        objective_run_factor=1,
         deadline=9,
         parent=f"00-{TRACE}-{SPAN}-01",
         state=None,
         first_byte=99.0,
     )
-    for number, ending in enumerate(("reset", "served")):
+    for number, outcome in enumerate(("reset", "served")):
         attempt = trace.chosen(number, f"d{number}", 2, "", 99.1 + number / 10)
-        attempt.begin, attempt.end, attempt.ending = attempt.chosen, attempt.chosen + 0.05, ending
+        attempt.begin, attempt.end, attempt.outcome = attempt.chosen, attempt.chosen + 0.05, outcome
     trace.decide(99.9, "served")
     record = t.finish(trace)
     sent = service.ExportTraceServiceRequest.FromString(
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -361,23 +361,25 @@
 
 def decided(shares, zone_of, jobs=200, **more):
     """How many of so many jobs the module sends to each zone."""
-    spec = api.JobClass("a", 500.0, 4000.0)
+    spec = api.RequestClass("a", 500.0, 4000.0)
     module = Dispatcher(api.Settings([spec], zone=0, tells_start=True, fees=more), 1)
     entries = [api.WorkerEntry(name, zone) for name, zone in zone_of.items()]
     module.handle(0.0, [api.WorkerList(api.LIST_FULL, entries)])
     if shares is not None:
-        module.handle(0.0, [api.ZoneShares(shares)])
+        module.handle(0.0, [api.ZoneTrafficWeights(shares)])
     counts, now = {}, 0.0
     for i in range(jobs):
         now += 50.0
-        for action in module.handle(now, [api.JobArrived(f"j{i}", 0, now + 4000.0)]):
+        for action in module.handle(now, [api.RequestArrived(f"j{i}", 0, now + 4000.0)]):
             if isinstance(action, api.Send):
                 counts[zone_of[action.worker]] = counts.get(zone_of[action.worker], 0) + 1
                 module.handle(
                     now + 20.0,
                     [
-                        api.AttemptStarted(action.job, 0, action.worker),
-                        api.AttemptEnded(action.job, 0, action.worker, api.SERVED, 20.0, True),
+                        api.AttemptStarted(action.request_id, 0, action.worker),
+                        api.AttemptEnded(
+                            action.request_id, 0, action.worker, api.SERVED, 20.0, True
+                        ),
                     ],
                 )
     return counts
@@ -416,16 +418,16 @@
         peer, settings={"areas": ["room", "hall"]}, mgmt="127.0.0.1:0", **ZONES
     ) as here:
         assert (await here.ask()).status == 200
-        zones = here.service.hooks[1]
+        zones = here.service.subsystems[1]
         shown = (await here.call("GET /_zones")).body
         assert b'"zone": "room"' in shown and zones.status()["zones"][0]["ended"] == 1
         assert (await here.call("PUT /_zones/leave?name=nowhere")).status == 404
         assert (await here.call("PUT /_zones/leave?name=room")).status == 200
-        fleet = here.service.decisions._module.fleet
-        await here.until(lambda: fleet.shares == {0: 0.0})
+        fleet = here.service.engine._module.fleet
+        await here.until(lambda: fleet.zone_weights == {0: 0.0})
         assert (await here.ask(X_Request_ID="r2")).status == 200  # there is nowhere else
         assert (await here.call("PUT /_zones/return?name=room")).status == 200
-        await here.until(lambda: fleet.shares == {})
+        await here.until(lambda: fleet.zone_weights == {})
         assert zones.status()["zones"][0]["order"] == ""
 
 
--- a/yewrill/config/reading.py
+++ b/yewrill/config/reading.py
@@ -10,7 +10,7 @@
 
 import ujson
 
-from yewrill.dispatch.engine import Destination
+from yewrill.dispatch.engine import Endpoint
 from yewrill.policy import interface as api
 from yewrill.simulator.codec import WireError, decode_settings
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Places:
+class TopologyNames:
     """The names that lists use for zones and machine kinds; the module knows their positions."""
 
     zones: tuple[str, ...] = ()
@@ -126,7 +126,7 @@
     name: str = "yewrill"
     seed: int = 0
     limits: Limits = field(default_factory=Limits)
-    places: Places = field(default_factory=Places)
+    topology: TopologyNames = field(default_factory=TopologyNames)
     known: Mapping[str, Any] | None = None
     stated: frozenset[str] = frozenset()  # the keys that the file has
     inherited_fd: int | None = (
@@ -154,7 +154,7 @@
 
 # Where the file has what is named otherwise here.
 _KEY_OF = {
-    "places": "settings.areas or settings.kinds",
+    "topology": "settings.areas or settings.kinds",
     "connect_timeout_ms": "settings.limits.connect_timeout",
     "idle_close_ms": "settings.limits.idle_close",
     "answer_margin_ms": "timing.answer_margin_ms",
@@ -231,7 +231,7 @@
 # ----------------------------------------------------------------------------------------------------- lists
 
 
-def read_destinations(answer: Any, key: str, places: Places) -> list[Destination]:
+def read_endpoints(answer: Any, key: str, topology: TopologyNames) -> list[Endpoint]:
     """The destinations in one of discovery's answers, or in the list last known."""
     answer = _object(answer, key)
     _whole(answer.get("version"), f"{key}.version")
@@ -246,13 +246,13 @@
             )
         gone = state == api.GONE  # what is gone needs no address
         found.append(
-            Destination(
+            Endpoint(
                 _text(entry.get("id"), f"{at}.id"),
                 ("", 0)
                 if gone and not entry.get("addr")
                 else read_address(entry.get("addr"), f"{at}.addr"),
-                Places.position(entry.get("zone", 0), places.zones, f"{at}.zone"),
-                Places.position(entry.get("kind", 0), places.kinds, f"{at}.kind"),
+                TopologyNames.position(entry.get("zone", 0), topology.zones, f"{at}.zone"),
+                TopologyNames.position(entry.get("kind", 0), topology.kinds, f"{at}.kind"),
                 _whole(entry.get("cell", 0), f"{at}.cell"),
                 state,
                 _number(entry.get("weight", 1.0), f"{at}.weight"),
@@ -302,8 +302,8 @@
     if not raw.get("request_classes"):
         raise ConfigError("settings.request_classes: at least one class is needed")
     names: set[str] = set()
-    for i, job_class in enumerate(raw["request_classes"]):
-        _check_class(_object(job_class, f"settings.request_classes[{i}]"), i, names)
+    for i, request_class in enumerate(raw["request_classes"]):
+        _check_class(_object(request_class, f"settings.request_classes[{i}]"), i, names)
     kinds = len(raw.get("kinds", []))
     for i, kind in enumerate(
         _list(raw.get("specifics", {}).get("class_kind", []), "settings.specifics.class_kind")
@@ -333,22 +333,22 @@
         raise ConfigError(f"settings: of the wrong shape: {error}") from None
 
 
-def _check_class(job_class: Mapping[str, Any], i: int, names: set[str]) -> None:
+def _check_class(request_class: Mapping[str, Any], i: int, names: set[str]) -> None:
     at = f"settings.request_classes[{i}]"
-    name = _text(job_class.get("name"), f"{at}.name")
+    name = _text(request_class.get("name"), f"{at}.name")
     if name in names:
         raise ConfigError(f"{at}.name: {_show(name)} is there twice")
     if "/" in name or not name.isascii() or not name.isprintable() or " " in name:
         raise ConfigError(f"{at}.name: {_show(name)} can't be the first part of a path")
     names.add(name)
-    deadline = _number(job_class.get("deadline"), f"{at}.deadline", open_low=True)
-    _number(job_class.get("aim", deadline), f"{at}.aim", 0.0, deadline)
+    deadline = _number(request_class.get("deadline"), f"{at}.deadline", open_low=True)
+    _number(request_class.get("aim", deadline), f"{at}.aim", 0.0, deadline)
     for key in ("window", "value", "late_value", "aim_stretch"):
-        _number(job_class.get(key, 0.0), f"{at}.{key}")
-    _one_of(job_class.get("repeat", "pure"), f"{at}.repeat", ("pure", "token", "side_effect"))
-    if job_class.get("repeat") == "token":
-        _one_of(job_class.get("group", "all"), f"{at}.group", ("all", "zone", "cell"))
-        _number(job_class.get("window"), f"{at}.window", open_low=True)
+        _number(request_class.get(key, 0.0), f"{at}.{key}")
+    _one_of(request_class.get("repeat", "pure"), f"{at}.repeat", ("pure", "token", "side_effect"))
+    if request_class.get("repeat") == "token":
+        _one_of(request_class.get("group", "all"), f"{at}.group", ("all", "zone", "cell"))
+        _number(request_class.get("window"), f"{at}.window", open_low=True)
 
 
 # --------------------------------------------------------------------------------------------- the whole file
@@ -394,7 +394,7 @@
             if close:
                 raise ConfigError(f"{key}: no such key; {close[0]} is meant?")
     settings = read_settings(raw["settings"])
-    places = Places(
+    topology = TopologyNames(
         *(
             tuple(
                 _text(name, f"settings.{part}[{i}]")
@@ -404,7 +404,7 @@
         )
     )
     if raw.get("known") is not None:
-        read_destinations(raw["known"], "known", places)
+        read_endpoints(raw["known"], "known", topology)
     seed = raw.get("seed", "0")
     try:
         seed = int(seed, 16) if isinstance(seed, str) else _whole(seed, "seed", high=2**64)
@@ -435,7 +435,7 @@
             _whole(limits.get("memory_mb", default.memory_mb), "limits.memory_mb", 64),
             _whole(limits.get("sockets", default.sockets), "limits.sockets", 64),
         ),
-        places=places,
+        topology=topology,
         known=raw.get("known"),
         mgmt=mgmt,
         stated=stated,
@@ -638,8 +638,8 @@
     for key in sorted(before.stated - now.stated):
         raise ConfigError(f"{key}: missing, the file in service has it")
     for part, old, new in (
-        ("areas", before.places.zones, now.places.zones),
-        ("kinds", before.places.kinds, now.places.kinds),
+        ("areas", before.topology.zones, now.topology.zones),
+        ("kinds", before.topology.kinds, now.topology.kinds),
     ):
         if new[: len(old)] != old:
             raise ConfigError(f"settings.{part}: may only grow while the program serves")
@@ -709,8 +709,8 @@
         raise ConfigError(f"settings.zone: no zone {zone} in settings.areas")
     if settings.get("fees", {}).get("cross_zone", 0.0) > 0 and len(areas) < 2:
         raise ConfigError("settings.fees.cross_zone: a fee for crossings, with one zone")
-    for i, job_class in enumerate(settings["request_classes"]):
-        if job_class.get("late_value", 0.0) > 1.0:
+    for i, request_class in enumerate(settings["request_classes"]):
+        if request_class.get("late_value", 0.0) > 1.0:
             raise ConfigError(
                 f"settings.request_classes[{i}].late_value: worth more late than in time"
             )
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -18,7 +18,7 @@
 
 from yewrill.dispatch import load_report as loadreport
 from yewrill.dispatch import safety as rules
-from yewrill.dispatch.outcome import Ending
+from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.dispatch.start_times import StartTimes
 from yewrill.policy import Dispatcher
 from yewrill.policy import interface as api
@@ -34,11 +34,11 @@
 
 
 @dataclass(eq=False, slots=True)
-class Operation:
+class Request:
     """A client's request, as the core and the module know it. `payload` belongs to the front."""
 
     id: str
-    job_class: int
+    request_class: int
     deadline: float
     tenant: int = 0
     width: float = 1.0
@@ -56,49 +56,49 @@
     ran_cell: int = -1
     # What the checks go by: its class's effect and window, and when the first attempt that may have run was
     # sent, on the module's clock.
-    effect: str = api.SAFE
+    idempotency: str = api.IDEMPOTENT
     window: float = 0.0
     ran_at: float | None = None
-    on_progress: Callable[[RouteStep, float], None] | None = None
+    on_progress: Callable[[Attempt, float], None] | None = None
     has_left: Callable[[], bool] | None = None  # a fresh look whether its client has gone
     trace: Any = None
     # The facade's own.
     key: str = ""
-    steps: int = 0
-    live: RouteStep | None = None
-    choice: RouteStep | BusyReply | Failure | None = None
+    attempt_count: int = 0
+    live: Attempt | None = None
+    choice: Attempt | Rejection | Failure | None = None
     chosen: trio.Event | None = None
     closed: bool = False  # nothing more is owed to the client
 
 
 @dataclass(eq=False, slots=True)
-class RouteStep:
+class Attempt:
     """One attempt of an operation at one destination."""
 
-    operation: Operation
+    request: Request
     number: int
-    destination: str
+    worker: str
     until: float  # when to stop waiting
     trace: Any = None  # where tracing is on: told of every moment
     sent: float = 0.0  # its first byte
     written: bool = False  # its last byte: from then on it may run
     began: float = 0.0  # when its start was told, if attempts are counted in the log
-    withdrawn: Ending | None = None
+    withdrawn: AttemptOutcome | None = None
     load: Any = None  # the load report that came with its end, as it was sent
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
-    def withdraw(self, ending: Ending) -> None:
+    def withdraw(self, outcome: AttemptOutcome) -> None:
         """Stop waiting; whoever carries the step closes its connection and reports this ending."""
-        self.withdrawn = ending
+        self.withdrawn = outcome
         self.scope.cancel()
 
 
 @dataclass(frozen=True, slots=True)
-class BusyReply:
+class Rejection:
     """Refused: trying again is harmless, best after `retry_after` milliseconds (0: no advice)."""
 
     retry_after: float
-    why: str = ""  # the module's ground
+    reason: str = ""  # the module's ground
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,11 +106,11 @@
     """Failed, with no promise about its effect."""
 
     text: str = "failed"
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Destination:
+class Endpoint:
     """A line of the pool config."""
 
     id: str
@@ -123,7 +123,9 @@
     started_ms: float = 0.0  # wall clock
 
 
-Prober = Callable[[str], Awaitable[tuple[Ending, Any]]]  # and the load report as it was sent
+Prober = Callable[
+    [str], Awaitable[tuple[AttemptOutcome, Any]]
+]  # and the load report as it was sent
 
 
 def hanging(module: Dispatcher, now: float, after: float) -> dict[int, int]:
@@ -136,7 +138,7 @@
     return found
 
 
-class Decisions:
+class DecisionEngine:
     """One instance of the module and its clock."""
 
     def __init__(self, settings: api.Settings, seed: int):
@@ -149,8 +151,8 @@
         self._events: list[api.Event] = []
         self._timers: list[tuple[float, int]] = []
         self._probes: list[str] = []
-        self._operations: dict[str, Operation] = {}
-        self._live: dict[str, RouteStep] = {}  # steps that are out, those of closed operations too
+        self._requests: dict[str, Request] = {}
+        self._live: dict[str, Attempt] = {}  # steps that are out, those of closed operations too
         self._count = 0
         self._wake = trio.Event()
         self._counting = log.isEnabledFor(logging.DEBUG)  # a line for each step and each refusal
@@ -172,7 +174,7 @@
     @property
     def pending(self) -> int:
         """Operations without their final answer."""
-        return len(self._operations)
+        return len(self._requests)
 
     def capacity(self) -> dict[int, float]:
         """Slots that the usable destinations of each zone are thought to have."""
@@ -186,9 +188,9 @@
         """By zone, the attempts at destinations that run none of ours and have started none for so long."""
         return hanging(self._module, self.now(), after)
 
-    def share_out(self, shares: Mapping[int, float]) -> None:
+    def set_zone_weights(self, weights: Mapping[int, float]) -> None:
         """The fleet's plan: the part of its normal new work that each zone gets; one not named gets all."""
-        self._put(api.ZoneShares(dict(shares)))
+        self._put(api.ZoneTrafficWeights(dict(weights)))
 
     def avoided(self) -> set[str]:
         """The destinations that the module leaves out at present."""
@@ -196,153 +198,153 @@
 
     # -- what the network code calls
 
-    def take(self, operation: Operation) -> None:
+    def take(self, request: Request) -> None:
         """Tell the module of an operation: in the moment that its class and tenant were looked up, since
         other settings may move their positions."""
-        if not operation.key:
+        if not request.key:
             self._count += 1
             # The client's own id is not the key: two clients may send the same one.
-            operation.key = str(self._count)
-            self._operations[operation.key] = operation
-            spec = self._classes[operation.job_class]
-            operation.effect, operation.window = spec.effect, spec.window
-            if operation.ran_ago >= 0:
-                operation.ran_at = self.now() - operation.ran_ago
+            request.key = str(self._count)
+            self._requests[request.key] = request
+            spec = self._classes[request.request_class]
+            request.idempotency, request.window = spec.idempotency, spec.window
+            if request.ran_ago >= 0:
+                request.ran_at = self.now() - request.ran_ago
             self._put(
-                api.JobArrived(
-                    operation.key,
-                    operation.job_class,
-                    operation.deadline,
-                    operation.tenant,
-                    operation.width,
-                    operation.memory,
-                    operation.hint,
-                    operation.retry,
-                    operation.ran_ago,
-                    operation.ran_zone,
-                    operation.ran_cell,
-                    operation.subject,
+                api.RequestArrived(
+                    request.key,
+                    request.request_class,
+                    request.deadline,
+                    request.tenant,
+                    request.width,
+                    request.memory,
+                    request.hint,
+                    request.retry,
+                    request.ran_ago,
+                    request.ran_zone,
+                    request.ran_cell,
+                    request.subject,
                 )
             )
 
-    def retune(self, settings: api.Settings) -> None:
+    def reconfigure(self, settings: api.Settings) -> None:
         """Other settings, for every operation taken from now on."""
         self._fields = settings.report_fields
         self._classes = settings.classes
         self._put(api.SettingsChanged(settings))
 
-    async def pick(self, operation: Operation) -> RouteStep | BusyReply | Failure | None:
+    async def pick(self, request: Request) -> Attempt | Rejection | Failure | None:
         """Wait for the module's next choice for an operation; None once its client has left."""
-        self.take(operation)
-        if operation.choice is None and not operation.closed:
-            operation.chosen = trio.Event()
-            with trio.move_on_at(self.loop_time(operation.deadline + BACKSTOP)):
-                await operation.chosen.wait()
-            operation.chosen = None
-        choice, operation.choice = operation.choice, None
+        self.take(request)
+        if request.choice is None and not request.closed:
+            request.chosen = trio.Event()
+            with trio.move_on_at(self.loop_time(request.deadline + BACKSTOP)):
+                await request.chosen.wait()
+            request.chosen = None
+        choice, request.choice = request.choice, None
         if choice is None:
-            if operation.client_left:
+            if request.client_left:
                 return None
-            if not operation.closed:
-                log.error("no-decision operation=%s: answered without the module", operation.id)
-                self._close(operation, tell=True)
+            if not request.closed:
+                log.error("no-decision request=%s: answered without the module", request.id)
+                self._close(request, tell=True)
             return Failure("no decision")
-        if isinstance(choice, RouteStep):
-            operation.live = self._live[operation.key] = choice
+        if isinstance(choice, Attempt):
+            request.live = self._live[request.key] = choice
         return choice
 
-    def report(self, step: RouteStep, ending: Ending) -> None:
+    def report(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Tell how a route step ended. A served one concludes its operation."""
-        operation = step.operation
-        if step.trace is not None:
-            step.trace.end, step.trace.ending = trio.current_time(), ending.value
-        operation.live = None
-        self._live.pop(operation.key, None)
-        if ending.outcome not in api.NEVER_RAN and operation.ran_at is None:
-            operation.ran_at = step.sent or self.now()
-        if ending is Ending.SERVED:
-            self._close(operation)
-        elapsed = self.now() - step.sent if step.sent else 0.0
+        request = attempt.request
+        if attempt.trace is not None:
+            attempt.trace.end, attempt.trace.outcome = trio.current_time(), outcome.value
+        request.live = None
+        self._live.pop(request.key, None)
+        if outcome.policy_outcome not in api.NEVER_RAN and request.ran_at is None:
+            request.ran_at = attempt.sent or self.now()
+        if outcome is AttemptOutcome.SERVED:
+            self._close(request)
+        elapsed = self.now() - attempt.sent if attempt.sent else 0.0
         self._put(
             api.AttemptEnded(
-                operation.key,
-                step.number,
-                step.destination,
-                ending.outcome,
+                request.key,
+                attempt.number,
+                attempt.worker,
+                outcome.policy_outcome,
                 elapsed,
-                operation.closed,
-                loadreport.read(step.load, self._fields),
-                ending.worn,
+                request.closed,
+                loadreport.read(attempt.load, self._fields),
+                outcome.stale_connection,
             )
         )
         if self._counting:
-            waited = step.began - step.sent if step.began else -1.0
+            waited = attempt.began - attempt.sent if attempt.began else -1.0
             log.debug(
-                "step destination=%s ending=%s class=%d attempt=%d width=%g sent=%.0f waited=%.0f "
+                "step worker=%s outcome=%s class=%d attempt=%d width=%g sent=%.0f waited=%.0f "
                 "ran=%.0f",
-                step.destination,
-                ending.name,
-                operation.job_class,
-                step.number,
-                operation.width,
-                self._starts.offset + (step.sent or self.now()),
+                attempt.worker,
+                outcome.name,
+                request.request_class,
+                attempt.number,
+                request.width,
+                self._starts.offset + (attempt.sent or self.now()),
                 waited,
                 elapsed - max(0.0, waited),
             )
 
-    def started(self, step: RouteStep) -> None:
+    def started(self, attempt: Attempt) -> None:
         if self._counting:
-            step.began = self.now()
-        if step.trace is not None:
-            step.trace.started = trio.current_time()
-        self._put(api.AttemptStarted(step.operation.key, step.number, step.destination))
-
-    def progress(self, step: RouteStep, share: float) -> None:
-        if step.trace is not None:
-            step.trace.note_progress(trio.current_time(), share)
-        self._put(api.AttemptProgress(step.operation.key, step.number, step.destination, share))
-        if step.operation.on_progress is not None:
-            step.operation.on_progress(step, share)
-
-    def left(self, operation: Operation) -> None:
+            attempt.began = self.now()
+        if attempt.trace is not None:
+            attempt.trace.started = trio.current_time()
+        self._put(api.AttemptStarted(attempt.request.key, attempt.number, attempt.worker))
+
+    def progress(self, attempt: Attempt, share: float) -> None:
+        if attempt.trace is not None:
+            attempt.trace.note_progress(trio.current_time(), share)
+        self._put(api.AttemptProgress(attempt.request.key, attempt.number, attempt.worker, share))
+        if attempt.request.on_progress is not None:
+            attempt.request.on_progress(attempt, share)
+
+    def left(self, request: Request) -> None:
         """The client has gone: nothing more is owed. An attempt that is out runs on, for its end tells much;
         one that is being written must not become whole, and a connection that comes up is kept."""
-        if operation.trace is not None and not operation.client_left:
-            operation.trace.event(trio.current_time(), "client-left")
-            operation.trace.decide(trio.current_time(), "left")
-        operation.client_left = True
-        if operation.key and not operation.closed:
-            self._close(operation, tell=True)
-            step = operation.choice
-            if isinstance(step, RouteStep):  # chosen, not yet taken up
-                operation.choice = None
-                self.report(step, Ending.NOT_SENT)
-            if operation.live is not None and operation.live.sent and not operation.live.written:
-                operation.live.withdraw(Ending.NOT_SENT)
-            if operation.chosen is not None:
-                operation.chosen.set()
+        if request.trace is not None and not request.client_left:
+            request.trace.event(trio.current_time(), "client-left")
+            request.trace.decide(trio.current_time(), "left")
+        request.client_left = True
+        if request.key and not request.closed:
+            self._close(request, tell=True)
+            attempt = request.choice
+            if isinstance(attempt, Attempt):  # chosen, not yet taken up
+                request.choice = None
+                self.report(attempt, AttemptOutcome.NOT_SENT)
+            if request.live is not None and request.live.sent and not request.live.written:
+                request.live.withdraw(AttemptOutcome.NOT_SENT)
+            if request.chosen is not None:
+                request.chosen.set()
 
     def give_up(self) -> None:
         """The program ends: every operation that is still open fails, and its attempt with it."""
-        for operation in list(self._operations.values()):
-            if not operation.closed:
-                self._close(operation, tell=True)
-                if operation.live is not None:
-                    operation.live.withdraw(Ending.CALLED_OFF)
-                self._choose(operation, Failure("restarting"))
-
-    def pool_config(
-        self, destinations: Iterable[Destination], *, full: bool, cached: bool = False
+        for request in list(self._requests.values()):
+            if not request.closed:
+                self._close(request, tell=True)
+                if request.live is not None:
+                    request.live.withdraw(AttemptOutcome.CANCELLED)
+                self._choose(request, Failure("restarting"))
+
+    def update_endpoints(
+        self, endpoints: Iterable[Endpoint], *, full: bool, cached: bool = False
     ) -> None:
         """What discovery tells."""
         self._starts.note(time.time() * 1000.0, self.now())
         form = api.LIST_CACHED if cached else api.LIST_FULL if full else api.LIST_CHANGES
         if self._counting:
-            destinations = list(destinations)
+            endpoints = list(endpoints)
             log.debug(
                 "list form=%s %s",
                 form,
-                " ".join(f"{d.id}:{d.state}:{d.started_ms:.0f}" for d in destinations),
+                " ".join(f"{d.id}:{d.state}:{d.started_ms:.0f}" for d in endpoints),
             )
         self._put(
             api.WorkerList(
@@ -357,7 +359,7 @@
                         d.weight,
                         self._launched(d),
                     )
-                    for d in destinations
+                    for d in endpoints
                 ],
             )
         )
@@ -389,7 +391,7 @@
             self._give_up_batch(events)
         for event in events:
             if type(event) is api.ClientLeft:
-                self._operations.pop(event.job, None)
+                self._requests.pop(event.request_id, None)
 
     async def run(self, probe: Prober) -> None:
         """Tick whenever something is ready or due; probes run beside."""
@@ -404,8 +406,8 @@
                 self._wake = trio.Event()
                 self.tick()
                 probes, self._probes = self._probes, []
-                for destination in probes:
-                    nursery.start_soon(self._probe, probe, destination)
+                for worker in probes:
+                    nursery.start_soon(self._probe, probe, worker)
 
     # -- inside
 
@@ -413,104 +415,111 @@
         self._events.append(event)
         self._wake.set()
 
-    def _launched(self, destination: Destination) -> float:
+    def _launched(self, worker: Endpoint) -> float:
         """The module takes any change of this for a restart, and 0 for a start long ago."""
-        started = self._starts.started(destination.id, destination.started_ms, self.now())
+        started = self._starts.started(worker.id, worker.started_ms, self.now())
         return 0.0 if started is None else max(1.0, started)
 
-    def _close(self, operation: Operation, tell: bool = False) -> None:
-        if not operation.closed:
-            operation.closed = True
+    def _close(self, request: Request, tell: bool = False) -> None:
+        if not request.closed:
+            request.closed = True
             if (
                 tell
             ):  # it stays known until the module has heard, for what the module may send before
-                self._put(api.ClientLeft(operation.key))
+                self._put(api.ClientLeft(request.key))
             else:
-                self._operations.pop(operation.key, None)
+                self._requests.pop(request.key, None)
 
-    def _choose(self, operation: Operation, choice: RouteStep | BusyReply | Failure) -> None:
-        operation.choice = choice
-        if operation.chosen is not None:
-            operation.chosen.set()
+    def _choose(self, request: Request, choice: Attempt | Rejection | Failure) -> None:
+        request.choice = choice
+        if request.chosen is not None:
+            request.chosen.set()
 
     def _carry_out(self, action: api.Action, now: float) -> None:
         kind = type(action)
         if kind is api.Send:
-            operation = self._operations.get(action.job)
-            if operation is None:
-                log.error("send-unknown job=%s", action.job)
+            request = self._requests.get(action.request_id)
+            if request is None:
+                log.error("send-unknown job=%s", action.request_id)
                 return
-            until = operation.deadline
+            until = request.deadline
             if action.timeout:
                 until = min(until, now + action.timeout)
-            step = RouteStep(operation, operation.steps, action.worker, until)
-            operation.steps += 1
-            if operation.trace is not None:
-                step.trace = operation.trace.chosen(
-                    step.number, action.worker, action.among, action.held, trio.current_time()
+            attempt = Attempt(request, request.attempt_count, action.worker, until)
+            request.attempt_count += 1
+            if request.trace is not None:
+                attempt.trace = request.trace.chosen(
+                    attempt.number, action.worker, action.among, action.held, trio.current_time()
                 )
-            broken = rules.check_attempt(self._attempt_facts(operation, now))
+            broken = rules.check_attempt(self._attempt_facts(request, now))
             if broken is not None:
                 self.violations.note(
-                    broken, operation=operation.id, attempt=step.number, worker=action.worker
+                    broken, request=request.id, attempt=attempt.number, worker=action.worker
                 )
                 self._put(
-                    api.AttemptEnded(operation.key, step.number, action.worker, api.NOT_SENT, 0.0)
+                    api.AttemptEnded(request.key, attempt.number, action.worker, api.NOT_SENT, 0.0)
                 )
-            elif operation.closed:  # it ended between the module's last moment and this one
-                self.report(step, Ending.NOT_SENT)
+            elif request.closed:  # it ended between the module's last moment and this one
+                self.report(attempt, AttemptOutcome.NOT_SENT)
             else:
-                self._choose(operation, step)
-        elif kind is api.Refuse or kind is api.Fail:
-            operation = self._operations.get(action.job)
-            if operation is None or operation.closed:
+                self._choose(request, attempt)
+        elif kind is api.Reject or kind is api.Fail:
+            request = self._requests.get(action.request_id)
+            if request is None or request.closed:
                 return
-            self._close(operation)
+            self._close(request)
             if self._counting:
                 log.debug(
-                    "no class=%d tries=%d why=%s", operation.job_class, operation.steps, action.why
+                    "no class=%d tries=%d why=%s",
+                    request.request_class,
+                    request.attempt_count,
+                    action.reason,
                 )
-            if operation.live is not None:
-                operation.live.withdraw(Ending.TIMED_OUT)
+            if request.live is not None:
+                request.live.withdraw(AttemptOutcome.TIMED_OUT)
             self._choose(
-                operation,
-                BusyReply(action.retry_after, action.why)
-                if kind is api.Refuse
-                else Failure(why=action.why),
+                request,
+                Rejection(action.retry_after, action.reason)
+                if kind is api.Reject
+                else Failure(reason=action.reason),
             )
         elif kind is api.SetTimer:
             heappush(self._timers, (now + action.delay, action.token))
         elif kind is api.Probe:
             self._probes.append(action.worker)
         elif kind is api.Cancel:
-            step = self._live.get(action.job)  # its operation may be over, its client gone
-            if step is not None and step.number == action.attempt:
-                step.withdraw(Ending.CALLED_OFF)
+            attempt = self._live.get(
+                action.request_id
+            )  # its operation may be over, its client gone
+            if attempt is not None and attempt.number == action.attempt:
+                attempt.withdraw(AttemptOutcome.CANCELLED)
         elif kind is api.Log:
             log.info("module %s", action.text)
         # WatchList asks for nothing here: discovery is always watched.
 
-    def _attempt_facts(self, operation: Operation, now: float) -> rules.AttemptFacts:
+    def _attempt_facts(self, request: Request, now: float) -> rules.AttemptFacts:
         return rules.AttemptFacts(
             now,
-            operation.effect,
-            operation.window,
-            attempt_out=operation.key in self._live or isinstance(operation.choice, RouteStep),
-            ran_at=operation.ran_at,
+            request.idempotency,
+            request.window,
+            attempt_out=request.key in self._live or isinstance(request.choice, Attempt),
+            ran_at=request.ran_at,
         )
 
     def _give_up_batch(self, events: list[api.Event]) -> None:
         """After a fault in the module no operation of that moment can count on an answer from it."""
         for event in events:
-            operation = self._operations.get(getattr(event, "job", ""))
-            if operation is not None and operation.choice is None and operation.live is None:
-                self._close(operation, tell=True)
-                self._choose(operation, Failure("internal fault"))
+            request = self._requests.get(getattr(event, "request_id", ""))
+            if request is not None and request.choice is None and request.live is None:
+                self._close(request, tell=True)
+                self._choose(request, Failure("internal fault"))
 
-    async def _probe(self, probe: Prober, destination: str) -> None:
+    async def _probe(self, probe: Prober, worker: str) -> None:
         try:
-            ending, load = await probe(destination)
+            outcome, load = await probe(worker)
         except Exception:
-            log.exception("probe-fault destination=%s", destination)
-            ending, load = Ending.BROKEN, None
-        self._put(api.ProbeEnded(destination, ending.outcome, loadreport.read(load, self._fields)))
+            log.exception("probe-fault worker=%s", worker)
+            outcome, load = AttemptOutcome.BROKEN, None
+        self._put(
+            api.ProbeEnded(worker, outcome.policy_outcome, loadreport.read(load, self._fields))
+        )
--- a/yewrill/dispatch/lifecycle.py
+++ b/yewrill/dispatch/lifecycle.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from yewrill.dispatch.engine import BusyReply, Decisions, Failure, Operation, RouteStep
-from yewrill.dispatch.outcome import Ending
+from yewrill.dispatch.engine import Attempt, DecisionEngine, Failure, Rejection, Request
+from yewrill.dispatch.outcome import AttemptOutcome
 
 log = logging.getLogger("yewrill.core")
 
@@ -20,37 +20,37 @@
     result: Any
 
 
-Answer = Served | BusyReply | Failure
-Attempt = Callable[[RouteStep], Awaitable[tuple[Ending, Any]]]
+Answer = Served | Rejection | Failure
+AttemptRunner = Callable[[Attempt], Awaitable[tuple[AttemptOutcome, Any]]]
 
 
-async def carry(operation: Operation, decisions: Decisions, attempt: Attempt) -> Answer | None:
+async def carry(
+    request: Request, engine: DecisionEngine, run_attempt: AttemptRunner
+) -> Answer | None:
     """Pick, try and report until the operation has its answer; None if its client left first."""
     try:
         while True:
-            choice = await decisions.pick(operation)
-            if not isinstance(choice, RouteStep):
+            choice = await engine.pick(request)
+            if not isinstance(choice, Attempt):
                 return choice
-            ending, result = Ending.BROKEN, None
+            outcome, result = AttemptOutcome.BROKEN, None
             try:
-                ending, result = await attempt(choice)
+                outcome, result = await run_attempt(choice)
             except Exception:
                 # A fault in one attempt ends that attempt; the module sees an error that may have run.
-                log.exception(
-                    "attempt-fault operation=%s destination=%s", operation.id, choice.destination
-                )
+                log.exception("attempt-fault request=%s worker=%s", request.id, choice.worker)
             finally:
-                decisions.report(choice, ending)
-            if ending is Ending.SERVED:
-                return None if operation.client_left else Served(result)
+                engine.report(choice, outcome)
+            if outcome is AttemptOutcome.SERVED:
+                return None if request.client_left else Served(result)
             log.debug(
-                "attempt operation=%s destination=%s ending=%s",
-                operation.id,
-                choice.destination,
-                ending.value,
+                "attempt request=%s worker=%s outcome=%s",
+                request.id,
+                choice.worker,
+                outcome.value,
             )
     except Exception:
         # Whatever else goes wrong, the client is owed an answer.
-        log.exception("operation-fault operation=%s", operation.id)
-        decisions.left(operation)
+        log.exception("operation-fault request=%s", request.id)
+        engine.left(request)
         return Failure("internal fault")
--- a/yewrill/dispatch/safety.py
+++ b/yewrill/dispatch/safety.py
@@ -79,7 +79,7 @@
     """What is known as an attempt is chosen. `ran_at`: when the first attempt that may have run was sent."""
 
     now: float
-    effect: str
+    idempotency: str
     window: float
     attempt_out: bool
     ran_at: float | None
@@ -91,9 +91,12 @@
         return Rule.OVERLAP
     if facts.ran_at is None:
         return None
-    if facts.effect == api.UNSAFE:
+    if facts.idempotency == api.NON_IDEMPOTENT:
         return Rule.UNSAFE_REPEAT
-    if facts.effect == api.KEYED and facts.now - facts.ran_at > facts.window + KEYED_SLACK_MS:
+    if (
+        facts.idempotency == api.IDEMPOTENT_BY_KEY
+        and facts.now - facts.ran_at > facts.window + KEYED_SLACK_MS
+    ):
         return Rule.WINDOW_OVER
     return None
 
@@ -115,7 +118,7 @@
         told = " ".join(f"{name}={value}" for name, value in ids.items())
         log.error("rule-violation rule=%s %s", rule.name.lower(), told)
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """By rule, for the metrics."""
         counts = {f"rule_violations.{rule.name.lower()}": self.counts[rule] for rule in Rule}
         return {"rule_violations_total": self.counts.total(), **counts}
--- a/yewrill/frontends/platform.py
+++ b/yewrill/frontends/platform.py
@@ -9,11 +9,11 @@
 
 import ujson
 
-from yewrill.dispatch.engine import BusyReply, Operation, RouteStep
+from yewrill.dispatch.engine import Attempt, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served
-from yewrill.net.http import MAX_BODY, BadRequest, Reply, Request
+from yewrill.net.http import MAX_BODY, BadRequest, HttpRequest, Reply
 from yewrill.net.listener import Client
-from yewrill.net.worker_connections import Garbled, Word
+from yewrill.net.worker_connections import MalformedResponse, Word
 from yewrill.policy.interface import Settings
 
 Carried = Callable[[], Awaitable[Answer | None]]
@@ -59,79 +59,79 @@
     """Turns a request's headers into an operation; used by every front."""
 
     def __init__(self, settings: Settings, margin: float):
-        self.retune(settings, margin)
+        self.reconfigure(settings, margin)
 
-    def retune(self, settings: Settings, margin: float) -> None:
+    def reconfigure(self, settings: Settings, margin: float) -> None:
         self.settings = settings
         self.margin = margin
         self._classes = {c.name: i for i, c in enumerate(settings.classes)}
         self._tenants = {t.name: i for i, t in enumerate(settings.tenants)}
 
-    def job_class(self, request: Request) -> int:
+    def request_class(self, http_request: HttpRequest) -> int:
         """The class; 404 and 405 come before any look at the headers."""
-        first = request.target.partition("?")[0][1:].partition("/")[0]
+        first = http_request.target.partition("?")[0][1:].partition("/")[0]
         if first not in self._classes:
             raise BadRequest(404, "no such path")
-        if len(request.target) > MAX_TARGET:
+        if len(http_request.target) > MAX_TARGET:
             raise BadRequest(414, "target too long")
-        if not _TARGET.fullmatch(request.target):
+        if not _TARGET.fullmatch(http_request.target):
             raise BadRequest(400, "malformed target")
-        if request.method != "POST":
+        if http_request.method != "POST":
             raise BadRequest(405, "POST only", (("Allow", "POST"),))
-        named = request.one(b"x-priority-class")
+        named = http_request.one(b"x-priority-class")
         if named is not None and named not in self._classes:
             raise BadRequest(400, "unknown class in X-Priority-Class")
         if named is not None and named != first:
             raise BadRequest(400, "X-Priority-Class and path name different classes")
         return self._classes[first]
 
-    def operation(self, request: Request, now: float) -> Operation:
+    def read_request(self, http_request: HttpRequest, now: float) -> Request:
         """`now` is the time at which the request's first byte was read, on the module's clock."""
-        job_class = self.job_class(request)
-        request.passed = self._passed(request)
-        id = request.one(b"x-request-id")
+        request_class = self.request_class(http_request)
+        http_request.passed = self._passed(http_request)
+        id = http_request.one(b"x-request-id")
         if not id:
             raise BadRequest(400, "X-Request-ID is missing")
         tenant = 0
         if self._tenants:
-            name = request.one(b"x-tenant-id")
+            name = http_request.one(b"x-tenant-id")
             if name not in self._tenants:
                 raise BadRequest(400, "unknown tenant in X-Tenant-Id")
             tenant = self._tenants[name]
-        patience = request.one(b"x-timeout-ms")
+        patience = http_request.one(b"x-timeout-ms")
         if patience is None:
-            wait = self.settings.classes[job_class].deadline
+            wait = self.settings.classes[request_class].deadline
         elif patience.isascii() and patience.isdigit():
             wait = _number(patience, "X-Timeout-Ms", 1, 86_400_000)
         else:
             raise BadRequest(400, "bad number in X-Timeout-Ms")
-        retried = request.one(b"x-retried")
+        retried = http_request.one(b"x-retried")
         if retried not in (None, "0", "1"):
             raise BadRequest(400, "X-Retried is neither 0 nor 1")
-        figures = self._figures(request.one(b"x-attrs"))
-        cost = request.one(b"x-cost")
-        return Operation(
+        attributes = self._attributes(http_request.one(b"x-attrs"))
+        cost = http_request.one(b"x-cost")
+        return Request(
             id,
-            job_class,
+            request_class,
             # Short patience keeps at least half of its time, however wide the margin.
             now + max(wait - self.margin, wait * 0.5),
             tenant,
-            width=figures.get("width", figures.get("slots", 1.0)),
-            memory=figures.get("memory", 0.0),
+            width=attributes.get("width", attributes.get("slots", 1.0)),
+            memory=attributes.get("memory", 0.0),
             hint=_number(cost, "X-Cost", 0, 1e9)
             if cost is not None
-            else figures.get("expected", 0.0),
+            else attributes.get("expected", 0.0),
             retry=retried == "1",
-            subject=self._subject(request.one(b"cookie")),
-            payload=request,
+            subject=self._subject(http_request.one(b"cookie")),
+            payload=http_request,
         )
 
     @staticmethod
-    def _passed(request: Request) -> list[tuple[bytes, bytes]]:
+    def _passed(http_request: HttpRequest) -> list[tuple[bytes, bytes]]:
         """The headers that go on to a destination, each there once and of its form."""
         passed = []
         for name, form in _PASSED.items():
-            value = request.one(name)
+            value = http_request.one(name)
             if value is not None:
                 if not form.fullmatch(value):
                     raise BadRequest(400, f"malformed {name.decode()}")
@@ -148,35 +148,35 @@
         return ""
 
     @staticmethod
-    def _figures(text: str | None) -> dict[str, float]:
-        figures: dict[str, float] = {}
+    def _attributes(text: str | None) -> dict[str, float]:
+        attributes: dict[str, float] = {}
         for part in (text or "").split(","):
             name, equals, value = part.strip().partition("=")
             if not name:
                 continue
-            if not equals or name in figures:
+            if not equals or name in attributes:
                 raise BadRequest(400, "malformed X-Attrs")
             if name in ("width", "slots", "memory", "expected"):
-                figures[name] = _number(value, f"X-Attrs {name}", 0, 1e9)
+                attributes[name] = _number(value, f"X-Attrs {name}", 0, 1e9)
             else:  # a figure the module has no use for, but the destination may
-                figures[name] = _number(value, f"X-Attrs {name}", -1e18, 1e18)
-        return figures
+                attributes[name] = _number(value, f"X-Attrs {name}", -1e18, 1e18)
+        return attributes
 
 
 def passed_on(
-    step: RouteStep, wait_ms: int, accept: str = ""
+    attempt: Attempt, wait_ms: int, accept: str = ""
 ) -> tuple[str, str, list[tuple], bytes]:
     """The client's request as it goes to a destination: what was checked is as it came, the rest is new."""
-    request: Request = step.operation.payload
+    http_request: HttpRequest = attempt.request.payload
     headers: list[tuple] = [("Host", "destination")]
-    headers += request.passed
-    if step.trace is not None:
-        headers += step.trace.headers
+    headers += http_request.passed
+    if attempt.trace is not None:
+        headers += attempt.trace.headers
     headers.append(("X-Timeout-Ms", str(wait_ms)))
     if accept:
         headers.append(("Accept", accept))
-    headers.append(("Content-Length", str(len(request.body))))
-    return request.method, request.target, headers, request.body
+    headers.append(("Content-Length", str(len(http_request.body))))
+    return http_request.method, http_request.target, headers, http_request.body
 
 
 def word_of(text: bytes | str) -> Word:
@@ -190,14 +190,14 @@
             or isinstance(share, bool)
             or not isinstance(share, (int, float))
         ):
-            raise Garbled("fields of the wrong type")
+            raise MalformedResponse("fields of the wrong type")
         if not 0.0 <= share <= 1.0:  # not a number fails too
-            raise Garbled("share out of bounds")
+            raise MalformedResponse("share out of bounds")
         if state == "done":
             body_of(said["result"])  # a result that can't be written to a client is none
         return Word(said["id"], state, float(share), said.get("result"), said.get("load"))
     except (ValueError, KeyError, AttributeError, TypeError, OverflowError) as error:
-        raise Garbled(f"not a job's line: {type(error).__name__}") from None
+        raise MalformedResponse(f"not a job's line: {type(error).__name__}") from None
 
 
 def body_of(result: Any) -> bytes:
@@ -208,7 +208,7 @@
     )
 
 
-def retry_after(answer: BusyReply) -> str:
+def retry_after(answer: Rejection) -> str:
     return f"{answer.retry_after / 1000.0:.3f}".rstrip("0").rstrip(".")
 
 
@@ -223,7 +223,7 @@
     def feed(self, data: bytes) -> list[Word]:
         *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > MAX_BODY:
-            raise Garbled("line too long")
+            raise MalformedResponse("line too long")
         return [word_of(line) for line in lines if line.strip()]
 
 
@@ -236,18 +236,18 @@
     def __init__(self, reader: Reader):
         self.reader = reader
 
-    def request(self, step: RouteStep, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
-        return passed_on(step, wait_ms)
+    def encode_request(self, attempt: Attempt, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
+        return passed_on(attempt, wait_ms)
 
     def decoder(self) -> _Lines:
         return _Lines()
 
-    def turned_back(self, request: Request) -> Reply | None:
+    def turned_back(self, http_request: HttpRequest) -> Reply | None:
         """A reply to what is no job, though it looks like one."""
         return None
 
     async def respond(
-        self, client: Client, operation: Operation, carried: Carried, closing: Closing
+        self, client: Client, request: Request, carried: Carried, closing: Closing
     ) -> bool:
         """Carry an operation and reply; whether the connection may carry another request."""
         answer = await carried()
@@ -259,7 +259,7 @@
     def reply(self, answer: Answer) -> Reply:
         if isinstance(answer, Served):
             return Reply(200, body_of(answer.result), content_type="application/octet-stream")
-        if isinstance(answer, BusyReply):
+        if isinstance(answer, Rejection):
             headers = [("Retry-After", retry_after(answer))] if answer.retry_after > 0 else []
             return Reply(503, b"busy\n", headers)
         return Reply(502, answer.text.encode() + b"\n")
--- a/yewrill/frontends/progress.py
+++ b/yewrill/frontends/progress.py
@@ -13,12 +13,12 @@
 import trio
 import ujson
 
-from yewrill.dispatch.engine import BusyReply, Operation, RouteStep
+from yewrill.dispatch.engine import Attempt, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served
 from yewrill.frontends.platform import Carried, Closing, Reader, passed_on, word_of
-from yewrill.net.http import MAX_BODY, Reply, Request
+from yewrill.net.http import MAX_BODY, HttpRequest, Reply
 from yewrill.net.listener import Client
-from yewrill.net.worker_connections import Garbled, Word
+from yewrill.net.worker_connections import MalformedResponse, Word
 
 CONTENT_TYPE = "text/event-stream"
 HEADERS = [
@@ -72,7 +72,7 @@
             at = end.end()
         self._rest = buffer[at:]
         if len(self._rest) + self._size > self._most:
-            raise Garbled("event too long")
+            raise MalformedResponse("event too long")
         return events
 
     def _line(self, line: str, events: list[Event]) -> None:
@@ -87,7 +87,7 @@
             self._data.append(value)
             self._size += len(value) + 1
             if self._size > self._most:
-                raise Garbled("event too long")
+                raise MalformedResponse("event too long")
         elif name == "event":
             self._type = value
         elif name == "id" and "\0" not in value:
@@ -110,15 +110,15 @@
 class _Outlet:
     """What waits to be written to a client: the latest progress only, so a slow reader holds up no memory."""
 
-    def __init__(self, operation: Operation):
-        self._operation = operation
-        self._latest: tuple[RouteStep, float] | None = None
+    def __init__(self, request: Request):
+        self._request = request
+        self._latest: tuple[Attempt, float] | None = None
         self._news = trio.Event()
         self._ended = False
         self.answer: Answer | None = None
 
-    def progress(self, step: RouteStep, share: float) -> None:
-        self._latest = (step, share)
+    def progress(self, attempt: Attempt, share: float) -> None:
+        self._latest = (attempt, share)
         self._news.set()
 
     def end(self, answer: Answer | None) -> None:
@@ -131,7 +131,7 @@
         while not self._ended:
             latest, self._latest = self._latest, None
             # What an attempt said before it died is stale, even if it was never passed on.
-            if latest is not None and self._operation.live is latest[0]:
+            if latest is not None and self._request.live is latest[0]:
                 return latest[0].number, latest[1]
             self._news = trio.Event()
             await self._news.wait()
@@ -147,59 +147,59 @@
 
     # -- towards destinations
 
-    def request(self, step: RouteStep, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
-        return passed_on(step, wait_ms, accept=CONTENT_TYPE)
+    def encode_request(self, attempt: Attempt, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
+        return passed_on(attempt, wait_ms, accept=CONTENT_TYPE)
 
     def decoder(self) -> _Events:
         return _Events()
 
     # -- towards clients
 
-    def turned_back(self, request: Request) -> Reply | None:
+    def turned_back(self, http_request: HttpRequest) -> Reply | None:
         """A reader that reconnects by itself would submit its job again: 204 tells it to stop."""
-        return Reply(204) if request.one(b"last-event-id") is not None else None
+        return Reply(204) if http_request.one(b"last-event-id") is not None else None
 
     async def respond(
-        self, client: Client, operation: Operation, carried: Carried, closing: Closing
+        self, client: Client, request: Request, carried: Carried, closing: Closing
     ) -> bool:
         """Open the stream, pass progress on, write the one final event. The connection ends with it."""
         head = client.http.head(200, HEADERS, close=True)
         if not await client.send(head + client.http.part(b": taken\n\n")):
             client.leave()
-        outlet = _Outlet(operation)
-        operation.on_progress = outlet.progress
+        outlet = _Outlet(request)
+        request.on_progress = outlet.progress
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._write, client, operation, outlet)
+            nursery.start_soon(self._write, client, request, outlet)
             answer: Answer | None = None
             try:
                 answer = await carried()
             finally:
-                operation.on_progress = None
+                request.on_progress = None
                 outlet.end(answer)
         return False
 
-    async def _write(self, client: Client, operation: Operation, outlet: _Outlet) -> None:
+    async def _write(self, client: Client, request: Request, outlet: _Outlet) -> None:
         told = 0
         while (progress := await outlet.next()) is not None:
             number, share = progress
             told += 1
             event = encode_event(
-                "progress", {"id": operation.id, "attempt": number, "share": share}, f"{told}"
+                "progress", {"id": request.id, "attempt": number, "share": share}, f"{told}"
             )
             if not await client.send(client.http.part(event)):
                 # Gone, or not reading: an event that is half written can't be followed by another.
                 client.leave()
                 return
         if outlet.answer is not None and not client.gone:
-            final = client.http.part(final_event(operation, outlet.answer, f"{told + 1}"))
+            final = client.http.part(final_event(request, outlet.answer, f"{told + 1}"))
             await client.send(final + client.http.end())
 
 
-def final_event(operation: Operation, answer: Answer, id: str) -> bytes:
+def final_event(request: Request, answer: Answer, id: str) -> bytes:
     if isinstance(answer, Served):
-        return encode_event("served", {"id": operation.id, "result": answer.result}, id)
-    if isinstance(answer, BusyReply):
+        return encode_event("served", {"id": request.id, "result": answer.result}, id)
+    if isinstance(answer, Rejection):
         return encode_event(
-            "refused", {"id": operation.id, "retry_after": answer.retry_after / 1000.0}, id
+            "refused", {"id": request.id, "retry_after": answer.retry_after / 1000.0}, id
         )
-    return encode_event("failed", {"id": operation.id, "reason": answer.text}, id)
+    return encode_event("failed", {"id": request.id, "reason": answer.text}, id)
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -102,7 +102,7 @@
 
     def start(self, name: str, address: tuple[str, int], zone: str, rate: float) -> Member:
         model, index = self.model, len(self.modules)
-        spec = api.JobClass("job", 1e3 * model.aim, 1e3 * model.deadline)
+        spec = api.RequestClass("job", 1e3 * model.aim, 1e3 * model.deadline)
         settings = api.Settings(
             [spec],
             [api.Tenant("acme", 1.2 * self.total)],
@@ -176,8 +176,8 @@
             {int(z[1:]): s for z, s in member.machine.shares().items()} if self.with_plan else {}
         )
         module = self.modules[member.name]
-        if shares != module.fleet.shares:
-            self._feed(member, api.ZoneShares(shares))
+        if shares != module.fleet.zone_weights:
+            self._feed(member, api.ZoneTrafficWeights(shares))
 
     def _come(self, member: Member) -> None:
         def come() -> None:
@@ -188,7 +188,9 @@
                     "live": None,
                     "run": self.model.run * (0.5 + self.rng.random()),
                 }
-                self._feed(member, api.JobArrived(name, 0, 1e3 * (self.now + self.model.deadline)))
+                self._feed(
+                    member, api.RequestArrived(name, 0, 1e3 * (self.now + self.model.deadline))
+                )
                 self._come(member)
 
         self.at(self.now + self.rng.expovariate(member.rate), come)
@@ -206,20 +208,20 @@
             elif kind is api.Send:
                 self._send_job(member, action)
             elif kind is api.Cancel:
-                attempt = self.jobs[member.name, action.job]["live"]
+                attempt = self.jobs[member.name, action.request_id]["live"]
                 if attempt is not None and attempt.number == action.attempt:
                     self.at(self.now, lambda attempt=attempt: self._end(attempt, api.CANCELLED))
-            elif kind is api.Refuse or kind is api.Fail:
-                self.answered.append((self.now, "refused" if kind is api.Refuse else "failed", 0.0))
-                attempt = self.jobs[member.name, action.job]["live"]
+            elif kind is api.Reject or kind is api.Fail:
+                self.answered.append((self.now, "refused" if kind is api.Reject else "failed", 0.0))
+                attempt = self.jobs[member.name, action.request_id]["live"]
                 if attempt is not None:
                     self.at(self.now, lambda attempt=attempt: self._end(attempt, api.TIMEOUT))
 
     def _send_job(self, member: Member, action: api.Send) -> None:
-        job = self.jobs[member.name, action.job]
+        job = self.jobs[member.name, action.request_id]
         attempt = Attempt(
             member,
-            action.job,
+            action.request_id,
             job.get("tries", 0),
             self.workers[action.worker],
             self.now,
@@ -295,8 +297,8 @@
         """When attempts were sent to a zone."""
         return [at for at in self.sent_at[zone] if since <= at < until]
 
-    def worth(self, since: float, until: float) -> float:
-        return sum(worth for at, _, worth in self.answered if since <= at < until)
+    def served_weight(self, since: float, until: float) -> float:
+        return sum(served_weight for at, _, served_weight in self.answered if since <= at < until)
 
     def cold_over(self) -> float:
         """The most work that a cold worker was sent within the window, over its budget (1: all of it)."""
--- a/yewrill/lab/scale/hollow.py
+++ b/yewrill/lab/scale/hollow.py
@@ -24,7 +24,7 @@
 
 from yewrill.config.reading import Config, read_config
 from yewrill.membership import Members
-from yewrill.service.subsystems import Around, Hook, hooks_of
+from yewrill.service.subsystems import Subsystem, SubsystemContext, create_subsystems
 
 
 class _NoWork:
@@ -38,7 +38,7 @@
         """No attempt hangs."""
         return {}
 
-    def share_out(self, _shares: Mapping[int, float]) -> None:
+    def set_zone_weights(self, _shares: Mapping[int, float]) -> None:
         """Nothing is shared out."""
 
 
@@ -62,7 +62,7 @@
     def __init__(self, path: Path):
         self._raw = ujson.loads(path.read_text())
         self.name = str(self._raw["name"])
-        self._hooks: dict[str, Hook] = {}
+        self._subsystems: dict[str, Subsystem] = {}
         self._scope = trio.CancelScope()
         self._ended = trio.Event()
         self._ended.set()
@@ -72,9 +72,9 @@
         await self._ended.wait()
         self._ended = trio.Event()
         config = read_config(self._raw)
-        around = Around(_NoWork(), _NoPool(config), _no_attempt)  # type: ignore[arg-type]
-        hooks_of(config, around)
-        self._hooks = around.hooks
+        context = SubsystemContext(_NoWork(), _NoPool(config), _no_attempt)  # type: ignore[arg-type]
+        create_subsystems(config, context)
+        self._subsystems = context.subsystems
         self._scope = trio.CancelScope()
         nursery.start_soon(self._run, self._scope)
 
@@ -82,8 +82,8 @@
         try:
             with scope:
                 async with trio.open_nursery() as nursery:
-                    for hook in self._hooks.values():
-                        await nursery.start(hook.run)
+                    for subsystem in self._subsystems.values():
+                        await nursery.start(subsystem.run)
         finally:
             self._ended.set()
 
@@ -93,7 +93,7 @@
 
     def kill(self) -> None:
         """End without a word."""
-        members = self._hooks["members"]
+        members = self._subsystems["members"]
         assert isinstance(members, Members)
         if members.link is not None:
             members.link.mute()
@@ -101,7 +101,7 @@
 
     def status(self) -> dict[str, Any]:
         """What it says of itself, by hook."""
-        return {key: dict(hook.status()) for key, hook in self._hooks.items()}
+        return {key: dict(subsystem.status()) for key, subsystem in self._subsystems.items()}
 
 
 class HollowHost:
--- a/yewrill/lab/scale/module.py
+++ b/yewrill/lab/scale/module.py
@@ -10,7 +10,7 @@
 import ujson
 
 from yewrill import Dispatcher, Settings
-from yewrill.config.reading import Places, read_destinations
+from yewrill.config.reading import TopologyNames, read_endpoints
 from yewrill.lab.scale.fit import line
 from yewrill.policy import interface as api
 
@@ -24,7 +24,15 @@
     """Settings with so many teams, each with its quota."""
     share = 1.0 / teams
     return Settings(
-        classes=[api.JobClass("tour", aim=200.0, deadline=DEADLINE, worth=1.0, stretch=2.0)],
+        classes=[
+            api.RequestClass(
+                "tour",
+                latency_objective=200.0,
+                deadline=DEADLINE,
+                priority_weight=1.0,
+                objective_run_factor=2.0,
+            )
+        ],
         tenants=[api.Tenant(f"team{i:03d}", 64.0, share) for i in range(teams)],
         dispatchers=1,
         tells_start=True,
@@ -48,7 +56,7 @@
     for number in range(jobs):
         now += 2.8  # 360 a second
         name = f"j{number}"
-        arrival = api.JobArrived(name, 0, now + DEADLINE, number % teams, 1.0)
+        arrival = api.RequestArrived(name, 0, now + DEADLINE, number % teams, 1.0)
         began = time.process_time()
         actions = module.handle(now, [arrival])
         for action in actions:
@@ -117,7 +125,7 @@
 
 def measure_lists(quick: bool) -> dict[str, Any]:
     """A whole list at five sizes: bytes, and the time to read and check it."""
-    places = Places(tuple(f"z{i:02d}" for i in range(11)), ("std5",))
+    places = TopologyNames(tuple(f"z{i:02d}" for i in range(11)), ("std5",))
     sizes, times = [], []
     for workers in WORKER_SIZES:
         body = list_of(workers)
@@ -125,7 +133,7 @@
         took = []
         for _ in range(3 if quick else 15):
             began = time.process_time()
-            read_destinations(ujson.loads(body), "answer", places)
+            read_endpoints(ujson.loads(body), "answer", places)
             took.append(time.process_time() - began)
         times.append(1e3 * sorted(took)[len(took) // 2])
     fits = {"bytes": line(WORKER_SIZES, sizes), "ms": line(WORKER_SIZES, times)}
--- a/yewrill/lab/soak/clients.py
+++ b/yewrill/lab/soak/clients.py
@@ -107,7 +107,7 @@
         if request.end is RequestEnd.CLOSED and request.kept and request.in_order:
             # The close has crossed a request that was not read: its client sends it once more.
             request = await self._once(id, kind, key, patience, Style.WHOLE, fresh=True)
-        if self._plan.terms.effects[kind] is Effect.SAFE:
+        if self._plan.terms.effects[kind] is Effect.IDEMPOTENT:
             return
         again = f"{id}-again"
         if request.status in (429, 503) and self._rng.random() < 0.5:
--- a/yewrill/lab/soak/events.py
+++ b/yewrill/lab/soak/events.py
@@ -10,9 +10,9 @@
 class Effect(Enum):
     """How often a class's job may have its effect, in the settings' words."""
 
-    SAFE = "pure"
-    KEYED = "token"
-    UNSAFE = "side_effect"
+    IDEMPOTENT = "pure"
+    IDEMPOTENT_BY_KEY = "token"
+    NON_IDEMPOTENT = "side_effect"
 
 
 class AttemptEnd(Enum):
--- a/yewrill/lab/soak/nodes.py
+++ b/yewrill/lab/soak/nodes.py
@@ -69,12 +69,12 @@
                 "name": name,
                 "aim": AIM_MS,
                 "deadline": CLASS_DEADLINE_MS,
-                "repeat": effect.value,
+                "repeat": idempotency.value,
                 "group": "all",
                 "window": terms.keyed_window * 1000.0,
                 "value": 1.0,
             }
-            for name, effect in terms.effects.items()
+            for name, idempotency in terms.effects.items()
         ]
         raw = {
             "name": self.name,
--- a/yewrill/lab/soak/oracle.py
+++ b/yewrill/lab/soak/oracle.py
@@ -208,23 +208,23 @@
     return attempt.whole is not None and attempt.end is not AttemptEnd.TURNED_AWAY
 
 
-def _by_key(case: _Case, effect: Effect) -> Iterator[list[Attempt]]:
+def _by_key(case: _Case, idempotency: Effect) -> Iterator[list[Attempt]]:
     found: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in case.history.attempts:
-        if case.terms.effects.get(attempt.kind) is effect and _may_have_run(attempt):
+        if case.terms.effects.get(attempt.kind) is idempotency and _may_have_run(attempt):
             found[attempt.key].append(attempt)
     for attempts in found.values():
         yield sorted(attempts, key=lambda each: each.begun)
 
 
 def _unsafe(case: _Case) -> Iterator[Breach]:
-    for attempts in _by_key(case, Effect.UNSAFE):
+    for attempts in _by_key(case, Effect.NON_IDEMPOTENT):
         if len(attempts) > 1:
             yield Breach(Rule.UNSAFE_ONCE, attempts[1].id, _line(attempts[0]), _line(attempts[1]))
 
 
 def _keyed(case: _Case) -> Iterator[Breach]:
-    for attempts in _by_key(case, Effect.KEYED):
+    for attempts in _by_key(case, Effect.IDEMPOTENT_BY_KEY):
         for attempt in attempts[1:]:
             # A repeat by its client after the window is a job of its own; one of the dispatcher's is not.
             mine = [a for a in attempts if a.id == attempt.id]
@@ -234,9 +234,12 @@
 
 def _refused(case: _Case) -> Iterator[Breach]:
     for request in case.history.requests:
-        if request.status not in (429, 503) or case.terms.effects.get(request.kind) is Effect.SAFE:
+        if (
+            request.status not in (429, 503)
+            or case.terms.effects.get(request.kind) is Effect.IDEMPOTENT
+        ):
             continue
-        if case.terms.effects.get(request.kind) is Effect.KEYED:
+        if case.terms.effects.get(request.kind) is Effect.IDEMPOTENT_BY_KEY:
             continue  # a repeat within its window is dropped by the workers
         for attempt in case.attempts[request.id]:
             if _may_have_run(attempt) and attempt.begun <= request.ended:
--- a/yewrill/lab/soak/plan.py
+++ b/yewrill/lab/soak/plan.py
@@ -137,7 +137,11 @@
     inherited = rng.random() < 0.25
     state_kept = rng.random() < 0.6
     control = rng.random() < 0.25
-    effects = {"tour": Effect.SAFE, "save": Effect.KEYED, "once": Effect.UNSAFE}
+    effects = {
+        "tour": Effect.IDEMPOTENT,
+        "save": Effect.IDEMPOTENT_BY_KEY,
+        "once": Effect.NON_IDEMPOTENT,
+    }
     terms = Terms(
         effects,
         keyed_window=KEYED_WINDOW,
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -18,7 +18,7 @@
 from yewrill.membership import Members
 from yewrill.membership.link import OWNERSHIP, Link
 from yewrill.membership.parts import Joiner, Malformed, cut
-from yewrill.service.subsystems import Around
+from yewrill.service.subsystems import SubsystemContext
 from yewrill.store import Store, StoreError
 
 log = logging.getLogger("yewrill.ownership")
@@ -61,11 +61,11 @@
         self._lost = self._malformed = 0
         self.calls = {"release": self._release}
 
-    def attach(self, around: Around) -> None:
-        members = around.hooks["members"]
+    def attach(self, context: SubsystemContext) -> None:
+        members = context.subsystems["members"]
         assert isinstance(members, Members)
         self._members = members
-        self._views = around.hooks.get("views")
+        self._views = context.subsystems.get("views")
         if self._views is not None:
             self._views.watch(lambda: self._woken.set())  # noqa: PLW0108 - the event is replaced
 
@@ -305,9 +305,9 @@
                 "failed": node.failed,
                 "unanswered": sorted(missing),
             }
-        return {**found, **self.figures()}
+        return {**found, **self.metrics()}
 
-    def figures(self) -> Mapping[str, int]:
+    def metrics(self) -> Mapping[str, int]:
         """Counts since the start, by the names operators see."""
         node = self._node
         if node is None:
