--- a/yewrill/membership/facade.py
+++ b/yewrill/membership/facade.py
@@ -13,7 +13,7 @@
 from yewrill.membership.format import key_of
 from yewrill.membership.link import Link, open_link
 from yewrill.membership.machine import STATES, Claim, Machine, Rules
-from yewrill.service.subsystems import Around
+from yewrill.service.subsystems import SubsystemContext
 
 
 class MembersConfig(Protocol):
@@ -54,7 +54,7 @@
     name = "members"
     calls: Mapping[str, Any] = {}
 
-    def attach(self, around: Around) -> None:
+    def attach(self, context: SubsystemContext) -> None:
         """It needs nothing of the service."""
 
     def __init__(self, config: MembersConfig):
@@ -136,10 +136,10 @@
             "members": listed,
             "own_doubt": machine.health.doubt,
             "sent": sent,
-            **self.figures(),
+            **self.metrics(),
         }
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Counts since the start, by the names operators see."""
         link = self._link
         if link is None:
--- a/yewrill/net/discovery.py
+++ b/yewrill/net/discovery.py
@@ -12,8 +12,8 @@
 import trio
 import ujson
 
-from yewrill.config.reading import STATE_WORDS, ConfigError, Places, read_destinations
-from yewrill.dispatch.engine import Decisions, Destination
+from yewrill.config.reading import STATE_WORDS, ConfigError, TopologyNames, read_endpoints
+from yewrill.dispatch.engine import DecisionEngine, Endpoint
 from yewrill.net.connection import Connection
 from yewrill.net.http import ClientSide, PeerEnded
 from yewrill.policy import interface as api
@@ -46,17 +46,17 @@
 MOST = 4 * 1024 * 1024  # a list of some ten thousand destinations
 
 
-class PoolConfig:
+class EndpointList:
     """The destinations known now; every change goes to the module too."""
 
-    def __init__(self, decisions: Decisions, places: Places):
-        self._decisions = decisions
-        self.places = places
-        self._known: dict[str, Destination] = {}
+    def __init__(self, engine: DecisionEngine, topology: TopologyNames):
+        self._engine = engine
+        self.topology = topology
+        self._known: dict[str, Endpoint] = {}
         self._out: set[str] = set()  # taken out by hand, listed or not
         self._back: dict[str, float] = {}  # put back lately, and when by the module's clock, in ms
         self.version = 0
-        self.on_change: Callable[[Destination | None, str], None] = lambda destination, name: None
+        self.on_change: Callable[[Endpoint | None, str], None] = lambda endpoint, name: None
         self.on_applied: Callable[[], None] = lambda: None  # the list is another one
 
     def __len__(self) -> int:
@@ -66,15 +66,13 @@
     def names(self) -> list[str]:
         return list(self._known)
 
-    def get(self, name: str) -> Destination | None:
+    def get(self, name: str) -> Endpoint | None:
         return self._known.get(name)
 
     def may_send(self, name: str) -> bool:
         """Whether new work may still go there: not once it drains, is gone or was taken out by hand."""
-        destination = self._known.get(name)
-        return (
-            destination is not None and destination.state == api.RUNNING and name not in self._out
-        )
+        endpoint = self._known.get(name)
+        return endpoint is not None and endpoint.state == api.RUNNING and name not in self._out
 
     # -- taken out and put back by hand
 
@@ -86,7 +84,7 @@
     def back(self) -> dict[str, float]:
         """What was put back lately, and how long ago, in ms: whoever sends there for the first time must take
         it for cold."""
-        now = self._decisions.now()
+        now = self._engine.now()
         oldest = now - REMEMBERED * 1000.0
         self._back = {name: at for name, at in self._back.items() if at > oldest}
         return {name: now - at for name, at in self._back.items()}
@@ -105,23 +103,23 @@
         """End that, so many ms ago; it may have been restarted meanwhile. False if nobody has this name."""
         if name in self._out:
             self._out.discard(name)
-            self._back[name] = self._decisions.now() - ago
+            self._back[name] = self._engine.now() - ago
             self._tell(name)
-            self._decisions.returned(name, ago)
+            self._engine.returned(name, ago)
             return True
         return name in self._known
 
     def _tell(self, name: str) -> None:
-        destination = self._known.get(name)
-        if destination is not None:
-            self.on_change(destination, name)
-            self._decisions.pool_config([self._laid_over(destination)], full=False)
+        endpoint = self._known.get(name)
+        if endpoint is not None:
+            self.on_change(endpoint, name)
+            self._engine.update_endpoints([self._laid_over(endpoint)], full=False)
 
-    def _laid_over(self, destination: Destination) -> Destination:
+    def _laid_over(self, endpoint: Endpoint) -> Endpoint:
         """A line of the list as the module is to see it."""
-        if destination.id in self._out and destination.state == api.RUNNING:
-            return replace(destination, state=api.DRAINING)
-        return destination
+        if endpoint.id in self._out and endpoint.state == api.RUNNING:
+            return replace(endpoint, state=api.DRAINING)
+        return endpoint
 
     def snapshot(self) -> dict[str, Any]:
         """The list in discovery's form, for another run of this dispatcher."""
@@ -145,16 +143,16 @@
 
     def apply(self, answer: dict[str, Any], cached: bool = False) -> None:
         """Take an answer of discovery's. Raises ConfigError on nonsense, leaving the list as it was."""
-        destinations = read_destinations(answer, "discovery", self.places)
+        endpoints = read_endpoints(answer, "discovery", self.topology)
         version, full = answer["version"], cached or bool(answer.get("full"))
         before = dict(self._known)
         if full:
             self._known = {}
-        for destination in destinations:
-            if destination.state == api.GONE:
-                self._known.pop(destination.id, None)
+        for endpoint in endpoints:
+            if endpoint.state == api.GONE:
+                self._known.pop(endpoint.id, None)
             else:
-                self._known[destination.id] = destination
+                self._known[endpoint.id] = endpoint
         self.version = version
         for name in before.keys() | self._known.keys():
             now = self._known.get(name)
@@ -162,10 +160,8 @@
                 self.on_change(now, name)
         if self._known != before:
             self.on_applied()
-        if full or destinations:
-            self._decisions.pool_config(
-                map(self._laid_over, destinations), full=full, cached=cached
-            )
+        if full or endpoints:
+            self._engine.update_endpoints(map(self._laid_over, endpoints), full=full, cached=cached)
 
 
 class TurnedAway(Exception):
@@ -182,10 +178,12 @@
 class Watch:
     """Keeps the pool config fresh for good, whether discovery is silent, gone, talks nonsense or moves."""
 
-    def __init__(self, address: tuple[str, int], pool: PoolConfig, seed: int = 0, callers: int = 1):
+    def __init__(
+        self, address: tuple[str, int], endpoints: EndpointList, seed: int = 0, callers: int = 1
+    ):
         self.address = address
         self.callers = callers  # how many dispatchers call this discovery, ours among them
-        self._pool = pool
+        self._endpoints = endpoints
         self._counted_by = address  # whose versions the list's is one of
         self._rng = random.Random(seed)
         self._scope = trio.CancelScope()
@@ -204,7 +202,7 @@
                 await self._follow(self.address)
 
     async def _follow(self, address: tuple[str, int]) -> None:
-        pool = self._pool
+        endpoints = self._endpoints
         side: ClientSide | None = None
         whole = True  # the list known before may be old: begin with all of it
         anew = True  # the call before did not get its answer
@@ -228,7 +226,9 @@
                     failures = 0
                     if quiet:
                         log.info(
-                            "discovery-back version=%d destinations=%d", pool.version, len(pool)
+                            "discovery-back version=%d destinations=%d",
+                            endpoints.version,
+                            len(endpoints),
                         )
                         quiet = False
                     if not side.settled():
@@ -247,7 +247,7 @@
                     if not quiet:
                         log.warning(
                             "discovery-lost version=%d: %s %s",
-                            pool.version,
+                            endpoints.version,
                             type(error).__name__,
                             error,
                         )
@@ -256,7 +256,7 @@
                         pause = pause_after(failures, self.callers, self._rng.random())
                     failures = min(failures + 1, 10)
                     if isinstance(error, TurnedAway):
-                        whole = whole and not (len(pool) and self._counted_by == address)
+                        whole = whole and not (len(endpoints) and self._counted_by == address)
                     elif isinstance(error, (ConfigError, ValueError)):
                         whole = True  # nonsense among the changes: only the whole list can be trusted again
                     if side is not None:
@@ -269,7 +269,7 @@
 
     async def _call(self, side: ClientSide, whole: bool, hold: int) -> tuple[h11.Response, bytes]:
         """Ask for the whole list, or for changes that may take so many milliseconds to come."""
-        target = PATH if whole else f"{PATH}?from={self._pool.version}&hold_ms={hold}"
+        target = PATH if whole else f"{PATH}?from={self._endpoints.version}&hold_ms={hold}"
         await side.connection.send(side.encode("GET", target, [("Host", "discovery")]))
         response = await side.response()
         return response, await side.body(MOST)
@@ -281,7 +281,7 @@
         if response.status_code != 200:
             raise ConfigError(f"discovery: status {response.status_code}")
         answer = ujson.loads(body)
-        known = self._pool.version
+        known = self._endpoints.version
         if (
             not whole
             and isinstance(answer, dict)
@@ -291,4 +291,4 @@
         ):
             # It counts anew, so it would not tell of a change until it had counted up to where we are.
             raise ConfigError(f"discovery.version: {version}, after {known}")
-        self._pool.apply(answer)
+        self._endpoints.apply(answer)
--- a/yewrill/net/http.py
+++ b/yewrill/net/http.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Request:
+class HttpRequest:
     method: str
     target: str
     headers: list[tuple[bytes, bytes]]
--- a/yewrill/net/listener.py
+++ b/yewrill/net/listener.py
@@ -13,11 +13,11 @@
 import h11
 import trio
 
-from yewrill.dispatch.engine import Operation
+from yewrill.dispatch.engine import Request
 from yewrill.dispatch.safety import CloseReason
 from yewrill.net.backlog import Accepted, Backlog
 from yewrill.net.connection import NO_DESCRIPTORS, Connection, Quiet
-from yewrill.net.http import MAX_BODY, BadRequest, Reply, Request, ServerSide, check_framing
+from yewrill.net.http import MAX_BODY, BadRequest, HttpRequest, Reply, ServerSide, check_framing
 
 log = logging.getLogger("yewrill.clients")
 
@@ -47,8 +47,8 @@
     def __init__(self, connection: Connection):
         self.connection = connection
         self.http = ServerSide()
-        self.operation: Operation | None = None
-        self.on_left: Callable[[Operation], None] = lambda operation: None
+        self.request: Request | None = None
+        self.on_left: Callable[[Request], None] = lambda request: None
         self.gone = False
         self.closed_for: CloseReason | None = None
         self.answering = False  # a whole request is under way
@@ -119,8 +119,8 @@
         if not self.gone:
             self.gone = True
             self.closed_for = reason
-            if self.operation is not None:
-                self.on_left(self.operation)
+            if self.request is not None:
+                self.on_left(self.request)
             self.connection.close()
 
     @property
@@ -161,14 +161,14 @@
         await self.readable()
         return b"" if self.gone else self.connection.inbound.take()
 
-    async def request(self) -> Request | None:
+    async def read_request(self) -> HttpRequest | None:
         """The next whole request; None when the client has gone. Raises BadRequest."""
-        request: Request | None = None
+        http_request: HttpRequest | None = None
         body = bytearray()
         while True:
             event = self.http.next()
             if event is h11.NEED_DATA:
-                if request is not None and self.http.parser.they_are_waiting_for_100_continue:
+                if http_request is not None and self.http.parser.they_are_waiting_for_100_continue:
                     go_on = h11.InformationalResponse(status_code=100, headers=())
                     await self.connection.send(self.http.parser.send(go_on))
                 data = await self.receive()
@@ -177,7 +177,7 @@
                 self.http.feed(data)
             elif isinstance(event, h11.Request):
                 check_framing(event)
-                request = Request(
+                http_request = HttpRequest(
                     event.method.decode("ascii"),
                     event.target.decode("ascii"),
                     list(event.headers),
@@ -191,8 +191,8 @@
                 if len(body) > MAX_BODY:
                     raise BadRequest(413, "body over 64 KiB")
             elif isinstance(event, h11.EndOfMessage):
-                request.body = bytes(body)
-                return request
+                http_request.body = bytes(body)
+                return http_request
             else:  # h11.ConnectionClosed or PAUSED: no request can follow
                 return None
 
@@ -227,7 +227,7 @@
         return not scope.cancelled_caught
 
 
-Handler = Callable[[Client, Request], Awaitable[bool]]
+Handler = Callable[[Client, HttpRequest], Awaitable[bool]]
 
 
 def _inherited(descriptor: int) -> socket.socket:
@@ -503,8 +503,8 @@
 
     async def _exchange(self, client: Client) -> CloseReason | None:
         """One request and its answer; None if another may follow. Raises BadRequest."""
-        request = await self._next_request(client)
-        if request is None:
+        http_request = await self._next_request(client)
+        if http_request is None:
             if not client.parting:
                 return CloseReason.CLIENT_ENDED
             await self._part(client)
@@ -513,7 +513,7 @@
             # Many at once on one connection: refused here, where it costs least.
             raise BadRequest(400, "one request at a time on a connection")
         client.answering = True
-        go_on = await self._handler(client, request)
+        go_on = await self._handler(client, http_request)
         if client.gone:
             return CloseReason.CLIENT_ENDED
         if not go_on or not client.http.reusable or client.overrun:
@@ -538,13 +538,13 @@
         await client.send(client.http.whole(Reply(500, b"internal fault\n"), close=True))
         await self._part(client)
 
-    async def _next_request(self, client: Client) -> Request | None:
+    async def _next_request(self, client: Client) -> HttpRequest | None:
         first = client.since == client.opened
         if not first and not await client.rested():
             return None
         patience = REQUEST_TIME if self._patience is None else self._patience
         with trio.move_on_at((client.opened if first else client.first_byte) + patience):
-            return await client.request()
+            return await client.read_request()
         raise BadRequest(408, "the request took too long")
 
     async def _part(self, client: Client, owed: bool = True) -> None:
--- a/yewrill/net/management.py
+++ b/yewrill/net/management.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qsl
 
-from yewrill.net.http import BadRequest, Reply, Request
+from yewrill.net.http import BadRequest, HttpRequest, Reply
 from yewrill.net.listener import Client, Listener
 
 PLACES = 24  # callers at once, of the spare descriptors
@@ -43,16 +43,16 @@
         """Take no more calls."""
         self._listener.stop_accepting()  # nobody is left to serve it
 
-    async def _handle(self, client: Client, request: Request) -> bool:
-        await client.send(client.http.whole(await self._reply(request), close=True))
+    async def _handle(self, client: Client, http_request: HttpRequest) -> bool:
+        await client.send(client.http.whole(await self._reply(http_request), close=True))
         return False
 
-    async def _reply(self, request: Request) -> Reply:
-        path, _, query = request.target.partition("?")
+    async def _reply(self, http_request: HttpRequest) -> Reply:
+        path, _, query = http_request.target.partition("?")
         call = self._calls.get(path)
         if call is None:
             raise BadRequest(404, "no such call")
-        if request.method != call.method:
+        if http_request.method != call.method:
             raise BadRequest(405, f"{call.method} only", (("Allow", call.method),))
         if not call.named:
             return await call.act()
--- a/yewrill/net/worker_connections.py
+++ b/yewrill/net/worker_connections.py
@@ -15,10 +15,10 @@
 
 from yewrill.dispatch import load_report as loadreport
 from yewrill.dispatch import safety as rules
-from yewrill.dispatch.engine import Decisions, Destination, Operation, RouteStep
-from yewrill.dispatch.outcome import Ending
+from yewrill.dispatch.engine import Attempt, DecisionEngine, Endpoint, Request
+from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.net.connection import OWN_SHORTAGE, Connection, Quiet
-from yewrill.net.discovery import PoolConfig
+from yewrill.net.discovery import EndpointList
 from yewrill.net.http import ClientSide, PeerEnded
 
 log = logging.getLogger("yewrill.destinations")
@@ -36,7 +36,7 @@
 REST = 0.05
 
 
-class Garbled(Exception):
+class MalformedResponse(Exception):
     """A destination's answer that is not the protocol's."""
 
 
@@ -57,21 +57,23 @@
     def feed(self, data: bytes) -> list[Word]: ...
 
 
-class DestinationCodec(Protocol):
+class WorkerCodec(Protocol):
     """How a front speaks with destinations."""
 
     content_type: str  # what a 200 must be; empty: anything
 
-    def request(self, step: RouteStep, wait_ms: int) -> tuple[str, str, list[tuple], bytes]: ...
+    def encode_request(
+        self, attempt: Attempt, wait_ms: int
+    ) -> tuple[str, str, list[tuple], bytes]: ...
 
     def decoder(self) -> Decoder: ...
 
 
 _WORD_ENDINGS = {
-    "done": Ending.SERVED,
-    "failed": Ending.FAILED,
-    "returned": Ending.TURNED_AWAY,
-    "lost": Ending.RESET,
+    "done": AttemptOutcome.SERVED,
+    "failed": AttemptOutcome.FAILED,
+    "returned": AttemptOutcome.TURNED_AWAY,
+    "lost": AttemptOutcome.RESET,
 }
 
 
@@ -86,141 +88,149 @@
     rests_until: float = 0.0
 
 
-def _client_gone(operation: Operation) -> bool:
-    return operation.client_left or (operation.has_left is not None and operation.has_left())
+def _client_gone(request: Request) -> bool:
+    return request.client_left or (request.has_left is not None and request.has_left())
 
 
-class DestinationPool:
+class WorkerConnectionPool:
     def __init__(
         self,
-        decisions: Decisions,
-        pool: PoolConfig,
-        codec: DestinationCodec,
+        engine: DecisionEngine,
+        endpoints: EndpointList,
+        codec: WorkerCodec,
         *,
         most: int,
         connect_timeout: float,
         idle_limit: float,
     ):
-        self._decisions = decisions
-        self._pool = pool
+        self._engine = engine
+        self._endpoints = endpoints
         self._codec = codec
         self._most = most
-        self.retune(connect_timeout, idle_limit)
+        self.reconfigure(connect_timeout, idle_limit)
         self._idle: dict[str, list[_Line]] = {}
         self.open = 0
         # Attempts whose first byte was not written.
         self.held_back: Counter[rules.HeldBack] = Counter()
         self._settling: list[tuple[str, _Line, float]] = []
         self._distrust: dict[str, tuple[float, float]] = {}  # until when, and for how long that was
-        pool.on_change = self._changed
+        endpoints.on_change = self._changed
         self.on_written: Callable[[], None] = lambda: None  # an attempt's last byte is written
         # Where something must be on disk before an attempt's first byte: waits for that, says whether it is.
-        self.record_attempt: Callable[[RouteStep], Awaitable[bool]] | None = None
+        self.record_attempt: Callable[[Attempt], Awaitable[bool]] | None = None
 
-    def retune(self, connect_timeout: float, idle_limit: float) -> None:
+    def reconfigure(self, connect_timeout: float, idle_limit: float) -> None:
         """In seconds: how long a connection may take to come up, and how long it may stand idle there."""
         self._connect_timeout = connect_timeout
         self._keep = idle_limit * IDLE_PART
 
     # -- one route step
 
-    async def attempt(self, step: RouteStep) -> tuple[Ending, Any]:
+    async def run_attempt(self, attempt: Attempt) -> tuple[AttemptOutcome, Any]:
         """Carry a route step to its end. Its connection is closed or back in the pool on return."""
-        scope = step.scope
-        scope.deadline = min(scope.deadline, self._decisions.loop_time(step.until))
+        scope = attempt.scope
+        scope.deadline = min(scope.deadline, self._engine.loop_time(attempt.until))
 
         def on_sent() -> None:
-            step.written = True
-            if step.trace is not None:
-                step.trace.written = trio.current_time()
+            attempt.written = True
+            if attempt.trace is not None:
+                attempt.trace.written = trio.current_time()
             self.on_written()
 
-        outcome: tuple[Ending, Any] | None = None
+        answer: tuple[AttemptOutcome, Any] | None = None
         with scope:
-            outcome = await self._try(step, on_sent)
-        if outcome is not None:
-            return outcome
+            answer = await self._try(attempt, on_sent)
+        if answer is not None:
+            return answer
         if (
-            not step.written
+            not attempt.written
         ):  # given up before its last byte went out: the destination never starts on it
             ours = (
-                not step.sent or step.withdrawn is Ending.NOT_SENT
+                not attempt.sent or attempt.withdrawn is AttemptOutcome.NOT_SENT
             )  # which says nothing against it
-            return Ending.NOT_SENT if ours else Ending.UNREACHED, None
-        return step.withdrawn or Ending.TIMED_OUT, None
-
-    async def _try(self, step: RouteStep, on_sent: Callable[[], None]) -> tuple[Ending, Any]:
-        destination = self._pool.get(step.destination)
-        if destination is None:
-            return Ending.NOT_SENT, None
-        trace = step.trace
+            return AttemptOutcome.NOT_SENT if ours else AttemptOutcome.UNREACHABLE, None
+        return attempt.withdrawn or AttemptOutcome.TIMED_OUT, None
+
+    async def _try(
+        self, attempt: Attempt, on_sent: Callable[[], None]
+    ) -> tuple[AttemptOutcome, Any]:
+        endpoint = self._endpoints.get(attempt.worker)
+        if endpoint is None:
+            return AttemptOutcome.NOT_SENT, None
+        trace = attempt.trace
         if trace is not None:
             trace.begin = trio.current_time()
-        kept = self.record_attempt is None or await self.record_attempt(step)
+        kept = self.record_attempt is None or await self.record_attempt(attempt)
         if not kept:
-            return self._held_back(step, record_kept=False)
-        line = self._take(destination)
+            return self._held_back(attempt, record_kept=False)
+        line = self._take(endpoint)
         if line is None:
             if not self._make_room():
                 log.warning("sockets-short open=%d: route step not sent", self.open)
-                return Ending.NOT_SENT, None
+                return AttemptOutcome.NOT_SENT, None
             try:
-                line = await self._open(destination)
+                line = await self._open(endpoint)
             except trio.TooSlowError:
-                return Ending.UNREACHED, None
+                return AttemptOutcome.UNREACHABLE, None
             except OSError as error:
                 if error.errno not in OWN_SHORTAGE:
-                    return Ending.UNREACHED, None
+                    return AttemptOutcome.UNREACHABLE, None
                 # Our own shortage says nothing against the destination.
                 log.warning("sockets-short open=%d: %s", self.open, error.strerror)
-                return Ending.NOT_SENT, None
+                return AttemptOutcome.NOT_SENT, None
         if trace is not None:
             trace.connected = trio.current_time()
         keep = False
         try:
             # Opening took time: the last look before the first byte.
-            if (held := self._held_back(step)) is not None:
+            if (held := self._held_back(attempt)) is not None:
                 keep = True
                 return held
-            step.sent = self._decisions.now()
-            wait = max(1, int(step.until - step.sent))
-            self._check_told(step, wait)
-            data = line.http.encode(*self._codec.request(step, wait))
+            attempt.sent = self._engine.now()
+            wait = max(1, int(attempt.until - attempt.sent))
+            self._check_told(attempt, wait)
+            data = line.http.encode(*self._codec.encode_request(attempt, wait))
             try:
                 await line.http.connection.send(data)
             except OSError:
                 if line.kept:
-                    self._worn(step.destination)
+                    self._worn(attempt.worker)
                 if line.http.connection.unsent:
-                    return (Ending.WORN_UNREACHED if line.kept else Ending.UNREACHED), None
-                return (Ending.WORN_RESET if line.kept else Ending.RESET), None
+                    return (
+                        AttemptOutcome.STALE_UNREACHABLE
+                        if line.kept
+                        else AttemptOutcome.UNREACHABLE
+                    ), None
+                return (AttemptOutcome.STALE_RESET if line.kept else AttemptOutcome.RESET), None
             on_sent()
             try:
-                ending, result = await self._answer(step, line)
+                outcome, result = await self._answer(attempt, line)
             except (OSError, PeerEnded):
                 if line.kept and line.http.parser.their_state is h11.SEND_RESPONSE:
-                    self._worn(step.destination)
-                    return Ending.WORN_RESET, None
-                return Ending.RESET, None
-            except (h11.RemoteProtocolError, Garbled) as error:
-                log.warning("garbled destination=%s: %s", step.destination, error)
-                return Ending.GARBLED, None
-            keep = ending is not Ending.RESET
-            return ending, result
+                    self._worn(attempt.worker)
+                    return AttemptOutcome.STALE_RESET, None
+                return AttemptOutcome.RESET, None
+            except (h11.RemoteProtocolError, MalformedResponse) as error:
+                log.warning("garbled worker=%s: %s", attempt.worker, error)
+                return AttemptOutcome.MALFORMED_RESPONSE, None
+            keep = outcome is not AttemptOutcome.RESET
+            return outcome, result
         finally:
             if keep:
-                self._give_back(step.destination, line)
+                self._give_back(attempt.worker, line)
             else:
                 self._drop(line)
 
-    def _held_back(self, step: RouteStep, record_kept: bool = True) -> tuple[Ending, None] | None:
+    def _held_back(
+        self, attempt: Attempt, record_kept: bool = True
+    ) -> tuple[AttemptOutcome, None] | None:
         """None if a step's first byte may be written now; else its ending, counted and told."""
         reason = rules.may_send(
             rules.SendFacts(
-                self._decisions.now(),
-                step.until,
-                self._pool.may_send(step.destination),
-                record_kept and _client_gone(step.operation),
+                self._engine.now(),
+                attempt.until,
+                self._endpoints.may_send(attempt.worker),
+                record_kept and _client_gone(attempt.request),
                 record_kept,
             )
         )
@@ -229,67 +239,67 @@
         self.held_back[reason] += 1
         log.log(
             logging.WARNING if reason is rules.HeldBack.RECORD_NOT_KEPT else logging.DEBUG,
-            "held-back operation=%s attempt=%d worker=%s reason=%s",
-            step.operation.id,
-            step.number,
-            step.destination,
+            "held-back request=%s attempt=%d worker=%s reason=%s",
+            attempt.request.id,
+            attempt.number,
+            attempt.worker,
             reason.name.lower(),
         )
-        return Ending.NOT_SENT, None
+        return AttemptOutcome.NOT_SENT, None
 
-    def _check_told(self, step: RouteStep, wait: int) -> None:
-        broken = rules.check_told(wait, step.sent, step.operation.deadline)
+    def _check_told(self, attempt: Attempt, wait: int) -> None:
+        broken = rules.check_told(wait, attempt.sent, attempt.request.deadline)
         if broken is not None:
-            self._decisions.violations.note(
-                broken, operation=step.operation.id, attempt=step.number, told_ms=wait
+            self._engine.violations.note(
+                broken, request=attempt.request.id, attempt=attempt.number, told_ms=wait
             )
 
-    async def _answer(self, step: RouteStep, line: _Line) -> tuple[Ending, Any]:
+    async def _answer(self, attempt: Attempt, line: _Line) -> tuple[AttemptOutcome, Any]:
         response = await line.http.response()
         status = response.status_code
         if status != 200:
             line.rests_until = trio.current_time() + REST
             for name, value in response.headers:
                 if name == b"x-server-load":
-                    step.load = loadreport.from_header(value.decode("latin-1"))
+                    attempt.load = loadreport.from_header(value.decode("latin-1"))
             if status in (503, 504) and (b"x-not-processed", b"1") in list(response.headers):
-                return Ending.TURNED_AWAY, None
-            return Ending.FAILED, None
+                return AttemptOutcome.TURNED_AWAY, None
+            return AttemptOutcome.FAILED, None
         if self._codec.content_type:
             kinds = [value for name, value in response.headers if name == b"content-type"]
             if (
                 not kinds
                 or kinds[0].split(b";")[0].strip().lower() != self._codec.content_type.encode()
             ):
-                raise Garbled("wrong content type")
+                raise MalformedResponse("wrong content type")
         decoder = self._codec.decoder()
         while True:
             event = await line.http.event()
             if isinstance(event, h11.EndOfMessage):
-                return Ending.RESET, None  # the answer ended before its last line
+                return AttemptOutcome.RESET, None  # the answer ended before its last line
             for word in decoder.feed(bytes(event.data)):
-                if word.id != step.operation.id:
-                    raise Garbled(f"answer for {str(word.id)[:64]!r}")
+                if word.id != attempt.request.id:
+                    raise MalformedResponse(f"answer for {str(word.id)[:64]!r}")
                 if word.state == "started":
-                    self._decisions.started(step)
+                    self._engine.started(attempt)
                 elif word.state == "running":
-                    self._decisions.progress(step, word.share)
+                    self._engine.progress(attempt, word.share)
                 else:
-                    ending = _WORD_ENDINGS.get(word.state)
-                    if ending is None:
-                        raise Garbled(f"state {word.state[:64]!r}")
-                    step.load = word.load
-                    return ending, word.result
+                    outcome = _WORD_ENDINGS.get(word.state)
+                    if outcome is None:
+                        raise MalformedResponse(f"state {word.state[:64]!r}")
+                    attempt.load = word.load
+                    return outcome, word.result
 
     # -- probes
 
-    async def probe(self, name: str) -> tuple[Ending, Any]:
+    async def probe(self, name: str) -> tuple[AttemptOutcome, Any]:
         """Ask a destination whether it is alive, and for its load where it reports one. What was not asked
         counts as turned away, which the module takes for no news; any other ending would have it leave the
         destination alone for a while."""
-        destination = self._pool.get(name)
-        if destination is None or not self._pool.may_send(name):
-            return Ending.TURNED_AWAY, None
+        endpoint = self._endpoints.get(name)
+        if endpoint is None or not self._endpoints.may_send(name):
+            return AttemptOutcome.TURNED_AWAY, None
         # On a new connection: how an old one fares says little of the destination.
         line: _Line | None = None
         keep = False
@@ -297,56 +307,56 @@
         try:
             with trio.fail_after(PROBE_TIMEOUT):
                 if not self._make_room():
-                    return Ending.TURNED_AWAY, None
-                line = await self._open(destination)
-                if not self._pool.may_send(name):  # opening took time
-                    return Ending.TURNED_AWAY, None
-                path = LOAD_PATH if self._decisions.reports_load else PROBE_PATH
+                    return AttemptOutcome.TURNED_AWAY, None
+                line = await self._open(endpoint)
+                if not self._endpoints.may_send(name):  # opening took time
+                    return AttemptOutcome.TURNED_AWAY, None
+                path = LOAD_PATH if self._engine.reports_load else PROBE_PATH
                 await line.http.connection.send(
                     line.http.encode("GET", path, [("Host", "destination")])
                 )
                 response = await line.http.response()
                 line.rests_until = trio.current_time() + REST
-                if self._decisions.reports_load and response.status_code == 200:
+                if self._engine.reports_load and response.status_code == 200:
                     with suppress(ValueError):
                         load = ujson.loads(await line.http.body(MOST_REPORT))
                 keep = True
         except (OSError, trio.TooSlowError, PeerEnded) as error:
             short = isinstance(error, OSError) and error.errno in OWN_SHORTAGE
-            return Ending.TURNED_AWAY if short else Ending.UNREACHED, None
+            return AttemptOutcome.TURNED_AWAY if short else AttemptOutcome.UNREACHABLE, None
         except h11.RemoteProtocolError:
-            return Ending.GARBLED, None
+            return AttemptOutcome.MALFORMED_RESPONSE, None
         finally:
             if line is not None:
                 if keep:
                     self._give_back(name, line)
                 else:
                     self._drop(line)
-        endings = {200: Ending.SERVED, 503: Ending.TURNED_AWAY}
-        return endings.get(response.status_code, Ending.FAILED), load
+        endings = {200: AttemptOutcome.SERVED, 503: AttemptOutcome.TURNED_AWAY}
+        return endings.get(response.status_code, AttemptOutcome.FAILED), load
 
     # -- the pool
 
-    async def _open(self, destination: Destination) -> _Line:
+    async def _open(self, endpoint: Endpoint) -> _Line:
         self.open += 1
         try:
             with trio.fail_after(self._connect_timeout):
-                connection = await Connection.open(destination.address)
+                connection = await Connection.open(endpoint.address)
         except BaseException:
             self.open -= 1
             raise
-        return _Line(ClientSide(connection), destination.address)
+        return _Line(ClientSide(connection), endpoint.address)
 
-    def _take(self, destination: Destination) -> _Line | None:
+    def _take(self, endpoint: Endpoint) -> _Line | None:
         """An idle connection that is young, quiet and leads to the present address; the latest used first."""
-        if self._settling and not self._idle.get(destination.id):
+        if self._settling and not self._idle.get(endpoint.id):
             self._settle()
         now, resting = trio.current_time(), []
-        idle = self._idle.get(destination.id, [])
+        idle = self._idle.get(endpoint.id, [])
         while idle:
             line = idle.pop()
             fresh = now - line.idle_since < self._keep
-            usable = fresh and line.address == destination.address
+            usable = fresh and line.address == endpoint.address
             if not usable or line.http.connection.quiet() is not Quiet.IDLE:
                 self._drop(line)
             elif line.rests_until > now:
@@ -364,7 +374,7 @@
         if now >= until:
             span = min(max(2.0 * span, DISTRUST), MOST_DISTRUST)
             self._distrust[name] = now + span, span
-            log.info("worn destination=%s: only new connections for %g s", name, span)
+            log.info("worn worker=%s: only new connections for %g s", name, span)
         for line in self._idle.pop(name, ()):
             self._drop(line)
 
@@ -378,7 +388,7 @@
             self._drop(line)
             return
         if settled or line.http.parser.our_state is h11.IDLE:
-            if not self._pool.may_send(name) or self._distrusted(name):
+            if not self._endpoints.may_send(name) or self._distrusted(name):
                 self._drop(line)
                 return
             line.idle_since, line.kept = trio.current_time(), True
@@ -414,15 +424,15 @@
         self._drop(oldest.pop(0))
         return True
 
-    def _changed(self, destination: Destination | None, name: str) -> None:
+    def _changed(self, endpoint: Endpoint | None, name: str) -> None:
         """The pool config has changed: idle connections to what is gone, drains or has moved are no use."""
-        if destination is None:
+        if endpoint is None:
             self._distrust.pop(name, None)
         for line in self._idle.get(name, ()):
             if (
-                destination is None
-                or line.address != destination.address
-                or not self._pool.may_send(name)
+                endpoint is None
+                or line.address != endpoint.address
+                or not self._endpoints.may_send(name)
             ):
                 self._drop(line)
         if name in self._idle:
--- a/yewrill/observability/logs.py
+++ b/yewrill/observability/logs.py
@@ -26,14 +26,14 @@
 _PIECES = re.compile(r"%(?:\.\d+)?[a-z]")
 _KEYED = re.compile(r"([A-Za-z_][\w-]*)=(.*)")
 # What a line says of the operation it belongs to.
-_operation: contextvars.ContextVar[tuple[str, str] | None] = contextvars.ContextVar(
-    "operation", default=None
+_request: contextvars.ContextVar[tuple[str, str] | None] = contextvars.ContextVar(
+    "request", default=None
 )
 
 
-def of_operation(id: str, trace: str) -> None:
+def bind_request(id: str, trace: str) -> None:
     """Lines that this task writes from now on carry this operation's id and trace."""
-    _operation.set((id, trace))
+    _request.set((id, trace))
 
 
 def event_of(record: logging.LogRecord) -> tuple[str, dict[str, Any], str]:
@@ -95,8 +95,8 @@
         self.lost = 0
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        if (belongs := _operation.get()) is not None:
-            record.operation, record.trace = belongs
+        if (belongs := _request.get()) is not None:
+            record.request, record.trace = belongs
         if self.lost:
             record.lost, self.lost = self.lost, 0
         return record
@@ -112,7 +112,7 @@
     """Turn a standard record, as a processor of structlog, into an event and its keys."""
     record: logging.LogRecord = event["_record"]
     name, keys, rest = record.parsed
-    for key in ("operation", "trace", "thinned", "lost"):
+    for key in ("request", "trace", "thinned", "lost"):
         if (value := getattr(record, key, None)) is not None:
             keys.setdefault(key, value)
     found = {"event": name, **keys}
--- a/yewrill/observability/metrics.py
+++ b/yewrill/observability/metrics.py
@@ -10,7 +10,7 @@
 _SET_APART = str.maketrans(":|@\n\r ", "______")  # what has a meaning in a line
 
 
-class Figures:
+class Metrics:
     def __init__(self) -> None:
         self._counts = dict.fromkeys(("dispatches", "reload_success", "reload_failure"), 0)
 
@@ -32,9 +32,9 @@
             for status in _STATUSES:
                 self._counts.setdefault(_line(status, name), 0)
 
-    def answered(self, job_class: str, status: str) -> None:
+    def answered(self, request_class: str, status: str) -> None:
         """A job has its final answer."""
-        self._counts[_line(status, job_class)] += 1
+        self._counts[_line(status, request_class)] += 1
 
     def dispatched(self) -> None:
         """An attempt's last byte is written."""
@@ -50,5 +50,5 @@
         return "".join(lines)
 
 
-def _line(status: str, job_class: str) -> str:
-    return f"{status}.{job_class.translate(_SET_APART)}"
+def _line(status: str, request_class: str) -> str:
+    return f"{status}.{request_class.translate(_SET_APART)}"
--- a/yewrill/persistence/__init__.py
+++ b/yewrill/persistence/__init__.py
@@ -10,6 +10,6 @@
 where `state_dir` is set.
 """
 
-from yewrill.persistence.keeper import StateKeeper
+from yewrill.persistence.persistent_state import PersistentState
 
-__all__ = ["StateKeeper"]
+__all__ = ["PersistentState"]
--- a/yewrill/persistence/attempts.py
+++ b/yewrill/persistence/attempts.py
@@ -45,7 +45,7 @@
 class AttemptRecord:
     """An attempt that is about to go out."""
 
-    job_class: str
+    request_class: str
     tenant: str
     key: str
     worker: str
@@ -56,12 +56,12 @@
     @property
     def name(self) -> JobName:
         """What a repeat of the job has in common with it."""
-        return self.job_class, self.tenant, self.key
+        return self.request_class, self.tenant, self.key
 
     def encode(self) -> dict[str, Any]:
         """The record as JSON's values."""
         return {
-            "class": self.job_class,
+            "class": self.request_class,
             "tenant": self.tenant,
             "key": self.key,
             "to": self.worker,
@@ -93,11 +93,11 @@
     cell: int
 
 
-def window_of(job_class: api.JobClass, unsafe_window: float) -> float:
+def window_of(request_class: api.RequestClass, unsafe_window: float) -> float:
     """For how long, in ms, an attempt of this class must be remembered; 0: not at all."""
-    if job_class.effect == api.KEYED:
-        return job_class.window
-    return unsafe_window if job_class.effect == api.UNSAFE else 0.0
+    if request_class.idempotency == api.IDEMPOTENT_BY_KEY:
+        return request_class.window
+    return unsafe_window if request_class.idempotency == api.NON_IDEMPOTENT else 0.0
 
 
 def least_age(at: Clocks, now: Clocks) -> float:
--- a/yewrill/persistence/keeper.py
+++ b/yewrill/persistence/persistent_state.py
@@ -20,10 +20,10 @@
 import ujson
 
 from yewrill.config.reading import StateConfig
-from yewrill.dispatch.engine import Operation, RouteStep
-from yewrill.dispatch.outcome import Ending
-from yewrill.net.discovery import REMEMBERED, PoolConfig
-from yewrill.observability.metrics import Figures
+from yewrill.dispatch.engine import Attempt, Request
+from yewrill.dispatch.outcome import AttemptOutcome
+from yewrill.net.discovery import REMEMBERED, EndpointList
+from yewrill.observability.metrics import Metrics
 from yewrill.persistence.attempts import (
     AttemptRecord,
     Clocks,
@@ -34,7 +34,7 @@
     window_of,
 )
 from yewrill.persistence.disk import Disk, Unreadable, log
-from yewrill.policy.interface import NEVER_RAN, JobClass
+from yewrill.policy.interface import NEVER_RAN, RequestClass
 from yewrill.store import Batch, StoreError
 
 OUT, BACK, LAME, LIST, SENT = b"out/", b"back/", b"lame", b"list", b"sent/"
@@ -82,20 +82,20 @@
     sure: bool = False  # an attempt has ended that may have run
 
 
-class StateKeeper:
+class PersistentState:
     """What outlasts this process. `open_store` first; it may block for long."""
 
-    def __init__(self, config: StateConfig, pool: PoolConfig, figures: Figures):
+    def __init__(self, config: StateConfig, endpoints: EndpointList, metrics: Metrics):
         self._config = config
-        self._pool = pool
-        self._figures = figures
+        self._endpoints = endpoints
+        self._metrics = metrics
         self._boot = _boot()
         self._disk = Disk(config)
         self._disk.on_reopened = self._write_again
         # Attempts of earlier runs whose end nobody saw, and whether all of them are known.
         self._remembered: dict[JobName, list[_Remembered]] = {}
         self._recalled = False
-        self._jobs: dict[Operation, _Job] = {}  # those that may not simply run twice
+        self._jobs: dict[Request, _Job] = {}  # those that may not simply run twice
         self._ended: list[bytes] = []
         self._run = os.urandom(6).hex()  # part of the names of this run's records
         self._count = 0
@@ -212,7 +212,7 @@
             await self._list_changed.wait()
             self._list_changed = trio.Event()
             if self.held:
-                snapshot = self._pool.snapshot()
+                snapshot = self._endpoints.snapshot()
                 text = await trio.to_thread.run_sync(lambda s=snapshot: ujson.dumps(s).encode())
                 if not await self._write(Batch().put(LIST, text)):
                     self._list_changed.set()
@@ -227,9 +227,9 @@
         batch = Batch()
         for key in await trio.to_thread.run_sync(self._operators_keys):
             batch.delete(key)
-        for name in self._pool.out:
+        for name in self._endpoints.out:
             _note_out(batch, name)
-        for name, ago in self._pool.back.items():
+        for name, ago in self._endpoints.back.items():
             self._note_back(batch, name, ago)
         _note_lame(batch, self._lame)
         for job in self._jobs.values():
@@ -258,7 +258,7 @@
         batch = Batch().delete(OUT + name.encode())
         return await self._write_word(self._note_back(batch, name, 0.0))
 
-    async def lame(self, on: bool) -> bool:
+    async def operator_drain(self, on: bool) -> bool:
         """As `taken_out`."""
         self._lame = on
         return await self._write_word(_note_lame(Batch(), on))
@@ -269,9 +269,9 @@
             self._behind = True  # it is tried again, though nobody waits for it any more
         return kept
 
-    async def write_all(self, lame: bool) -> None:
+    async def write_all(self, operator_drain: bool) -> None:
         """All that operators said, anew: another run had the store until now."""
-        self._lame = lame
+        self._lame = operator_drain
         await self._write_again()
 
     def _note_back(self, batch: Batch, name: str, ago: float) -> Batch:
@@ -314,23 +314,23 @@
         """The clocks as they stand now."""
         return read_clocks(self._boot)
 
-    def take(self, operation: Operation, spec: JobClass, tenant: str) -> None:
+    def take(self, request: Request, spec: RequestClass, tenant: str) -> None:
         """An operation, in the moment that its class and tenant were looked up: what an earlier run may have
         done of it goes to the module with it."""
         window = window_of(spec, self._config.unsafe_window_ms)
         if window <= 0:
             return
-        name = (spec.name, tenant, _key_of(operation))
-        self._jobs[operation] = _Job(name, window, self._recalled)
+        name = (spec.name, tenant, _key_of(request))
+        self._jobs[request] = _Job(name, window, self._recalled)
         found = self._earlier(name, window)
         if found is None:
             return
-        operation.ran_ago = found.ago
-        operation.ran_zone = found.zone
-        operation.ran_cell = found.cell
+        request.ran_ago = found.ago
+        request.ran_zone = found.zone
+        request.ran_cell = found.cell
         log.info(
-            "repeat-of-earlier-run operation=%s ago_ms=%.0f cell=%d",
-            operation.id,
+            "repeat-of-earlier-run request=%s ago_ms=%.0f cell=%d",
+            request.id,
             found.ago,
             found.cell,
         )
@@ -345,16 +345,16 @@
             self._end_records(each.key for each in remembered)
         return found
 
-    async def record_attempt(self, step: RouteStep) -> bool:
+    async def record_attempt(self, attempt: Attempt) -> bool:
         """Before an attempt's first byte: should we die from here on, the next run knows that it was out.
         Whether it may be sent."""
-        job = self._jobs.get(step.operation)
+        job = self._jobs.get(attempt.request)
         if job is None or job.sure:
             return True  # if sure, what stands is the first attempt that may have run
-        worker = self._pool.get(step.destination)
+        worker = self._endpoints.get(attempt.worker)
         if worker is None:
             return False
-        record = AttemptRecord(*job.name, step.destination, worker.zone, worker.cell, self.clocks())
+        record = AttemptRecord(*job.name, attempt.worker, worker.zone, worker.cell, self.clocks())
         if not job.key:
             self._count += 1
             digest = hashlib.blake2b("\0".join(job.name).encode(), digest_size=16).hexdigest()
@@ -383,15 +383,15 @@
         expires = int(record.at.wall + self._config.unsafe_window_ms + EXPIRY_MARGIN_MS)
         return await self._write(Batch().put(key.encode(), value.encode(), expires))
 
-    def ended(self, step: RouteStep, ending: Ending) -> None:
+    def ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """An attempt is over; one that may have run stands for its operation from now on."""
-        job = self._jobs.get(step.operation)
-        if job is not None and ending.outcome not in NEVER_RAN:
+        job = self._jobs.get(attempt.request)
+        if job is not None and outcome.policy_outcome not in NEVER_RAN:
             job.sure = True
 
-    def closed(self, operation: Operation) -> None:
+    def closed(self, request: Request) -> None:
         """The operation has its answer, and nothing of it is out."""
-        job = self._jobs.pop(operation, None)
+        job = self._jobs.pop(request, None)
         if job is not None and job.key:
             self._end_records([job.key])
 
@@ -416,8 +416,8 @@
     async def _write(self, batch: Batch) -> bool:
         """Write, and wait for that a little. Whether it is on disk."""
         kept = await self._disk.write(batch) is None
-        self._figures.kept(kept)
-        self._figures.add({"state_reopened": self._disk.reopened})
+        self._metrics.kept(kept)
+        self._metrics.add({"state_reopened": self._disk.reopened})
         return kept
 
 
@@ -429,6 +429,6 @@
     return batch.put(LAME, b"1") if on else batch.delete(LAME)
 
 
-def _key_of(operation: Operation) -> str:
+def _key_of(request: Request) -> str:
     """The name under which a client repeats a job: its key, else the request's own id."""
-    return operation.payload.one(b"idempotency-key") or operation.id
+    return request.payload.one(b"idempotency-key") or request.id
--- a/yewrill/policy/admission.py
+++ b/yewrill/policy/admission.py
@@ -8,7 +8,7 @@
 
 from yewrill.policy import interface as api
 from yewrill.policy.fleet import Fleet
-from yewrill.policy.jobs import ClassState, Job
+from yewrill.policy.requests import ClassState, PendingRequest
 
 # Settings of the mechanism (the paper's names).
 MARGIN_F = 0.9  # f: the right side of (4) and (6) times f signals load level 1
@@ -114,7 +114,7 @@
     floor: float = -1.0
     gaps: dict[ClassState, Gap] = field(default_factory=dict)
 
-    def retune(self, spec: api.Tenant, classes: list[ClassState], dispatchers: int) -> None:
+    def reconfigure(self, spec: api.Tenant, classes: list[ClassState], dispatchers: int) -> None:
         self.spec = spec
         self.gaps = {c: self.gaps.get(c) or Gap() for c in classes}
         floor = spec.quota_per_s / 1000.0 / dispatchers
@@ -144,10 +144,10 @@
         self.controller = Controller(rng)
         self.order: list[ClassState] = []  # by their time constraints, the tightest first
         self.refreshed = -1.0
-        self.retune(settings, 0.0)
+        self.reconfigure(settings, 0.0)
         self.refreshed = -1.0
 
-    def retune(self, settings: api.Settings, now: float) -> None:
+    def reconfigure(self, settings: api.Settings, now: float) -> None:
         """Other settings. Classes and tenants are known by their names and keep what was learned of them."""
         self.settings = settings
         classes = {c.spec.name: c for c in self.classes}
@@ -159,7 +159,7 @@
             self.classes.append(c)
         for party in settings.tenants or [api.Tenant("")]:
             t = tenants.get(party.name) or TenantState()
-            t.retune(party, self.classes, settings.dispatchers)
+            t.reconfigure(party, self.classes, settings.dispatchers)
             self.tenants.append(t)
         self.refresh(now)
 
@@ -168,16 +168,18 @@
         """Whether the controller sees overload, or has traffic gapped since it last did."""
         return self.controller.level > 0 or self.controller.gapped > 0
 
-    def admit(self, job: Job, now: float) -> str:
+    def admit(self, request: PendingRequest, now: float) -> str:
         """Charge a new job to its class, tenant and gap: the ground on which it is refused, or nothing."""
-        tenant = self.tenants[job.tenant] if job.tenant < len(self.tenants) else self.tenants[0]
-        job.cls.arrivals += 1
+        tenant = (
+            self.tenants[request.tenant] if request.tenant < len(self.tenants) else self.tenants[0]
+        )
+        request.cls.arrivals += 1
         tenant.arrivals += 1
-        job.over = tenant.over_share(now)
-        rung = 0 if job.over else job.cls.rung
+        request.over = tenant.over_share(now)
+        rung = 0 if request.over else request.cls.rung
         gapped = self.controller.gapped
-        if rung < gapped and not (not job.over and tenant.gaps[job.cls].passes(now)):
-            return "its tenant is over its share" if job.over else f"gap level {gapped}"
+        if rung < gapped and not (not request.over and tenant.gaps[request.cls].passes(now)):
+            return "its tenant is over its share" if request.over else f"gap level {gapped}"
         return ""
 
     def control(self, queues: list[list], now: float) -> None:
@@ -204,10 +206,18 @@
         total = 0
         for c in self.classes:
             spec = c.spec
-            c.limit = max(1.0, min(spec.aim + spec.stretch * c.mean, spec.deadline) - c.mean)
+            c.limit = max(
+                1.0,
+                min(spec.latency_objective + spec.objective_run_factor * c.mean, spec.deadline)
+                - c.mean,
+            )
             c.patience.refresh(spec.deadline)
             # (2); where worth counts by the unit of work, run time is already in the revenue.
-            c.utility = spec.worth if self.settings.worth_by_work else spec.worth / c.mean
+            c.utility = (
+                spec.priority_weight
+                if self.settings.weight_by_work
+                else spec.priority_weight / c.mean
+            )
             total += c.arrivals
         self.order = sorted(self.classes, key=lambda c: (c.limit, c.index))
         self.controller.x = self.order[0].limit
--- a/yewrill/policy/attempts.py
+++ b/yewrill/policy/attempts.py
@@ -8,7 +8,7 @@
 from yewrill.policy import interface as api
 from yewrill.policy.beliefs import Worker
 from yewrill.policy.fleet import Fleet
-from yewrill.policy.jobs import Attempt, Job
+from yewrill.policy.requests import Attempt, PendingRequest
 
 REORDERED = 20.0  # attempts sent within this time of each other may reach a worker in another order
 OVERTAKEN = (
@@ -34,27 +34,27 @@
         ] = []  # lost ones whose slots may still be held
         self.count = 0
 
-    def send(self, job: Job, w: Worker) -> None:
+    def send(self, request: PendingRequest, w: Worker) -> None:
         """Book a new attempt of a job at a worker."""
         fleet = self.fleet
         now = fleet.now
         self.count += 1
-        attempt = Attempt(job, job.tries, w, now, job.run * w.pace(), self.count, now)
+        attempt = Attempt(request, request.tries, w, now, request.run * w.pace(), self.count, now)
         heappush(self.travelling, (now + fleet.trip(w), self.count, attempt))
-        job.live[job.tries] = attempt
-        self.out[(job.id, job.tries)] = attempt
-        job.tries += 1
+        request.live[request.tries] = attempt
+        self.out[(request.id, request.tries)] = attempt
+        request.tries += 1
         if not w.queue:
             w.waiting_since = now
         w.queue.append(attempt)
         self.arrive()
-        fleet.hold(w, job.need)
-        w.free -= job.need
+        fleet.hold(w, request.need)
+        w.free -= request.need
         w.sent_at = now
-        if job.key:
-            w.fetched(job.key)
+        if request.key:
+            w.fetched(request.key)
         if w.cold_from >= 0:
-            w.credit -= job.cold_work()
+            w.credit -= request.cold_work()
             attempt.warm = w.warmth()
 
     def arrive(self) -> None:
@@ -63,30 +63,30 @@
             attempt = heappop(self.travelling)[2]
             if attempt in attempt.worker.queue:
                 attempt.waits = True
-                insort(self.waiting, (attempt.job.due, attempt.order))
-                self.fleet.waiting += attempt.job.need
+                insort(self.waiting, (attempt.request.due, attempt.order))
+                self.fleet.waiting += attempt.request.need
 
     def started(self, event: api.AttemptStarted | api.AttemptProgress) -> None:
         """A worker tells that it began to run one of them."""
-        attempt = self.out.get((event.job, event.attempt))
+        attempt = self.out.get((event.request_id, event.attempt))
         if attempt is None or attempt.started:
             return
         fleet, w = self.fleet, attempt.worker
         attempt.started = attempt.heard = fleet.now
-        fleet.waited(w, fleet.now - attempt.sent, attempt.job.wait)
+        fleet.waited(w, fleet.now - attempt.sent, attempt.request.wait)
         if fleet.settings.fifo:
             for earlier in w.queue:
                 if earlier.sent > attempt.sent - REORDERED:
                     break
                 earlier.overtaken = earlier.overtaken or fleet.now
         self._left_queue(attempt)
-        w.running += attempt.job.need
+        w.running += attempt.request.need
         if fleet.blind and w.running > w.kind.slots:
             w.kind.slots += 0.3 * (w.running - w.kind.slots)  # it runs that many of ours at once
         w.alive()
 
     def progress(self, event: api.AttemptProgress) -> None:
-        attempt = self.out.get((event.job, event.attempt))
+        attempt = self.out.get((event.request_id, event.attempt))
         if attempt is not None:
             attempt.heard = self.fleet.now
             self.started(event)
@@ -97,45 +97,45 @@
         w.waiting_since = self.fleet.now
         if attempt.waits:
             attempt.waits = False
-            self.fleet.waiting -= attempt.job.need
-            del self.waiting[bisect_left(self.waiting, (attempt.job.due, attempt.order))]
+            self.fleet.waiting -= attempt.request.need
+            del self.waiting[bisect_left(self.waiting, (attempt.request.due, attempt.order))]
 
     def ended(self, event: api.AttemptEnded) -> Attempt | None:
         """Take an attempt's end into what is believed of its worker."""
-        attempt = self.out.pop((event.job, event.attempt), None)
+        attempt = self.out.pop((event.request_id, event.attempt), None)
         if attempt is None:
             return None
         fleet = self.fleet
         now = fleet.now
-        job, w = attempt.job, attempt.worker
-        job.live.pop(attempt.number, None)
+        request, w = attempt.request, attempt.worker
+        request.live.pop(attempt.number, None)
         if attempt.started:
-            w.running -= job.need
+            w.running -= request.need
         else:
             self._left_queue(attempt)
         outcome = event.outcome
         if (
             outcome in (api.TIMEOUT, api.CANCELLED, api.CONNECTION_LOST)
             and w.usable
-            and not event.worn
+            and not event.stale_connection
         ):
             # It may still run: it keeps its slot for the time it was expected to take.
             self.count += 1
             heappush(self.ghosts, (now + attempt.expected, self.count, attempt))
         else:
-            fleet.hold(w, -job.need)
-            w.free += job.need
+            fleet.hold(w, -request.need)
+            w.free += request.need
         if outcome == api.SERVED:
             w.alive()
             run = (now - attempt.started if attempt.started else event.elapsed) * attempt.warm
-            job.cls.observe(run, job.run, job.hinted)
-            w.ran(min(20.0, run / max(1.0, job.run)), job.known)
+            request.cls.observe(run, request.run, request.hinted)
+            w.ran(min(20.0, run / max(1.0, request.run)), request.known)
             fleet.ran(run)
         elif outcome == api.ERROR:
             w.erred()
         elif outcome == api.FULL:
-            w.full(job.run)
-        elif event.worn:
+            w.full(request.run)
+        elif event.stale_connection:
             pass  # that tells of the connection only
         elif outcome == api.NO_CONNECTION:
             w.lost(refused=True)
@@ -145,9 +145,9 @@
             w.lost()
         if event.report:
             w.report(event.report)
-        if outcome not in api.NEVER_RAN and job.ran_at is None:
+        if outcome not in api.NEVER_RAN and request.ran_at is None:
             # Once set, this stands: a later attempt that never ran proves nothing of an earlier one.
-            job.ran_at, job.ran_zone, job.ran_cell = attempt.sent, w.zone, w.cell
+            request.ran_at, request.ran_zone, request.ran_cell = attempt.sent, w.zone, w.cell
         return attempt
 
     def expire_ghosts(self) -> bool:
@@ -155,7 +155,7 @@
         before = len(self.ghosts)
         while self.ghosts and self.ghosts[0][0] <= self.fleet.now:
             attempt = heappop(self.ghosts)[2]
-            self.fleet.hold(attempt.worker, -attempt.job.need)
+            self.fleet.hold(attempt.worker, -attempt.request.need)
         return len(self.ghosts) < before
 
     def lost(self) -> list[Attempt]:
--- a/yewrill/policy/beliefs.py
+++ b/yewrill/policy/beliefs.py
@@ -94,7 +94,7 @@
             running = self.running * fleet.settings.dispatchers
             if len(self.queue) > 1 or now > fleet.wary or running > 0.5 * kind.slots:
                 room = min(room, 0.0) - len(self.queue)
-                if self.queue[0].job.need <= 1.0 <= self.running:
+                if self.queue[0].request.need <= 1.0 <= self.running:
                     self.cap = min(
                         self.cap, self.running + 1.0
                     )  # as 'full' tells; a wide one may not fit
--- a/yewrill/policy/dispatcher.py
+++ b/yewrill/policy/dispatcher.py
@@ -11,7 +11,7 @@
 from yewrill.policy.attempts import Attempts
 from yewrill.policy.choice import Choice
 from yewrill.policy.fleet import Fleet
-from yewrill.policy.jobs import Job
+from yewrill.policy.requests import PendingRequest
 
 RETRY_HELD = (
     0.015  # held jobs look for a worker this often when nothing else happens, in parts of T_1
@@ -35,18 +35,18 @@
         self.choice = Choice(self.fleet, self.admission)
         self.attempts = Attempts(self.fleet)
         # The selector: the held jobs of each machine kind (-1: any), the one that must start first in front.
-        self.held: dict[int, list[tuple[float, int, Job]]] = {
+        self.held: dict[int, list[tuple[float, int, PendingRequest]]] = {
             pool: [] for pool in sorted({spec.kind for spec in settings.classes})
         }
-        self.jobs: dict[str, Job] = {}
-        self.ends: list[tuple[float, int, Job]] = []  # final answers due
+        self.requests: dict[str, PendingRequest] = {}
+        self.ends: list[tuple[float, int, PendingRequest]] = []  # final answers due
         self.count = 0
         self.probe_credit = 1.0
         self.ticking = self.held_armed = self.stirred = False
         self.end_armed = -1.0
         self.watch_fails = 0
         self.on = {
-            api.JobArrived: self._arrived,
+            api.RequestArrived: self._arrived,
             api.AttemptStarted: self.attempts.started,
             api.AttemptProgress: self.attempts.progress,
             api.AttemptEnded: self._ended,
@@ -57,7 +57,7 @@
             api.WorkerList: self._list,
             api.WorkerReturned: self._returned,
             api.SettingsChanged: self._retune,
-            api.ZoneShares: self._share,
+            api.ZoneTrafficWeights: self._share,
         }
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
@@ -75,7 +75,7 @@
         if self.stirred:
             self._release()
         self._arm_end()
-        if not self.ticking and (self.jobs or self.attempts.out):
+        if not self.ticking and (self.requests or self.attempts.out):
             self.ticking = True
             self.out.append(api.SetTimer(TICKER, max(30.0, SWEEP * self.admission.order[0].limit)))
         return self.out
@@ -90,41 +90,41 @@
 
     def _retune(self, event: api.SettingsChanged) -> None:
         self.settings = settings = event.settings
-        self.fleet.retune(settings)
+        self.fleet.reconfigure(settings)
         for spec in settings.classes:
             self.held.setdefault(spec.kind, [])
-        self.admission.retune(settings, self.now)
+        self.admission.reconfigure(settings, self.now)
         self.fleet.regroup()
         self.stirred = True
 
     # ------------------------------------------------------------------------------- arrivals and the list
 
-    def _arrived(self, event: api.JobArrived) -> None:
+    def _arrived(self, event: api.RequestArrived) -> None:
         now = self.now
-        cls = self.admission.classes[event.job_class]
+        cls = self.admission.classes[event.request_class]
         run = event.hint * cls.hint_ratio if event.hint > 0 else cls.mean
-        job = Job(event, cls, now, run, self.settings)
-        self.jobs[job.id] = job
+        request = PendingRequest(event, cls, now, run, self.settings)
+        self.requests[request.id] = request
         self.count += 1
-        heappush(self.ends, (job.deadline - 2.0 * self.settings.tick, self.count, job))
-        if job.spent(now):
-            self._finish(job)
-            self.out.append(api.Fail(job.id, "it may have run before a restart"))
+        heappush(self.ends, (request.deadline - 2.0 * self.settings.tick, self.count, request))
+        if request.spent(now):
+            self._finish(request)
+            self.out.append(api.Fail(request.id, "it may have run before a restart"))
             return
         self._control()
-        if job.guessed_late and not self.admission.overloaded:
-            job.take_for_first_try()
-        if now >= job.due:
+        if request.guessed_late and not self.admission.overloaded:
+            request.take_for_first_try()
+        if now >= request.due:
             # A client's retry that can't be in time any more takes nothing from its tenant's share or gap: a
             # storm of such retries would have the tenant's first tries refused, and so feed itself.
-            self._give_up(job, "it can't be in time")
+            self._give_up(request, "it can't be in time")
             return
         self.probe_credit = min(4.0, self.probe_credit + 1.0)  # a probe a job at most
-        ground = self.admission.admit(job, now)
+        ground = self.admission.admit(request, now)
         if ground:
-            self._give_up(job, ground)
+            self._give_up(request, ground)
             return
-        self._hold(job)
+        self._hold(request)
         if self.settings.may_probe:
             self._probe_some(cls.spec.kind)
 
@@ -152,22 +152,22 @@
             w.replaced(event.since)
             self.stirred = True
 
-    def _share(self, event: api.ZoneShares) -> None:
-        self.fleet.shares = event.shares
+    def _share(self, event: api.ZoneTrafficWeights) -> None:
+        self.fleet.zone_weights = event.weights
         self.fleet.regroup()
 
     # ----------------------------------------------------------------------------------------------- release
 
-    def _hold(self, job: Job) -> None:
+    def _hold(self, request: PendingRequest) -> None:
         self.count += 1
-        job.held, job.order = True, self.count
-        insort(self.held[job.spec.kind], (job.due, job.order, job))
+        request.held, request.order = True, self.count
+        insort(self.held[request.spec.kind], (request.due, request.order, request))
         self.stirred = True
 
-    def _take_out(self, job: Job) -> None:
-        queue = self.held[job.spec.kind]
-        del queue[bisect_left(queue, (job.due, job.order))]
-        job.held = False
+    def _take_out(self, request: PendingRequest) -> None:
+        queue = self.held[request.spec.kind]
+        del queue[bisect_left(queue, (request.due, request.order))]
+        request.held = False
 
     def _release(self) -> None:
         """Let held jobs go, earliest deadline first, while workers with room are found."""
@@ -176,20 +176,24 @@
             misses = 0
             at = 0
             while at < len(queue) and misses < 3:
-                job = queue[at][2]
-                if self.now >= job.due:
-                    self._take_out(job)
+                request = queue[at][2]
+                if self.now >= request.due:
+                    self._take_out(request)
                     self._control()  # a departure
-                    self._give_up(job, "it can't be in time")
+                    self._give_up(request, "it can't be in time")
                     continue
-                worker = self.choice.worker_for(job, job.need + 1.0 if job.over else job.need)
+                worker = self.choice.worker_for(
+                    request, request.need + 1.0 if request.over else request.need
+                )
                 if worker is None:
                     misses += 1
                     at += 1
                     continue
-                self._take_out(job)
-                self.attempts.send(job, worker)
-                self.out.append(api.Send(job.id, worker.name, 0.0, self.choice.among, job.why))
+                self._take_out(request)
+                self.attempts.send(request, worker)
+                self.out.append(
+                    api.Send(request.id, worker.name, 0.0, self.choice.among, request.reason)
+                )
                 self._control()
         if not self.held_armed and any(self.held.values()):
             self.held_armed = True
@@ -204,60 +208,60 @@
         if attempt is None:
             return
         self.stirred = True
-        job = attempt.job
+        request = attempt.request
         if event.final:
-            self._finish(job)
-        elif not job.done and not job.live:
-            job.last = attempt.worker
-            self._again(job)
+            self._finish(request)
+        elif not request.done and not request.live:
+            request.last = attempt.worker
+            self._again(request)
 
-    def _again(self, job: Job) -> None:
+    def _again(self, request: PendingRequest) -> None:
         """An attempt came to nothing: try again where the class allows, else answer."""
         now = self.now
-        out_of_tries = job.tries >= min(job.most, self.settings.max_attempts)
-        if job.spent(now) or out_of_tries or job.deadline - now < job.run * 0.5:
+        out_of_tries = request.tries >= min(request.most, self.settings.max_attempts)
+        if request.spent(now) or out_of_tries or request.deadline - now < request.run * 0.5:
             self._give_up(
-                job,
+                request,
                 "it may have run, and may not run again"
-                if job.spent(now)
+                if request.spent(now)
                 else "out of tries"
                 if out_of_tries
                 else "no time for another try",
             )
-        elif now >= job.due:
-            self._give_up(job, "it can't be in time")
+        elif now >= request.due:
+            self._give_up(request, "it can't be in time")
         else:
-            self._hold(job)
+            self._hold(request)
 
-    def _give_up(self, job: Job, why: str) -> None:
+    def _give_up(self, request: PendingRequest, reason: str) -> None:
         """The final answer for a job without attempts out: a refusal where the rules allow one."""
-        self._finish(job)
+        self._finish(request)
         self.out.append(
-            api.Refuse(job.id, self.settings.max_retry_after, why)
-            if job.may_refuse()
-            else api.Fail(job.id, why)
+            api.Reject(request.id, self.settings.max_retry_after, reason)
+            if request.may_reject()
+            else api.Fail(request.id, reason)
         )
 
-    def _finish(self, job: Job) -> None:
-        if not job.done:
-            job.done = True
-            self.jobs.pop(job.id, None)
-            if job.held:
-                self._take_out(job)
+    def _finish(self, request: PendingRequest) -> None:
+        if not request.done:
+            request.done = True
+            self.requests.pop(request.id, None)
+            if request.held:
+                self._take_out(request)
 
     def _done(self, event: api.ClientLeft | api.AnswerStarted) -> None:
         """Nothing more is owed: the client has left, or its streamed answer has begun."""
-        job = self.jobs.get(event.job)
-        if job is not None:
-            self._finish(job)
+        request = self.requests.get(event.request_id)
+        if request is not None:
+            self._finish(request)
 
     def _answer_due(self) -> None:
         """Final answers have their own clock: nothing depends on an outcome arriving."""
         while self.ends and self.ends[0][0] <= self.now:
-            job = heappop(self.ends)[2]
-            if not job.done:
-                out = ", with an attempt out" if job.live else ""
-                self._give_up(job, f"its time is up{out}")
+            request = heappop(self.ends)[2]
+            if not request.done:
+                out = ", with an attempt out" if request.live else ""
+                self._give_up(request, f"its time is up{out}")
 
     def _arm_end(self) -> None:
         ends = self.ends
@@ -301,7 +305,7 @@
         if token == TICKER:
             self.ticking = False
             for attempt in self.attempts.lost() if self.settings.may_cancel else ():
-                self.out.append(api.Cancel(attempt.job.id, attempt.number))
+                self.out.append(api.Cancel(attempt.request.id, attempt.number))
         elif token == HELD_TIMER:
             self.held_armed = False
             self.stirred = True
--- a/yewrill/policy/fleet.py
+++ b/yewrill/policy/fleet.py
@@ -39,7 +39,9 @@
             {kind: list[Worker]() for kind in pools} for _ in range(4)
         )
         self.owed: list[Worker] = []
-        self.shares: Mapping[int, float] = {}  # of the new work of some zones, by the fleet's plan
+        self.zone_weights: Mapping[
+            int, float
+        ] = {}  # of the new work of some zones, by the fleet's plan
         self.homes: dict[tuple[int, str], list[Worker]] = {}  # of keys, until the list changes
         self.inflight = 0.0  # slots our attempts hold
         self.waiting = 0.0  # of these, asked for by jobs whose start was not told
@@ -51,7 +53,7 @@
         self.errors = 0.0  # the share of all jobs that fail
         self.wary = -1.0  # until when attempts are thought to be lost in silence
 
-    def retune(self, settings: api.Settings) -> None:
+    def reconfigure(self, settings: api.Settings) -> None:
         self.settings = settings
         while len(self.kinds) < settings.kinds:
             self.kinds.append(Kind(self.kinds[0].slots, self.kinds[0].slots))
@@ -168,7 +170,7 @@
         cheap = self.settings.fees.get("cross_zone", 0.0) <= 0
         for w in self.workers.values():
             if w.usable:
-                w.kind.count += self.shares.get(w.zone, 1.0)
+                w.kind.count += self.zone_weights.get(w.zone, 1.0)
                 side = self.near if cheap or w.zone == self.settings.zone else self.far
                 for pool in (-1, w.kind_no):
                     if pool in side:
--- a/yewrill/policy/interface.py
+++ b/yewrill/policy/interface.py
@@ -21,9 +21,9 @@
 NEVER_RAN = frozenset({FULL, NO_CONNECTION, NOT_SENT})
 
 # How often a class's effect may happen.
-SAFE = "safe"
-KEYED = "keyed"
-UNSAFE = "unsafe"
+IDEMPOTENT = "safe"
+IDEMPOTENT_BY_KEY = "keyed"
+NON_IDEMPOTENT = "unsafe"
 
 # States of a worker in the list.
 RUNNING = "running"
@@ -41,18 +41,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobClass:
+class RequestClass:
     """One class of jobs; `aim` plus `stretch` times the job's own run time is the wanted time."""
 
     name: str
-    aim: float
+    latency_objective: float
     deadline: float
-    worth: float = 1.0
-    late_worth: float = 0.0  # the part of the worth that a late answer still earns
-    effect: str = SAFE
+    priority_weight: float = 1.0
+    late_weight_fraction: float = 0.0  # the part of the worth that a late answer still earns
+    idempotency: str = IDEMPOTENT
     group: str = "all"  # keyed: which workers drop repeats: "all", "zone" or "cell"
     window: float = 0.0  # keyed: how long they do, from the first attempt that may have run
-    stretch: float = 0.0
+    objective_run_factor: float = 0.0
     kind: int = -1  # the machine kind it needs, -1 for any
 
 
@@ -69,14 +69,14 @@
 class Settings:
     """Everything the module is told at its start; absent values have the defaults here."""
 
-    classes: Sequence[JobClass]
+    classes: Sequence[RequestClass]
     tenants: Sequence[Tenant] = ()
     kinds: int = 1
     zone: int = 0
     dispatchers: int = 1
     index: int = -1  # this one's number among them, from 0; -1: not told
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False  # worth counts for each unit of work, not for each job
+    over_quota_weight: float = 1.0
+    weight_by_work: bool = False  # worth counts for each unit of work, not for each job
     list_on_request: bool = False  # the worker list must be asked for
     tells_start: bool = False
     progress_every: float = 0.0
@@ -147,16 +147,16 @@
 
 
 @dataclass(slots=True)
-class ZoneShares:
+class ZoneTrafficWeights:
     """The fleet's plan: the part, 0 to 1, of its normal new work that a zone gets; one not named gets all."""
 
-    shares: Mapping[int, float]
+    weights: Mapping[int, float]
 
 
 @dataclass(slots=True)
-class JobArrived:
-    job: str
-    job_class: int
+class RequestArrived:
+    request_id: str
+    request_class: int
     deadline: float  # the clock time when the client gives up on this try
     tenant: int = 0
     width: float = 1.0
@@ -174,14 +174,14 @@
 class AttemptStarted:
     """A worker tells that it began to run the job."""
 
-    job: str
+    request_id: str
     attempt: int
     worker: str
 
 
 @dataclass(slots=True)
 class AttemptProgress:
-    job: str
+    request_id: str
     attempt: int
     worker: str
     share: float
@@ -191,21 +191,23 @@
 class AnswerStarted:
     """A streamed answer has begun: the attempt now belongs to the client."""
 
-    job: str
+    request_id: str
     attempt: int
     worker: str
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    job: str
+    request_id: str
     attempt: int
     worker: str
     outcome: str
     elapsed: float
     final: bool = False  # the job is finished; nothing more is owed
     report: Mapping[str, float] | None = None
-    worn: bool = False  # lost on a connection kept from before: that says little of the worker
+    stale_connection: bool = (
+        False  # lost on a connection kept from before: that says little of the worker
+    )
 
 
 @dataclass(slots=True)
@@ -217,7 +219,7 @@
 
 @dataclass(slots=True)
 class ClientLeft:
-    job: str
+    request_id: str
 
 
 @dataclass(slots=True)
@@ -229,8 +231,8 @@
     WorkerList
     | WorkerReturned
     | SettingsChanged
-    | ZoneShares
-    | JobArrived
+    | ZoneTrafficWeights
+    | RequestArrived
     | AttemptStarted
     | AttemptProgress
     | AnswerStarted
@@ -248,7 +250,7 @@
 class Send:
     """Start an attempt; a job's attempts are numbered 0, 1, 2 in the order of their sends."""
 
-    job: str
+    request_id: str
     worker: str
     timeout: float = 0.0  # 0: until the client gives up
     among: int = 0  # workers that were considered
@@ -256,25 +258,25 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """A final answer: not served, and a retry does no harm."""
 
-    job: str
+    request_id: str
     retry_after: float = 0.0
-    why: str = ""  # the ground, in plain words
+    reason: str = ""  # the ground, in plain words
 
 
 @dataclass(slots=True)
 class Fail:
     """A final answer that promises nothing."""
 
-    job: str
-    why: str = ""
+    request_id: str
+    reason: str = ""
 
 
 @dataclass(slots=True)
 class Cancel:
-    job: str
+    request_id: str
     attempt: int
 
 
@@ -299,4 +301,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | WatchList | Log
+Action = Send | Reject | Fail | Cancel | SetTimer | Probe | WatchList | Log
--- a/yewrill/policy/jobs.py
+++ b/yewrill/policy/requests.py
@@ -16,7 +16,7 @@
 class ClassState:
     """What is learned of a class: run time, time constraint, rates."""
 
-    spec: api.JobClass
+    spec: api.RequestClass
     index: int
     mean: float = 0.0
     seen: int = 0
@@ -30,9 +30,9 @@
 
     def __post_init__(self) -> None:
         self.mean = max(
-            1.0, min(self.spec.aim, self.spec.deadline / 2) / 2
+            1.0, min(self.spec.latency_objective, self.spec.deadline / 2) / 2
         )  # until run times are seen
-        self.limit = self.spec.aim
+        self.limit = self.spec.latency_objective
         self.patience = UsualPatience(self.spec.deadline)
 
     def observe(self, run: float, expected: float, hinted: bool) -> None:
@@ -43,13 +43,18 @@
             self.hint_ratio = max(1e-6, self.hint_ratio * (1.0 + weight * (run / expected - 1.0)))
 
 
-class Job:
+class PendingRequest:
     """A job taken and not yet finally answered (or answered with attempts still out)."""
 
     def __init__(
-        self, event: api.JobArrived, cls: ClassState, now: float, run: float, rules: api.Settings
+        self,
+        event: api.RequestArrived,
+        cls: ClassState,
+        now: float,
+        run: float,
+        rules: api.Settings,
     ):
-        self.id = event.job
+        self.id = event.request_id
         self.cls = cls
         # What it began with: other settings may come while it is open.
         self.spec = cls.spec
@@ -77,7 +82,7 @@
         self.held = False
         self.done = False
         self.hinted = event.hint > 0
-        self.why = ""  # it was not sent when it was last looked at
+        self.reason = ""  # it was not sent when it was last looked at
         self.wait = 0.0  # expected at the worker that was last chosen
         # Send time of the first attempt that may have run, None: none may have. One before a restart counts,
         # and may lie before this clock's start.
@@ -90,7 +95,9 @@
         """Work out by when it is wanted, first asked for at this time."""
         spec = self.spec
         self.asked = asked
-        self.wanted = min(asked + spec.aim + spec.stretch * self.run, self.deadline)
+        self.wanted = min(
+            asked + spec.latency_objective + spec.objective_run_factor * self.run, self.deadline
+        )
         self.due = (
             self.wanted - self.run
         )  # T_k after the first asking: the latest start for the full worth
@@ -104,24 +111,26 @@
         """What a cold worker's budget is charged. A first guess of run times may be a tenth of them: until
         enough are seen, a mean as long as the class's terms let it be counts as one of them."""
         run = self.run if self.hinted else self.cls.mean
-        longest = min(LONGEST * (self.spec.aim or self.spec.deadline), self.spec.deadline / 2)
+        longest = min(
+            LONGEST * (self.spec.latency_objective or self.spec.deadline), self.spec.deadline / 2
+        )
         return self.need * (run + max(0.0, longest - run) / (1 + self.cls.seen))
 
     def spent(self, now: float) -> bool:
         """Whether it may have run, and may not run again."""
         spec = self.spec
         return self.ran_at is not None and (
-            spec.effect == api.UNSAFE
-            or (spec.effect == api.KEYED and now - self.ran_at > spec.window * 0.9)
+            spec.idempotency == api.NON_IDEMPOTENT
+            or (spec.idempotency == api.IDEMPOTENT_BY_KEY and now - self.ran_at > spec.window * 0.9)
         )
 
     def may_repeat(self, w: Worker, now: float) -> bool:
         """Whether a job that may have run may run at this worker too."""
         spec = self.spec
-        if spec.effect == api.SAFE:
+        if spec.idempotency == api.IDEMPOTENT:
             return True
         if (
-            spec.effect != api.KEYED
+            spec.idempotency != api.IDEMPOTENT_BY_KEY
             or self.ran_at is None
             or now - self.ran_at > spec.window * 0.95
         ):
@@ -130,19 +139,19 @@
             return True
         return w.zone == self.ran_zone if spec.group == "zone" else w.cell == self.ran_cell
 
-    def may_refuse(self) -> bool:
+    def may_reject(self) -> bool:
         """Whether a refusal, which tells that a retry does no harm, would be true."""
         spec = self.spec
         return not self.live and (
             self.ran_at is None
-            or spec.effect == api.SAFE
-            or (spec.effect == api.KEYED and spec.group == "all")
+            or spec.idempotency == api.IDEMPOTENT
+            or (spec.idempotency == api.IDEMPOTENT_BY_KEY and spec.group == "all")
         )
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    job: Job
+    request: PendingRequest
     number: int
     worker: Worker
     sent: float
--- a/yewrill/service/hot_restart.py
+++ b/yewrill/service/hot_restart.py
@@ -63,9 +63,9 @@
 
 
 class _Link:
-    def __init__(self, connection: Connection, elder: bool):
+    def __init__(self, connection: Connection, old_process: bool):
         self.connection = connection
-        self.elder = elder  # whether the other side is the elder
+        self.old_process = old_process  # whether the other side is the elder
         self.told = False  # an elder that has told what it knows
         self.ready = False  # an heir that serves
         self.ids: set[str] = set()  # open there
@@ -114,7 +114,7 @@
                 yield message
 
 
-class HandOver:
+class HotRestart:
     def __init__(
         self,
         path: Path,
@@ -136,8 +136,8 @@
         self._nursery: trio.Nursery
 
     @property
-    def heir_ready(self) -> bool:
-        return any(link.ready for link in self._links if not link.elder)
+    def new_process_ready(self) -> bool:
+        return any(link.ready for link in self._links if not link.old_process)
 
     def open_elsewhere(self, id: str) -> bool:
         return any(id in link.ids for link in self._links)
@@ -156,7 +156,7 @@
         """Have the run that holds the store keep a record, and wait for that a little; whether it does."""
         with trio.move_on_after(PATIENCE):
             for link in list(self._links):
-                if link.elder:
+                if link.old_process:
                     answer = await link.agree({"keep": key, "value": value})
                     return bool(answer and answer.get("kept"))
         return False
@@ -172,7 +172,7 @@
             elif (connection := await self._find()) is None:
                 self.joined.set()
             else:
-                self._nursery.start_soon(self._follow, _Link(connection, elder=True))
+                self._nursery.start_soon(self._follow, _Link(connection, old_process=True))
                 with trio.move_on_after(PATIENCE):
                     await self.joined.wait()
                 if not self.joined.is_set():
@@ -199,7 +199,7 @@
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(link.write)
-                link.tell({"hello": 1} if link.elder else {"state": self._state()})
+                link.tell({"hello": 1} if link.old_process else {"state": self._state()})
                 async for message in link.lines():
                     self._take(link, message)
                 nursery.cancel_scope.cancel()
@@ -208,12 +208,12 @@
         finally:
             link.connection.close()
             self._links.discard(link)
-        log.info("%s-gone", "elder" if link.elder else "heir")
+        log.info("%s-gone", "elder" if link.old_process else "heir")
         for awaited in link.awaited.values():
             awaited.event.set()
-        if link.elder:
+        if link.old_process:
             self.joined.set()
-        if not link.elder and not any(not other.elder for other in self._links):
+        if not link.old_process and not any(not other.old_process for other in self._links):
             self.take_name()  # it may have taken the name along
         if not self._links:
             self._alone()
@@ -264,10 +264,10 @@
         """We serve: a new run is to find this one, and the elder is to know it before anyone stops it."""
         self.take_name()
         for link in list(self._links):
-            if link.elder and link.told:
+            if link.old_process and link.told:
                 with trio.move_on_after(PATIENCE):
                     await link.agree({"ready": True})
-            elif link.elder:
+            elif link.old_process:
                 link.tell({"ready": True})  # one that has been silent is not waited for twice
 
     def take_name(self) -> None:
@@ -306,21 +306,21 @@
         while self._sock is sock:
             try:
                 await trio.lowlevel.wait_readable(sock)
-                heir, _ = sock.accept()
+                new_process, _ = sock.accept()
             except (trio.ClosedResourceError, BlockingIOError):
                 continue
             except OSError as error:
                 log.warning("no-link %s", error)
                 await trio.sleep(PATIENCE)
                 continue
-            self._nursery.start_soon(self._greet, Connection(heir))
+            self._nursery.start_soon(self._greet, Connection(new_process))
 
     async def _greet(self, connection: Connection) -> None:
         """An heir says hello first, within its time."""
         with trio.move_on_after(PATIENCE), suppress(OSError):
             if (await connection.receive()).startswith(b'{"hello"'):
                 log.info("heir-joins")
-                self._nursery.start_soon(self._follow, _Link(connection, elder=False))
+                self._nursery.start_soon(self._follow, _Link(connection, old_process=False))
                 return
         connection.close()
 
--- a/yewrill/service/management_calls.py
+++ b/yewrill/service/management_calls.py
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:
     from yewrill.service.service import Service
-    from yewrill.service.subsystems import Hook
+    from yewrill.service.subsystems import Subsystem
 
 log = logging.getLogger("yewrill")
 
@@ -28,7 +28,7 @@
 NO_SUCH_WORKER = Reply(404, b"no such profiler\n")
 
 
-class OperatorCalls:
+class ManagementCalls:
     """The calls at one service."""
 
     def __init__(self, service: Service):
@@ -36,7 +36,7 @@
 
     def by_path(self) -> dict[str, Call]:
         """Every call, by the path that it is asked under."""
-        hooks = self._service.hooks
+        subsystems = self._service.subsystems
         return {
             "/_ready": Call("GET", self._ready),
             "/_vars": Call("GET", self._metrics),
@@ -44,53 +44,58 @@
             "/_lameduck/off": Call("PUT", partial(self._lame, False, b"serving")),
             "/_profilers/detach": Call("PUT", self._detach, named=True),
             "/_profilers/attach": Call("PUT", self._attach, named=True),
-            **{f"/_{hook.name}": Call("GET", partial(self._status, hook)) for hook in hooks},
             **{
-                f"/_{hook.name}/{call}": Call("PUT", partial(self._order, hook, call), named=True)
-                for hook in hooks
-                for call in hook.calls
+                f"/_{subsystem.name}": Call("GET", partial(self._status, subsystem))
+                for subsystem in subsystems
+            },
+            **{
+                f"/_{subsystem.name}/{call}": Call(
+                    "PUT", partial(self._order, subsystem, call), named=True
+                )
+                for subsystem in subsystems
+                for call in subsystem.calls
             },
         }
 
     async def _ready(self) -> Reply:
         service = self._service
-        if service.serving and not service.draining and len(service.pool):
+        if service.serving and not service.draining and len(service.endpoints):
             return Reply(200, b"ready\n")
         return Reply(503, b"not serving\n")
 
     @staticmethod
-    async def _status(hook: Hook) -> Reply:
-        body = ujson.dumps(hook.status(), indent=1).encode() + b"\n"
+    async def _status(subsystem: Subsystem) -> Reply:
+        body = ujson.dumps(subsystem.status(), indent=1).encode() + b"\n"
         return Reply(200, body, content_type="application/json")
 
     @staticmethod
-    async def _order(hook: Hook, call: str, name: str) -> Reply:
-        if not await hook.calls[call](name):
-            return Reply(404, f"{hook.name} know of no {name}\n".encode())
-        log.info("%s-%s name=%s", hook.name, call, name)
+    async def _order(subsystem: Subsystem, call: str, name: str) -> Reply:
+        if not await subsystem.calls[call](name):
+            return Reply(404, f"{subsystem.name} know of no {name}\n".encode())
+        log.info("%s-%s name=%s", subsystem.name, call, name)
         return Reply(200, f"{call} {name}\n".encode())
 
     async def _metrics(self) -> Reply:
         service = self._service
-        for hook in service.hooks:
-            service.figures.add(hook.figures())
-        if service.traced is not None:
-            service.figures.add(service.traced.figures())
-        service.figures.add(service.decisions.violations.figures())
-        service.figures.add(self._reasons())
-        avoided = service.decisions.avoided()
-        listed = service.pool.names
-        disabled = sum(not service.pool.may_send(name) or name in avoided for name in listed)
+        for subsystem in service.subsystems:
+            service.metrics.add(subsystem.metrics())
+        if service.tracing_hooks is not None:
+            service.metrics.add(service.tracing_hooks.metrics())
+        service.metrics.add(service.engine.violations.metrics())
+        service.metrics.add(self._reasons())
+        avoided = service.engine.avoided()
+        listed = service.endpoints.names
+        disabled = sum(not service.endpoints.may_send(name) or name in avoided for name in listed)
         gauges = {
-            "concurrent": service.decisions.pending,
+            "concurrent": service.engine.pending,
             "targets": len(listed),
             "targets_disabled": disabled,
         }
-        return Reply(200, service.figures.text(gauges).encode())
+        return Reply(200, service.metrics.text(gauges).encode())
 
     def _reasons(self) -> dict[str, int]:
         """Why attempts were held back and connections closed, and how often calls of the system failed."""
-        held_back = self._service.destinations.held_back
+        held_back = self._service.worker_connections.held_back
         closes = self._service.listener.closes
         return {
             **{f"held_back.{reason.name.lower()}": held_back[reason] for reason in HeldBack},
@@ -101,26 +106,26 @@
 
     async def _detach(self, name: str) -> Reply:
         service = self._service
-        if not service.pool.take_out(name):
+        if not service.endpoints.take_out(name):
             return NO_SUCH_WORKER
-        log.info("detached destination=%s", name)
-        kept = service.keeper is None or await service.keeper.taken_out(name)
+        log.info("detached worker=%s", name)
+        kept = service.persistent_state is None or await service.persistent_state.taken_out(name)
         await service.agree({"out": name})
         return _done(b"detached", kept)
 
     async def _attach(self, name: str) -> Reply:
         service = self._service
-        if not service.pool.put_back(name):
+        if not service.endpoints.put_back(name):
             return NO_SUCH_WORKER
-        log.info("attached destination=%s", name)
-        kept = service.keeper is None or await service.keeper.put_back(name)
+        log.info("attached worker=%s", name)
+        kept = service.persistent_state is None or await service.persistent_state.put_back(name)
         await service.agree({"back": name, "at": time.time() * 1000.0})
         return _done(b"attached", kept)
 
     async def _lame(self, on: bool, told: bytes) -> Reply:
         service = self._service
-        service.set_lame(on)
-        kept = service.keeper is None or await service.keeper.lame(on)
+        service.set_operator_drain(on)
+        kept = service.persistent_state is None or await service.persistent_state.operator_drain(on)
         await service.agree({"lame": on})
         return _done(told, kept)
 
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -14,26 +14,26 @@
 import trio
 
 from yewrill.config.reading import Config, ConfigError, check_succession, differing
-from yewrill.dispatch.engine import BusyReply, Decisions, Operation, RouteStep
+from yewrill.dispatch.engine import Attempt, DecisionEngine, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served, carry
-from yewrill.dispatch.outcome import Ending
+from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.dispatch.safety import Rule
 from yewrill.frontends.platform import PlatformFront, Reader
-from yewrill.net.discovery import REMEMBERED, PoolConfig, Watch
-from yewrill.net.http import BadRequest, Reply, Request
+from yewrill.net.discovery import REMEMBERED, EndpointList, Watch
+from yewrill.net.http import BadRequest, HttpRequest, Reply
 from yewrill.net.listener import Client, Listener
-from yewrill.net.worker_connections import DestinationPool
-from yewrill.observability.logs import logging_to, of_operation
-from yewrill.observability.metrics import ERROR, OVERLOAD, SUCCESS, Figures
+from yewrill.net.worker_connections import WorkerConnectionPool
+from yewrill.observability.logs import bind_request, logging_to
+from yewrill.observability.metrics import ERROR, OVERLOAD, SUCCESS, Metrics
 from yewrill.service.early_reload import note_requests, take_request
-from yewrill.service.subsystems import Around, hooks_of
+from yewrill.service.subsystems import SubsystemContext, create_subsystems
 
 if TYPE_CHECKING:
     from yewrill.frontends.progress import ProgressFront
     from yewrill.net.management import ManagementListener
-    from yewrill.persistence import StateKeeper
-    from yewrill.service.hot_restart import HandOver
-    from yewrill.service.tracing_hooks import Traced
+    from yewrill.persistence import PersistentState
+    from yewrill.service.hot_restart import HotRestart
+    from yewrill.service.tracing_hooks import TracingHooks
 
 log = logging.getLogger("yewrill")
 
@@ -45,7 +45,7 @@
     "linger_ms",
     "grace_ms",
     "settings",
-    "places",
+    "topology",
     "stated",
     "connect_timeout_ms",
     "idle_close_ms",
@@ -72,73 +72,75 @@
         self._load = load  # reads the configuration anew
         self.serving = False  # started, and in possession of what an elder knows
         self.draining = False  # SIGTERM has come
-        self.lame = False  # drained by operators
+        self.operator_drain = False  # drained by operators
         self._emptying = trio.CancelScope()  # that drain at work
         self._lame_closing = False
         self.replaced = False  # an heir takes what comes now
         self.leaving = False  # connections close after their answer
-        self.decisions = Decisions(config.settings, config.seed)
-        self.pool = PoolConfig(self.decisions, config.places)
+        self.engine = DecisionEngine(config.settings, config.seed)
+        self.endpoints = EndpointList(self.engine, config.topology)
         self._open: set[str] = (
             set()
         )  # ids of operations under way, those of clients that have left too
         self.nursery: trio.Nursery
-        self.watch = Watch(config.discovery, self.pool, config.seed, _callers(config))
-        self.figures = Figures()
-        self.figures.know(c.name for c in config.settings.classes)
+        self.watch = Watch(config.discovery, self.endpoints, config.seed, _callers(config))
+        self.metrics = Metrics()
+        self.metrics.know(c.name for c in config.settings.classes)
         self.front = _front(config)
-        clients, destinations = _parts(config.limits.sockets)
-        self.destinations = DestinationPool(
-            self.decisions,
-            self.pool,
+        clients, worker_connections = _parts(config.limits.sockets)
+        self.worker_connections = WorkerConnectionPool(
+            self.engine,
+            self.endpoints,
             self.front,
-            most=destinations,
+            most=worker_connections,
             connect_timeout=config.connect_timeout_ms / 1000.0,
             idle_limit=config.idle_close_ms / 1000.0,
         )
-        self.destinations.on_written = self.figures.dispatched
+        self.worker_connections.on_written = self.metrics.dispatched
         self.listener = Listener(
             config.listen, self._handle, clients, inherited=config.inherited_fd
         )
         self.listener.closed_unanswered = self._closed_unanswered
-        self.keeper: StateKeeper | None = None  # what is kept over a restart
+        self.persistent_state: PersistentState | None = None  # what is kept over a restart
         if config.state is not None:
-            from yewrill.persistence import StateKeeper
-
-            self.keeper = StateKeeper(config.state, self.pool, self.figures)
-            self.figures.know_state()
-            self.destinations.record_attempt = self.keeper.record_attempt
-        around = Around(
-            self.decisions,
-            self.pool,
-            self.destinations.attempt if self.keeper is None else self._kept_attempt,
+            from yewrill.persistence import PersistentState
+
+            self.persistent_state = PersistentState(config.state, self.endpoints, self.metrics)
+            self.metrics.know_state()
+            self.worker_connections.record_attempt = self.persistent_state.record_attempt
+        context = SubsystemContext(
+            self.engine,
+            self.endpoints,
+            self.worker_connections.run_attempt
+            if self.persistent_state is None
+            else self._kept_attempt,
         )
-        self.hooks = hooks_of(config, around)
-        self._attempt = around.attempt
+        self.subsystems = create_subsystems(config, context)
+        self._attempt = context.run_attempt
         self.management: ManagementListener | None = None
         if config.mgmt is not None:
             from yewrill.net.management import ManagementListener
-            from yewrill.service.management_calls import OperatorCalls
+            from yewrill.service.management_calls import ManagementCalls
 
-            self.management = ManagementListener(config.mgmt, OperatorCalls(self).by_path())
-        self.traced: Traced | None = None  # told of every operation
+            self.management = ManagementListener(config.mgmt, ManagementCalls(self).by_path())
+        self.tracing_hooks: TracingHooks | None = None  # told of every operation
         if config.tracing is not None:
-            from yewrill.service.tracing_hooks import Traced
+            from yewrill.service.tracing_hooks import TracingHooks
 
-            self.traced = Traced(config)
-        self.handover: HandOver | None = None
+            self.tracing_hooks = TracingHooks(config)
+        self.hot_restart: HotRestart | None = None
         if config.inherited_fd is not None and config.link_dir is not None:
-            from yewrill.service.hot_restart import HandOver, link_path
+            from yewrill.service.hot_restart import HotRestart, link_path
 
-            self.handover = HandOver(
+            self.hot_restart = HotRestart(
                 link_path(config.link_dir, config.name, config.listen),
                 state=self._known_here,
                 hear=self._hear,
                 alone=self._bound,
             )
-            if self.keeper is not None:
-                self.keeper.keep_elsewhere = self.handover.keep_elsewhere
-                self.handover.keep_for_another = self.keeper.keep_for_another
+            if self.persistent_state is not None:
+                self.persistent_state.keep_elsewhere = self.hot_restart.keep_elsewhere
+                self.hot_restart.keep_for_another = self.persistent_state.keep_for_another
 
     async def run(
         self,
@@ -148,9 +150,9 @@
     ) -> None:
         """Serve until SIGTERM (or `drain`), then finish what was taken and return."""
         if self.config.known is not None:
-            self.pool.apply(dict(self.config.known), cached=True)
+            self.endpoints.apply(dict(self.config.known), cached=True)
         kept = await self._open_state()
-        self.decisions.tick()
+        self.engine.tick()
         async with trio.open_nursery() as listening:
             await self._serve(kept, listening if signals else None, task_status)
             for _ in range(
@@ -168,19 +170,21 @@
         """`listening`: where signals are listened to, until everything else is closed too."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
-            if self.keeper is not None:
+            if self.persistent_state is not None:
                 await self._begin_keeping(kept)
-            if self.traced is not None:
-                if self.keeper is not None and self.keeper.held:
-                    await trio.to_thread.run_sync(self.traced.spool_in, self.keeper)
-                nursery.start_soon(_keep, self.traced.exporter.run)
-            nursery.start_soon(_keep, self.decisions.run, self.destinations.probe)
-            nursery.start_soon(_keep, self.destinations.keep_tidy)
+            if self.tracing_hooks is not None:
+                if self.persistent_state is not None and self.persistent_state.held:
+                    await trio.to_thread.run_sync(
+                        self.tracing_hooks.spool_in, self.persistent_state
+                    )
+                nursery.start_soon(_keep, self.tracing_hooks.exporter.run)
+            nursery.start_soon(_keep, self.engine.run, self.worker_connections.probe)
+            nursery.start_soon(_keep, self.worker_connections.keep_tidy)
             if self.management is not None:
                 nursery.start_soon(self.management.run)
                 log.info("door listen=%s:%d", *self.management.address)
-            for hook in self.hooks:
-                nursery.start_soon(_keep, hook.run)
+            for subsystem in self.subsystems:
+                nursery.start_soon(_keep, subsystem.run)
             if listening is not None:
                 await listening.start(self._on_signal, nursery)
             await self._join()
@@ -190,9 +194,9 @@
                 self.config.name,
                 *self.listener.address,
                 self.config.front,
-                len(self.pool),
+                len(self.endpoints),
             )
-            if self.handover is None:
+            if self.hot_restart is None:
                 # After that line, so that the log tells of the start first and of a silent discovery second.
                 nursery.start_soon(_keep, self.watch.run)
             task_status.started(self)
@@ -204,13 +208,13 @@
             await self.listener.run()
             log.info("drained")
             nursery.cancel_scope.cancel()
-        self.destinations.close()
-        if self.traced is not None:
-            await self.traced.exporter.flush()
-        if self.keeper is not None:
-            await trio.to_thread.run_sync(self.keeper.close_store)
-        if self.handover is not None:
-            self.handover.close()
+        self.worker_connections.close()
+        if self.tracing_hooks is not None:
+            await self.tracing_hooks.exporter.flush()
+        if self.persistent_state is not None:
+            await trio.to_thread.run_sync(self.persistent_state.close_store)
+        if self.hot_restart is not None:
+            self.hot_restart.close()
         if self.management is not None:
             self.management.close()
 
@@ -247,24 +251,28 @@
             Exception
         ) as error:  # whatever is wrong with the file, the one that served so far goes on
             log.error("reload-refused %s", error if isinstance(error, ConfigError) else repr(error))
-            self.figures.reloaded(False)
+            self.metrics.reloaded(False)
             return
         self.config = taken = replace(
             self.config, **{key: getattr(config, key) for key in RELOADED}
         )
         # In one moment: what is read from here on has the new positions, here and in the module.
-        self.front.reader.retune(taken.settings, taken.answer_margin_ms)
-        self.decisions.retune(taken.settings)
-        self.figures.know(c.name for c in taken.settings.classes)
-        self.pool.places = taken.places
+        self.front.reader.reconfigure(taken.settings, taken.answer_margin_ms)
+        self.engine.reconfigure(taken.settings)
+        self.metrics.know(c.name for c in taken.settings.classes)
+        self.endpoints.topology = taken.topology
         self.watch.callers = _callers(taken)
-        self.destinations.retune(taken.connect_timeout_ms / 1000.0, taken.idle_close_ms / 1000.0)
+        self.worker_connections.reconfigure(
+            taken.connect_timeout_ms / 1000.0, taken.idle_close_ms / 1000.0
+        )
         self.watch.move(taken.discovery)
-        self.figures.reloaded(True)
-        if self.traced is not None:
-            self.traced.tracer.event("reloaded")
+        self.metrics.reloaded(True)
+        if self.tracing_hooks is not None:
+            self.tracing_hooks.tracer.event("reloaded")
             if config.tracing is not None:
-                self.config = taken = replace(taken, tracing=self.traced.retune(config.tracing))
+                self.config = taken = replace(
+                    taken, tracing=self.tracing_hooks.reconfigure(config.tracing)
+                )
         log.info(
             "reloaded discovery=%s:%d classes=%s",
             *taken.discovery,
@@ -287,18 +295,18 @@
         self.leaving = True
         self.listener.close()
         await trio.sleep_until(began + (grace - LAST_ANSWER) / 1000.0)
-        if self.decisions.pending:
-            log.warning("last-call open=%d", self.decisions.pending)
-            self.decisions.give_up()
+        if self.engine.pending:
+            log.warning("last-call open=%d", self.engine.pending)
+            self.engine.give_up()
         self.listener.cut()
 
     async def _take_last_requests(self, began: float) -> None:
         """Requests of the backlog and on open connections, for as long as there is time to serve them."""
-        if self.traced is not None:
-            self.traced.tracer.event("draining")
+        if self.tracing_hooks is not None:
+            self.tracing_hooks.tracer.event("draining")
         config = self.config
         last_request = began + max(config.linger_ms, config.grace_ms - LAST_REQUEST) / 1000.0
-        if self.handover is not None and self.handover.heir_ready:
+        if self.hot_restart is not None and self.hot_restart.new_process_ready:
             # What comes from now on is the heir's; what was accepted is ours, and goes with its answer.
             self.replaced = self.leaving = True
             self.listener.stop_accepting()
@@ -312,27 +320,27 @@
 
     async def _join(self) -> None:
         """Before serving on a socket that another run may serve too: learn what that one knows."""
-        if self.handover is None:
+        if self.hot_restart is None:
             return
-        self.nursery.start_soon(_keep, self.handover.run)
+        self.nursery.start_soon(_keep, self.hot_restart.run)
         self.nursery.start_soon(_keep, self.watch.run)
-        await self.handover.joined.wait()
+        await self.hot_restart.joined.wait()
         with trio.move_on_after(FIRST_LIST):
             await self.watch.heard.wait()
-        await self.handover.ready()
+        await self.hot_restart.ready()
 
     def _known_here(self) -> dict[str, Any]:
         """What an heir needs to know. It gets a part of the descriptors too."""
         whole = self.config.limits.sockets
-        used = SPARE + len(self.listener.clients) + self.destinations.open
+        used = SPARE + len(self.listener.clients) + self.worker_connections.open
         mine = max(LEAST_SOCKETS, min(max(whole // 2, used), whole - LEAST_SOCKETS))
         self._bound(mine)
         return {
             "ids": list(self._open),
-            "lame": self.lame,
-            "out": self.pool.out,
-            "back": self._wall_times(self.pool.back),
-            "list": self.pool.snapshot(),
+            "lame": self.operator_drain,
+            "out": self.endpoints.out,
+            "back": self._wall_times(self.endpoints.back),
+            "list": self.endpoints.snapshot(),
             "sockets": whole - mine,
         }
 
@@ -343,11 +351,11 @@
             self._bound(max(LEAST_SOCKETS, int(state["sockets"])))
             self._take_known({**state, "back": self._ages(state["back"])})
         elif "lame" in message:
-            self.set_lame(bool(message["lame"]))
+            self.set_operator_drain(bool(message["lame"]))
         elif "out" in message:
-            self.pool.take_out(message["out"], listed=False)
+            self.endpoints.take_out(message["out"], listed=False)
         elif "back" in message:
-            self.pool.put_back(message["back"])
+            self.endpoints.put_back(message["back"])
 
     @staticmethod
     def _wall_times(ages: dict[str, float]) -> dict[str, float]:
@@ -365,31 +373,31 @@
 
     def _take_known(self, state: dict[str, Any]) -> None:
         """What another run knew: the operators' word, and a list."""
-        self.set_lame(bool(state["lame"]))
+        self.set_operator_drain(bool(state["lame"]))
         for name in state["out"]:
-            self.pool.take_out(name, listed=False)
+            self.endpoints.take_out(name, listed=False)
         if state["list"] and not self.watch.heard.is_set():
-            self.pool.apply(state["list"], cached=True)
+            self.endpoints.apply(state["list"], cached=True)
         for name, ago in state["back"].items():
-            self.pool.take_out(name, listed=False)
-            self.pool.put_back(name, ago)
+            self.endpoints.take_out(name, listed=False)
+            self.endpoints.put_back(name, ago)
 
     # -- what outlasts this run
 
     async def _open_state(self) -> dict[str, Any] | None:
         """What the last run has left, before anything goes out. None if another run still has the store."""
-        if self.keeper is None:
+        if self.persistent_state is None:
             return None
         from yewrill.store import StoreHeld
 
         try:
-            await trio.to_thread.run_sync(self.keeper.open_store)
+            await trio.to_thread.run_sync(self.persistent_state.open_store)
         except StoreHeld as error:
-            if self.handover is None:
+            if self.hot_restart is None:
                 raise OSError(f"state_dir: {error}") from None
             log.info("state-waits %s", error)
             return None
-        return await trio.to_thread.run_sync(self.keeper.restore)
+        return await trio.to_thread.run_sync(self.persistent_state.restore)
 
     async def _begin_keeping(self, kept: dict[str, Any] | None) -> None:
         if kept is None:
@@ -397,41 +405,41 @@
         else:
             try:
                 if kept["list"]:
-                    self.pool.apply(kept["list"], cached=True)
+                    self.endpoints.apply(kept["list"], cached=True)
             except ConfigError as error:  # of another version's form, say
                 log.error("state-unreadable list: %s", error)
             self._take_known({**kept, "list": None})
-        self.pool.on_applied = self.keeper.list_changed
-        if len(self.pool) and not (kept and kept["list"]):
-            self.keeper.list_changed()  # the configuration's own
-        self.nursery.start_soon(_keep, self.keeper.run)
+        self.endpoints.on_applied = self.persistent_state.list_changed
+        if len(self.endpoints) and not (kept and kept["list"]):
+            self.persistent_state.list_changed()  # the configuration's own
+        self.nursery.start_soon(_keep, self.persistent_state.run)
 
     async def _take_over_state(self) -> None:
         """The elder has the store, and has told all that operators said; of attempts it has not."""
-        await self.keeper.wait_for_store()
-        await trio.to_thread.run_sync(self.keeper.recall_attempts)
-        await self.keeper.write_all(self.lame)
+        await self.persistent_state.wait_for_store()
+        await trio.to_thread.run_sync(self.persistent_state.recall_attempts)
+        await self.persistent_state.write_all(self.operator_drain)
         log.info("state-taken-over")
         await trio.sleep_forever()
 
     def _bound(self, sockets: int | None = None) -> None:
         """Keep to a part of the descriptors, or to all of them when no other run is left."""
-        clients, destinations = _parts(self.config.limits.sockets if sockets is None else sockets)
+        clients, worker_connections = _parts(
+            self.config.limits.sockets if sockets is None else sockets
+        )
         self.listener.limit(clients)
-        self.destinations.limit(destinations)
+        self.worker_connections.limit(worker_connections)
 
     # -- drained by operators
 
     def _closed_unanswered(self, client: Client) -> None:
-        operation = client.operation.id if client.operation is not None else ""
-        self.decisions.violations.note(
-            Rule.CLOSED_UNANSWERED, operation=operation, connection=id(client)
-        )
+        request = client.request.id if client.request is not None else ""
+        self.engine.violations.note(Rule.CLOSED_UNANSWERED, request=request, connection=id(client))
 
-    def set_lame(self, on: bool) -> None:
+    def set_operator_drain(self, on: bool) -> None:
         """Drain as operators ask, or end that."""
-        if on != self.lame:
-            self.lame = on
+        if on != self.operator_drain:
+            self.operator_drain = on
             log.info("lameduck-%s clients=%d", "on" if on else "off", len(self.listener.clients))
             self._emptying.cancel()
             self._lame_closing = False
@@ -452,92 +460,92 @@
 
     async def agree(self, message: dict[str, Any]) -> None:
         """What operators set holds for the dispatcher, so for both of its runs."""
-        if self.handover is not None:
-            await self.handover.agree(message)
+        if self.hot_restart is not None:
+            await self.hot_restart.agree(message)
 
     # -- one exchange
 
-    async def _handle(self, client: Client, request: Request) -> bool:
+    async def _handle(self, client: Client, http_request: HttpRequest) -> bool:
         """Answer one request. Whether the connection may carry another."""
-        path = request.target.partition("?")[0]
+        path = http_request.target.partition("?")[0]
         if path == READY_PATH:
-            if request.method != "GET":
+            if http_request.method != "GET":
                 raise BadRequest(405, "GET only", (("Allow", "GET"),))
             reply = self._up()
         else:
             if self.draining and not self.replaced and not self.front.takes_while_draining:
                 raise BadRequest(503, "draining")
-            now = self.decisions.now() - (trio.current_time() - request.arrived) * 1000.0
-            operation = self.front.reader.operation(request, now)
-            if operation.id in self._open or (
-                self.handover is not None and self.handover.open_elsewhere(operation.id)
+            now = self.engine.now() - (trio.current_time() - http_request.arrived) * 1000.0
+            request = self.front.reader.read_request(http_request, now)
+            if request.id in self._open or (
+                self.hot_restart is not None and self.hot_restart.open_elsewhere(request.id)
             ):
                 # Still at a client or out at a destination: two of one id can't be told apart there.
                 raise BadRequest(409, "X-Request-ID is in use")
-            if (turned_back := self.front.turned_back(request)) is not None:
+            if (turned_back := self.front.turned_back(http_request)) is not None:
                 await client.send(client.http.whole(turned_back, close=True))
                 return False
-            self._take_id(operation.id)
-            if self.keeper is not None or self.traced is not None:
-                self._introduce(operation, request, now)
-            self.decisions.take(operation)
-            job_class = self.config.settings.classes[operation.job_class].name
-            client.operation, client.on_left, client.proven = operation, self.decisions.left, True
-            operation.has_left = client.has_left
+            self._take_id(request.id)
+            if self.persistent_state is not None or self.tracing_hooks is not None:
+                self._introduce(request, http_request, now)
+            self.engine.take(request)
+            request_class = self.config.settings.classes[request.request_class].name
+            client.request, client.on_left, client.proven = request, self.engine.left, True
+            request.has_left = client.has_left
             try:
                 async with client.watched(self.nursery):
-                    if operation.trace is not None:
-                        of_operation(operation.id, operation.trace.context.trace)
+                    if request.trace is not None:
+                        bind_request(request.id, request.trace.context.trace)
                     return await self.front.respond(
                         client,
-                        operation,
-                        lambda: self._carry(operation, job_class),
+                        request,
+                        lambda: self._carry(request, request_class),
                         lambda: self._closing(client),
                     )
             finally:
-                client.operation = None
+                client.request = None
                 if (
-                    not operation.closed
+                    not request.closed
                 ):  # whatever befell this exchange, the module is not left with it
-                    self.decisions.left(operation)
-                self._free_id(operation.id)
-                if self.keeper is not None:
-                    self.keeper.closed(operation)
-                if self.traced is not None:
-                    self.traced.over(operation)
+                    self.engine.left(request)
+                self._free_id(request.id)
+                if self.persistent_state is not None:
+                    self.persistent_state.closed(request)
+                if self.tracing_hooks is not None:
+                    self.tracing_hooks.over(request)
         close = self._closing(client)
         return await client.send(client.http.whole(reply, close)) and not close
 
-    async def _carry(self, operation: Operation, job_class: str) -> Answer | None:
+    async def _carry(self, request: Request, request_class: str) -> Answer | None:
         """Carry an operation, and count its final answer."""
-        answer = await carry(operation, self.decisions, self._attempt)
+        answer = await carry(request, self.engine, self._attempt)
         if answer is not None:
-            if self.traced is not None:
-                self.traced.answered(operation, answer)
-            self.figures.answered(
-                job_class,
+            if self.tracing_hooks is not None:
+                self.tracing_hooks.answered(request, answer)
+            self.metrics.answered(
+                request_class,
                 SUCCESS
                 if isinstance(answer, Served)
                 else OVERLOAD
-                if isinstance(answer, BusyReply)
+                if isinstance(answer, Rejection)
                 else ERROR,
             )
         return answer
 
-    def _introduce(self, operation: Operation, request: Request, now: float) -> None:
+    def _introduce(self, request: Request, http_request: HttpRequest, now: float) -> None:
         """Tell those beside the core of an operation, by the settings that it is read with."""
         settings = self.config.settings
-        spec = settings.classes[operation.job_class]
-        tenant = settings.tenants[operation.tenant].name if settings.tenants else ""
-        if self.keeper is not None:
-            self.keeper.take(operation, spec, tenant)
-        if self.traced is not None:
-            self.traced.begin(operation, request, spec, tenant, now)
-
-    async def _kept_attempt(self, step: RouteStep) -> tuple[Ending, Any]:
-        ending, result = await self.destinations.attempt(step)
-        self.keeper.ended(step, ending)
-        return ending, result
+        spec = settings.classes[request.request_class]
+        tenant = settings.tenants[request.tenant].name if settings.tenants else ""
+        if self.persistent_state is not None:
+            self.persistent_state.take(request, spec, tenant)
+        if self.tracing_hooks is not None:
+            self.tracing_hooks.begin(request, http_request, spec, tenant, now)
+
+    async def _kept_attempt(self, attempt: Attempt) -> tuple[AttemptOutcome, Any]:
+        outcome, result = await self.worker_connections.run_attempt(attempt)
+        self.persistent_state.ended(attempt, outcome)
+        return outcome, result
 
     def _closing(self, client: Client) -> bool:
         """Whether a connection closes after the answer that goes out now."""
@@ -545,22 +553,22 @@
 
     def _take_id(self, id: str) -> None:
         self._open.add(id)
-        if self.handover is not None:
-            self.handover.tell({"open": id})
+        if self.hot_restart is not None:
+            self.hot_restart.tell({"open": id})
 
     def _free_id(self, id: str) -> None:
         self._open.discard(id)
-        if self.handover is not None:
-            self.handover.tell({"shut": id})
+        if self.hot_restart is not None:
+            self.hot_restart.tell({"shut": id})
 
     def _up(self) -> Reply:
         if (
             self.draining and not self.replaced
         ):  # with an heir, the dispatcher is up, whoever is asked
             return Reply(503, b"draining\n")
-        if self.lame:
+        if self.operator_drain:
             return Reply(503, b"drained by operators\n")
-        if not len(self.pool):
+        if not len(self.endpoints):
             return Reply(503, b"no pool config yet\n")
         return Reply(200, b"up\n")
 
--- a/yewrill/service/subsystems.py
+++ b/yewrill/service/subsystems.py
@@ -15,35 +15,35 @@
 
 if TYPE_CHECKING:
     from yewrill.config.reading import Config
-    from yewrill.dispatch.engine import Decisions
-    from yewrill.dispatch.lifecycle import Attempt
-    from yewrill.net.discovery import PoolConfig
+    from yewrill.dispatch.engine import DecisionEngine
+    from yewrill.dispatch.lifecycle import AttemptRunner
+    from yewrill.net.discovery import EndpointList
 
 
 @dataclass
-class Around:
+class SubsystemContext:
     """What a hook may use. `attempt` carries a route step, and may be wrapped."""
 
-    decisions: Decisions
-    pool: PoolConfig
-    attempt: Attempt
-    hooks: dict[str, Hook] = field(default_factory=dict)  # those made before, by name
+    engine: DecisionEngine
+    endpoints: EndpointList
+    run_attempt: AttemptRunner
+    subsystems: dict[str, Subsystem] = field(default_factory=dict)  # those made before, by name
 
 
-class Hook(Protocol):
+class Subsystem(Protocol):
     name: str  # the management listener answers GET /_NAME with its status
     calls: Mapping[
         str, Callable[[str], Awaitable[bool]]
     ]  # PUT /_NAME/CALL?name=..., False: no such name
 
-    def attach(self, around: Around) -> None: ...
+    def attach(self, context: SubsystemContext) -> None: ...
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Run until cancelled; whatever is to be said at the end is said then."""
 
     def status(self) -> Mapping[str, Any]: ...
 
-    def figures(self) -> Mapping[str, int]: ...
+    def metrics(self) -> Mapping[str, int]: ...
 
 
 # Key of the configuration: package, class. In this order, so that each finds what it builds on.
@@ -55,11 +55,11 @@
 }
 
 
-def hooks_of(config: Config, around: Around) -> list[Hook]:
+def create_subsystems(config: Config, context: SubsystemContext) -> list[Subsystem]:
     """The hooks of what the configuration names."""
     for key, (package, name) in _HOOKS.items():
         if getattr(config, key) is not None:
-            hook = getattr(importlib.import_module(package), name)(getattr(config, key))
-            hook.attach(around)
-            around.hooks[key] = hook
-    return list(around.hooks.values())
+            subsystem = getattr(importlib.import_module(package), name)(getattr(config, key))
+            subsystem.attach(context)
+            context.subsystems[key] = subsystem
+    return list(context.subsystems.values())
--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -15,10 +15,10 @@
 
 from yewrill import __version__
 from yewrill.config.reading import Config, TracingConfig
-from yewrill.dispatch.engine import BusyReply, Operation
+from yewrill.dispatch.engine import Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served
-from yewrill.net.http import Request
-from yewrill.policy.interface import JobClass
+from yewrill.net.http import HttpRequest
+from yewrill.policy.interface import RequestClass
 from yewrill.tracing.export import Exporter, StoreSpool, Target
 from yewrill.tracing.tracer import Bounds, Tracer
 
@@ -37,7 +37,7 @@
     async def drop(self, key: bytes) -> bool: ...
 
 
-class Traced:
+class TracingHooks:
     """One tracer and its exporter."""
 
     def __init__(self, config: Config):
@@ -78,52 +78,57 @@
             )
             self.tracer.on_kept()
 
-    def retune(self, config: TracingConfig) -> TracingConfig:
+    def reconfigure(self, config: TracingConfig) -> TracingConfig:
         """Take up the share and the bounds; the rest waits for a restart. What holds from now on."""
-        self.tracer.retune(_bounds(config))
+        self.tracer.reconfigure(_bounds(config))
         self._config = replace(
             self._config, share=config.share, queue=config.queue, honoured=config.honoured
         )
         return self._config
 
     def begin(
-        self, operation: Operation, request: Request, spec: JobClass, tenant: str, now: float
+        self,
+        request: Request,
+        http_request: HttpRequest,
+        spec: RequestClass,
+        tenant: str,
+        now: float,
     ) -> None:
         """`now`: the module's clock, in ms."""
-        parents = request.each(b"traceparent")
-        operation.trace = self.tracer.begin(
-            operation.id,
+        parents = http_request.each(b"traceparent")
+        request.trace = self.tracer.begin(
+            request.id,
             spec.name,
             tenant,
-            aim=spec.aim,
-            stretch=spec.stretch,
-            deadline=operation.deadline - now,
+            latency_objective=spec.latency_objective,
+            objective_run_factor=spec.objective_run_factor,
+            deadline=request.deadline - now,
             parent=parents[0] if len(parents) == 1 else None,
-            state=",".join(request.each(b"tracestate")),
-            first_byte=request.arrived,
+            state=",".join(http_request.each(b"tracestate")),
+            first_byte=http_request.arrived,
         )
-        if operation.ran_ago >= 0:
-            operation.trace.event(
-                trio.current_time(), "repeat-of-earlier-run", f"{operation.ran_ago:.0f} ms ago"
+        if request.ran_ago >= 0:
+            request.trace.event(
+                trio.current_time(), "repeat-of-earlier-run", f"{request.ran_ago:.0f} ms ago"
             )
 
-    def answered(self, operation: Operation, answer: Answer) -> None:
-        if operation.trace is not None:
+    def answered(self, request: Request, answer: Answer) -> None:
+        if request.trace is not None:
             at = trio.current_time()
             if isinstance(answer, Served):
-                operation.trace.decide(at, "served")
-            elif isinstance(answer, BusyReply):
-                operation.trace.decide(at, "refused", answer.why, answer.retry_after)
+                request.trace.decide(at, "served")
+            elif isinstance(answer, Rejection):
+                request.trace.decide(at, "refused", answer.reason, answer.retry_after)
             else:
-                operation.trace.decide(at, "failed", answer.why or answer.text)
+                request.trace.decide(at, "failed", answer.reason or answer.text)
 
-    def over(self, operation: Operation) -> None:
+    def over(self, request: Request) -> None:
         """Nothing of it is out any more."""
-        if operation.trace is not None:
-            self.tracer.finish(operation.trace)
+        if request.trace is not None:
+            self.tracer.finish(request.trace)
 
-    def figures(self) -> Mapping[str, int]:
-        return self.exporter.figures()
+    def metrics(self) -> Mapping[str, int]:
+        return self.exporter.metrics()
 
 
 def _bounds(config: TracingConfig) -> Bounds:
--- a/yewrill/simulator/codec.py
+++ b/yewrill/simulator/codec.py
@@ -31,7 +31,11 @@
     "cached": api.LIST_CACHED,
     "failed": api.LIST_FAILED,
 }
-_EFFECT = {"pure": api.SAFE, "token": api.KEYED, "side_effect": api.UNSAFE}
+_EFFECT = {
+    "pure": api.IDEMPOTENT,
+    "token": api.IDEMPOTENT_BY_KEY,
+    "side_effect": api.NON_IDEMPOTENT,
+}
 
 
 def _word(words: Mapping[str, str], value: Any, what: str) -> str:
@@ -57,16 +61,16 @@
     classes = []
     for i, c in enumerate(config.get("request_classes", ())):
         classes.append(
-            api.JobClass(
+            api.RequestClass(
                 name=c.get("name", str(i)),
-                aim=c.get("aim", c.get("deadline", 0.0)),
+                latency_objective=c.get("aim", c.get("deadline", 0.0)),
                 deadline=c.get("deadline", 0.0),
-                worth=c.get("value", 1.0),
-                late_worth=c.get("late_value", 0.0),
-                effect=_word(_EFFECT, c.get("repeat", "pure"), "repeat class"),
+                priority_weight=c.get("value", 1.0),
+                late_weight_fraction=c.get("late_value", 0.0),
+                idempotency=_word(_EFFECT, c.get("repeat", "pure"), "repeat class"),
                 group=c.get("group", "all"),
                 window=c.get("window", 0.0),
-                stretch=c.get("aim_stretch", _at(facts.get("class_stretch"), i, 0.0)),
+                objective_run_factor=c.get("aim_stretch", _at(facts.get("class_stretch"), i, 0.0)),
                 kind=_at(facts.get("class_kind"), i, -1),
             )
         )
@@ -85,8 +89,8 @@
         zone=config.get("zone", 0),
         dispatchers=max(1, config.get("instances", 1)),
         index=config.get("index", -1),
-        worth_by_work=config.get("counted_by", "request") == "work",
-        over_share_worth=config.get("over_share_worth", 1.0),
+        weight_by_work=config.get("counted_by", "request") == "work",
+        over_quota_weight=config.get("over_share_worth", 1.0),
         list_on_request=config.get("registry_mode", "push") == "ask",
         tells_start=bool(facts.get("tells_start", False)),
         progress_every=facts.get("progress", 0.0),
@@ -111,7 +115,7 @@
 
 def _inbound(m: dict[str, Any]) -> api.Event:
     get = m.get
-    return api.JobArrived(
+    return api.RequestArrived(
         m["ticket"],
         m["tier_class"],
         m["client_deadline"],
@@ -189,21 +193,21 @@
     api.Send: lambda i, a: {
         "what": "Assign",
         "dispatcher_id": i,
-        "ticket": a.job,
+        "ticket": a.request_id,
         "worker": a.worker,
         "patience": a.timeout,
     },
-    api.Refuse: lambda i, a: {
+    api.Reject: lambda i, a: {
         "what": "TurnAway",
         "dispatcher_id": i,
-        "ticket": a.job,
+        "ticket": a.request_id,
         "backoff": a.retry_after,
     },
-    api.Fail: lambda i, a: {"what": "DropRequest", "dispatcher_id": i, "ticket": a.job},
+    api.Fail: lambda i, a: {"what": "DropRequest", "dispatcher_id": i, "ticket": a.request_id},
     api.Cancel: lambda i, a: {
         "what": "Cancel",
         "dispatcher_id": i,
-        "ticket": a.job,
+        "ticket": a.request_id,
         "attempt": a.attempt,
     },
     api.SetTimer: lambda i, a: {
--- a/yewrill/tracing/commands.py
+++ b/yewrill/tracing/commands.py
@@ -27,9 +27,11 @@
 
 def _filters(command: Callable) -> Callable:
     for option in (
-        click.option("--class", "job_class", default="", help="Only this class."),
+        click.option("--class", "request_class", default="", help="Only this class."),
         click.option("--tenant", default="", help="Only this tenant."),
-        click.option("--destination", default="", help="Only jobs with an attempt there."),
+        click.option(
+            "--destination", "worker", default="", help="Only jobs with an attempt there."
+        ),
         click.option(
             "--cause", default="", help="late, refused, failed, retried, left, sampled or asked."
         ),
--- a/yewrill/tracing/export.py
+++ b/yewrill/tracing/export.py
@@ -343,7 +343,7 @@
         if self._files is not None:
             self._files.close()
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Counts by name, for the management listener."""
         found = {
             f"trace_{name}": count for name, count in (self._tracer.counts | self.counts).items()
--- a/yewrill/tracing/reading.py
+++ b/yewrill/tracing/reading.py
@@ -35,20 +35,18 @@
 class Filter:
     """What is wanted; "" and 0 stand for all. Times in nanoseconds."""
 
-    job_class: str = ""
+    request_class: str = ""
     tenant: str = ""
-    destination: str = ""
+    worker: str = ""
     cause: str = ""
     since: int = 0
     until: int = 0
 
     def passes(self, record: Record) -> bool:
         return (
-            (not self.job_class or record["class"] == self.job_class)
+            (not self.request_class or record["class"] == self.request_class)
             and (not self.tenant or record["tenant"] == self.tenant)
-            and (
-                not self.destination or any(a["to"] == self.destination for a in record["attempts"])
-            )
+            and (not self.worker or any(a["to"] == self.worker for a in record["attempts"]))
             and (not self.cause or self.cause in record["kept"])
             and record["end"] >= self.since
             and (not self.until or record["start"] <= self.until)
--- a/yewrill/tracing/record.py
+++ b/yewrill/tracing/record.py
@@ -26,7 +26,7 @@
     __slots__ = (
         "span",
         "number",
-        "destination",
+        "worker",
         "among",
         "held",
         "chosen",
@@ -37,39 +37,37 @@
         "progressed",
         "share",
         "end",
-        "ending",
+        "outcome",
         "headers",
     )
 
-    def __init__(
-        self, span: str, number: int, destination: str, among: int, held: str, chosen: float
-    ):
+    def __init__(self, span: str, number: int, worker: str, among: int, held: str, chosen: float):
         self.span = span
         self.number = number
-        self.destination = destination
+        self.worker = worker
         self.among = among  # candidates that it was chosen from
         self.held = held  # why no earlier moment would do
         self.chosen = chosen
         self.begin = self.connected = self.written = self.started = self.progressed = self.end = 0.0
         self.share = 0.0
-        self.ending = ""
+        self.outcome = ""
         self.headers: list[tuple[str, str]] = []  # to go with the request
 
     def note_progress(self, at: float, share: float) -> None:
         self.progressed, self.share = at, share
 
 
-class OperationTrace:
+class RequestTrace:
     """An operation under way."""
 
     __slots__ = (
         "context",
         "span",
         "id",
-        "job_class",
+        "request_class",
         "tenant",
-        "aim",
-        "stretch",
+        "latency_objective",
+        "objective_run_factor",
         "deadline",
         "start",
         "taken",
@@ -88,10 +86,10 @@
         context: Context,
         span: str,
         id: str,
-        job_class: str,
+        request_class: str,
         tenant: str,
-        aim: float,
-        stretch: float,
+        latency_objective: float,
+        objective_run_factor: float,
         deadline: float,
         start: float,
         taken: float,
@@ -99,10 +97,10 @@
         self._tracer = tracer
         self.context = context
         self.span = span
-        self.id, self.job_class, self.tenant = id, job_class, tenant
-        self.aim, self.stretch, self.deadline = (
-            aim,
-            stretch,
+        self.id, self.request_class, self.tenant = id, request_class, tenant
+        self.latency_objective, self.objective_run_factor, self.deadline = (
+            latency_objective,
+            objective_run_factor,
             deadline,
         )  # ms, none, ms from the start
         self.start, self.taken = start, taken
@@ -112,10 +110,8 @@
         self.attempts: list[AttemptTrace] = []
         self.events: list[tuple[float, str, str]] = []
 
-    def chosen(
-        self, number: int, destination: str, among: int, held: str, at: float
-    ) -> AttemptTrace:
-        attempt = AttemptTrace(self._tracer.new_span(), number, destination, among, held, at)
+    def chosen(self, number: int, worker: str, among: int, held: str, at: float) -> AttemptTrace:
+        attempt = AttemptTrace(self._tracer.new_span(), number, worker, among, held, at)
         attempt.headers = self._tracer.headers(self.context, attempt.span)
         self.attempts.append(attempt)
         return attempt
@@ -139,7 +135,7 @@
         for attempt in self.attempts:
             then = (
                 "served"
-                if attempt.ending == "served"
+                if attempt.outcome == "served"
                 else "tried again"
                 if attempt is not self.attempts[-1]
                 else self.answer or "left"
@@ -148,7 +144,7 @@
                 {
                     "span": attempt.span,
                     "number": attempt.number,
-                    "to": _cut(attempt.destination),
+                    "to": _cut(attempt.worker),
                     "among": attempt.among,
                     "held": attempt.held,
                     "chosen": ns(attempt.chosen),
@@ -159,7 +155,7 @@
                     "progressed": ns(attempt.progressed),
                     "share": attempt.share,
                     "end": ns(attempt.end or end),
-                    "ending": attempt.ending or "unknown",
+                    "ending": attempt.outcome or "unknown",
                     "then": then,
                 }
             )
@@ -169,15 +165,15 @@
             "span": self.span,
             "parent": self.context.parent,
             "id": _cut(self.id),
-            "class": _cut(self.job_class),
+            "class": _cut(self.request_class),
             "tenant": _cut(self.tenant),
             "start": ns(self.start),
             "taken": ns(self.taken),
             "decided": ns(self.decided),
             "end": ns(end),
             "deadline_ms": self.deadline,
-            "aim_ms": self.aim,
-            "stretch": self.stretch,
+            "aim_ms": self.latency_objective,
+            "stretch": self.objective_run_factor,
             "answer": self.answer or "left",
             "why": self.why,
             "retry_after_ms": self.retry_after,
--- a/yewrill/tracing/report.py
+++ b/yewrill/tracing/report.py
@@ -44,14 +44,14 @@
 
     def take(self, record: reading.Record) -> None:
         self.count += 1
-        job_class, bad = record["class"], [c for c in record["kept"] if c in sampling.BAD]
-        self.causes[job_class].update(bad or ["ordinary"])
+        request_class, bad = record["class"], [c for c in record["kept"] if c in sampling.BAD]
+        self.causes[request_class].update(bad or ["ordinary"])
         if record["why"]:
             self.grounds[record["answer"], record["why"]] += 1
         self.endings.update(
             (a["to"], a["ending"]) for a in record["attempts"] if a["ending"] != "served"
         )
-        values = self.values[job_class]
+        values = self.values[request_class]
         for part, spent in record["parts"].items():
             if len(values[part]) >= MOST_VALUES:
                 del values[part][::2]
--- a/yewrill/tracing/sampling.py
+++ b/yewrill/tracing/sampling.py
@@ -47,10 +47,14 @@
     return found
 
 
-def late(answered: float, run: float | None, aim: float, stretch: float) -> bool:
+def late(
+    answered: float, run: float | None, latency_objective: float, objective_run_factor: float
+) -> bool:
     """Whether an answer came after the wanted time: `answered` and `run`, its own running time, in ms.
     Where nobody told how long it ran, only what is late whatever it ran counts."""
-    return answered > aim + stretch * (run if run is not None else answered)
+    return answered > latency_objective + objective_run_factor * (
+        run if run is not None else answered
+    )
 
 
 @dataclass(slots=True)
--- a/yewrill/tracing/tracer.py
+++ b/yewrill/tracing/tracer.py
@@ -9,7 +9,7 @@
 
 from yewrill.tracing import breakdown, context, sampling
 from yewrill.tracing.context import Context
-from yewrill.tracing.record import AttemptTrace, OperationTrace
+from yewrill.tracing.record import AttemptTrace, RequestTrace
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,13 +37,13 @@
             wall() - clock()
         )  # once: a wall clock that is being set must bend no duration
         self._rng = rng
-        self._open: set[OperationTrace] = set()
+        self._open: set[RequestTrace] = set()
         self.queue = sampling.Queue(bounds.queue)
-        self.retune(bounds)
+        self.reconfigure(bounds)
         self.counts = dict.fromkeys(("finished", "kept_bad", "kept_ordinary", "thinned"), 0)
         self.on_kept: Callable[[], None] = lambda: None
 
-    def retune(self, bounds: Bounds) -> None:
+    def reconfigure(self, bounds: Bounds) -> None:
         """Other bounds, for what finishes from now on."""
         self.bounds = bounds
         self.queue.most = bounds.queue
@@ -57,29 +57,29 @@
     def begin(
         self,
         id: str,
-        job_class: str,
+        request_class: str,
         tenant: str,
         *,
-        aim: float,
-        stretch: float,
+        latency_objective: float,
+        objective_run_factor: float,
         deadline: float,
         parent: str | None,
         state: str | None,
         first_byte: float,
-    ) -> OperationTrace:
+    ) -> RequestTrace:
         """An operation is taken. `aim` and `deadline` in ms, `first_byte` by the loop's clock."""
         found = context.read(parent, state)
         if found is None:
             found = Context(f"{self._rng.getrandbits(128) or 1:032x}")
-        trace = OperationTrace(
+        trace = RequestTrace(
             self,
             found,
             self.new_span(),
             id,
-            job_class,
+            request_class,
             tenant,
-            aim,
-            stretch,
+            latency_objective,
+            objective_run_factor,
             deadline,
             first_byte,
             self._clock(),
@@ -96,7 +96,7 @@
         state = context.state_header(found, found.threshold)
         return [*headers, ("tracestate", state)] if state else headers
 
-    def finish(self, trace: OperationTrace) -> dict[str, Any] | None:
+    def finish(self, trace: RequestTrace) -> dict[str, Any] | None:
         """The operation is over, and nothing of it is out. The record, if it is kept."""
         if trace not in self._open:
             return None
@@ -127,12 +127,17 @@
         self.on_kept()
         return record
 
-    def _is_late(self, trace: OperationTrace) -> bool:
+    def _is_late(self, trace: RequestTrace) -> bool:
         if trace.answer != "served" or not trace.attempts:
             return False
         last: AttemptTrace = trace.attempts[-1]
         run = (last.end - last.started) * 1000.0 if last.started and last.end else None
-        return sampling.late((trace.decided - trace.start) * 1000.0, run, trace.aim, trace.stretch)
+        return sampling.late(
+            (trace.decided - trace.start) * 1000.0,
+            run,
+            trace.latency_objective,
+            trace.objective_run_factor,
+        )
 
     def event(self, name: str, text: str = "") -> None:
         """Something that falls into the life of every operation under way."""
--- a/yewrill/views/facade.py
+++ b/yewrill/views/facade.py
@@ -16,7 +16,7 @@
 from yewrill.membership.link import VIEWS, Address, Link
 from yewrill.membership.machine import DEAD, LEFT
 from yewrill.membership.parts import Malformed
-from yewrill.service.subsystems import Around
+from yewrill.service.subsystems import SubsystemContext
 from yewrill.store import Batch, Store, StoreError, StorePoisoned
 from yewrill.views.config import ViewsConfig
 from yewrill.views.format import Parts, pack, priority_of
@@ -48,8 +48,8 @@
         self._number = random.SystemRandom().getrandbits(40)  # of messages that are cut in parts
         self._lost = self._malformed = self._not_kept = 0
 
-    def attach(self, around: Around) -> None:
-        members = around.hooks["members"]
+    def attach(self, context: SubsystemContext) -> None:
+        members = context.subsystems["members"]
         assert isinstance(members, Members)
         self._members = members
 
@@ -218,10 +218,10 @@
                 }
                 for e in installed.entries
             ],
-            **self.figures(),
+            **self.metrics(),
         }
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Counts since the start, by the names operators see."""
         if self._machine is None:
             return {}
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -10,13 +10,13 @@
 
 import trio
 
-from yewrill.dispatch.engine import RouteStep
-from yewrill.dispatch.outcome import Ending
+from yewrill.dispatch.engine import Attempt
+from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.membership import Members
 from yewrill.membership.link import ZONES
 from yewrill.membership.machine import DEAD, LEFT
 from yewrill.membership.suspicion import MOST_DOUBT
-from yewrill.service.subsystems import Around
+from yewrill.service.subsystems import SubsystemContext
 from yewrill.zone_failover.machine import Address, Machine, Member, Out, Rules
 from yewrill.zone_failover.plan import WHOLE
 
@@ -29,7 +29,13 @@
 
 # Endings that say nothing of a zone: the job came back unseen, or we held it back or gave it up ourselves.
 _TELL_NOTHING = frozenset(
-    {Ending.TURNED_AWAY, Ending.NOT_SENT, Ending.BROKEN, Ending.WORN_UNREACHED, Ending.WORN_RESET}
+    {
+        AttemptOutcome.TURNED_AWAY,
+        AttemptOutcome.NOT_SENT,
+        AttemptOutcome.BROKEN,
+        AttemptOutcome.STALE_UNREACHABLE,
+        AttemptOutcome.STALE_RESET,
+    }
 )
 
 
@@ -37,7 +43,7 @@
     """What the operators' file says of the plan. Seconds; `most_out` is a part of all capacity."""
 
     hold: float
-    step: float
+    attempt: float
     most_out: float
     stands: float
 
@@ -58,52 +64,54 @@
         self._list: tuple[object, list[Member]] = (None, [])
         self.calls = {order: self._calling(order) for order in ("leave", "pin", "return")}
 
-    def attach(self, around: Around) -> None:
-        members = around.hooks["members"]
+    def attach(self, context: SubsystemContext) -> None:
+        members = context.subsystems["members"]
         assert isinstance(members, Members)
-        self._members, self._decisions, self._pool = members, around.decisions, around.pool
-        self._views = around.hooks.get("views")
+        self._members, self._engine, self._endpoints = members, context.engine, context.endpoints
+        self._views = context.subsystems.get("views")
         if self._views is not None:
             self._views.watch(lambda: self._woken.set())  # noqa: PLW0108 - the event is replaced
-        self._ownership = around.hooks.get("ownership")
+        self._ownership = context.subsystems.get("ownership")
         if self._ownership is not None:
             self._ownership.want(DUTY)
-        self._carry = around.attempt
-        around.attempt = self._attempt
+        self._carry = context.run_attempt
+        context.run_attempt = self._attempt
 
     # -- evidence
 
-    async def _attempt(self, step: RouteStep) -> tuple[Ending, Any]:
+    async def _attempt(self, attempt: Attempt) -> tuple[AttemptOutcome, Any]:
         """Carry a route step, and count how it ended."""
         machine = self._machine
-        destination = self._pool.get(step.destination)
-        if machine is None or destination is None:
-            return await self._carry(step)
-        width = step.operation.width
+        endpoint = self._endpoints.get(attempt.worker)
+        if machine is None or endpoint is None:
+            return await self._carry(attempt)
+        width = attempt.request.width
         machine.busy += width
         try:
-            ending, result = await self._carry(step)
+            outcome, result = await self._carry(attempt)
         finally:
             machine.busy -= width
-        zone = self._name(destination.zone)
+        zone = self._name(endpoint.zone)
         if (
             zone
-            and ending not in _TELL_NOTHING
-            and not (ending is Ending.CALLED_OFF and step.operation.client_left)
-        ) and machine.note(trio.current_time(), zone, ending is not Ending.SERVED):
+            and outcome not in _TELL_NOTHING
+            and not (outcome is AttemptOutcome.CANCELLED and attempt.request.client_left)
+        ) and machine.note(trio.current_time(), zone, outcome is not AttemptOutcome.SERVED):
             self._woken.set()
-        return ending, result
+        return outcome, result
 
     def _name(self, position: int) -> str:
-        names = self._pool.places.zones
+        names = self._endpoints.topology.zones
         return names[position] if position < len(names) else ""
 
     def _capacity(self) -> Mapping[str, float]:
-        slots = self._decisions.capacity()
-        return {name: slots[i] for i, name in enumerate(self._pool.places.zones) if i in slots}
+        slots = self._engine.capacity()
+        return {
+            name: slots[i] for i, name in enumerate(self._endpoints.topology.zones) if i in slots
+        }
 
     def _hanging(self) -> Mapping[str, int]:
-        return {self._name(zone): count for zone, count in self._decisions.hanging(HANGING).items()}
+        return {self._name(zone): count for zone, count in self._engine.hanging(HANGING).items()}
 
     def _regions(self) -> Mapping[str, str]:
         """The region of each zone that has members, as these tell it."""
@@ -201,10 +209,14 @@
 
     def _tell_module(self) -> None:
         shares = self.shares()
-        told = {i: shares[name] for i, name in enumerate(self._pool.places.zones) if name in shares}
+        told = {
+            i: shares[name]
+            for i, name in enumerate(self._endpoints.topology.zones)
+            if name in shares
+        }
         if told != self._told:
             self._told = told
-            self._decisions.share_out(told)
+            self._engine.set_zone_weights(told)
 
     def shares(self) -> dict[str, float]:
         """What the module goes by: the plan, under the orders that were given here."""
@@ -223,7 +235,7 @@
 
     def _calling(self, order: str) -> Any:
         async def call(zone: str) -> bool:
-            if zone not in self._pool.places.zones:
+            if zone not in self._endpoints.topology.zones:
                 return False
             self._orders[zone] = order
             self._woken.set()
@@ -254,9 +266,9 @@
                     "ended": counts.get(name, (0, 0))[0],
                     "lost": counts.get(name, (0, 0))[1],
                 }
-                for name in self._pool.places.zones
+                for name in self._endpoints.topology.zones
             ],
-            **self.figures(),
+            **self.metrics(),
         }
 
     def _by_region(
@@ -275,7 +287,7 @@
             if total
         }
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Counts since the start, by the names operators see."""
         if self._machine is None:
             return {}
