--- a/yewrill/cli.py
+++ b/yewrill/cli.py
@@ -12,6 +12,7 @@
 
 from yewrill import __version__, configwrite
 from yewrill.config import ENV_CONFIG, FRONTS, ConfigError, load_config
+from yewrill.extras import not_installed
 from yewrill.trace import FORMATS, BadRow, TraceError, formats
 
 MOST_BAD_ROWS = 20  # told one by one; the rest are counted
@@ -65,9 +66,8 @@
     try:
         sys.exit(run(config, log_level, lambda: load_config(path, os.environ), log_format))
     except ModuleNotFoundError as error:
-        _fail(
-            ConfigError(f"--log-format: {error.name} is not installed: pip install 'yewrill[log]'")
-        )
+        option = "--log-format: " if error.name == "structlog" else ""
+        _fail(ConfigError(option + not_installed(error)))
 
 
 @main.command()
@@ -198,17 +198,15 @@
 class _Later(click.Group):
     """A group whose commands are imported when one of them is asked for."""
 
-    def __init__(self, module: str, name: str, extra: str, **kwargs):
+    def __init__(self, module: str, name: str, **kwargs):
         super().__init__(name=name, **kwargs)
-        self._module, self._extra = module, extra
+        self._module = module
 
     def _load(self) -> click.Group:
         try:
             return getattr(importlib.import_module(self._module), self.name)
         except ModuleNotFoundError as error:
-            _fail(
-                ConfigError(f"{error.name} is not installed: pip install 'yewrill[{self._extra}]'")
-            )
+            _fail(ConfigError(not_installed(error)))
 
     def list_commands(self, context: click.Context) -> list[str]:
         return self._load().list_commands(context)
@@ -221,7 +219,6 @@
     _Later(
         "yewrill.store.commands",
         "store",
-        "store",
         help="Look into, check and move an embedded store (a dispatcher's `state_dir`).",
     )
 )
@@ -229,7 +226,6 @@
     _Later(
         "yewrill.tracing.commands",
         "trace",
-        "tracing",
         help="Read traces: which jobs were late, refused, failed or tried again, and why.",
     )
 )
@@ -237,7 +233,6 @@
     _Later(
         "yewrill.zones.commands",
         "zones",
-        "members",
         help="See the fleet's plan of zones; order or forbid a leave.",
     )
 )
@@ -245,7 +240,6 @@
     _Later(
         "yewrill.ownership.commands",
         "owners",
-        "members",
         help="See who owns the fleet's duties; have one given up.",
     )
 )
@@ -253,7 +247,6 @@
     _Later(
         "yewrill.lab.cluster.commands",
         "lab",
-        "members",
         help="The laboratory: real dispatchers among stand-ins, with faults between them.",
     )
 )
