--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,14 +9,29 @@
 TRIES = 3  # a play for which the machine had no time says nothing and is played again
 
 
-@pytest.mark.parametrize("seed", [1, 104])
-def test_real_dispatchers_keep_every_rule_under_overlapping_troubles(seed):
+@pytest.fixture(scope="module", params=[1, 104])
+def found(request):
+    """What one play with overlapping troubles came to: enough requests and troubles to judge it by."""
     for _ in range(TRIES):
-        found = play_seed(Seed(seed, dispatchers=3, seconds=SECONDS))
-        if not found.starved:
+        summary = play_seed(Seed(request.param, dispatchers=3, seconds=SECONDS))
+        if not summary.starved:
             break
-    assert not found.starved
-    assert found.requests > 300 and sum(found.troubles.values()) >= 3
-    # A fault that is known, not fixed, and not there at every play (docs/incidents/2026-12-hunt.md, find 22):
-    # refusals soon after a start. `lab soak` judges them; every other rule has to hold here.
-    assert not set(found.breaches) - {Rule.WELL_FLEET.name}, found.report
+    assert not summary.starved
+    assert summary.requests > 300 and sum(summary.troubles.values()) >= 3
+    return summary
+
+
+@pytest.mark.parametrize(
+    "rule", [rule for rule in Rule if rule is not Rule.WELL_FLEET], ids=lambda rule: rule.name
+)
+def test_real_dispatchers_keep_a_rule_under_overlapping_troubles(found, rule):
+    assert not found.breaches[rule.name], found.report
+
+
+def test_real_dispatchers_refuse_nothing_while_the_fleet_is_well(found):
+    # Known to fail at some plays, by find 22 of docs/incidents/2026-12-hunt.md: listed in KNOWN-RED.txt.
+    assert not found.breaches[Rule.WELL_FLEET.name], found.report
+
+
+def test_a_play_without_breaches_has_no_report(found):
+    assert bool(found.report) is bool(found.breaches)
