--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -5,12 +5,18 @@
 
 from __future__ import annotations
 
+import msgspec
 from fixture_files import Encoded
 
 from yewrill.members.format import KINDS, Codec
 from yewrill.members.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim
 from yewrill.members.machine import Message as Datagram
 from yewrill.members.parts import cut
+from yewrill.views import admission, view
+from yewrill.views import format as views
+from yewrill.views.agreement import Word
+from yewrill.views.founding import Founding
+from yewrill.views.rollcall import Round
 
 # -- members
 
@@ -76,3 +82,90 @@
 
 def parts() -> Encoded:
     return {label: cut(payload, number) for label, payload, number in PAYLOADS}
+
+
+# -- views
+
+ENTRIES = tuple(
+    view.Entry(
+        f"d{i:02d}", 1000 + i, ("127.0.0.1", 7400 + i), ("north", "south")[i % 2], ("voter",)
+    )
+    for i in range(14)
+)
+ROUND = Round(9, 3, 2, 0b10110111011101, 0b1011)
+WORD = Word((4, 2), 0b1111, (3, 1), b"best", b"proposed", 0b101)
+SAME_PROPOSAL = Word((4, 2), 0b11111111, (4, 2), b"best", b"best", 0)
+VIEW = view.View(7, ENTRIES)
+REGISTERS = (
+    views.Register(0, 2, 5, (), False),
+    views.Register(13, 2**40, 255, ENTRIES[:2], True),
+)
+VIEW_MESSAGES = (
+    ("beat, least", views.Beat(1, b"8 bytes.", 2, 500, -1, 0)),
+    (
+        "beat, whole",
+        views.Beat(
+            7,
+            VIEW.digest,
+            2**48,
+            0,
+            3_600_000,
+            2**32 - 1,
+            views.wire_round(ROUND, len(ENTRIES)),
+            REGISTERS,
+            views.wire_word(WORD, len(ENTRIES)),
+            b"last change",
+            2,
+            views.wire_tally(WORD, len(ENTRIES)),
+            ENTRIES[4:6],
+        ),
+    ),
+    (
+        "beat, word without a proposal of its own",
+        views.Beat(
+            7, VIEW.digest, 1, 250, 10, 1, None, (), views.wire_word(SAME_PROPOSAL, len(ENTRIES))
+        ),
+    ),
+    ("call, least", views.Call(ENTRIES[0], 0, 500, -1, 0)),
+    (
+        "call, whole",
+        views.Call(
+            ENTRIES[1], 6, 500, 20, 5, (8, b"founders"), view.Kept(5, ("d00", "d01", "d02")), True
+        ),
+    ),
+    ("answer, least", views.Answer(7, VIEW.digest, 12)),
+    ("answer, whole", views.Answer(7, VIEW.digest, 12, "not yet", b"last change", 14)),
+    ("ask", views.Ask(7, 1)),
+    ("page", views.Page(7, VIEW.digest, 1, 2, ENTRIES[10:])),
+)
+CHANGE = view.value_of({2, 5}, [view.Entry("late", 77, ("127.0.0.3", 1)), ENTRIES[0]])
+KEPT = view.Kept(7, VIEW.names)
+
+
+def view_messages() -> Encoded:
+    found = {label: views.pack(message, 40) for label, message in VIEW_MESSAGES}
+    found["change"] = [CHANGE]
+    found["kept"] = [msgspec.msgpack.encode(KEPT)]
+    return found
+
+
+def view_agreements() -> dict[str, list]:
+    """What all members compute alike from what they were told, without saying it."""
+    size = len(ENTRIES)
+    founding = Founding(ENTRIES[0], (ENTRIES[0].name,), None, 5.0, lambda size: 0.0)
+    founding.tick(0.0)
+    return {
+        "digest": [VIEW.digest.hex(), VIEW.after(CHANGE).digest.hex()],
+        "names after the change": list(VIEW.after(CHANGE).names),
+        "neighbours": [list(VIEW.edges(rank)) for rank in range(size)],
+        "places": list(VIEW.places("joiner", 5)),
+        "turns": VIEW.turns(),
+        "order of joiners": [admission.order(entry.name).hex() for entry in ENTRIES],
+        "tellers": [admission.tells(rank, "joiner") for rank in range(size)],
+        "bitmaps": [
+            views.bits(value, width).hex()
+            for value, width in ((0, 3), (5, 14), (1 << 200, 300), ((1 << 300) - 2, 300))
+        ],
+        "founders' agreement": [founding.accept[0], founding.accept[1].hex()],
+        "digest of a proposal": [views.digest_of(b"proposed").hex()],
+    }
--- a/tests/make_fixtures.py
+++ b/tests/make_fixtures.py
@@ -7,12 +7,14 @@
 from __future__ import annotations
 
 import fixture_messages as messages
-from fixture_files import DIRECTORY, write_encoded
+from fixture_files import DIRECTORY, write_encoded, write_json
 
 
 def write_messages() -> None:
     write_encoded("members", messages.members_datagrams())
     write_encoded("parts", messages.parts())
+    write_encoded("views", messages.view_messages())
+    write_json("views_agreed", messages.view_agreements())
 
 
 def main() -> None:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -6,11 +6,14 @@
 from __future__ import annotations
 
 import fixture_messages as messages
+import msgspec
 import pytest
-from fixture_files import read_encoded
+from fixture_files import read_encoded, read_json
 
 from yewrill.members.format import Refused, Stranger
 from yewrill.members.parts import Joiner
+from yewrill.views.format import Parts, round_of, tally_of, whole_of, word_of
+from yewrill.views.view import Kept
 
 # -- members
 
@@ -43,3 +46,34 @@
         joiner = Joiner()
         *before, last = [joiner.take("alpha", part) for part in stored[label]]
         assert last == payload and not any(before), label
+
+
+# -- views
+
+
+def test_messages_of_views_have_the_same_bytes():
+    assert messages.view_messages() == read_encoded("views")
+
+
+def test_messages_of_views_are_read():
+    stored, size = read_encoded("views"), len(messages.ENTRIES)
+    for label, message in messages.VIEW_MESSAGES:
+        parts = Parts()
+        assert [parts.take("d01", part) for part in stored[label]][-1] == message, label
+    parts = Parts()
+    beat = [parts.take("d01", part) for part in stored["beat, whole"]][-1]
+    assert round_of(beat.round, size) == messages.ROUND
+    assert word_of(beat.word, size) == messages.WORD
+    assert tally_of(beat.tally, messages.WORD, size) == messages.WORD
+    assert msgspec.msgpack.decode(stored["kept"][0], type=Kept) == messages.KEPT
+
+
+def test_members_of_a_view_agree_on_what_they_compute():
+    stored = read_json("views_agreed")
+    assert messages.view_agreements() == stored
+    widths = ((0, 3), (5, 14), (1 << 200, 300), ((1 << 300) - 2, 300))
+    read = [
+        whole_of(bytes.fromhex(bitmap), width)
+        for bitmap, (_, width) in zip(stored["bitmaps"], widths, strict=True)
+    ]
+    assert read == [value for value, _ in widths]
