--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -17,6 +17,8 @@
 from yewrill.views.agreement import Word
 from yewrill.views.founding import Founding
 from yewrill.views.rollcall import Round
+from yewrill.zones import format as zones
+from yewrill.zones import plan
 
 # -- members
 
@@ -169,3 +171,35 @@
         "founders' agreement": [founding.accept[0], founding.accept[1].hex()],
         "digest of a proposal": [views.digest_of(b"proposed").hex()],
     }
+
+
+# -- zones
+
+PLAN = plan.Plan(
+    3 * plan.EPOCH + 2,
+    {"north": plan.Entry(0, 3, False), "south": plan.Entry(200, 64, True)},
+)
+ZONE_MESSAGES = (
+    ("digest", zones.Said(zones.DIGEST, PLAN.version)),
+    ("digest, no plan yet", zones.Said(zones.DIGEST, plan.Plan().version)),
+    ("ask", zones.Said(zones.ASK, PLAN.version, 2**32)),
+    (
+        "tell",
+        zones.Said(
+            zones.TELL,
+            PLAN.version,
+            41,
+            True,
+            12.5,
+            {"north": (100, 40), "south": (10_000, 0)},
+            ("east", "west"),
+        ),
+    ),
+    ("plan", zones.Said(zones.PLAN, PLAN.version, plan=PLAN)),
+    ("get", zones.Said(zones.GET, PLAN.version)),
+    ("hint", zones.Said(zones.HINT, PLAN.version, dark=("south",))),
+)
+
+
+def zone_messages() -> Encoded:
+    return {label: [zones.pack(message)] for label, message in ZONE_MESSAGES}
--- a/tests/make_fixtures.py
+++ b/tests/make_fixtures.py
@@ -15,6 +15,7 @@
     write_encoded("parts", messages.parts())
     write_encoded("views", messages.view_messages())
     write_json("views_agreed", messages.view_agreements())
+    write_encoded("zones", messages.zone_messages())
 
 
 def main() -> None:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -14,6 +14,7 @@
 from yewrill.members.parts import Joiner
 from yewrill.views.format import Parts, round_of, tally_of, whole_of, word_of
 from yewrill.views.view import Kept
+from yewrill.zones.format import unpack as read_zones
 
 # -- members
 
@@ -77,3 +78,24 @@
         for bitmap, (_, width) in zip(stored["bitmaps"], widths, strict=True)
     ]
     assert read == [value for value, _ in widths]
+
+
+# -- zones
+
+
+def test_messages_of_zones_have_the_same_bytes():
+    assert messages.zone_messages() == read_encoded("zones")
+
+
+def test_messages_of_zones_are_read():
+    stored = read_encoded("zones")
+    for label, message in messages.ZONE_MESSAGES:
+        found = read_zones(stored[label][0])
+        if message.plan is None:
+            assert found == message, label
+        else:
+            assert found.version == message.version == found.plan.version
+            assert (found.plan.number, found.plan.zones) == (
+                message.plan.number,
+                message.plan.zones,
+            )
