--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -12,6 +12,8 @@
 from yewrill.members.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim
 from yewrill.members.machine import Message as Datagram
 from yewrill.members.parts import cut
+from yewrill.ownership import duties, raft, states
+from yewrill.ownership import format as ownership
 from yewrill.views import admission, view
 from yewrill.views import format as views
 from yewrill.views.agreement import Word
@@ -203,3 +205,88 @@
 
 def zone_messages() -> Encoded:
     return {label: [zones.pack(message)] for label, message in ZONE_MESSAGES}
+
+
+# -- ownership
+
+VOTERS = ("d00", "d01", "d02")
+COMMAND = duties.Command(duties.CLAIM, "zones", "d01", 12, 0, 2000)
+LOG_ENTRIES = (
+    raft.Entry(1, raft.NOTHING),
+    raft.Entry(2, raft.ORDER, duties.pack_command(5000, COMMAND)),
+    raft.Entry(2, raft.VOTERS, b"", VOTERS),
+    raft.Entry(3, states.STATE, states.pack_entry(6000, "calendar", b"for the machine")),
+)
+SNAPSHOT = raft.Snapshot(40, 3, VOTERS, b"state of the duties")
+RAFT_MESSAGES = tuple(
+    (f"log: {message.kind}", message)
+    for message in (
+        raft.Message("ask", "d00", "d01", 2**42, number=2**42),
+        raft.Message("remember", "d01", "d00", 7, 3, number=2**42, index=9, of=2, yes=True),
+        raft.Message("prevote", "d00", "d01", 8, 4, number=1, index=9, of=3),
+        raft.Message("vote", "d00", "d01", 8, 4, index=9, of=3),
+        raft.Message("voted", "d01", "d00", 7, 4, yes=True),
+        raft.Message(
+            "append", "d00", "d02", 8, 4, number=3, index=9, of=3, commit=8, entries=LOG_ENTRIES
+        ),
+        raft.Message("appended", "d02", "d00", 9, 4, number=3, index=13, yes=True, counts=False),
+        raft.Message("snapshot", "d00", "d02", 8, 4, index=40, snapshot=SNAPSHOT),
+        raft.Message("confirm", "d00", "d02", 8, 4, commit=13),
+    )
+)
+REQUESTS = (
+    ("claim", ownership.Request(COMMAND)),
+    ("renew", ownership.Request(duties.Command(duties.RENEW, "zones", "d01", 13, 4, 2000))),
+    ("give up", ownership.Request(duties.Command(duties.GIVE_UP, "zones", "d01", 14, 4))),
+    ("reply", ownership.Reply(12, True, duties.Result(True, 4, "d01", 1999), "")),
+    ("reply of another", ownership.Reply(13, False, duties.Result(False), "d02")),
+    ("submit", ownership.Submit("calendar", 99, b"entry")),
+    ("submitted", ownership.Submitted(99, True, True, b"result", "d00")),
+    ("submitted in vain", ownership.Submitted(100, True, False)),
+)
+OWNERSHIP_MESSAGES = (*RAFT_MESSAGES, *REQUESTS)
+
+
+class Keeper:
+    """A state machine that keeps what it is given."""
+
+    def __init__(self) -> None:
+        self.data = b""
+
+    def apply(self, at: int, data: bytes) -> bytes:
+        self.data = data
+        return b"%d" % at
+
+    def pack(self) -> bytes:
+        return self.data
+
+    def restore(self, data: bytes) -> None:
+        self.data = data
+
+
+def applied_duties() -> duties.Duties:
+    """Duties after a claim, a renewal, one given up, and one refused."""
+    state = duties.Duties()
+    state.apply(5000, COMMAND)
+    state.apply(5500, duties.Command(duties.RENEW, "zones", "d01", 13, 1, 2000))
+    state.apply(5600, duties.Command(duties.CLAIM, "calendar", "d02", 1, 0, 1000))
+    state.apply(5700, duties.Command(duties.GIVE_UP, "calendar", "d02", 2, 1))
+    state.apply(5800, duties.Command(duties.CLAIM, "zones", "d00", 5, 0, 1000))
+    return state
+
+
+def ownership_messages() -> Encoded:
+    return {label: [ownership.pack(message)] for label, message in OWNERSHIP_MESSAGES}
+
+
+def ownership_states() -> Encoded:
+    """Entries of the log and snapshots of what they made."""
+    machine = Keeper()
+    machine.apply(0, b"kept")
+    return {
+        "command": [duties.pack_command(5000, COMMAND)],
+        "entry of a state machine": [states.pack_entry(6000, "calendar", b"entry")],
+        "duties": [applied_duties().pack()],
+        "snapshot without machines": [states.pack_all(applied_duties(), {})],
+        "snapshot with a machine": [states.pack_all(applied_duties(), {"calendar": machine})],
+    }
--- a/tests/make_fixtures.py
+++ b/tests/make_fixtures.py
@@ -16,6 +16,8 @@
     write_encoded("views", messages.view_messages())
     write_json("views_agreed", messages.view_agreements())
     write_encoded("zones", messages.zone_messages())
+    write_encoded("ownership", messages.ownership_messages())
+    write_encoded("ownership_states", messages.ownership_states())
 
 
 def main() -> None:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -12,6 +12,9 @@
 
 from yewrill.members.format import Refused, Stranger
 from yewrill.members.parts import Joiner
+from yewrill.ownership import duties, states
+from yewrill.ownership import format as ownership
+from yewrill.ownership.format import unpack as read_ownership
 from yewrill.views.format import Parts, round_of, tally_of, whole_of, word_of
 from yewrill.views.view import Kept
 from yewrill.zones.format import unpack as read_zones
@@ -99,3 +102,37 @@
                 message.plan.number,
                 message.plan.zones,
             )
+
+
+# -- ownership
+
+
+def test_messages_of_ownership_have_the_same_bytes():
+    assert messages.ownership_messages() == read_encoded("ownership")
+
+
+def test_messages_of_ownership_are_read():
+    stored = read_encoded("ownership")
+    for label, message in messages.OWNERSHIP_MESSAGES:
+        assert read_ownership(stored[label][0]) == message, label
+    assert len(stored) == len(messages.OWNERSHIP_MESSAGES) == 17
+    assert {type(message) for _, message in messages.OWNERSHIP_MESSAGES} >= {
+        ownership.Request,
+        ownership.Reply,
+        ownership.Submit,
+        ownership.Submitted,
+    }
+
+
+def test_entries_and_snapshots_of_the_log_have_the_same_bytes_and_are_read():
+    stored = read_encoded("ownership_states")
+    assert messages.ownership_states() == stored
+    assert duties.unpack_command(stored["command"][0]) == (5000, messages.COMMAND)
+    entry = stored["entry of a state machine"][0]
+    assert states.unpack_entry(entry) == (6000, "calendar", b"entry")
+    assert duties.Duties.unpack(stored["duties"][0]) == messages.applied_duties()
+    found, missing = states.restore_all(stored["snapshot without machines"][0], {})
+    assert (found, missing) == (messages.applied_duties(), "")
+    machine = messages.Keeper()
+    found, missing = states.restore_all(stored["snapshot with a machine"][0], {"calendar": machine})
+    assert (found, missing, machine.data) == (messages.applied_duties(), "", b"kept")
