--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -8,6 +8,9 @@
 import msgspec
 from fixture_files import Encoded
 
+from yewrill.calendar import asking
+from yewrill.calendar.book import Book
+from yewrill.calendar.windows import MINUTE, Window
 from yewrill.members.format import KINDS, Codec
 from yewrill.members.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim
 from yewrill.members.machine import Message as Datagram
@@ -290,3 +293,39 @@
         "snapshot without machines": [states.pack_all(applied_duties(), {})],
         "snapshot with a machine": [states.pack_all(applied_duties(), {"calendar": machine})],
     }
+
+
+# -- the calendar's entries of that log
+
+HOUR = 60 * MINUTE
+CALENDAR = asking.Config(
+    (asking.Capacity("north", "std", 40, 10, 2, 2, 1), asking.Capacity("south", "std", 20, 5)),
+    {"acme": 500.0},
+)
+WINDOWS = (Window(2 * HOUR, 3 * HOUR), Window(26 * HOUR, 27 * HOUR))
+CALENDAR_ENTRIES = (
+    ("ask", asking.Ask("acme", "a1", "std", 10, WINDOWS)),
+    (
+        "ask for a length",
+        asking.Ask("acme", "a2", "std", 24, (Window(HOUR, 9 * HOUR),), HOUR, asking.Spread(4, 2)),
+    ),
+    ("ask, refused with offers", asking.Ask("acme", "a3", "std", 36, (WINDOWS[0],))),
+    ("take an offer", asking.TakeOffer("acme", "a4", 3)),
+    ("cancel", asking.Cancel("acme", "a5", 1)),
+    ("release", asking.Release("acme", "a6", 2)),
+    ("tick", asking.Tick()),
+)
+
+
+def calendar_book() -> tuple[Encoded, bytes]:
+    """Each entry with its result, and the book that they make."""
+    book, found = Book(CALENDAR), {}
+    for at, (label, entry) in enumerate(CALENDAR_ENTRIES):
+        data = asking.encode(entry)
+        found[label] = [data, book.apply(at * MINUTE, data)]
+    return found, book.pack()
+
+
+def calendar() -> Encoded:
+    found, book = calendar_book()
+    return {**found, "book": [book]}
--- a/tests/make_fixtures.py
+++ b/tests/make_fixtures.py
@@ -18,6 +18,7 @@
     write_encoded("zones", messages.zone_messages())
     write_encoded("ownership", messages.ownership_messages())
     write_encoded("ownership_states", messages.ownership_states())
+    write_encoded("calendar", messages.calendar())
 
 
 def main() -> None:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -10,6 +10,8 @@
 import pytest
 from fixture_files import read_encoded, read_json
 
+from yewrill.calendar import asking
+from yewrill.calendar.book import Book
 from yewrill.members.format import Refused, Stranger
 from yewrill.members.parts import Joiner
 from yewrill.ownership import duties, states
@@ -136,3 +138,17 @@
     machine = messages.Keeper()
     found, missing = states.restore_all(stored["snapshot with a machine"][0], {"calendar": machine})
     assert (found, missing, machine.data) == (messages.applied_duties(), "", b"kept")
+
+
+def test_entries_results_and_the_book_of_the_calendar_have_the_same_bytes_and_are_read():
+    stored = read_encoded("calendar")
+    assert messages.calendar() == stored
+    for label, entry in messages.CALENDAR_ENTRIES:
+        data, result = stored[label]
+        assert asking.read_entry(data) == entry, label
+        assert asking.encode(asking.read_result(result)) == result, label
+    results = [asking.read_result(stored[label][1]) for label, _ in messages.CALENDAR_ENTRIES]
+    assert {type(result) for result in results} == {asking.Booked, asking.Refused, asking.Done}
+    book = Book(messages.CALENDAR)
+    book.restore(stored["book"][0])
+    assert book.pack() == stored["book"][0]
