--- a/tests/fixture_files.py
+++ b/tests/fixture_files.py
@@ -30,3 +30,13 @@
 
 def write_encoded(name: str, encoded: Encoded) -> None:
     write_json(name, {label: [part.hex() for part in parts] for label, parts in encoded.items()})
+
+
+def read_file(name: str) -> bytes:
+    return (DIRECTORY / name).read_bytes()
+
+
+def write_file(name: str, content: bytes) -> None:
+    path = DIRECTORY / name
+    path.parent.mkdir(parents=True, exist_ok=True)
+    path.write_bytes(content)
--- a/tests/make_fixtures.py
+++ b/tests/make_fixtures.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 import fixture_messages as messages
-from fixture_files import DIRECTORY, write_encoded, write_json
+import fixture_simulator as simulator
+from fixture_files import DIRECTORY, write_encoded, write_file, write_json
 
 
 def write_messages() -> None:
@@ -21,8 +22,22 @@
     write_encoded("calendar", messages.calendar())
 
 
+def write_simulator() -> None:
+    said, answered = simulator.record_session()
+    write_file("simulator_in.jsonl", said)
+    write_file("simulator_out.jsonl", answered)
+    write_json("simulator_events", [simulator.event_values(event) for event in simulator.EVENTS])
+    write_json("simulator_actions", simulator.action_lines())
+    write_json(
+        "simulator_settings",
+        [simulator.settings_values(site) for site in (simulator.SITE, simulator.LEAST_SITE)],
+    )
+    write_json("load_reports", simulator.load_reports())
+
+
 def main() -> None:
     write_messages()
+    write_simulator()
     print(f"written: {DIRECTORY}")
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -6,9 +6,11 @@
 from __future__ import annotations
 
 import fixture_messages as messages
+import fixture_simulator as simulator
 import msgspec
+import orjson
 import pytest
-from fixture_files import read_encoded, read_json
+from fixture_files import read_encoded, read_file, read_json
 
 from yewrill.calendar import asking
 from yewrill.calendar.book import Book
@@ -152,3 +154,47 @@
     book = Book(messages.CALENDAR)
     book.restore(stored["book"][0])
     assert book.pack() == stored["book"][0]
+
+
+# -- the simulator's wire
+
+
+def test_a_recorded_session_of_the_simulator_is_answered_with_the_same_bytes():
+    said, answered = read_file("simulator_in.jsonl"), read_file("simulator_out.jsonl")
+    assert simulator.replay(said).splitlines() == answered.splitlines()
+    assert simulator.replay(said) == answered
+    assert {orjson.loads(line)["what"] for line in said.splitlines()} == {
+        "Tick",
+        "End",
+        "Boot",
+        "Destroy",
+        "Inbound",
+        "ClosedAttempt",
+        "Interim",
+        "Elapsed",
+        "Pong",
+        "First",
+        "Registry",
+        "TimedOutClient",
+        "Whisper",
+    }
+
+
+def test_each_event_is_read_to_the_same_values():
+    stored = read_json("simulator_events")
+    for event, values in zip(simulator.EVENTS, stored, strict=True):
+        assert simulator.event_values(event) == values, event
+
+
+def test_each_action_has_the_same_line():
+    assert simulator.action_lines() == read_json("simulator_actions")
+
+
+def test_settings_of_the_simulator_are_read_to_the_same_values():
+    whole, least = read_json("simulator_settings")
+    assert simulator.settings_values(simulator.SITE) == whole
+    assert simulator.settings_values(simulator.LEAST_SITE) == least
+
+
+def test_load_reports_are_read_to_the_same_values():
+    assert simulator.load_reports() == read_json("load_reports")
