--- /dev/null
+++ b/tests/fixture_stores.py
@@ -0,0 +1,294 @@
+"""Store directories with each kind of record: a dispatcher's state, a voter's log, a kept view, and one that
+was compacted. All clocks stand in the year 2100, so that nothing in a fixture runs out."""
+
+from __future__ import annotations
+
+import random
+import shutil
+import time
+from collections.abc import Iterator
+from contextlib import contextmanager
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import trio
+import ujson
+from fixture_files import DIRECTORY
+from fixture_messages import KEPT, VOTERS, applied_duties
+from helper import SETTINGS
+
+from yewrill.config import Places, StateConfig, read_config
+from yewrill.facade import Decisions, Operation, RouteStep
+from yewrill.figures import Figures
+from yewrill.interface import JobClass
+from yewrill.net.http import Request
+from yewrill.net.poolconfig import PoolConfig
+from yewrill.ownership import disk as voters_disk
+from yewrill.ownership import raft
+from yewrill.state import StateKeeper
+from yewrill.state.attempts import AttemptRecord, Clocks
+from yewrill.store import Batch, Store
+from yewrill.store import format as store_format
+from yewrill.traced import SPOOL
+from yewrill.tracing.export import StoreSpool
+from yewrill.views.config import ViewsConfig
+from yewrill.views.facade import KEPT as VIEW_KEY
+from yewrill.views.facade import Views
+from yewrill.views.view import Kept
+
+STATE, VOTER, KEPT_VIEW, COMPACTED = "state", "ownership_log", "views_kept", "compacted"
+DIRECTORIES = (STATE, VOTER, KEPT_VIEW, COMPACTED)
+OF_A_PROCESS = ("LOCK", "RESERVE")  # files that are no part of what is kept
+WALL = 4_102_444_800_000.0  # 2100-01-01, in ms
+BOOT = "0f1e2d3c-boot"
+WRITTEN = Clocks(WALL, 50_000_000.0, BOOT)
+LATER = Clocks(WALL + 2_000.0, 50_002_000.0, BOOT)
+REBOOTED = Clocks(WALL + 40_000.0, 30_000.0, "another-boot")
+RUN = "0123456789ab"
+
+
+@contextmanager
+def fixed_world() -> Iterator[None]:
+    """The wall clock stands still, and the system's randomness comes from a seed. For the generator only."""
+    clock, system = time.time, random.SystemRandom
+    drawn = random.Random(11)
+    time.time, random.SystemRandom = lambda: WALL / 1000.0, lambda: drawn
+    try:
+        yield
+    finally:
+        time.time, random.SystemRandom = clock, system
+
+
+# -- a dispatcher's state
+
+
+class FixedKeeper(StateKeeper):
+    """A keeper whose clocks stand still, and whose run has a known name."""
+
+    def __init__(self, path: Path, pool: PoolConfig, clocks: Clocks, run: str = RUN):
+        figures = Figures()
+        figures.know_state()
+        # With patience for a busy machine: what is not written in time is not in the fixture.
+        super().__init__(StateConfig(str(path), patience_ms=10_000.0), pool, figures)
+        self._fixed = clocks
+        self._run = run
+
+    def clocks(self) -> Clocks:
+        return self._fixed
+
+
+SERVERS = [
+    {
+        "id": f"d{i}",
+        "addr": f"127.0.0.1:{9000 + i}",
+        "zone": "room",
+        "kind": "std",
+        "cell": i // 2,
+        "state": "SERVING",
+        "weight": 1.5,
+        "started_ms": 1_000.0 * i,
+    }
+    for i in range(4)
+]
+KNOWN = {"version": 7, "full": True, "servers": SERVERS}
+JOBS = (  # class, key of the client, destination
+    ("save", "k1", "d1"),
+    ("once", "k2", "d2"),
+    ("save", "", "d3"),
+)
+OTHER_RUN = AttemptRecord("once", "acme", "k3", "d0", 0, 0, WRITTEN)
+OTHER_RUN_KEY = "sent/00ff/ffeeddccbbaa/1"
+SPOOLED = b"\x1f\x8ba batch of records"
+
+
+def _pool() -> tuple[PoolConfig, dict[str, JobClass]]:
+    raw = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
+    settings = read_config(raw).settings
+    pool = PoolConfig(Decisions(settings, 5), Places(("room",), ("std",)))
+    pool.apply(KNOWN)
+    return pool, {one.name: one for one in settings.classes}
+
+
+def _operation(number: int, job_class: str, key: str) -> Operation:
+    headers = [(b"idempotency-key", key.encode())] if key else []
+    payload = Request("POST", f"/{job_class}", headers)
+    return Operation(f"r{number}", 1, 1e9, payload=payload)
+
+
+async def write_state(path: Path) -> None:
+    """Each kind of record, by the calls that the service makes."""
+    pool, classes = _pool()
+    keeper = FixedKeeper(path, pool, WRITTEN)
+    keeper.open_store()
+    keeper.restore()
+    await keeper.taken_out("d1")
+    await keeper.taken_out("d2")
+    await keeper.put_back("d2")
+    await keeper.lame(True)
+    ended = _operation(9, "once", "k9")
+    keeper.take(ended, classes["once"], "acme")
+    assert await keeper.record_attempt(RouteStep(ended, 0, "d0", 1e9))
+    keeper.closed(ended)  # its record goes with the next write
+    for number, (job_class, key, destination) in enumerate(JOBS):
+        operation = _operation(number, job_class, key)
+        keeper.take(operation, classes[job_class], "acme")
+        assert await keeper.record_attempt(RouteStep(operation, 0, destination, 1e9))
+    assert await keeper.keep_for_another(OTHER_RUN_KEY, ujson.dumps(OTHER_RUN.encode()))
+    spool = StoreSpool(keeper.keep, keeper.first, keeper.drop, most=1000, prefix=SPOOL)
+    assert await spool.put(SPOOLED)
+    unnamed = StoreSpool(keeper.keep, keeper.first, keeper.drop, most=1000, number=1)
+    assert await unnamed.put(SPOOLED)
+    async with trio.open_nursery() as nursery:
+        nursery.start_soon(keeper.run)
+        keeper.list_changed()
+        while keeper.first(b"list") is None:
+            await trio.sleep(0.01)
+        nursery.cancel_scope.cancel()
+    keeper.close_store()
+
+
+async def recover_state(path: Path, clocks: Clocks) -> list[Any]:
+    """What a later run learns: its whole state, of each job what may have run, and the spool."""
+    pool, classes = _pool()
+    keeper = FixedKeeper(path, pool, clocks, "of a later run")
+    keeper.open_store()
+    try:
+        state = keeper.restore()
+        earlier = []
+        for number, (job_class, key, _) in enumerate(
+            (*JOBS, ("once", "k3", ""), ("once", "k9", ""))
+        ):
+            operation = _operation(number, job_class, key)
+            keeper.take(operation, classes[job_class], "acme")
+            earlier.append([operation.ran_ago, operation.ran_zone, operation.ran_cell])
+        held, number = keeper.held_under(SPOOL)
+        first = keeper.first(SPOOL)
+        assert first is not None
+        return [state, earlier, [held, number, first[0].hex(), first[1].hex()]]
+    finally:
+        keeper.close_store()
+
+
+# -- a voter's log
+
+DISK_BEFORE = raft.Disk(
+    3,
+    "d00",
+    tuple(raft.Entry(2, raft.ORDER, b"order %d" % at) for at in range(4)),
+    raft.Snapshot(0, 0, VOTERS),
+)
+DISK = raft.Disk(
+    4,
+    "d01",
+    (
+        raft.Entry(3, raft.NOTHING),
+        raft.Entry(4, raft.ORDER, b"order"),
+        raft.Entry(4, raft.VOTERS, b"", (*VOTERS, "d03")),
+        raft.Entry(4, "state", b"for a machine"),
+    ),
+    raft.Snapshot(3, 2, VOTERS, applied_duties().pack()),
+)
+INCARNATION = 1_700_000_000_123
+FENCES = {"zones": 5, "calendar": 2**40}
+
+
+def write_voter(path: Path) -> None:
+    with Store(path) as store:
+        store.write(voters_disk.changes(None, DISK_BEFORE, INCARNATION - 1))
+        store.write(voters_disk.changes(DISK_BEFORE, DISK, INCARNATION))
+        for duty, number in FENCES.items():
+            store.write(voters_disk.fence(duty, number))
+
+
+def recover_voter(path: Path) -> tuple[raft.Disk, int, dict[str, int]]:
+    with Store(path) as store:
+        return *voters_disk.read(store, ("of", "the", "file")), voters_disk.read_fences(store)
+
+
+# -- the view that a member kept
+
+
+async def write_kept_view(path: Path) -> None:
+    views = Views(ViewsConfig(("d00",), str(path)))
+    assert await views._keep(KEPT)
+    await views._close_store()
+
+
+def recover_kept_view(path: Path) -> Kept | None:
+    with Store(path) as store:
+        found = store.get(VIEW_KEY)
+        return None if found is None else msgspec.msgpack.decode(found, type=Kept)
+
+
+# -- a store that was compacted
+
+
+def write_compacted(path: Path) -> None:
+    """Two segments with a hint each, of which one replaces others, and one without."""
+    with Store(path, maintain=False) as store:
+        for number in range(20):
+            store.put(b"key %02d" % number, b"first value %d" % number)
+        store.engine.seal()
+        for number in range(0, 20, 2):
+            store.put(b"key %02d" % number, b"second value")
+        for number in range(0, 20, 5):
+            store.delete(b"key %02d" % number)
+        store.compact()
+        store.write(Batch().put(b"runs out", b"later", int(WALL) + 1).put(b"batched", b""))
+        store.engine.seal()
+        for _ in store.engine.write_hints():
+            pass
+        store.put_if(b"last", b"\x00\xff", 0)
+
+
+# -- directories as files and as rows
+
+
+def rows_of(path: Path) -> list[list[Any]]:
+    """Key, value, version and expiry of everything in a store."""
+    with Store(path, maintain=False, clock=lambda: int(WALL)) as store:
+        found = []
+        for key, _ in store.scan():
+            row = store.find(key)
+            found.append([key.hex(), row.value.hex(), row.version, row.expires])
+        return found
+
+
+def keep_directory(path: Path, name: str) -> None:
+    """Make a directory's files a fixture."""
+    target = DIRECTORY / name
+    shutil.rmtree(target, ignore_errors=True)
+    target.mkdir(parents=True)
+    for file in sorted(path.iterdir()):
+        if file.name not in OF_A_PROCESS:
+            shutil.copy(file, target / file.name)
+
+
+def copy_directory(name: str, path: Path) -> Path:
+    """A fixture's directory, where a test may open it."""
+    return shutil.copytree(DIRECTORY / name, path / name)
+
+
+def written_again(file: Path) -> bytes:
+    """A file read to values and written from these."""
+    data = file.read_bytes()
+    if file.name == "MANIFEST":
+        return store_format.encode_manifest(store_format.decode_manifest(data))
+    name = store_format.segment_name(file.name)
+    if file.suffix == ".hint":
+        size = file.with_suffix(".seg").stat().st_size
+        entries = list(store_format.decode_hint(data, size))
+        writer = store_format.HintWriter(size)
+        body = writer.add(store_format.hint_entries(entries), len(entries))
+        return writer.head + body + writer.end()
+    replaced, at = store_format.decode_header(data, name)
+    found = store_format.encode_header(name, replaced)
+    while at < len(data):
+        head = store_format.decode_head(data, at, name.salt)
+        start = at + store_format.FRAME_HEAD
+        body = data[start : start + head.length]
+        operations = store_format.decode_body(body, head, name.salt, start)
+        found += store_format.encode_frame(operations, name.salt, head.time)
+        at = start + head.length
+    return found
--- a/tests/make_fixtures.py
+++ b/tests/make_fixtures.py
@@ -6,8 +6,13 @@
 
 from __future__ import annotations
 
+import tempfile
+from pathlib import Path
+
 import fixture_messages as messages
 import fixture_simulator as simulator
+import fixture_stores as stores
+import trio
 from fixture_files import DIRECTORY, write_encoded, write_file, write_json
 
 
@@ -35,9 +40,28 @@
     write_json("load_reports", simulator.load_reports())
 
 
+def write_stores() -> None:
+    with tempfile.TemporaryDirectory() as directory, stores.fixed_world():
+        path = Path(directory)
+        stores.write_voter(path / stores.VOTER)
+        stores.write_compacted(path / stores.COMPACTED)
+        trio.run(stores.write_kept_view, path / stores.KEPT_VIEW)
+        trio.run(stores.write_state, path / stores.STATE)
+        for name in stores.DIRECTORIES:
+            stores.keep_directory(path / name, name)
+        rows = {name: stores.rows_of(path / name) for name in stores.DIRECTORIES}
+        recovered = [
+            trio.run(stores.recover_state, path / stores.STATE, clocks)
+            for clocks in (stores.LATER, stores.REBOOTED)
+        ]
+    write_json("store_rows", rows)
+    write_json("state_recovered", recovered)
+
+
 def main() -> None:
     write_messages()
     write_simulator()
+    write_stores()
     print(f"written: {DIRECTORY}")
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -7,10 +7,12 @@
 
 import fixture_messages as messages
 import fixture_simulator as simulator
+import fixture_stores as stores
 import msgspec
 import orjson
 import pytest
-from fixture_files import read_encoded, read_file, read_json
+import trio
+from fixture_files import DIRECTORY, read_encoded, read_file, read_json
 
 from yewrill.calendar import asking
 from yewrill.calendar.book import Book
@@ -19,6 +21,8 @@
 from yewrill.ownership import duties, states
 from yewrill.ownership import format as ownership
 from yewrill.ownership.format import unpack as read_ownership
+from yewrill.store.commands import check_all
+from yewrill.store.files import RealFiles
 from yewrill.views.format import Parts, round_of, tally_of, whole_of, word_of
 from yewrill.views.view import Kept
 from yewrill.zones.format import unpack as read_zones
@@ -198,3 +202,60 @@
 
 def test_load_reports_are_read_to_the_same_values():
     assert simulator.load_reports() == read_json("load_reports")
+
+
+# -- stores
+
+
+@pytest.mark.parametrize("name", stores.DIRECTORIES)
+def test_a_store_is_whole_and_has_the_same_rows(name, tmp_path):
+    path = stores.copy_directory(name, tmp_path)
+    findings, read = check_all(RealFiles(path, make=False))
+    files = [file for file in path.iterdir() if file.name != "MANIFEST"]
+    assert findings == [] and read == sum(file.stat().st_size for file in files) > 0
+    assert stores.rows_of(path) == read_json("store_rows")[name]
+    assert not (path / "quarantine").exists()
+
+
+@pytest.mark.parametrize("name", stores.DIRECTORIES)
+def test_the_rows_of_a_store_are_found_without_hints_and_manifest(name, tmp_path):
+    path = stores.copy_directory(name, tmp_path)
+    for file in (*path.glob("*.hint"), path / "MANIFEST"):
+        file.unlink()
+    assert stores.rows_of(path) == read_json("store_rows")[name]
+
+
+@pytest.mark.parametrize("name", stores.DIRECTORIES)
+def test_each_file_of_a_store_is_written_again_with_the_same_bytes(name):
+    files = sorted((DIRECTORY / name).iterdir())
+    assert {file.suffix for file in files} == {"", ".hint", ".seg"}
+    for file in files:
+        assert stores.written_again(file) == file.read_bytes(), file.name
+
+
+def test_the_same_is_written_to_a_store_as_before(tmp_path):
+    stored = read_json("store_rows")
+    trio.run(stores.write_state, tmp_path / stores.STATE)
+    stores.write_voter(tmp_path / stores.VOTER)
+    trio.run(stores.write_kept_view, tmp_path / stores.KEPT_VIEW)
+    stores.write_compacted(tmp_path / stores.COMPACTED)
+    for name in stores.DIRECTORIES:
+        assert stores.rows_of(tmp_path / name) == stored[name], name
+
+
+@pytest.mark.parametrize(("clocks", "at"), [(stores.LATER, 0), (stores.REBOOTED, 1)])
+def test_a_dispatchers_state_is_recovered(clocks, at, tmp_path):
+    path = stores.copy_directory(stores.STATE, tmp_path)
+    assert trio.run(stores.recover_state, path, clocks) == read_json("state_recovered")[at]
+
+
+def test_a_voters_log_is_recovered(tmp_path):
+    path = stores.copy_directory(stores.VOTER, tmp_path)
+    found = stores.recover_voter(path)
+    assert found == (stores.DISK, stores.INCARNATION, stores.FENCES)
+    assert {entry.kind for entry in found[0].log} == {"nothing", "order", "voters", "state"}
+
+
+def test_the_view_that_a_member_kept_is_recovered(tmp_path):
+    path = stores.copy_directory(stores.KEPT_VIEW, tmp_path)
+    assert stores.recover_kept_view(path) == messages.KEPT
