--- /dev/null
+++ b/tests/fixture_traces.py
@@ -0,0 +1,138 @@
+"""Traces of every kind of operation, made by a tracer with a known clock and randomness."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Mapping, Sequence
+from pathlib import Path
+from typing import Any
+
+from fixture_simulator import OUTCOME_WORDS
+
+from yewrill.ending import Ending
+from yewrill.tracing import otlp, reading
+from yewrill.tracing.export import Files, Target, text_of
+from yewrill.tracing.record import OperationTrace
+from yewrill.tracing.report import Report
+from yewrill.tracing.tracer import Bounds, Tracer
+
+WALL = 1_700_000_000.0
+TRACE, SPAN = "4bf92f3577b34da6a3ce929d0e0e4736", "00f067aa0ba902b7"
+SAMPLED = f"00-{TRACE}-{SPAN}-01"
+NOT_SAMPLED = f"00-{TRACE}-{SPAN}-00"
+STATE = "rojo=00f067aa0ba902b7,ot=th:c;rv:00000000000001,congo=t61rcWkgMzE"
+RESOURCE = {"service.name": "yewrill", "service.version": "0", "service.instance.id": "d0"}
+
+
+class Clock:
+    """Seconds that go on when they are told to."""
+
+    def __init__(self) -> None:
+        self.now = 100.0
+
+    def __call__(self) -> float:
+        return self.now
+
+
+class Recording:
+    """Operations, each with its attempts, told to one tracer."""
+
+    def __init__(self) -> None:
+        self.clock = Clock()
+        bounds = Bounds(share=0.5, queue=100, honoured=1.0)
+        self.tracer = Tracer(bounds, clock=self.clock, wall=lambda: WALL, rng=random.Random(5))
+        self.headers: list[list[tuple[str, str]]] = []  # of each attempt
+
+    def begin(self, id: str, **given: Any) -> OperationTrace:
+        self.clock.now += 1.0
+        begun = {"parent": None, "state": None, "aim": 100.0, "stretch": 2.0, **given}
+        return self.tracer.begin(
+            id, "tour", "acme", deadline=1000.0, first_byte=self.clock.now - 0.01, **begun
+        )
+
+    def attempt(self, trace: OperationTrace, ending: str, *, seconds: float = 0.05) -> None:
+        number = len(trace.attempts)
+        attempt = trace.chosen(number, f"d{number}", 3, "no room", self.clock.now)
+        self.headers.append(attempt.headers)
+        attempt.begin = self.clock.now + 0.001
+        if ending != "unreached":
+            attempt.connected, attempt.written = self.clock.now + 0.002, self.clock.now + 0.003
+        if ending in ("served", "failed"):
+            attempt.started = self.clock.now + 0.01
+            attempt.note_progress(self.clock.now + 0.02, 0.5)
+        self.clock.now += seconds
+        attempt.end, attempt.ending = self.clock.now, ending
+
+    def finish(self, trace: OperationTrace, answer: str, why: str = "", after: float = 0.0) -> None:
+        trace.decide(self.clock.now + 0.001, answer, why, after)
+        self.clock.now += 0.002
+        self.tracer.finish(trace)
+
+
+def recording() -> Recording:
+    """Served, asked for, late, tried again, refused, failed, left, and with events and long names."""
+    found = Recording()
+    for number in range(4):  # about half of them are kept
+        served = found.begin(f"served-{number}")
+        found.attempt(served, "served")
+        found.finish(served, "served")
+    asked = found.begin("asked", parent=SAMPLED, state=STATE)
+    found.attempt(asked, "served")
+    found.finish(asked, "served")
+    late = found.begin("late", parent=NOT_SAMPLED)
+    found.attempt(late, "served", seconds=0.9)
+    found.finish(late, "served")
+    retried = found.begin("retried")
+    for ending in ("unreached", "reset", "turned away", "worn, reset"):
+        found.attempt(retried, ending)
+    found.tracer.event("reloaded", "by a signal")
+    found.attempt(retried, "served")
+    found.finish(retried, "served")
+    refused = found.begin("refused")
+    found.finish(refused, "refused", "it can't be in time", 250.0)
+    failed = found.begin("failed", parent=SAMPLED)
+    for ending in ("failed", "timed out"):
+        found.attempt(failed, ending)
+    found.finish(failed, "failed", "out of tries")
+    left = found.begin("left-" + "x" * 300, aim=1.0, stretch=0.0)
+    left.event(found.clock.now, "client-left")
+    found.attempt(left, "called off")
+    found.finish(left, "left")
+    unseen = found.begin("unseen")
+    unseen.chosen(0, "d0", 1, "", found.clock.now)
+    found.clock.now += 0.1
+    found.tracer.finish(unseen)
+    return found
+
+
+def records() -> list[Mapping[str, Any]]:
+    return recording().tracer.queue.take(100)
+
+
+def write_trace_file(path: Path) -> None:
+    files = Files(Target(file=str(path)))
+    files.write(text_of(records()))
+    files.close()
+
+
+def told_of(found: Sequence[reading.Record]) -> list[list[Any]]:
+    """What people are told of each record."""
+    return [
+        [reading.line(record), reading.waterfall(record), reading.why(record)] for record in found
+    ]
+
+
+def report_of(found: Sequence[reading.Record]) -> bytes:
+    report = Report()
+    for record in found:
+        report.take(record)
+    return report.html().encode()
+
+
+def otlp_body(found: Sequence[reading.Record]) -> bytes:
+    return otlp.request(found, RESOURCE, "0")
+
+
+def ending_words() -> list[list[Any]]:
+    """Every ending of an attempt as traces name it, with its outcome in the simulator's words."""
+    return [[ending.value, OUTCOME_WORDS[ending.outcome], ending.worn] for ending in Ending]
--- a/tests/make_fixtures.py
+++ b/tests/make_fixtures.py
@@ -12,9 +12,12 @@
 import fixture_messages as messages
 import fixture_simulator as simulator
 import fixture_stores as stores
+import fixture_traces as traces
 import trio
 from fixture_files import DIRECTORY, write_encoded, write_file, write_json
 
+from yewrill.tracing import reading
+
 
 def write_messages() -> None:
     write_encoded("members", messages.members_datagrams())
@@ -58,10 +61,22 @@
     write_json("state_recovered", recovered)
 
 
+def write_traces() -> None:
+    (DIRECTORY / "traces.jsonl").unlink(missing_ok=True)
+    traces.write_trace_file(DIRECTORY / "traces.jsonl")
+    found = list(reading.read([str(DIRECTORY / "traces.jsonl")]))
+    write_json("traces_told", traces.told_of(found))
+    write_json("traces_headers", traces.recording().headers)
+    write_json("traces_endings", traces.ending_words())
+    write_file("traces_report.html", traces.report_of(found))
+    write_file("traces.otlp", traces.otlp_body(found))
+
+
 def main() -> None:
     write_messages()
     write_simulator()
     write_stores()
+    write_traces()
     print(f"written: {DIRECTORY}")
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -8,6 +8,7 @@
 import fixture_messages as messages
 import fixture_simulator as simulator
 import fixture_stores as stores
+import fixture_traces as traces
 import msgspec
 import orjson
 import pytest
@@ -23,6 +24,7 @@
 from yewrill.ownership.format import unpack as read_ownership
 from yewrill.store.commands import check_all
 from yewrill.store.files import RealFiles
+from yewrill.tracing import reading
 from yewrill.views.format import Parts, round_of, tally_of, whole_of, word_of
 from yewrill.views.view import Kept
 from yewrill.zones.format import unpack as read_zones
@@ -259,3 +261,38 @@
 def test_the_view_that_a_member_kept_is_recovered(tmp_path):
     path = stores.copy_directory(stores.KEPT_VIEW, tmp_path)
     assert stores.recover_kept_view(path) == messages.KEPT
+
+
+# -- traces
+
+
+def stored_traces() -> list[reading.Record]:
+    return list(reading.read([str(DIRECTORY / "traces.jsonl")]))
+
+
+def test_the_same_traces_are_written_with_the_same_bytes(tmp_path):
+    traces.write_trace_file(tmp_path / "traces.jsonl")
+    written = (tmp_path / "traces.jsonl").read_bytes()
+    assert written.splitlines() == read_file("traces.jsonl").splitlines()
+    assert written == read_file("traces.jsonl")
+
+
+def test_a_trace_file_is_read_and_told_the_same():
+    found = stored_traces()
+    assert traces.told_of(found) == read_json("traces_told")
+    assert traces.report_of(found) == read_file("traces_report.html")
+    kept = {cause for record in found for cause in record["kept"]}
+    assert kept == {"sampled", "asked", "late", "refused", "failed", "retried", "left"}
+
+
+def test_a_trace_has_the_same_bytes_for_a_collector():
+    assert traces.otlp_body(stored_traces()) == read_file("traces.otlp")
+
+
+def test_attempts_have_the_same_headers_of_their_trace():
+    found = [[list(header) for header in headers] for headers in traces.recording().headers]
+    assert found == read_json("traces_headers")
+
+
+def test_endings_of_attempts_have_the_same_words():
+    assert traces.ending_words() == read_json("traces_endings")
