--- a/tests/make_fixtures.py
+++ b/tests/make_fixtures.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 
 import fixture_messages as messages
+import fixture_service as service
 import fixture_simulator as simulator
 import fixture_stores as stores
 import fixture_traces as traces
@@ -72,11 +73,21 @@
     write_file("traces.otlp", traces.otlp_body(found))
 
 
+def write_service() -> None:
+    with tempfile.TemporaryDirectory() as directory:
+        path = Path(directory)
+        write_json("management", trio.run(service.management, path / "management"))
+        write_json("as_elder", trio.run(service.as_elder, path / "elder"))
+        write_json("as_heir", trio.run(service.as_heir, path / "heir"))
+    write_json("link_names", service.link_names())
+
+
 def main() -> None:
     write_messages()
     write_simulator()
     write_stores()
     write_traces()
+    write_service()
     print(f"written: {DIRECTORY}")
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import fixture_messages as messages
+import fixture_service as service
 import fixture_simulator as simulator
 import fixture_stores as stores
 import fixture_traces as traces
@@ -14,6 +15,7 @@
 import pytest
 import trio
 from fixture_files import DIRECTORY, read_encoded, read_file, read_json
+from helper import story
 
 from yewrill.calendar import asking
 from yewrill.calendar.book import Book
@@ -296,3 +298,35 @@
 
 def test_endings_of_attempts_have_the_same_words():
     assert traces.ending_words() == read_json("traces_endings")
+
+
+# -- the management listener
+
+
+@story
+async def test_the_management_listener_has_the_same_calls_metrics_and_statuses(tmp_path):
+    paths, metrics, statuses, answers = await service.management(tmp_path)
+    stored_paths, stored_metrics, stored_statuses, stored_answers = read_json("management")
+    assert paths == stored_paths
+    assert metrics == stored_metrics
+    for status, stored in zip(statuses, stored_statuses, strict=True):
+        assert status == stored
+    for answer, stored in zip(answers, stored_answers, strict=True):
+        assert answer == stored
+
+
+# -- the link between two runs
+
+
+@story
+async def test_an_heir_is_told_the_same_lines_and_heard(tmp_path):
+    assert await service.as_elder(tmp_path) == read_json("as_elder")
+
+
+@story
+async def test_an_elder_is_told_the_same_lines_and_heard(tmp_path):
+    assert await service.as_heir(tmp_path) == read_json("as_heir")
+
+
+def test_runs_of_a_dispatcher_find_each_other_under_the_same_name():
+    assert service.link_names() == read_json("link_names")
