--- a/tests/make_fixtures.py
+++ b/tests/make_fixtures.py
@@ -9,6 +9,7 @@
 import tempfile
 from pathlib import Path
 
+import fixture_configuration as configuration
 import fixture_messages as messages
 import fixture_service as service
 import fixture_simulator as simulator
@@ -82,12 +83,19 @@
     write_json("link_names", service.link_names())
 
 
+def write_configuration() -> None:
+    write_json("configuration", configuration.configuration_values())
+    write_json("reload_ignored", configuration.reload_ignored())
+    write_json("destinations", configuration.destination_values())
+
+
 def main() -> None:
     write_messages()
     write_simulator()
     write_stores()
     write_traces()
     write_service()
+    write_configuration()
     print(f"written: {DIRECTORY}")
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+import fixture_configuration as configuration
 import fixture_messages as messages
 import fixture_service as service
 import fixture_simulator as simulator
@@ -330,3 +331,20 @@
 
 def test_runs_of_a_dispatcher_find_each_other_under_the_same_name():
     assert service.link_names() == read_json("link_names")
+
+
+# -- the configuration file
+
+
+def test_every_key_of_a_configuration_is_read_to_the_same_value():
+    stored = read_json("configuration")
+    for values, before in zip(configuration.configuration_values(), stored, strict=True):
+        assert values == before
+
+
+def test_a_reload_names_the_same_keys_as_ignored():
+    assert configuration.reload_ignored() == read_json("reload_ignored")
+
+
+def test_lines_of_discoverys_list_are_read_to_the_same_values():
+    assert configuration.destination_values() == read_json("destinations")
