--- a/tests/make_fixtures.py
+++ b/tests/make_fixtures.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 
 import fixture_configuration as configuration
+import fixture_conversation as conversation
 import fixture_messages as messages
 import fixture_service as service
 import fixture_simulator as simulator
@@ -89,6 +90,12 @@
     write_json("destinations", configuration.destination_values())
 
 
+def write_conversations() -> None:
+    write_json("members_said", conversation.members_say())
+    write_json("views_said", conversation.views_say())
+    write_json("ownership_said", conversation.ownership_says())
+
+
 def main() -> None:
     write_messages()
     write_simulator()
@@ -96,6 +103,7 @@
     write_traces()
     write_service()
     write_configuration()
+    write_conversations()
     print(f"written: {DIRECTORY}")
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import fixture_configuration as configuration
+import fixture_conversation as conversation
 import fixture_messages as messages
 import fixture_service as service
 import fixture_simulator as simulator
@@ -348,3 +349,18 @@
 
 def test_lines_of_discoverys_list_are_read_to_the_same_values():
     assert configuration.destination_values() == read_json("destinations")
+
+
+# -- three members from their start on
+
+
+def test_members_say_the_same_to_each_other():
+    assert conversation.members_say() == read_json("members_said")
+
+
+def test_members_of_a_view_say_the_same_to_each_other():
+    assert conversation.views_say() == read_json("views_said")
+
+
+def test_voters_and_owners_say_the_same_to_each_other():
+    assert conversation.ownership_says() == read_json("ownership_said")
