--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -23,7 +23,7 @@
 from yewrill.calendar.book import Book
 from yewrill.members.format import Refused, Stranger
 from yewrill.members.parts import Joiner
-from yewrill.ownership import duties, states
+from yewrill.ownership import duties, raft, states
 from yewrill.ownership import format as ownership
 from yewrill.ownership.format import unpack as read_ownership
 from yewrill.store.commands import check_all
@@ -138,6 +138,19 @@
     }
 
 
+def test_a_voter_on_probation_acts_on_the_stored_snapshot_and_on_a_confirmation():
+    stored = read_encoded("ownership")
+    voter = raft.Raft("d02", 500, raft.Disk(snapshot=raft.Snapshot(0, 0, messages.VOTERS)))
+    for name in ("d00", "d01"):  # both remember more than it has: its disk lost its tail
+        voter.receive(raft.Message("remember", name, "d02", 8, 4, number=500, index=40, of=3))
+    voter.receive(read_ownership(stored["log: snapshot"][0]))
+    out = voter.take()
+    assert out.installed == messages.SNAPSHOT and out.messages[-1].kind == "appended"
+    assert voter.lost and not voter.counts
+    voter.receive(raft.Message("confirm", "d00", "d02", 8, 4, number=500, index=40, of=3))
+    assert voter.counts
+
+
 def test_entries_and_snapshots_of_the_log_have_the_same_bytes_and_are_read():
     stored = read_encoded("ownership_states")
     assert messages.ownership_states() == stored
