--- /dev/null
+++ b/tests/fixture_messages.py
@@ -0,0 +1,331 @@
+"""Sample values of every message between dispatchers, one for each kind and form.
+
+The values are built by the code as it stands; what they must be encoded to is stored in fixtures.
+"""
+
+from __future__ import annotations
+
+import msgspec
+from fixture_files import Encoded
+
+from yewrill.calendar import asking
+from yewrill.calendar.book import Book
+from yewrill.calendar.windows import MINUTE, Window
+from yewrill.members.format import KINDS, Codec
+from yewrill.members.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim
+from yewrill.members.machine import Message as Datagram
+from yewrill.members.parts import cut
+from yewrill.ownership import duties, raft, states
+from yewrill.ownership import format as ownership
+from yewrill.views import admission, view
+from yewrill.views import format as views
+from yewrill.views.agreement import Word
+from yewrill.views.founding import Founding
+from yewrill.views.rollcall import Round
+from yewrill.zones import format as zones
+from yewrill.zones import plan
+
+# -- members
+
+OLD_KEY, NEW_KEY = bytes(range(16)), bytes(range(100, 164))
+SENDER_RUN, RECEIVER_RUN = 0x1111222233334444, 0xFFFFEEEEDDDDCCCC
+SENDER_ADDRESS, RECEIVER_ADDRESS = ("127.0.0.1", 7401), ("127.0.0.2", 7402)
+CLAIMS = (
+    Claim("alpha", SENDER_ADDRESS, "north", "upper", 3, ALIVE, ""),
+    Claim("beta", RECEIVER_ADDRESS, "south", "lower", 2**40, SUSPECT, "alpha"),
+    Claim("gämma", ("10.1.2.3", 65535), "", "", 0, DEAD, "beta"),
+    Claim("delta", ("10.1.2.4", 0), "zone", "", 2**48, LEFT, ""),
+)
+MANY_CLAIMS = tuple(
+    Claim(f"member-{i:03d}", ("10.0.0.1", 7000 + i), "north", "upper", i, ALIVE, "")
+    for i in range(60)
+)
+DATAGRAMS = (
+    ("ping", Datagram("ping", 17, "beta", CLAIMS)),
+    ("ack", Datagram("ack", 2**63, "beta", ())),
+    ("nack", Datagram("nack", 18, "gämma", CLAIMS[1:3])),
+    ("help", Datagram("help", 19, "delta", ())),
+    ("list", Datagram("list", 2**56 - 1, "beta", CLAIMS[:1])),
+    ("news", Datagram("news", 0, "", CLAIMS[2:])),
+    ("cargo", Datagram("cargo", 0, "", (), b"\x00\x01payload of another part\xff")),
+    ("cargo and news", Datagram("cargo", 1, "", CLAIMS[:2], b"x" * 600)),
+)
+
+
+def sending_codec() -> Codec:
+    return Codec("alpha", SENDER_RUN, [OLD_KEY])
+
+
+def receiving_codec() -> Codec:
+    """Signs with the new key and takes the old one too."""
+    return Codec("beta", RECEIVER_RUN, [NEW_KEY, OLD_KEY])
+
+
+def members_datagrams() -> Encoded:
+    """A conversation: the first ping is to a stranger, whose greeting makes it known."""
+    sender, receiver = sending_codec(), receiving_codec()
+    first = sender.encode(Datagram("ping", 1, "beta"), RECEIVER_ADDRESS)
+    greeting = receiver.hello(SENDER_ADDRESS, SENDER_RUN)
+    sender_with_both = Codec("alpha", SENDER_RUN, [OLD_KEY, NEW_KEY])
+    sender_with_both.encode(Datagram("ping", 1, "beta"), RECEIVER_ADDRESS)
+    sender_with_both.decode(greeting, RECEIVER_ADDRESS)
+    told = {
+        label: [sender_with_both.encode(message, RECEIVER_ADDRESS)] for label, message in DATAGRAMS
+    }
+    full = sender_with_both.encode(Datagram("ping", 5, "beta", MANY_CLAIMS), RECEIVER_ADDRESS)
+    assert {message.kind for _, message in DATAGRAMS} | {"hello"} == set(KINDS)
+    return {"to a stranger": [first], "hello": [greeting], **told, "as much as fits": [full]}
+
+
+# -- parts
+
+PAYLOADS = (
+    ("empty", b"", 0),
+    ("one part", b"short", 7),
+    ("one whole part", bytes(range(256)) * 3 + bytes(132), 8),
+    ("three parts", bytes(range(256)) * 8, 2**32),
+)
+
+
+def parts() -> Encoded:
+    return {label: cut(payload, number) for label, payload, number in PAYLOADS}
+
+
+# -- views
+
+ENTRIES = tuple(
+    view.Entry(
+        f"d{i:02d}", 1000 + i, ("127.0.0.1", 7400 + i), ("north", "south")[i % 2], ("voter",)
+    )
+    for i in range(14)
+)
+ROUND = Round(9, 3, 2, 0b10110111011101, 0b1011)
+WORD = Word((4, 2), 0b1111, (3, 1), b"best", b"proposed", 0b101)
+SAME_PROPOSAL = Word((4, 2), 0b11111111, (4, 2), b"best", b"best", 0)
+VIEW = view.View(7, ENTRIES)
+REGISTERS = (
+    views.Register(0, 2, 5, (), False),
+    views.Register(13, 2**40, 255, ENTRIES[:2], True),
+)
+VIEW_MESSAGES = (
+    ("beat, least", views.Beat(1, b"8 bytes.", 2, 500, -1, 0)),
+    (
+        "beat, whole",
+        views.Beat(
+            7,
+            VIEW.digest,
+            2**48,
+            0,
+            3_600_000,
+            2**32 - 1,
+            views.wire_round(ROUND, len(ENTRIES)),
+            REGISTERS,
+            views.wire_word(WORD, len(ENTRIES)),
+            b"last change",
+            2,
+            views.wire_tally(WORD, len(ENTRIES)),
+            ENTRIES[4:6],
+        ),
+    ),
+    (
+        "beat, word without a proposal of its own",
+        views.Beat(
+            7, VIEW.digest, 1, 250, 10, 1, None, (), views.wire_word(SAME_PROPOSAL, len(ENTRIES))
+        ),
+    ),
+    ("call, least", views.Call(ENTRIES[0], 0, 500, -1, 0)),
+    (
+        "call, whole",
+        views.Call(
+            ENTRIES[1], 6, 500, 20, 5, (8, b"founders"), view.Kept(5, ("d00", "d01", "d02")), True
+        ),
+    ),
+    ("answer, least", views.Answer(7, VIEW.digest, 12)),
+    ("answer, whole", views.Answer(7, VIEW.digest, 12, "not yet", b"last change", 14)),
+    ("ask", views.Ask(7, 1)),
+    ("page", views.Page(7, VIEW.digest, 1, 2, ENTRIES[10:])),
+)
+CHANGE = view.value_of({2, 5}, [view.Entry("late", 77, ("127.0.0.3", 1)), ENTRIES[0]])
+KEPT = view.Kept(7, VIEW.names)
+
+
+def view_messages() -> Encoded:
+    found = {label: views.pack(message, 40) for label, message in VIEW_MESSAGES}
+    found["change"] = [CHANGE]
+    found["kept"] = [msgspec.msgpack.encode(KEPT)]
+    return found
+
+
+def view_agreements() -> dict[str, list]:
+    """What all members compute alike from what they were told, without saying it."""
+    size = len(ENTRIES)
+    founding = Founding(ENTRIES[0], (ENTRIES[0].name,), None, 5.0, lambda size: 0.0)
+    founding.tick(0.0)
+    return {
+        "digest": [VIEW.digest.hex(), VIEW.after(CHANGE).digest.hex()],
+        "names after the change": list(VIEW.after(CHANGE).names),
+        "neighbours": [list(VIEW.edges(rank)) for rank in range(size)],
+        "places": list(VIEW.places("joiner", 5)),
+        "turns": VIEW.turns(),
+        "order of joiners": [admission.order(entry.name).hex() for entry in ENTRIES],
+        "tellers": [admission.tells(rank, "joiner") for rank in range(size)],
+        "bitmaps": [
+            views.bits(value, width).hex()
+            for value, width in ((0, 3), (5, 14), (1 << 200, 300), ((1 << 300) - 2, 300))
+        ],
+        "founders' agreement": [founding.accept[0], founding.accept[1].hex()],
+        "digest of a proposal": [views.digest_of(b"proposed").hex()],
+    }
+
+
+# -- zones
+
+PLAN = plan.Plan(
+    3 * plan.EPOCH + 2,
+    {"north": plan.Entry(0, 3, False), "south": plan.Entry(200, 64, True)},
+)
+ZONE_MESSAGES = (
+    ("digest", zones.Said(zones.DIGEST, PLAN.version)),
+    ("digest, no plan yet", zones.Said(zones.DIGEST, plan.Plan().version)),
+    ("ask", zones.Said(zones.ASK, PLAN.version, 2**32)),
+    (
+        "tell",
+        zones.Said(
+            zones.TELL,
+            PLAN.version,
+            41,
+            True,
+            12.5,
+            {"north": (100, 40), "south": (10_000, 0)},
+            ("east", "west"),
+        ),
+    ),
+    ("plan", zones.Said(zones.PLAN, PLAN.version, plan=PLAN)),
+    ("get", zones.Said(zones.GET, PLAN.version)),
+    ("hint", zones.Said(zones.HINT, PLAN.version, dark=("south",))),
+)
+
+
+def zone_messages() -> Encoded:
+    return {label: [zones.pack(message)] for label, message in ZONE_MESSAGES}
+
+
+# -- ownership
+
+VOTERS = ("d00", "d01", "d02")
+COMMAND = duties.Command(duties.CLAIM, "zones", "d01", 12, 0, 2000)
+LOG_ENTRIES = (
+    raft.Entry(1, raft.NOTHING),
+    raft.Entry(2, raft.ORDER, duties.pack_command(5000, COMMAND)),
+    raft.Entry(2, raft.VOTERS, b"", VOTERS),
+    raft.Entry(3, states.STATE, states.pack_entry(6000, "calendar", b"for the machine")),
+)
+SNAPSHOT = raft.Snapshot(40, 3, VOTERS, b"state of the duties")
+RAFT_MESSAGES = tuple(
+    (f"log: {message.kind}", message)
+    for message in (
+        raft.Message("ask", "d00", "d01", 2**42, number=2**42),
+        raft.Message("remember", "d01", "d00", 7, 3, number=2**42, index=9, of=2, yes=True),
+        raft.Message("prevote", "d00", "d01", 8, 4, number=1, index=9, of=3),
+        raft.Message("vote", "d00", "d01", 8, 4, index=9, of=3),
+        raft.Message("voted", "d01", "d00", 7, 4, yes=True),
+        raft.Message(
+            "append", "d00", "d02", 8, 4, number=3, index=9, of=3, commit=8, entries=LOG_ENTRIES
+        ),
+        raft.Message("appended", "d02", "d00", 9, 4, number=3, index=13, yes=True, counts=False),
+        raft.Message("snapshot", "d00", "d02", 8, 4, index=40, snapshot=SNAPSHOT),
+        raft.Message("confirm", "d00", "d02", 8, 4, commit=13),
+    )
+)
+REQUESTS = (
+    ("claim", ownership.Request(COMMAND)),
+    ("renew", ownership.Request(duties.Command(duties.RENEW, "zones", "d01", 13, 4, 2000))),
+    ("give up", ownership.Request(duties.Command(duties.GIVE_UP, "zones", "d01", 14, 4))),
+    ("reply", ownership.Reply(12, True, duties.Result(True, 4, "d01", 1999), "")),
+    ("reply of another", ownership.Reply(13, False, duties.Result(False), "d02")),
+    ("submit", ownership.Submit("calendar", 99, b"entry")),
+    ("submitted", ownership.Submitted(99, True, True, b"result", "d00")),
+    ("submitted in vain", ownership.Submitted(100, True, False)),
+)
+OWNERSHIP_MESSAGES = (*RAFT_MESSAGES, *REQUESTS)
+
+
+class Keeper:
+    """A state machine that keeps what it is given."""
+
+    def __init__(self) -> None:
+        self.data = b""
+
+    def apply(self, at: int, data: bytes) -> bytes:
+        self.data = data
+        return b"%d" % at
+
+    def pack(self) -> bytes:
+        return self.data
+
+    def restore(self, data: bytes) -> None:
+        self.data = data
+
+
+def applied_duties() -> duties.Duties:
+    """Duties after a claim, a renewal, one given up, and one refused."""
+    state = duties.Duties()
+    state.apply(5000, COMMAND)
+    state.apply(5500, duties.Command(duties.RENEW, "zones", "d01", 13, 1, 2000))
+    state.apply(5600, duties.Command(duties.CLAIM, "calendar", "d02", 1, 0, 1000))
+    state.apply(5700, duties.Command(duties.GIVE_UP, "calendar", "d02", 2, 1))
+    state.apply(5800, duties.Command(duties.CLAIM, "zones", "d00", 5, 0, 1000))
+    return state
+
+
+def ownership_messages() -> Encoded:
+    return {label: [ownership.pack(message)] for label, message in OWNERSHIP_MESSAGES}
+
+
+def ownership_states() -> Encoded:
+    """Entries of the log and snapshots of what they made."""
+    machine = Keeper()
+    machine.apply(0, b"kept")
+    return {
+        "command": [duties.pack_command(5000, COMMAND)],
+        "entry of a state machine": [states.pack_entry(6000, "calendar", b"entry")],
+        "duties": [applied_duties().pack()],
+        "snapshot without machines": [states.pack_all(applied_duties(), {})],
+        "snapshot with a machine": [states.pack_all(applied_duties(), {"calendar": machine})],
+    }
+
+
+# -- the calendar's entries of that log
+
+HOUR = 60 * MINUTE
+CALENDAR = asking.Config(
+    (asking.Capacity("north", "std", 40, 10, 2, 2, 1), asking.Capacity("south", "std", 20, 5)),
+    {"acme": 500.0},
+)
+WINDOWS = (Window(2 * HOUR, 3 * HOUR), Window(26 * HOUR, 27 * HOUR))
+CALENDAR_ENTRIES = (
+    ("ask", asking.Ask("acme", "a1", "std", 10, WINDOWS)),
+    (
+        "ask for a length",
+        asking.Ask("acme", "a2", "std", 24, (Window(HOUR, 9 * HOUR),), HOUR, asking.Spread(4, 2)),
+    ),
+    ("ask, refused with offers", asking.Ask("acme", "a3", "std", 36, (WINDOWS[0],))),
+    ("take an offer", asking.TakeOffer("acme", "a4", 3)),
+    ("cancel", asking.Cancel("acme", "a5", 1)),
+    ("release", asking.Release("acme", "a6", 2)),
+    ("tick", asking.Tick()),
+)
+
+
+def calendar_book() -> tuple[Encoded, bytes]:
+    """Each entry with its result, and the book that they make."""
+    book, found = Book(CALENDAR), {}
+    for at, (label, entry) in enumerate(CALENDAR_ENTRIES):
+        data = asking.encode(entry)
+        found[label] = [data, book.apply(at * MINUTE, data)]
+    return found, book.pack()
+
+
+def calendar() -> Encoded:
+    found, book = calendar_book()
+    return {**found, "book": [book]}
