--- a/tests/fixture_configuration.py
+++ b/tests/fixture_configuration.py
@@ -6,7 +6,7 @@
 
 from fixture_simulator import SITE, STATE_WORDS, settings_values
 
-from yewrill.config import Config, Places, differing, read_config, read_destinations
+from yewrill.config.reading import Config, TopologyNames, differing, read_config, read_endpoints
 
 LIMITS = {**SITE["limits"], "connect_timeout": 175.0, "idle_close": 9000.0}
 SERVERS = (
@@ -104,7 +104,7 @@
     return [
         [config.name, list(config.listen), list(config.discovery), config.seed],
         [config.limits.cores, config.limits.memory_mb, config.limits.sockets],
-        [list(config.places.zones), list(config.places.kinds), config.known],
+        [list(config.topology.zones), list(config.topology.kinds), config.known],
         [config.mgmt and list(config.mgmt), config.inherited_fd, config.link_dir, config.front],
         [config.answer_margin_ms, config.linger_ms, config.grace_ms],
         [config.connect_timeout_ms, config.idle_close_ms],
@@ -133,8 +133,8 @@
 
 def destination_values() -> list[list[Any]]:
     """The lines of a list of discovery's."""
-    places = Places(("north", "south"), ("std", "wide"))
-    found = read_destinations({"version": 1, "servers": list(SERVERS)}, "list", places)
+    places = TopologyNames(("north", "south"), ("std", "wide"))
+    found = read_endpoints({"version": 1, "servers": list(SERVERS)}, "list", places)
     return [
         [
             [one.id, list(one.address), one.zone, one.kind, one.cell],
--- a/tests/fixture_conversation.py
+++ b/tests/fixture_conversation.py
@@ -7,14 +7,14 @@
 
 from fixture_messages import VOTERS
 
-from yewrill.members.format import Codec, Stranger
-from yewrill.members.machine import Claim
-from yewrill.members.machine import Machine as Membership
-from yewrill.members.machine import Message as Datagram
-from yewrill.ownership import raft
-from yewrill.ownership.format import pack as pack_ownership
-from yewrill.ownership.format import unpack as unpack_ownership
-from yewrill.ownership.node import Node
+from yewrill.leases import raft
+from yewrill.leases.format import pack as pack_ownership
+from yewrill.leases.format import unpack as unpack_ownership
+from yewrill.leases.node import Node
+from yewrill.membership.format import Codec, Stranger
+from yewrill.membership.machine import Claim
+from yewrill.membership.machine import Machine as Membership
+from yewrill.membership.machine import Message as Datagram
 from yewrill.views.format import Parts
 from yewrill.views.format import pack as pack_views
 from yewrill.views.machine import Machine as Viewer
--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -8,22 +8,22 @@
 import msgspec
 from fixture_files import Encoded
 
-from yewrill.calendar import asking
-from yewrill.calendar.book import Book
-from yewrill.calendar.windows import MINUTE, Window
-from yewrill.members.format import KINDS, Codec
-from yewrill.members.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim
-from yewrill.members.machine import Message as Datagram
-from yewrill.members.parts import cut
-from yewrill.ownership import duties, raft, states
-from yewrill.ownership import format as ownership
+from yewrill.leases import duties, raft, states
+from yewrill.leases import format as ownership
+from yewrill.membership.format import KINDS, Codec
+from yewrill.membership.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim
+from yewrill.membership.machine import Message as Datagram
+from yewrill.membership.parts import cut
+from yewrill.reservations import asking
+from yewrill.reservations.book import Book
+from yewrill.reservations.windows import MINUTE, Window
 from yewrill.views import admission, view
 from yewrill.views import format as views
 from yewrill.views.agreement import Word
 from yewrill.views.founding import Founding
 from yewrill.views.rollcall import Round
-from yewrill.zones import format as zones
-from yewrill.zones import plan
+from yewrill.zone_failover import format as zones
+from yewrill.zone_failover import plan
 
 # -- members
 
--- a/tests/fixture_service.py
+++ b/tests/fixture_service.py
@@ -16,10 +16,10 @@
 import ujson
 from helper import Client, Peer, World, done, world
 
-from yewrill.config import read_config
-from yewrill.members import Members
-from yewrill.net.handover import link_path
-from yewrill.operatorcalls import OperatorCalls
+from yewrill.config.reading import read_config
+from yewrill.membership import Members
+from yewrill.service.hot_restart import link_path
+from yewrill.service.management_calls import ManagementCalls
 from yewrill.store import Store
 
 MEMBERS = {
@@ -88,7 +88,7 @@
 
 def _owned(here: World) -> bool:
     """Whether the service is in a view and owns the zones."""
-    parts = {hook.name: hook for hook in here.service.hooks}
+    parts = {subsystem.name: subsystem for subsystem in here.service.subsystems}
     owns = any(duty["ours"] for duty in parts["ownership"].status()["duties"])
     return owns and bool(parts["zones"].status()["zones"]) and bool(parts["views"].number)
 
@@ -101,7 +101,7 @@
         assert (await here.ask()).status == 200
         paths = [
             f"{call.method} {path}{' named' if call.named else ''}"
-            for path, call in OperatorCalls(here.service).by_path().items()
+            for path, call in ManagementCalls(here.service).by_path().items()
         ]
         text = (await here.call("GET /_vars")).body.decode()
         metrics = [[line.split(":")[0], line.split("|")[1]] for line in text.splitlines()]
@@ -111,7 +111,7 @@
 
 async def _other_member(here: World) -> Callable:
     """Another member of the first's, so that it is listed."""
-    members = here.service.hooks[0]
+    members = here.service.subsystems[0]
     await here.until(members.opened.is_set)
     address = "{}:{}".format(*members.address)
     raw = {**here.raw, "members": {**MEMBERS, "name": "d9", "peers": [address]}}
@@ -224,23 +224,23 @@
     """What a service tells an heir, and what it makes of what that one tells."""
     async with _shared(path) as here:
         service, heard = here.service, []
-        heir = Line(await trio.open_unix_socket(str(_link(path))))
-        await heir.say(HEIR_SAYS[0])
-        heard += await heir.hear(1)
+        new_process = Line(await trio.open_unix_socket(str(_link(path))))
+        await new_process.say(HEIR_SAYS[0])
+        heard += await new_process.hear(1)
         assert await _job(here, "/tour", "r1") == 200
-        heard += await heir.hear(2)
+        heard += await new_process.hear(2)
         for number, call in enumerate(ORDERS, 1):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(here.call, call)
-                heard += await heir.hear(1)
-                await heir.say(b'{"noted":%d}\n' % number)
-        await heir.say(HEIR_SAYS[1])
-        heard += await heir.hear(1)
-        ready = service.handover.heir_ready
-        await heir.say(*HEIR_SAYS[2:])
-        heard += await heir.hear(3)
-        known = [ready, service.handover.open_elsewhere("heirs-job"), service.pool.out]
-        await heir.close()
+                heard += await new_process.hear(1)
+                await new_process.say(b'{"noted":%d}\n' % number)
+        await new_process.say(HEIR_SAYS[1])
+        heard += await new_process.hear(1)
+        ready = service.hot_restart.new_process_ready
+        await new_process.say(*HEIR_SAYS[2:])
+        heard += await new_process.hear(3)
+        known = [ready, service.hot_restart.open_elsewhere("heirs-job"), service.endpoints.out]
+        await new_process.close()
         # Kept and refused records are answered as they get there, which may be in another order.
         return [_alike(heard[:-3]) + sorted(_alike(heard[-3:])), known]
 
@@ -254,31 +254,31 @@
         listening.setblocking(False)
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(listening))
         async with trio.open_nursery() as nursery:
-            elder, heard = Elder(), []
-            nursery.start_soon(elder.greet, listener, heard)
+            old_process, heard = Elder(), []
+            nursery.start_soon(old_process.greet, listener, heard)
             async with _shared(path) as here:
-                pool, handover = here.service.pool, here.service.handover
+                pool, hot_restart = here.service.endpoints, here.service.hot_restart
                 first = [
-                    handover.open_elsewhere("elders-job"),
-                    here.service.lame,
+                    hot_restart.open_elsewhere("elders-job"),
+                    here.service.operator_drain,
                     pool.out,
                     sorted(pool.back),
                     pool.names,
                 ]
-                await elder.line.say(*[_now(line) for line in ELDER_SAYS])
-                heard += await elder.line.hear(3)
+                await old_process.line.say(*[_now(line) for line in ELDER_SAYS])
+                heard += await old_process.line.hear(3)
                 then = [
-                    [handover.open_elsewhere(id) for id in ("elders-job", "another-job")],
-                    here.service.lame,
+                    [hot_restart.open_elsewhere(id) for id in ("elders-job", "another-job")],
+                    here.service.operator_drain,
                     pool.out,
                     sorted(pool.back),
                 ]
                 async with trio.open_nursery() as asking:
                     asking.start_soon(_job, here, "/once", "r1")
-                    heard += await elder.line.hear(2)
-                    await elder.line.say(b'{"noted":2,"kept":true}\n')
-                    heard += await elder.line.hear(1)
-                await elder.line.close()
+                    heard += await old_process.line.hear(2)
+                    await old_process.line.say(b'{"noted":2,"kept":true}\n')
+                    heard += await old_process.line.hear(1)
+                await old_process.line.close()
             nursery.cancel_scope.cancel()
         return [_alike(heard), first, then]
 
--- a/tests/fixture_simulator.py
+++ b/tests/fixture_simulator.py
@@ -9,10 +9,10 @@
 
 import orjson
 
-from yewrill import interface as api
-from yewrill import loadreport
-from yewrill.benchlink import serve
-from yewrill.wire import decode_event, decode_settings, encode_action
+from yewrill.dispatch import load_report as loadreport
+from yewrill.policy import interface as api
+from yewrill.simulator.codec import decode_event, decode_settings, encode_action
+from yewrill.simulator.host import serve
 
 SITE = {
     "instances": 2,
@@ -221,7 +221,7 @@
 ACTIONS = (
     api.Send("t1", "w1", 250.0, 3, "no room"),
     api.Send("t2", "w2"),
-    api.Refuse("t3", 125.5, "overload"),
+    api.Reject("t3", 125.5, "overload"),
     api.Fail("t4", "too late"),
     api.Cancel("t5", 2),
     api.SetTimer(7, 30.0),
@@ -237,7 +237,11 @@
     return [encode_action(1, action).decode() for action in ACTIONS]
 
 
-EFFECT_WORDS = {api.SAFE: "pure", api.KEYED: "token", api.UNSAFE: "side_effect"}
+EFFECT_WORDS = {
+    api.IDEMPOTENT: "pure",
+    api.IDEMPOTENT_BY_KEY: "token",
+    api.NON_IDEMPOTENT: "side_effect",
+}
 
 
 def settings_values(config: dict[str, Any]) -> list[Any]:
@@ -246,14 +250,14 @@
     classes = [
         [
             one.name,
-            one.aim,
+            one.latency_objective,
             one.deadline,
-            one.worth,
-            one.late_worth,
-            EFFECT_WORDS[one.effect],
+            one.priority_weight,
+            one.late_weight_fraction,
+            EFFECT_WORDS[one.idempotency],
             one.group,
             one.window,
-            one.stretch,
+            one.objective_run_factor,
             one.kind,
         ]
         for one in read.classes
@@ -261,8 +265,8 @@
     return [
         classes,
         [[one.name, one.quota_per_s, one.share] for one in read.tenants],
-        [read.kinds, read.zone, read.dispatchers, read.index, read.over_share_worth],
-        [read.worth_by_work, read.list_on_request, read.tells_start, read.progress_every],
+        [read.kinds, read.zone, read.dispatchers, read.index, read.over_quota_weight],
+        [read.weight_by_work, read.list_on_request, read.tells_start, read.progress_every],
         [list(read.report_fields), read.free_slots_field, read.reports_on_probe],
         [read.may_probe, read.may_cancel, read.fifo, read.marks_retry],
         [read.max_attempts, read.max_retry_after, read.answer_slack],
@@ -343,7 +347,7 @@
     if event is None:
         return None
     if isinstance(event, api.AttemptEnded):
-        attempt = [event.job, event.attempt, event.worker, OUTCOME_WORDS[event.outcome]]
+        attempt = [event.request_id, event.attempt, event.worker, OUTCOME_WORDS[event.outcome]]
         return [*attempt, event.elapsed, event.final, event.report]
     if isinstance(event, api.ProbeEnded):
         return [event.worker, OUTCOME_WORDS[event.outcome], event.report]
--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -18,19 +18,19 @@
 from fixture_messages import KEPT, VOTERS, applied_duties
 from helper import SETTINGS
 
-from yewrill.config import Places, StateConfig, read_config
-from yewrill.facade import Decisions, Operation, RouteStep
-from yewrill.figures import Figures
-from yewrill.interface import JobClass
-from yewrill.net.http import Request
-from yewrill.net.poolconfig import PoolConfig
-from yewrill.ownership import disk as voters_disk
-from yewrill.ownership import raft
-from yewrill.state import StateKeeper
-from yewrill.state.attempts import AttemptRecord, Clocks
+from yewrill.config.reading import StateConfig, TopologyNames, read_config
+from yewrill.dispatch.engine import Attempt, DecisionEngine, Request
+from yewrill.leases import disk as voters_disk
+from yewrill.leases import raft
+from yewrill.net.discovery import EndpointList
+from yewrill.net.http import HttpRequest
+from yewrill.observability.metrics import Metrics
+from yewrill.persistence import PersistentState
+from yewrill.persistence.attempts import AttemptRecord, Clocks
+from yewrill.policy.interface import RequestClass
+from yewrill.service.tracing_hooks import SPOOL
 from yewrill.store import Batch, Store
 from yewrill.store import format as store_format
-from yewrill.traced import SPOOL
 from yewrill.tracing.export import StoreSpool
 from yewrill.views.config import ViewsConfig
 from yewrill.views.facade import KEPT as VIEW_KEY
@@ -63,11 +63,11 @@
 # -- a dispatcher's state
 
 
-class FixedKeeper(StateKeeper):
+class FixedKeeper(PersistentState):
     """A keeper whose clocks stand still, and whose run has a known name."""
 
-    def __init__(self, path: Path, pool: PoolConfig, clocks: Clocks, run: str = RUN):
-        figures = Figures()
+    def __init__(self, path: Path, pool: EndpointList, clocks: Clocks, run: str = RUN):
+        figures = Metrics()
         figures.know_state()
         # With patience for a busy machine: what is not written in time is not in the fixture.
         super().__init__(StateConfig(str(path), patience_ms=10_000.0), pool, figures)
@@ -102,72 +102,80 @@
 SPOOLED = b"\x1f\x8ba batch of records"
 
 
-def _pool() -> tuple[PoolConfig, dict[str, JobClass]]:
+def _pool() -> tuple[EndpointList, dict[str, RequestClass]]:
     raw = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     settings = read_config(raw).settings
-    pool = PoolConfig(Decisions(settings, 5), Places(("room",), ("std",)))
+    pool = EndpointList(DecisionEngine(settings, 5), TopologyNames(("room",), ("std",)))
     pool.apply(KNOWN)
     return pool, {one.name: one for one in settings.classes}
 
 
-def _operation(number: int, job_class: str, key: str) -> Operation:
+def _operation(number: int, request_class: str, key: str) -> Request:
     headers = [(b"idempotency-key", key.encode())] if key else []
-    payload = Request("POST", f"/{job_class}", headers)
-    return Operation(f"r{number}", 1, 1e9, payload=payload)
+    payload = HttpRequest("POST", f"/{request_class}", headers)
+    return Request(f"r{number}", 1, 1e9, payload=payload)
 
 
 async def write_state(path: Path) -> None:
     """Each kind of record, by the calls that the service makes."""
     pool, classes = _pool()
-    keeper = FixedKeeper(path, pool, WRITTEN)
-    keeper.open_store()
-    keeper.restore()
-    await keeper.taken_out("d1")
-    await keeper.taken_out("d2")
-    await keeper.put_back("d2")
-    await keeper.lame(True)
+    persistent_state = FixedKeeper(path, pool, WRITTEN)
+    persistent_state.open_store()
+    persistent_state.restore()
+    await persistent_state.taken_out("d1")
+    await persistent_state.taken_out("d2")
+    await persistent_state.put_back("d2")
+    await persistent_state.operator_drain(True)
     ended = _operation(9, "once", "k9")
-    keeper.take(ended, classes["once"], "acme")
-    assert await keeper.record_attempt(RouteStep(ended, 0, "d0", 1e9))
-    keeper.closed(ended)  # its record goes with the next write
-    for number, (job_class, key, destination) in enumerate(JOBS):
-        operation = _operation(number, job_class, key)
-        keeper.take(operation, classes[job_class], "acme")
-        assert await keeper.record_attempt(RouteStep(operation, 0, destination, 1e9))
-    assert await keeper.keep_for_another(OTHER_RUN_KEY, ujson.dumps(OTHER_RUN.encode()))
-    spool = StoreSpool(keeper.keep, keeper.first, keeper.drop, most=1000, prefix=SPOOL)
+    persistent_state.take(ended, classes["once"], "acme")
+    assert await persistent_state.record_attempt(Attempt(ended, 0, "d0", 1e9))
+    persistent_state.closed(ended)  # its record goes with the next write
+    for number, (request_class, key, destination) in enumerate(JOBS):
+        operation = _operation(number, request_class, key)
+        persistent_state.take(operation, classes[request_class], "acme")
+        assert await persistent_state.record_attempt(Attempt(operation, 0, destination, 1e9))
+    assert await persistent_state.keep_for_another(OTHER_RUN_KEY, ujson.dumps(OTHER_RUN.encode()))
+    spool = StoreSpool(
+        persistent_state.keep,
+        persistent_state.first,
+        persistent_state.drop,
+        most=1000,
+        prefix=SPOOL,
+    )
     assert await spool.put(SPOOLED)
-    unnamed = StoreSpool(keeper.keep, keeper.first, keeper.drop, most=1000, number=1)
+    unnamed = StoreSpool(
+        persistent_state.keep, persistent_state.first, persistent_state.drop, most=1000, number=1
+    )
     assert await unnamed.put(SPOOLED)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(keeper.run)
-        keeper.list_changed()
-        while keeper.first(b"list") is None:
+        nursery.start_soon(persistent_state.run)
+        persistent_state.list_changed()
+        while persistent_state.first(b"list") is None:
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
-    keeper.close_store()
+    persistent_state.close_store()
 
 
 async def recover_state(path: Path, clocks: Clocks) -> list[Any]:
     """What a later run learns: its whole state, of each job what may have run, and the spool."""
     pool, classes = _pool()
-    keeper = FixedKeeper(path, pool, clocks, "of a later run")
-    keeper.open_store()
+    persistent_state = FixedKeeper(path, pool, clocks, "of a later run")
+    persistent_state.open_store()
     try:
-        state = keeper.restore()
+        state = persistent_state.restore()
         earlier = []
-        for number, (job_class, key, _) in enumerate(
+        for number, (request_class, key, _) in enumerate(
             (*JOBS, ("once", "k3", ""), ("once", "k9", ""))
         ):
-            operation = _operation(number, job_class, key)
-            keeper.take(operation, classes[job_class], "acme")
+            operation = _operation(number, request_class, key)
+            persistent_state.take(operation, classes[request_class], "acme")
             earlier.append([operation.ran_ago, operation.ran_zone, operation.ran_cell])
-        held, number = keeper.held_under(SPOOL)
-        first = keeper.first(SPOOL)
+        held, number = persistent_state.held_under(SPOOL)
+        first = persistent_state.first(SPOOL)
         assert first is not None
         return [state, earlier, [held, number, first[0].hex(), first[1].hex()]]
     finally:
-        keeper.close_store()
+        persistent_state.close_store()
 
 
 # -- a voter's log
--- a/tests/fixture_traces.py
+++ b/tests/fixture_traces.py
@@ -9,10 +9,10 @@
 
 from fixture_simulator import OUTCOME_WORDS
 
-from yewrill.ending import Ending
+from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.tracing import otlp, reading
 from yewrill.tracing.export import Files, Target, text_of
-from yewrill.tracing.record import OperationTrace
+from yewrill.tracing.record import RequestTrace
 from yewrill.tracing.report import Report
 from yewrill.tracing.tracer import Bounds, Tracer
 
@@ -43,14 +43,20 @@
         self.tracer = Tracer(bounds, clock=self.clock, wall=lambda: WALL, rng=random.Random(5))
         self.headers: list[list[tuple[str, str]]] = []  # of each attempt
 
-    def begin(self, id: str, **given: Any) -> OperationTrace:
+    def begin(self, id: str, **given: Any) -> RequestTrace:
         self.clock.now += 1.0
-        begun = {"parent": None, "state": None, "aim": 100.0, "stretch": 2.0, **given}
+        begun = {
+            "parent": None,
+            "state": None,
+            "latency_objective": 100.0,
+            "objective_run_factor": 2.0,
+            **given,
+        }
         return self.tracer.begin(
             id, "tour", "acme", deadline=1000.0, first_byte=self.clock.now - 0.01, **begun
         )
 
-    def attempt(self, trace: OperationTrace, ending: str, *, seconds: float = 0.05) -> None:
+    def attempt(self, trace: RequestTrace, ending: str, *, seconds: float = 0.05) -> None:
         number = len(trace.attempts)
         attempt = trace.chosen(number, f"d{number}", 3, "no room", self.clock.now)
         self.headers.append(attempt.headers)
@@ -61,9 +67,9 @@
             attempt.started = self.clock.now + 0.01
             attempt.note_progress(self.clock.now + 0.02, 0.5)
         self.clock.now += seconds
-        attempt.end, attempt.ending = self.clock.now, ending
+        attempt.end, attempt.outcome = self.clock.now, ending
 
-    def finish(self, trace: OperationTrace, answer: str, why: str = "", after: float = 0.0) -> None:
+    def finish(self, trace: RequestTrace, answer: str, why: str = "", after: float = 0.0) -> None:
         trace.decide(self.clock.now + 0.001, answer, why, after)
         self.clock.now += 0.002
         self.tracer.finish(trace)
@@ -94,7 +100,7 @@
     for ending in ("failed", "timed out"):
         found.attempt(failed, ending)
     found.finish(failed, "failed", "out of tries")
-    left = found.begin("left-" + "x" * 300, aim=1.0, stretch=0.0)
+    left = found.begin("left-" + "x" * 300, latency_objective=1.0, objective_run_factor=0.0)
     left.event(found.clock.now, "client-left")
     found.attempt(left, "called off")
     found.finish(left, "left")
@@ -135,4 +141,7 @@
 
 def ending_words() -> list[list[Any]]:
     """Every ending of an attempt as traces name it, with its outcome in the simulator's words."""
-    return [[ending.value, OUTCOME_WORDS[ending.outcome], ending.worn] for ending in Ending]
+    return [
+        [ending.value, OUTCOME_WORDS[ending.policy_outcome], ending.stale_connection]
+        for ending in AttemptOutcome
+    ]
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -19,19 +19,19 @@
 from fixture_files import DIRECTORY, read_encoded, read_file, read_json
 from helper import story
 
-from yewrill.calendar import asking
-from yewrill.calendar.book import Book
-from yewrill.members.format import Refused, Stranger
-from yewrill.members.parts import Joiner
-from yewrill.ownership import duties, raft, states
-from yewrill.ownership import format as ownership
-from yewrill.ownership.format import unpack as read_ownership
+from yewrill.leases import duties, raft, states
+from yewrill.leases import format as ownership
+from yewrill.leases.format import unpack as read_ownership
+from yewrill.membership.format import Refused, Stranger
+from yewrill.membership.parts import Joiner
+from yewrill.reservations import asking
+from yewrill.reservations.book import Book
 from yewrill.store.commands import check_all
 from yewrill.store.files import RealFiles
 from yewrill.tracing import reading
 from yewrill.views.format import Parts, round_of, tally_of, whole_of, word_of
 from yewrill.views.view import Kept
-from yewrill.zones.format import unpack as read_zones
+from yewrill.zone_failover.format import unpack as read_zones
 
 # -- members
 
