--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -139,12 +139,16 @@
         persistent_state.keep,
         persistent_state.first,
         persistent_state.drop,
-        most=1000,
+        max_bytes=1000,
         prefix=SPOOL,
     )
     assert await spool.put(SPOOLED)
     unnamed = StoreSpool(
-        persistent_state.keep, persistent_state.first, persistent_state.drop, most=1000, number=1
+        persistent_state.keep,
+        persistent_state.first,
+        persistent_state.drop,
+        max_bytes=1000,
+        number=1,
     )
     assert await unnamed.put(SPOOLED)
     async with trio.open_nursery() as nursery:
--- a/tests/fixture_traces.py
+++ b/tests/fixture_traces.py
@@ -11,10 +11,10 @@
 
 from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.tracing import otlp, reading
-from yewrill.tracing.export import Files, Target, text_of
+from yewrill.tracing.export import ExportTarget, JsonLinesFiles, json_lines
 from yewrill.tracing.record import RequestTrace
 from yewrill.tracing.report import Report
-from yewrill.tracing.tracer import Bounds, Tracer
+from yewrill.tracing.tracer import SamplingConfig, Tracer
 
 WALL = 1_700_000_000.0
 TRACE, SPAN = "4bf92f3577b34da6a3ce929d0e0e4736", "00f067aa0ba902b7"
@@ -39,8 +39,10 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        bounds = Bounds(share=0.5, queue=100, honoured=1.0)
-        self.tracer = Tracer(bounds, clock=self.clock, wall=lambda: WALL, rng=random.Random(5))
+        sampling_config = SamplingConfig(ratio=0.5, queue=100, caller_sampled_per_second=1.0)
+        self.tracer = Tracer(
+            sampling_config, clock=self.clock, wall=lambda: WALL, rng=random.Random(5)
+        )
         self.headers: list[list[tuple[str, str]]] = []  # of each attempt
 
     def begin(self, id: str, **given: Any) -> RequestTrace:
@@ -116,8 +118,8 @@
 
 
 def write_trace_file(path: Path) -> None:
-    files = Files(Target(file=str(path)))
-    files.write(text_of(records()))
+    files = JsonLinesFiles(ExportTarget(file=str(path)))
+    files.write(json_lines(records()))
     files.close()
 
 
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -19,14 +19,14 @@
 from yewrill.cli import main
 from yewrill.config.reading import ConfigError, read_config
 from yewrill.tracing import breakdown, context, export, otlp, retry, sampling
-from yewrill.tracing.export import Exporter, StoreSpool, Target
-from yewrill.tracing.tracer import Bounds, Tracer
+from yewrill.tracing.export import Exporter, ExportTarget, StoreSpool
+from yewrill.tracing.tracer import SamplingConfig, Tracer
 
 MGMT = {"mgmt": "127.0.0.1:0"}
 TRACE, SPAN = "4bf92f3577b34da6a3ce929d0e0e4736", "00f067aa0ba902b7"
 
 
-class Collector:
+class OtlpCollector:
     """A stand-in: keeps the spans that it says yes to, and behaves as the script says, once each."""
 
     def __init__(self, *script):
@@ -138,13 +138,13 @@
         assert abs(len(kept) - share * 20_000) <= 4 * (20_000 * share * (1 - share)) ** 0.5
         assert kept <= {b for b in bits if b >= sampling.threshold(min(1.0, share * 4))}
         if share:
-            assert sampling.share_of(sampling.threshold_text(limit)) == pytest.approx(share)
+            assert sampling.ratio_of(sampling.threshold_text(limit)) == pytest.approx(share)
     assert sampling.threshold_text(sampling.threshold(0.0)) is None
     queue = sampling.Queue(3)
     for i, bad in enumerate((False, True, False, True, True, True)):
         queue.put(i, bad)
     assert queue.dropped == {"ordinary_full": 2, "bad_full": 1} and queue.take(9) == [3, 4, 5]
-    allowance = sampling.Allowance(2.0)
+    allowance = sampling.TokenBucket(2.0)
     assert [allowance.take(t) for t in (1.0, 1.0, 1.0, 1.5, 1.6)] == [
         True,
         True,
@@ -152,7 +152,7 @@
         True,
         False,
     ]
-    assert not sampling.Allowance(0.0).take(9.0)
+    assert not sampling.TokenBucket(0.0).take(9.0)
     assert sampling.late(501, 100, 100, 4) and not sampling.late(499, 100, 100, 4)
     assert not sampling.late(900, None, 100, 2.5) and sampling.late(900, None, 100, 0.5)
 
@@ -186,20 +186,22 @@
     found = breakdown.parts(record)
     assert sum(found.values()) == record["end"] - record["start"] and min(found.values()) >= 0
     at = record["start"]
-    for _, begin, end in breakdown.stretches(record):
+    for _, begin, end in breakdown.segments(record):
         assert begin == at < end
         at = end
 
 
 def test_what_follows_each_answer_of_a_collector():
-    rules = retry.Rules(first=1.0, most=5.0, tries=4, jitter=0.5, most_asked=60.0)
+    rules = retry.RetryPolicy(
+        initial_pause=1.0, max_pause=5.0, tries=4, jitter=0.5, max_retry_after=60.0
+    )
 
     def after(status, tries=1, asked=None, random=0.5):
         return retry.decide(status, tries, asked, 0, rules, lambda: random)
 
-    assert after(200) == retry.Sent() and after(400) == retry.GivenUp("status_400")
+    assert after(200) == retry.Delivered() and after(400) == retry.Dropped("status_400")
     assert [after(503, n).after for n in (1, 2, 3)] == [1.0, 2.0, 4.0]
-    assert after(0, 4) == retry.GivenUp("tries")
+    assert after(0, 4) == retry.Dropped("tries")
     assert after(429, asked=30.0).after == 30.0 and after(429, asked=1e9).after == 60.0
     assert after(503, random=0.0).after == 0.5 and after(503, random=1.0).after == 1.5
 
@@ -207,8 +209,13 @@
 # -- the exporter
 
 
-def tracer(clock=lambda: 100.0, wall=lambda: 1_700_000_000.0, **bounds) -> Tracer:
-    return Tracer(Bounds(**{"share": 0.0, **bounds}), clock=clock, wall=wall, rng=random.Random(5))
+def tracer(clock=lambda: 100.0, wall=lambda: 1_700_000_000.0, **sampling_config) -> Tracer:
+    return Tracer(
+        SamplingConfig(**{"ratio": 0.0, **sampling_config}),
+        clock=clock,
+        wall=wall,
+        rng=random.Random(5),
+    )
 
 
 def finished(t: Tracer, id: str, answer: str = "failed", parent=None):
@@ -229,7 +236,7 @@
     return t.finish(trace)
 
 
-RULES = retry.Rules(first=0.005, most=0.01, tries=50)
+RULES = retry.RetryPolicy(initial_pause=0.005, max_pause=0.01, tries=50)
 
 
 async def drained(exporter, t, nursery, *, until):
@@ -243,11 +250,11 @@
 )
 @story
 async def test_a_collector_in_trouble_gets_each_span_once_in_the_end(script, monkeypatch):
-    monkeypatch.setattr(export, "GATHER", 0.001)
+    monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     t = tracer()
     async with trio.open_nursery() as nursery:
-        collector = Collector(*script)
-        target = Target(url=await collector.serve(nursery), timeout=0.2, rules=RULES)
+        collector = OtlpCollector(*script)
+        target = ExportTarget(url=await collector.serve(nursery), timeout=0.2, retry_policy=RULES)
         exporter = Exporter(t, target, {"service.name": "y"}, "0", rng=random.Random(1))
         for i in range(700):  # more than a batch
             assert finished(t, f"r{i}")["kept"] == ["failed"]
@@ -261,11 +268,13 @@
 
 @story
 async def test_what_a_collector_turns_down_is_counted_and_lies_are_believed_once(monkeypatch):
-    monkeypatch.setattr(export, "GATHER", 0.001)
+    monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     t = tracer()
     async with trio.open_nursery() as nursery:
-        collector = Collector("partial", 400, "nonsense")
-        exporter = Exporter(t, Target(url=await collector.serve(nursery), rules=RULES), {}, "0")
+        collector = OtlpCollector("partial", 400, "nonsense")
+        exporter = Exporter(
+            t, ExportTarget(url=await collector.serve(nursery), retry_policy=RULES), {}, "0"
+        )
         nursery.start_soon(exporter.run)
         for i in range(3):
             finished(t, f"r{i}")
@@ -282,8 +291,8 @@
 async def test_an_outage_longer_than_the_queue_drops_ordinary_ones_first_and_says_how_many(
     tmp_path,
 ):
-    t = tracer(share=1.0, queue=10)
-    exporter = Exporter(t, Target(file=str(tmp_path / "no" / "t.jsonl")), {}, "0")
+    t = tracer(ratio=1.0, queue=10)
+    exporter = Exporter(t, ExportTarget(file=str(tmp_path / "no" / "t.jsonl")), {}, "0")
     (tmp_path / "no").write_text("a file where a directory should be")
     for i in range(30):
         finished(t, f"r{i}", "served" if i % 2 else "failed")
@@ -294,7 +303,7 @@
 
 @story
 async def test_what_a_collector_did_not_take_outlives_the_process_in_the_spool(monkeypatch):
-    monkeypatch.setattr(export, "GATHER", 0.001)
+    monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     kept: dict[bytes, bytes] = {}
 
     async def put(key, value):
@@ -306,13 +315,20 @@
 
     def spool(**more):
         return StoreSpool(
-            put, lambda prefix: min(kept.items(), default=None), drop, **{"most": 10**6, **more}
+            put,
+            lambda prefix: min(kept.items(), default=None),
+            drop,
+            **{"max_bytes": 10**6, **more},
         )
 
     t = tracer()
     async with trio.open_nursery() as nursery:
         gone = Exporter(
-            t, Target(url="http://127.0.0.1:9/v1/traces", rules=RULES), {}, "0", spool=spool()
+            t,
+            ExportTarget(url="http://127.0.0.1:9/v1/traces", retry_policy=RULES),
+            {},
+            "0",
+            spool=spool(),
         )
         for i in range(5):
             finished(t, f"first{i}")
@@ -324,10 +340,10 @@
     assert before >= 5
     t = tracer()
     async with trio.open_nursery() as nursery:
-        collector = Collector(503)
+        collector = OtlpCollector(503)
         exporter = Exporter(
             t,
-            Target(url=await collector.serve(nursery), rules=RULES),
+            ExportTarget(url=await collector.serve(nursery), retry_policy=RULES),
             {},
             "0",
             spool=spool(number=len(kept)),
@@ -348,7 +364,7 @@
         and ids[-1] == "third"
         and len(ids) == len(set(ids)) == before + 1
     )
-    assert not await spool(most=10).put(b"x" * 11)  # its bound
+    assert not await spool(max_bytes=10).put(b"x" * 11)  # its bound
 
 
 # -- the whole program
@@ -366,7 +382,7 @@
 async def test_at_one_percent_every_bad_operation_is_there_whole_and_with_its_cause(
     tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(export, "GATHER", 0.001)
+    monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     path, seen = tmp_path / "t.jsonl", {}
 
     async def script(x):
@@ -497,7 +513,7 @@
 async def test_an_upgrade_and_a_reload_are_seen_in_the_lives_they_fall_into(tmp_path, monkeypatch):
     from test_operators import shared_world, start_heir
 
-    monkeypatch.setattr(export, "GATHER", 0.001)
+    monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     gate = trio.Event()
 
     async def waits(x):
@@ -533,7 +549,7 @@
 async def test_a_wall_clock_set_back_bends_no_duration_and_a_reload_changes_the_share(
     tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(export, "GATHER", 0.001)
+    monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     path = tmp_path / "t.jsonl"
 
     async def slow(x):
@@ -553,7 +569,7 @@
 
 
 def test_a_flood_of_trace_ids_or_one_for_all_is_held_within_bounds():
-    t = tracer(share=0.0, queue=100, honoured=5.0)
+    t = tracer(ratio=0.0, queue=100, caller_sampled_per_second=5.0)
     for i in range(10_000):
         finished(t, f"r{i}", "served", parent=f"00-{i + 1:032x}-{SPAN}-01")
         finished(t, f"s{i}", "served", parent=f"00-{TRACE}-{SPAN}-01")
--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -19,8 +19,8 @@
 from yewrill.dispatch.lifecycle import Answer, Served
 from yewrill.net.http import HttpRequest
 from yewrill.policy.interface import RequestClass
-from yewrill.tracing.export import Exporter, StoreSpool, Target
-from yewrill.tracing.tracer import Bounds, Tracer
+from yewrill.tracing.export import Exporter, ExportTarget, StoreSpool
+from yewrill.tracing.tracer import SamplingConfig, Tracer
 
 SPOOL = b"trace/"
 
@@ -47,14 +47,14 @@
             random.Random()
         )  # of the system's own seed: two dispatchers must not make the same ids
         self.tracer = Tracer(
-            _bounds(self._config), clock=trio.current_time, wall=time.time, rng=rng
+            _sampling_config(self._config), clock=trio.current_time, wall=time.time, rng=rng
         )
         resource = {
             "service.name": "yewrill",
             "service.version": __version__,
             "service.instance.id": config.name,
         }
-        target = Target(
+        target = ExportTarget(
             url=self._config.collector,
             file=self._config.file,
             file_mb=self._config.file_mb,
@@ -66,21 +66,21 @@
         """Batches that the collector does not take go there, and those that an earlier run left go out
         first."""
         if self._config.spool_mb and self._config.collector:
-            held, number = store.held_under(SPOOL)
+            used_bytes, number = store.held_under(SPOOL)
             self.exporter.spool = StoreSpool(
                 store.keep,
                 store.first,
                 store.drop,
                 prefix=SPOOL,
-                held=held,
+                used_bytes=used_bytes,
                 number=number,
-                most=int(self._config.spool_mb * 2**20),
+                max_bytes=int(self._config.spool_mb * 2**20),
             )
-            self.tracer.on_kept()
+            self.tracer.on_record_queued()
 
     def reconfigure(self, config: TracingConfig) -> TracingConfig:
         """Take up the share and the bounds; the rest waits for a restart. What holds from now on."""
-        self.tracer.reconfigure(_bounds(config))
+        self.tracer.reconfigure(_sampling_config(config))
         self._config = replace(
             self._config, share=config.share, queue=config.queue, honoured=config.honoured
         )
@@ -131,5 +131,5 @@
         return self.exporter.metrics()
 
 
-def _bounds(config: TracingConfig) -> Bounds:
-    return Bounds(config.share, config.queue, config.honoured)
+def _sampling_config(config: TracingConfig) -> SamplingConfig:
+    return SamplingConfig(config.share, config.queue, config.honoured)
--- a/yewrill/tracing/__init__.py
+++ b/yewrill/tracing/__init__.py
@@ -1,13 +1,12 @@
-"""Traces: one record an operation that says where its time went and why it ended as it did.
+"""Tracing: one record per request that says where its time went and why it was answered as it was.
 
-It promises: every late, refused, failed, retried or abandoned operation is kept, whole, while the bounds
-hold, and what gives way is counted; the parts of a breakdown add up to the whole. It doesn't promise
-delivery beyond the queue (and the spool, where there is a store).
+Guarantees: the record of every late, rejected, failed, retried or abandoned request is kept while the queue
+has capacity, and dropped records are counted; the parts of a breakdown add up to the whole. Not guaranteed:
+delivery of what exceeds the queue (and the spool, where there is a store).
 
-How the parts work together: `tracer.py` is what the dispatcher speaks to, with plain values only; it opens
-a record (`record.py`), is told its moments, and at its end asks `sampling.py` what becomes of it.
-`export.py` takes finished records in batches to files and to a collector (`otlp.py` has the bytes,
-`retry.py` decides after each answer, `spool.py` outlives an outage). `context.py` reads and writes W3C
-Trace Context, `breakdown.py` cuts a life into its parts. `reading.py`, `report.py` and `commands.py` are
-for people. It imports nothing else of yewrill.
+Modules: `tracer.py` is the interface to the dispatcher. It opens a record (`record.py`) and decides by
+`sampling.py` whether the finished one is kept. `export.py` writes batches of records to files and to a
+collector (`otlp.py` encodes them, `retry.py` decides after each response). `context.py` reads and writes W3C
+Trace Context, `breakdown.py` divides a request's time into parts. `reading.py`, `report.py` and
+`commands.py` are the command line. Imports nothing else of yewrill.
 """
--- a/yewrill/tracing/breakdown.py
+++ b/yewrill/tracing/breakdown.py
@@ -1,8 +1,7 @@
-"""Where an operation's time went. Pure; all times in nanoseconds of one clock.
+"""Breaks a request's time down into parts. Pure; all times in nanoseconds of one clock.
 
-A life is cut at its marks into stretches that follow one another: each begins where the one before it
-ended, none ends before it began, and the last one ends with the life. So the parts add up to the whole,
-whatever marks are missing or, by a fault of ours, out of order.
+The time from start to end is divided at the record's timestamps into adjacent segments, so the parts always
+add up to the whole, also if timestamps are missing or out of order.
 """
 
 from __future__ import annotations
@@ -13,11 +12,11 @@
 PARTS = ("receiving", "held", "connecting", "queued", "running", "lost", "answering")
 
 
-def stretches(record: Mapping[str, Any]) -> Iterator[tuple[str, int, int]]:
-    """The stretches of a record's life: part, begin, end."""
+def segments(record: Mapping[str, Any]) -> Iterator[tuple[str, int, int]]:
+    """The segments of a record: part, begin, end."""
     at, last = record["start"], record["end"]
-    for part, until in _marks(record):
-        until = min(last, max(at, until))
+    for part, mark in _marks(record):
+        until = min(last, max(at, mark))
         if until > at:
             yield part, at, until
             at = until
@@ -26,7 +25,7 @@
 
 
 def _marks(record: Mapping[str, Any]) -> Iterator[tuple[str, int]]:
-    """Each part's end, in the order of the operation's steps."""
+    """Each part's end, in order."""
     taken = record.get("taken") or record["start"]
     yield "receiving", taken
     attempts: Sequence[Mapping[str, Any]] = record["attempts"]
@@ -46,15 +45,15 @@
 
 
 def parts(record: Mapping[str, Any]) -> dict[str, int]:
-    """Nanoseconds by part, every part there; their sum is the record's length."""
+    """Nanoseconds by part, for every part; their sum is the record's duration."""
     found = dict.fromkeys(PARTS, 0)
-    for part, begin, end in stretches(record):
+    for part, begin, end in segments(record):
         found[part] += end - begin
     return found
 
 
 def percentiles(values: Iterable[float], at: Sequence[float]) -> list[float]:
-    """By nearest rank; 0 where there is nothing."""
+    """Percentiles by nearest rank; 0 for no values."""
     ordered = sorted(values)
     if not ordered:
         return [0.0] * len(at)
--- a/yewrill/tracing/export.py
+++ b/yewrill/tracing/export.py
@@ -1,10 +1,8 @@
-"""Finished records on their way out: in batches, to rotated files of JSON lines and to a collector by OTLP
-over HTTP.
+"""Exports finished records in batches, to rotated files of JSON lines and to a collector by OTLP over HTTP.
 
-One task takes from the tracer's queue. Files are written, and bytes made, by a worker thread. A collector
-that does not take a batch is asked again by retry.py's rules; meanwhile finished records wait in the queue,
-which is bounded, and, where there is a spool, in the store, which is too. Order: the spool first, since it
-is older.
+One task takes records from the tracer's queue. Files are written and batches encoded in a worker thread. A
+batch that the collector does not accept is retried as `retry.py` decides; meanwhile finished records wait in
+the bounded queue and, where there is a spool, in the store. Spooled batches are older and are sent first.
 """
 
 from __future__ import annotations
@@ -29,40 +27,45 @@
 
 log = logging.getLogger("yewrill.tracing")
 
-GATHER = 0.5  # seconds in which finished records are gathered to a batch
-MOST_BATCH = 512  # records
-MOST_ANSWER = 64 * 1024  # bytes of a collector's answer that are read
-FLUSH = 1.0  # seconds for the last batch when the program ends
+BATCH_DELAY_SECONDS = 0.5  # finished records are collected this long before a batch is exported
+MAX_BATCH_RECORDS = 512  # records
+MAX_RESPONSE_BYTES = 64 * 1024  # of a collector's response
+FLUSH_TIMEOUT_SECONDS = 1.0  # for the last batches at shutdown
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
-    """Where records go. `url` after http://HOST:PORT/v1/traces, HOST an IPv4 address; `file` rotated by
-    size."""
+class ExportTarget:
+    """Where records go: a collector (`url`, http://IPV4-ADDRESS:PORT/v1/traces), a file, or both.
+
+    `file` is rotated at `file_mb` MiB, `files` old ones are kept.
+    """
 
     url: str = ""
     file: str = ""
     file_mb: float = 64.0
     files: int = 4
-    timeout: float = 10.0  # seconds for a collector's answer
+    timeout: float = 10.0  # seconds for a collector's response
     headers: tuple[tuple[str, str], ...] = ()
-    rules: retry.Rules = field(default_factory=retry.Rules)
+    retry_policy: retry.RetryPolicy = field(default_factory=retry.RetryPolicy)
 
 
 class Spool(Protocol):
-    """What outlives an outage, and this process: batches by name, in order."""
+    """Batches that survive an outage of the collector and a restart, by name, in order."""
 
-    async def put(self, batch: bytes) -> bool: ...
+    async def put(self, batch: bytes) -> bool:
+        """Append a batch. Returns False if there is no room or it could not be written."""
 
-    async def first(self) -> tuple[Any, bytes] | None: ...
+    async def first(self) -> tuple[Any, bytes] | None:
+        """The oldest batch and its name, None if there is none."""
 
-    async def drop(self, name: Any) -> None: ...
+    async def drop(self, name: Any) -> None:
+        """Remove a batch."""
 
 
-class Files:
+class JsonLinesFiles:
     """JSON lines, by the standard library's rotating handler. Called in a worker thread only."""
 
-    def __init__(self, target: Target):
+    def __init__(self, target: ExportTarget):
         Path(target.file).parent.mkdir(parents=True, exist_ok=True)
         self._handler = logging.handlers.RotatingFileHandler(
             target.file,
@@ -78,7 +81,7 @@
         self.error = sys.exc_info()[1]
 
     def write(self, lines: Sequence[str]) -> None:
-        """Raises OSError."""
+        """Append lines. Raises OSError."""
         self.error = None
         for line in lines:
             self._handler.emit(logging.LogRecord("", 0, "", 0, line, None, None))
@@ -86,17 +89,19 @@
             raise OSError(str(self.error))
 
     def close(self) -> None:
+        """Close the file."""
         self._handler.close()
 
 
-def text_of(records: Sequence[Mapping[str, Any]]) -> list[str]:
+def json_lines(records: Sequence[Mapping[str, Any]]) -> list[str]:
+    """Encode records as JSON, one a line."""
     return [ujson.dumps(record, escape_forward_slashes=False) for record in records]
 
 
-class Collector:
-    """Speaks OTLP over HTTP/1.1, one connection kept while it holds."""
+class OtlpCollector:
+    """An OTLP client over HTTP/1.1 with one persistent connection."""
 
-    def __init__(self, target: Target):
+    def __init__(self, target: ExportTarget):
         parts = urlsplit(target.url)
         self._address = (parts.hostname or "", parts.port or 4318)
         self._path = parts.path or "/v1/traces"
@@ -105,7 +110,7 @@
         self._parser: h11.Connection | None = None
 
     async def post(self, body: bytes) -> tuple[int, float | None, bytes]:
-        """Status (0: no answer), Retry-After in seconds, and the answer's body."""
+        """Send a batch. Returns status (0: no response), Retry-After in seconds, and the body."""
         with trio.move_on_after(self._target.timeout):
             try:
                 return await self._exchange(body)
@@ -133,17 +138,17 @@
         await stream.send_all(
             parser.send(head) + parser.send(h11.Data(data=body)) + parser.send(h11.EndOfMessage())
         )
-        status, asked, answer = retry.LOST, None, b""
+        status, retry_after, answer = retry.LOST, None, b""
         while True:
             event = parser.next_event()
             if event is h11.NEED_DATA:
                 parser.receive_data(await stream.receive_some())
             elif isinstance(event, h11.Response):
                 status = event.status_code
-                asked = _seconds(dict(event.headers).get(b"retry-after"))
+                retry_after = _seconds(dict(event.headers).get(b"retry-after"))
             elif isinstance(event, h11.Data):
                 answer += bytes(event.data)
-                if len(answer) > MOST_ANSWER:
+                if len(answer) > MAX_RESPONSE_BYTES:
                     raise trio.BrokenResourceError
             elif isinstance(event, h11.EndOfMessage):
                 break
@@ -153,16 +158,17 @@
             parser.start_next_cycle()
         else:
             await self.close()
-        return status, asked, answer
+        return status, retry_after, answer
 
     async def close(self) -> None:
+        """Close the connection."""
         stream, self._stream = self._stream, None
         if stream is not None:
             await trio.aclose_forcefully(stream)
 
 
 def _seconds(text: bytes | None) -> float | None:
-    """Retry-After as seconds; its other form, a date, is not honoured, since clocks differ."""
+    """Retry-After in seconds; None for a date, which is not supported, since clocks differ."""
     try:
         value = float(text) if text is not None else -1.0
     except ValueError:
@@ -171,12 +177,15 @@
 
 
 class Exporter:
-    """`resource`: what all records have in common, after OpenTelemetry's conventions."""
+    """Exports the records that the tracer queues.
+
+    `resource`: attributes of all records, named by OpenTelemetry's conventions.
+    """
 
     def __init__(
         self,
         tracer: Tracer,
-        target: Target,
+        target: ExportTarget,
         resource: Mapping[str, Any],
         version: str,
         *,
@@ -189,44 +198,46 @@
         self._version = version
         self.spool = spool
         self._rng = rng or random.Random()
-        self._files: Files | None = None
-        self._collector = Collector(target) if target.url else None
+        self._files: JsonLinesFiles | None = None
+        self._collector = OtlpCollector(target) if target.url else None
         self._wake = trio.Event()
-        self._told: set[str] = set()
-        self._unsent: list[Mapping[str, Any]] = []  # taken from the queue, not yet with a collector
+        self._reported: set[str] = set()
+        self._undelivered: list[
+            Mapping[str, Any]
+        ] = []  # taken from the queue, not yet accepted by the collector
         self.counts = dict.fromkeys(("exported", "rejected", "spooled", "retries"), 0)
-        tracer.on_kept = self._wake_up
+        tracer.on_record_queued = self._wake_up
 
     def _wake_up(self) -> None:
         self._wake.set()
 
     async def run(self) -> None:
-        """Export for good. Cancelled, it leaves what is not out to `flush`."""
+        """Export until cancelled; what is left then is for `flush`."""
         while True:
             await self._wake.wait()
             self._wake = trio.Event()
-            await trio.sleep(GATHER)
-            while await self._step():
+            await trio.sleep(BATCH_DELAY_SECONDS)
+            while await self._export_oldest():
                 pass
 
-    async def _step(self) -> bool:
-        """Bring out what is oldest. Whether there may be more."""
+    async def _export_oldest(self) -> bool:
+        """Export the oldest batch. Returns whether there may be more."""
         if (
             self._collector is not None
             and self.spool is not None
-            and (kept := await self.spool.first())
+            and (spooled := await self.spool.first())
         ):
-            name, batch = kept
+            name, batch = spooled
             records = await trio.to_thread.run_sync(_records, batch)
             if not await self._deliver(records, patient=False):
-                # Out for longer: what came since joins it, so that it outlives us too.
+                # The collector is still down: newer records are spooled too.
                 return await self._spool_waiting()
             await self.spool.drop(name)
             return True
-        records = self._tracer.queue.take(MOST_BATCH)
+        records = self._tracer.queue.take(MAX_BATCH_RECORDS)
         if not records:
             return False
-        self._unsent = records
+        self._undelivered = records
         await self._write(records)
         if (
             self._collector is not None
@@ -234,27 +245,27 @@
             and self.spool is not None
         ):
             await self._spool(records)
-            self._unsent = []
-            await trio.sleep(self._target.rules.first)
+            self._undelivered = []
+            await trio.sleep(self._target.retry_policy.initial_pause)
             self._wake.set()
             return False
-        self._unsent = []
+        self._undelivered = []
         return True
 
     async def _spool_waiting(self) -> bool:
-        records = self._tracer.queue.take(MOST_BATCH)
+        records = self._tracer.queue.take(MAX_BATCH_RECORDS)
         if records:
-            self._unsent = records
+            self._undelivered = records
             await self._write(records)
             await self._spool(records)
-            self._unsent = []
-        await trio.sleep(self._target.rules.first)
+            self._undelivered = []
+        await trio.sleep(self._target.retry_policy.initial_pause)
         self._wake.set()
         return False
 
     async def _spool(self, records: Sequence[Mapping[str, Any]]) -> None:
         batch = await trio.to_thread.run_sync(
-            lambda: gzip.compress("\n".join(text_of(records)).encode(), 1)
+            lambda: gzip.compress("\n".join(json_lines(records)).encode(), 1)
         )
         if await self.spool.put(batch):
             self.counts["spooled"] += len(records)
@@ -268,18 +279,18 @@
             await trio.to_thread.run_sync(self._write_now, records)
             if self._collector is None:
                 self.counts["exported"] += len(records)
-            self._back("file")
+            self._report_recovery("file")
         except OSError as error:
             self._tracer.queue.count("file_failed", len(records))
-            self._tell("file", f"{self._target.file}: {error}")
+            self._report_failure("file", f"{self._target.file}: {error}")
 
     def _write_now(self, records: Sequence[Mapping[str, Any]]) -> None:
         if self._files is None:
-            self._files = Files(self._target)
-        self._files.write(text_of(records))
+            self._files = JsonLinesFiles(self._target)
+        self._files.write(json_lines(records))
 
     async def _deliver(self, records: Sequence[Mapping[str, Any]], patient: bool) -> bool:
-        """Whether the collector has them, or never will. Not `patient`: one try."""
+        """Send a batch. Returns whether it is done with: accepted or dropped. Not `patient`: one try."""
         from yewrill.tracing import otlp  # protobuf is imported with the first batch
 
         body = await trio.to_thread.run_sync(
@@ -288,46 +299,48 @@
         tries = 0
         while True:
             tries += 1
-            status, asked, answer = await self._collector.post(body)
+            status, retry_after, answer = await self._collector.post(body)
             rejected = otlp.rejected(answer) if 200 <= status < 300 else 0
-            step = retry.decide(
-                status, tries, asked, rejected, self._target.rules, self._rng.random
+            decision = retry.decide(
+                status, tries, retry_after, rejected, self._target.retry_policy, self._rng.random
             )
-            if isinstance(step, retry.Sent):
+            if isinstance(decision, retry.Delivered):
                 self.counts["exported"] += len(records)
-                self.counts["rejected"] += step.rejected
-                if step.rejected:
-                    self._tell("rejected", f"{step.rejected} spans by the collector's word")
-                self._back("collector")
+                self.counts["rejected"] += decision.rejected
+                if decision.rejected:
+                    self._report_failure(
+                        "rejected", f"{decision.rejected} spans rejected by the collector"
+                    )
+                self._report_recovery("collector")
                 return True
-            if isinstance(step, retry.GivenUp):
-                self._tracer.queue.count(step.cause, len(records))
-                self._tell("collector", step.cause)
+            if isinstance(decision, retry.Dropped):
+                self._tracer.queue.count(decision.cause, len(records))
+                self._report_failure("collector", decision.cause)
                 return True
             self.counts["retries"] += 1
-            self._tell("collector", f"status {status}" if status else "no answer")
+            self._report_failure("collector", f"status {status}" if status else "no answer")
             if not patient:
                 return False
-            await trio.sleep(step.after)
+            await trio.sleep(decision.after)
 
-    def _tell(self, what: str, text: str) -> None:
-        if what not in self._told:
-            self._told.add(what)
-            log.warning("export-failed what=%s: %s", what, text)
+    def _report_failure(self, target: str, text: str) -> None:
+        if target not in self._reported:
+            self._reported.add(target)
+            log.warning("trace_export_failed target=%s: %s", target, text)
 
-    def _back(self, what: str) -> None:
-        if what in self._told:
-            self._told.discard(what)
-            log.info("export-back what=%s", what)
+    def _report_recovery(self, target: str) -> None:
+        if target in self._reported:
+            self._reported.discard(target)
+            log.info("trace_export_recovered target=%s", target)
 
     async def flush(self) -> None:
-        """The program ends: a last try, within its time, for what is not out."""
-        waiting, self._unsent = list(self._unsent), []
-        with trio.move_on_after(FLUSH, shield=True):
+        """Try once more to export what is left, within FLUSH_TIMEOUT_SECONDS; shielded from cancellation."""
+        waiting, self._undelivered = list(self._undelivered), []
+        with trio.move_on_after(FLUSH_TIMEOUT_SECONDS, shield=True):
             while waiting or len(self._tracer.queue):
                 fresh = not waiting
-                records, waiting = waiting or self._tracer.queue.take(MOST_BATCH), []
-                self._unsent = records
+                records, waiting = waiting or self._tracer.queue.take(MAX_BATCH_RECORDS), []
+                self._undelivered = records
                 if fresh:
                     await self._write(records)
                 if self._collector is not None and not await self._deliver(records, patient=False):
@@ -335,8 +348,8 @@
                         await self._spool(records)
                     else:
                         self._tracer.queue.count("ended", len(records))
-                self._unsent = []
-        if left := len(self._unsent) + len(self._tracer.queue):
+                self._undelivered = []
+        if left := len(self._undelivered) + len(self._tracer.queue):
             self._tracer.queue.count("ended", left)
         if self._collector is not None:
             await self._collector.close()
@@ -362,7 +375,7 @@
 
 
 class StoreSpool:
-    """Batches under a prefix of a store that is handed in as three functions; at most so many bytes."""
+    """Batches under a prefix of a store, which is given as three functions; at most `max_bytes` in all."""
 
     def __init__(
         self,
@@ -370,28 +383,36 @@
         first: Callable[[bytes], tuple[bytes, bytes] | None],
         drop: Callable[[bytes], Awaitable[bool]],
         *,
-        most: int,
-        held: int = 0,
+        max_bytes: int,
+        used_bytes: int = 0,
         number: int = 0,
         prefix: bytes = b"trace/",
     ):
         self._put, self._first, self._drop = put, first, drop
-        self._most, self._held, self._number, self._prefix = most, held, number, prefix
+        self._max_bytes, self._used_bytes, self._number, self._prefix = (
+            max_bytes,
+            used_bytes,
+            number,
+            prefix,
+        )
 
     async def put(self, batch: bytes) -> bool:
-        if self._held + len(batch) > self._most:
+        """Append a batch. Returns False if there is no room or it could not be written."""
+        if self._used_bytes + len(batch) > self._max_bytes:
             return False
         self._number += 1
         if not await self._put(self._prefix + f"{self._number:016x}".encode(), batch):
             return False
-        self._held += len(batch)
+        self._used_bytes += len(batch)
         return True
 
     async def first(self) -> tuple[Any, bytes] | None:
+        """The oldest batch and its key."""
         return await trio.to_thread.run_sync(self._first, self._prefix)
 
     async def drop(self, name: Any) -> None:
+        """Remove a batch."""
         found = await self.first()
         if found is not None and found[0] == name:
-            self._held = max(0, self._held - len(found[1]))
+            self._used_bytes = max(0, self._used_bytes - len(found[1]))
         await self._drop(name)
--- a/yewrill/tracing/otlp.py
+++ b/yewrill/tracing/otlp.py
@@ -1,6 +1,6 @@
-"""Records as OTLP: an ExportTraceServiceRequest in protobuf, after opentelemetry-proto's trace/v1 and the
-semantic conventions for HTTP and messaging where they have a name; yewrill's own attributes under
-`yewrill.*`."""
+"""Encodes records as OTLP: an ExportTraceServiceRequest of opentelemetry-proto's trace/v1.
+
+Attributes follow the semantic conventions for HTTP and messaging; yewrill's own stand under `yewrill.*`."""
 
 from __future__ import annotations
 
@@ -102,24 +102,26 @@
     spans = [whole]
     for before, attempt in zip([None, *record["attempts"]], record["attempts"], strict=False):
         spans.append(_attempt(trace, root, state, before, attempt))
-    held_from = record["taken"]
+    delayed_from = record["taken"]
     for attempt in record["attempts"]:
-        if attempt["begin"] > held_from:
+        if attempt["begin"] > delayed_from:
             spans.append(
-                _held(
+                _delay_span(
                     trace,
                     root,
                     state,
-                    held_from,
+                    delayed_from,
                     attempt["begin"],
                     attempt["held"],
                     attempt["span"],
                 )
             )
-        held_from = attempt["end"]
-    if answer != "served" and record["decided"] > held_from:
+        delayed_from = attempt["end"]
+    if answer != "served" and record["decided"] > delayed_from:
         spans.append(
-            _held(trace, root, state, held_from, record["decided"], record["why"], record["span"])
+            _delay_span(
+                trace, root, state, delayed_from, record["decided"], record["why"], record["span"]
+            )
         )
     return spans
 
@@ -166,10 +168,10 @@
     return span
 
 
-def _held(
-    trace: bytes, root: bytes, state: str, begin: int, end: int, why: str, next_span: str
+def _delay_span(
+    trace: bytes, root: bytes, state: str, begin: int, end: int, reason: str, next_span: str
 ) -> pb.Span:
-    # Made of what is known, so its id must be: one bit away from the attempt's that it waited for.
+    # The id is derived from the following attempt's by one bit, so that retries encode the same bytes.
     id = (int(next_span, 16) ^ 1 << 63).to_bytes(8, "big")
     span = _SPAN(
         trace_id=trace,
@@ -181,5 +183,5 @@
         end_time_unix_nano=end,
         trace_state=state,
     )
-    _attributes(span.attributes, {"yewrill.held": why})
+    _attributes(span.attributes, {"yewrill.held": reason})
     return span
--- a/yewrill/tracing/reading.py
+++ b/yewrill/tracing/reading.py
@@ -1,4 +1,4 @@
-"""Records read back from files, filtered, and told to people: lines, a waterfall, plain sentences."""
+"""Reads records from files, filters them, and prints them as lines, a waterfall or sentences."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 class BadLine(Exception):
-    """A line that holds no record; the text names it."""
+    """A line that is not a record; the message names file and line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Filter:
-    """What is wanted; "" and 0 stand for all. Times in nanoseconds."""
+    """A selection of records; "" and 0 select all. Times in nanoseconds."""
 
     request_class: str = ""
     tenant: str = ""
@@ -43,6 +43,7 @@
     until: int = 0
 
     def passes(self, record: Record) -> bool:
+        """Whether a record is selected."""
         return (
             (not self.request_class or record["class"] == self.request_class)
             and (not self.tenant or record["tenant"] == self.tenant)
@@ -69,7 +70,10 @@
 
 
 def read(paths: Iterable[str], on_bad: Any = None) -> Iterator[Record]:
-    """Every record of these files. A bad line is told to `on_bad`; without it, raises BadLine."""
+    """Read every record of these files and of the ones rotated from them.
+
+    Passes a BadLine to `on_bad` for each bad line; raises it if there is no `on_bad`, or no such file.
+    """
     for path in paths:
         found = files_of(path)
         if not found:
@@ -96,10 +100,12 @@
 
 
 def ms(ns: float) -> str:
+    """Nanoseconds as text in milliseconds."""
     return f"{ns / 1e6:.1f} ms"
 
 
 def moment(ns: int) -> str:
+    """Nanoseconds since the epoch as ISO 8601 in UTC."""
     return datetime.fromtimestamp(ns / 1e9, UTC).strftime("%Y-%m-%dT%H:%M:%S.%f")[:-3] + "Z"
 
 
@@ -113,7 +119,7 @@
 
 
 def waterfall(record: Record, width: int = 72) -> list[str]:
-    """The life of an operation drawn to scale, a row for the whole and one for each attempt."""
+    """A request's time drawn to scale, one row for the whole and one for each attempt."""
     start, whole = record["start"], max(1, record["end"] - record["start"])
 
     def column(at: int) -> int:
@@ -126,7 +132,7 @@
                 row[at] = _GLYPHS[part]
         return "".join(row)
 
-    rows = [f"{'operation':<14}|{draw(breakdown.stretches(record))}| {ms(whole)}"]
+    rows = [f"{'operation':<14}|{draw(breakdown.segments(record))}| {ms(whole)}"]
     for attempt in record["attempts"]:
         rows.append(
             f"{attempt['number']}: {attempt['to'][:11]:<11}|{draw(_of(attempt))}| "
@@ -157,7 +163,7 @@
     "failed": "failed",
     "left": "had no answer: its client left",
 }
-_ENDINGS = {
+_OUTCOMES = {
     "failed": "the destination said that it failed",
     "garbled": "its answer was not the protocol's",
     "turned away": "the destination sent it back unstarted",
@@ -174,7 +180,7 @@
 
 
 def why(record: Record) -> list[str]:
-    """Plain sentences: what became of it, where the time went, why each retry and refusal came."""
+    """Sentences that say how the request ended, where its time went, and why it was retried or rejected."""
     whole = record["end"] - record["start"]
     said = [
         f"{record['class']} {record['id']} of {record['tenant'] or 'no tenant'} "
@@ -219,7 +225,7 @@
             )
             said.append(
                 f"  It came to nothing after {ms(attempt['end'] - attempt['begin'])}: "
-                f"{_ENDINGS.get(attempt['ending'], attempt['ending'])}; {began}; "
+                f"{_OUTCOMES.get(attempt['ending'], attempt['ending'])}; {began}; "
                 f"then: {attempt['then']}."
             )
         before = attempt["end"]
--- a/yewrill/tracing/record.py
+++ b/yewrill/tracing/record.py
@@ -1,8 +1,8 @@
-"""A record while its operation lives, and the plain dictionary that it becomes.
+"""The trace record of a request while it is open, and the dictionary that it becomes.
 
-The dispatcher marks moments as it meets them, in seconds of its event loop; nothing is computed until the
-operation is over. The dictionary is what is sampled, queued, spooled, written to files and turned into
-OTLP: JSON's own types only, times in nanoseconds since the epoch.
+The dispatcher stores timestamps in seconds of its event loop; nothing is computed until the request is
+finished. The dictionary is sampled, queued, spooled, written to files and encoded as OTLP. It holds JSON
+types only, times in nanoseconds since the epoch. Its keys are the format of the trace files.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from yewrill.tracing.context import Context
 
 VERSION = 1
-MOST_TEXT = 256
-MOST_EVENTS = 32
+MAX_TEXT_LENGTH = 256
+MAX_EVENTS = 32
 
 
 def _cut(text: str) -> str:
-    return text if len(text) <= MOST_TEXT else text[: MOST_TEXT - 1] + "…"
+    return text if len(text) <= MAX_TEXT_LENGTH else text[: MAX_TEXT_LENGTH - 1] + "…"
 
 
 class AttemptTrace:
-    """One attempt; a moment that never came stays at 0."""
+    """Timestamps of one attempt; one that was not reached stays 0."""
 
     __slots__ = (
         "span",
@@ -45,20 +45,21 @@
         self.span = span
         self.number = number
         self.worker = worker
-        self.among = among  # candidates that it was chosen from
-        self.held = held  # why no earlier moment would do
+        self.among = among  # number of workers considered
+        self.held = held  # why the attempt was not sent earlier
         self.chosen = chosen
         self.begin = self.connected = self.written = self.started = self.progressed = self.end = 0.0
         self.share = 0.0
         self.outcome = ""
-        self.headers: list[tuple[str, str]] = []  # to go with the request
+        self.headers: list[tuple[str, str]] = []  # trace context for the worker
 
     def note_progress(self, at: float, share: float) -> None:
+        """Record the latest progress report, a fraction from 0 to 1."""
         self.progressed, self.share = at, share
 
 
 class RequestTrace:
-    """An operation under way."""
+    """The trace of an open request."""
 
     __slots__ = (
         "context",
@@ -73,7 +74,7 @@
         "taken",
         "decided",
         "answer",
-        "why",
+        "reason",
         "retry_after",
         "attempts",
         "events",
@@ -105,28 +106,35 @@
         )  # ms, none, ms from the start
         self.start, self.taken = start, taken
         self.decided = 0.0
-        self.answer = self.why = ""
+        self.answer = self.reason = ""
         self.retry_after = 0.0  # ms
         self.attempts: list[AttemptTrace] = []
         self.events: list[tuple[float, str, str]] = []
 
     def chosen(self, number: int, worker: str, among: int, held: str, at: float) -> AttemptTrace:
+        """Open the trace of an attempt that the policy has just decided on."""
         attempt = AttemptTrace(self._tracer.new_span(), number, worker, among, held, at)
         attempt.headers = self._tracer.headers(self.context, attempt.span)
         self.attempts.append(attempt)
         return attempt
 
     def event(self, at: float, name: str, text: str = "") -> None:
-        if len(self.events) < MOST_EVENTS:
+        """Add an event; events beyond MAX_EVENTS are dropped."""
+        if len(self.events) < MAX_EVENTS:
             self.events.append((at, name, text))
 
-    def decide(self, at: float, answer: str, why: str = "", retry_after: float = 0.0) -> None:
-        """What the client is to be told, and on what ground. The first word stands."""
+    def decide(self, at: float, answer: str, reason: str = "", retry_after: float = 0.0) -> None:
+        """Set the final answer and its reason. Only the first call has an effect."""
         if not self.answer:
-            self.decided, self.answer, self.why, self.retry_after = at, answer, why, retry_after
+            self.decided, self.answer, self.reason, self.retry_after = (
+                at,
+                answer,
+                reason,
+                retry_after,
+            )
 
     def as_dict(self, end: float, offset: float) -> dict[str, Any]:
-        """`offset`: seconds from the loop's clock to the epoch."""
+        """The record in the file format. `offset`: seconds from the loop's clock to the epoch."""
 
         def ns(at: float) -> int:
             return int((at + offset) * 1e9) if at else 0
@@ -175,7 +183,7 @@
             "aim_ms": self.latency_objective,
             "stretch": self.objective_run_factor,
             "answer": self.answer or "left",
-            "why": self.why,
+            "why": self.reason,
             "retry_after_ms": self.retry_after,
             "attempts": attempts,
             "events": [
--- a/yewrill/tracing/report.py
+++ b/yewrill/tracing/report.py
@@ -1,5 +1,5 @@
-"""One self-contained HTML page of many records: bad jobs by class and cause, the breakdown by percentile,
-the worst."""
+"""One self-contained HTML page of many records: bad requests by class and cause, the breakdown by
+percentile, the slowest."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 AT = (50.0, 90.0, 99.0)
 WORST = 20
-MOST_VALUES = 100_000  # of a class and part; later ones thin what is there
+MAX_VALUES = 100_000  # of a class and part; beyond that every second one is dropped
 _COLOURS = {
     "receiving": "#9aa5b1",
     "held": "#e0b64a",
@@ -32,28 +32,29 @@
 
 
 class Report:
-    """Take records one by one; memory is bounded by classes and `MOST_VALUES`."""
+    """Collects records one by one; memory is bounded by the number of classes and MAX_VALUES."""
 
     def __init__(self) -> None:
         self.count = 0
         self.causes: dict[str, Counter] = defaultdict(Counter)
-        self.grounds: Counter = Counter()
-        self.endings: Counter = Counter()
+        self.reasons: Counter = Counter()
+        self.outcomes: Counter = Counter()
         self.values: dict[str, dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
         self.worst: list[tuple[int, int, Any]] = []
 
     def take(self, record: reading.Record) -> None:
+        """Add a record."""
         self.count += 1
         request_class, bad = record["class"], [c for c in record["kept"] if c in sampling.BAD]
         self.causes[request_class].update(bad or ["ordinary"])
         if record["why"]:
-            self.grounds[record["answer"], record["why"]] += 1
-        self.endings.update(
+            self.reasons[record["answer"], record["why"]] += 1
+        self.outcomes.update(
             (a["to"], a["ending"]) for a in record["attempts"] if a["ending"] != "served"
         )
         values = self.values[request_class]
         for part, spent in record["parts"].items():
-            if len(values[part]) >= MOST_VALUES:
+            if len(values[part]) >= MAX_VALUES:
                 del values[part][::2]
             values[part].append(spent)
         if bad:
@@ -64,6 +65,7 @@
                 heapq.heappushpop(self.worst, entry)
 
     def html(self) -> str:
+        """The page."""
         causes = (*sampling.BAD, "ordinary")
         key = "".join(
             f'<i style="background:{colour}"></i>{part}' for part, colour in _COLOURS.items()
@@ -82,12 +84,12 @@
             "<h2>Grounds of refusals and failures</h2>",
             _table(
                 ["answer", "ground", "jobs"],
-                ([*ground, count] for ground, count in self.grounds.most_common(30)),
+                ([*reason, count] for reason, count in self.reasons.most_common(30)),
             ),
             "<h2>Attempts that came to nothing</h2>",
             _table(
                 ["destination", "ending", "attempts"],
-                ([*what, count] for what, count in self.endings.most_common(30)),
+                ([*what, count] for what, count in self.outcomes.most_common(30)),
             ),
             "<h2>Breakdown by percentile, ms</h2>",
             self._breakdown(),
@@ -127,7 +129,7 @@
     bar = "".join(
         f'<i title="{part} {reading.ms(end - begin)}" style="background:{_COLOURS[part]};'
         f'width:{100 * (end - begin) / whole:.2f}%"></i>'
-        for part, begin, end in breakdown.stretches(record)
+        for part, begin, end in breakdown.segments(record)
     )
     text = escape("\n".join(reading.why(record)))
     return (
--- a/yewrill/tracing/sampling.py
+++ b/yewrill/tracing/sampling.py
@@ -1,7 +1,7 @@
-"""Which records are kept, and which give way. No I/O, no clock, no randomness: time and bits come in.
+"""Decides which records are kept and which are dropped. Pure: time and random bits are arguments.
 
-The threshold is OpenTelemetry's: with a share p kept, a record is kept if its 56 random bits are at least
-T = (1 - p) * 2^56. All hops compare the same bits, so what one keeps at 1% another keeps at 10% too.
+The threshold is OpenTelemetry's: with a sampling ratio p, a record is kept if its 56 random bits are at
+least T = (1 - p) * 2^56. All hops compare the same bits, so a record kept at 1% is also kept at 10%.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 BITS = 56
 LATE, REFUSED, FAILED, RETRIED, LEFT = "late", "refused", "failed", "retried", "left"
 BAD = (LATE, REFUSED, FAILED, RETRIED, LEFT)
-ASKED, SAMPLED = "asked", "sampled"  # kept for the caller's flag, or by chance
+ASKED, SAMPLED = "asked", "sampled"  # kept for the caller's flag, or sampled
 
 
-def threshold(share: float) -> int:
-    """T for a share between 0 and 1; 2^56 keeps nothing."""
-    return round((1.0 - min(1.0, max(0.0, share))) * (1 << BITS))
+def threshold(ratio: float) -> int:
+    """The threshold T for a ratio from 0 to 1; 2^56 keeps nothing."""
+    return round((1.0 - min(1.0, max(0.0, ratio))) * (1 << BITS))
 
 
 def threshold_text(value: int) -> str | None:
-    """As `th` has it: hexadecimal without trailing zeros; None where nothing is kept."""
+    """The value of `th`: hexadecimal without trailing zeros; None if nothing is kept."""
     if value >= 1 << BITS:
         return None
     return f"{value:014x}".rstrip("0") or "0"
 
 
-def share_of(text: str) -> float:
-    """The share that a `th` stands for: 1 over it is what a kept record counts for."""
+def ratio_of(text: str) -> float:
+    """The ratio of a `th` value; a kept record stands for 1 / ratio records."""
     return 1.0 - int(text.ljust(14, "0"), 16) / (1 << BITS)
 
 
 def causes(record: Mapping[str, Any]) -> list[str]:
-    """Why a finished record is bad; empty for an ordinary one."""
+    """The causes for which a finished record is always kept; empty for an ordinary one."""
     found = []
     answer = record["answer"]
     if answer in (REFUSED, FAILED, LEFT):
@@ -50,23 +50,25 @@
 def late(
     answered: float, run: float | None, latency_objective: float, objective_run_factor: float
 ) -> bool:
-    """Whether an answer came after the wanted time: `answered` and `run`, its own running time, in ms.
-    Where nobody told how long it ran, only what is late whatever it ran counts."""
+    """Whether an answer missed its latency objective. `answered` and `run`, the run time, in ms.
+
+    Where the run time is not known, the whole time is taken for it, so only certain cases count as late.
+    """
     return answered > latency_objective + objective_run_factor * (
         run if run is not None else answered
     )
 
 
 @dataclass(slots=True)
-class Allowance:
-    """How many a second of what callers ask for is granted."""
+class TokenBucket:
+    """A token bucket: `rate` tokens a second, at most a second's worth (at least one) saved up."""
 
     rate: float
     tokens: float = 0.0
     at: float = 0.0
 
     def take(self, now: float) -> bool:
-        """At this time, in seconds of any steady clock."""
+        """Take a token at `now`, in seconds of a monotonic clock. Returns whether there was one."""
         self.tokens = min(max(1.0, self.rate), self.tokens + max(0.0, now - self.at) * self.rate)
         self.at = now
         if self.rate <= 0 or self.tokens < 1.0:
@@ -76,7 +78,7 @@
 
 
 def keep(record: Mapping[str, Any], random: int, limit: int, asked: bool) -> list[str]:
-    """Why a record is kept; empty: it is not."""
+    """The causes for which a record is kept; empty if it is dropped."""
     if bad := causes(record):
         return bad
     if random >= limit:
@@ -86,10 +88,12 @@
 
 @dataclass(slots=True)
 class Queue:
-    """Finished records that wait for their way out, at most so many: ordinary ones give way first, the
-    oldest of each sort before the others. Whatever gives way is counted by its cause."""
+    """Finished records that wait for export, at most `capacity`.
+
+    When it is full, ordinary records are dropped before bad ones, the oldest first, and counted by cause.
+    """
 
-    most: int
+    capacity: int
     bad: deque = field(default_factory=deque)
     ordinary: deque = field(default_factory=deque)
     dropped: dict[str, int] = field(default_factory=dict)
@@ -98,8 +102,9 @@
         return len(self.bad) + len(self.ordinary)
 
     def put(self, record: Any, is_bad: bool) -> None:
+        """Append a record, dropping others if the queue is full."""
         (self.bad if is_bad else self.ordinary).append(record)
-        while len(self) > self.most:
+        while len(self) > self.capacity:
             if self.ordinary:
                 self.ordinary.popleft()
                 self.count("ordinary_full")
@@ -108,7 +113,7 @@
                 self.count("bad_full")
 
     def take(self, count: int) -> list[Any]:
-        """The next records to go out, the bad ones first."""
+        """Remove and return up to `count` records, bad ones first."""
         taken = []
         for source in (self.bad, self.ordinary):
             while source and len(taken) < count:
@@ -116,4 +121,5 @@
         return taken
 
     def count(self, cause: str, number: int = 1) -> None:
+        """Count dropped records."""
         self.dropped[cause] = self.dropped.get(cause, 0) + number
--- a/yewrill/tracing/tracer.py
+++ b/yewrill/tracing/tracer.py
@@ -1,4 +1,4 @@
-"""What the dispatcher speaks to: begin, mark, finish. Everything else of this package is behind it."""
+"""The package's interface to the dispatcher: begin a trace, finish it, queue the record if it is kept."""
 
 from __future__ import annotations
 
@@ -13,45 +13,48 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """How much is kept. `share` of the ordinary records; `honoured`: callers' sampled flags a second."""
+class SamplingConfig:
+    """How many records are kept."""
 
-    share: float = 0.01
-    queue: int = 10_000  # finished records
-    honoured: float = 10.0
+    ratio: float = 0.01  # of ordinary records
+    queue: int = 10_000  # finished records that may wait for export
+    caller_sampled_per_second: float = 10.0  # records kept for the caller's sampled flag
 
 
 class Tracer:
-    """`clock` gives the loop's seconds, `wall` the epoch's; the latter is asked once."""
+    """Creates traces and samples finished ones.
+
+    `clock` returns the event loop's time, `wall` the epoch's, both in seconds; `wall` is read once, so that
+    steps of the wall clock do not change durations.
+    """
 
     def __init__(
         self,
-        bounds: Bounds,
+        sampling_config: SamplingConfig,
         *,
         clock: Callable[[], float],
         wall: Callable[[], float],
         rng: random.Random,
     ):
         self._clock = clock
-        self._offset = (
-            wall() - clock()
-        )  # once: a wall clock that is being set must bend no duration
+        self._offset = wall() - clock()
         self._rng = rng
         self._open: set[RequestTrace] = set()
-        self.queue = sampling.Queue(bounds.queue)
-        self.reconfigure(bounds)
+        self.queue = sampling.Queue(sampling_config.queue)
+        self.reconfigure(sampling_config)
         self.counts = dict.fromkeys(("finished", "kept_bad", "kept_ordinary", "thinned"), 0)
-        self.on_kept: Callable[[], None] = lambda: None
+        self.on_record_queued: Callable[[], None] = lambda: None
 
-    def reconfigure(self, bounds: Bounds) -> None:
-        """Other bounds, for what finishes from now on."""
-        self.bounds = bounds
-        self.queue.most = bounds.queue
-        self._limit = sampling.threshold(bounds.share)
+    def reconfigure(self, sampling_config: SamplingConfig) -> None:
+        """Apply other limits to requests that finish from now on."""
+        self.sampling_config = sampling_config
+        self.queue.capacity = sampling_config.queue
+        self._limit = sampling.threshold(sampling_config.ratio)
         self._threshold = sampling.threshold_text(self._limit)
-        self._allowance = sampling.Allowance(bounds.honoured)
+        self._caller_sampled = sampling.TokenBucket(sampling_config.caller_sampled_per_second)
 
     def new_span(self) -> str:
+        """A random span id, 16 hexadecimal digits."""
         return f"{self._rng.getrandbits(64) or 1:016x}"
 
     def begin(
@@ -67,7 +70,11 @@
         state: str | None,
         first_byte: float,
     ) -> RequestTrace:
-        """An operation is taken. `aim` and `deadline` in ms, `first_byte` by the loop's clock."""
+        """Open the trace of an accepted request.
+
+        `latency_objective` and `deadline` are in ms, `first_byte` in seconds of the loop's clock. `parent`
+        and `state` are the headers `traceparent` and `tracestate`, None where absent.
+        """
         found = context.read(parent, state)
         if found is None:
             found = Context(f"{self._rng.getrandbits(128) or 1:032x}")
@@ -88,16 +95,16 @@
         return trace
 
     def headers(self, found: Context, span: str) -> list[tuple[str, str]]:
-        """For an attempt: it is the parent of whatever its destination does."""
+        """Trace context headers for an attempt: its span is the parent of the worker's spans."""
         sampled = found.sampled or found.random >= self._limit
         headers = [("traceparent", context.parent_header(found.trace, span, sampled))]
         if not found.parent:
-            return headers  # begun here: nothing was handed in that must go on
+            return headers  # the trace begins here: no tracestate to pass on
         state = context.state_header(found, found.threshold)
         return [*headers, ("tracestate", state)] if state else headers
 
     def finish(self, trace: RequestTrace) -> dict[str, Any] | None:
-        """The operation is over, and nothing of it is out. The record, if it is kept."""
+        """Close the trace of a finished request. Returns the record if it is kept and queued, else None."""
         if trace not in self._open:
             return None
         self._open.discard(trace)
@@ -106,25 +113,25 @@
         late = self._is_late(trace)
         ordinary = trace.answer == "served" and len(trace.attempts) <= 1 and not late
         if ordinary and found.random < self._limit and not found.sampled:
-            self.counts["thinned"] += 1  # the common way out, without building anything
+            self.counts["thinned"] += 1  # the common case, before the record is built
             return None
         record = trace.as_dict(self._clock(), self._offset)
         record["late"] = late
-        asked = found.sampled and self._allowance.take(self._clock())
+        asked = found.sampled and self._caller_sampled.take(self._clock())
         kept = sampling.keep(record, found.random, self._limit, asked)
         if not kept:
             self.counts["thinned"] += 1
             return None
         bad = any(cause in sampling.BAD for cause in kept)
         record["kept"] = kept
-        # A bad one stands for itself alone; an ordinary one for as many as the share says.
+        # A bad record counts once; a sampled one stands for 1 / ratio records.
         record["state"] = context.state_header(
             found, self._threshold if kept == [sampling.SAMPLED] else "0"
         )
         record["parts"] = breakdown.parts(record)
         self.counts["kept_bad" if bad else "kept_ordinary"] += 1
         self.queue.put(record, bad)
-        self.on_kept()
+        self.on_record_queued()
         return record
 
     def _is_late(self, trace: RequestTrace) -> bool:
@@ -140,11 +147,12 @@
         )
 
     def event(self, name: str, text: str = "") -> None:
-        """Something that falls into the life of every operation under way."""
+        """Add an event to every open trace."""
         at = self._clock()
         for trace in self._open:
             trace.event(at, name, text)
 
     @property
     def open(self) -> int:
+        """The number of open traces."""
         return len(self._open)
