--- a/yewrill/lab/scale/hollow.py
+++ b/yewrill/lab/scale/hollow.py
@@ -46,7 +46,7 @@
     """The list of workers of a dispatcher without any."""
 
     def __init__(self, config: Config):
-        self.places = config.places
+        self.topology = config.topology
 
     def get(self, _name: str) -> None:
         """There is none."""
