--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -26,7 +26,7 @@
 
 import here  # noqa: F401
 
-from yewrill.config.reading import OwnershipConfig
+from yewrill.config.schema import OwnershipConfig
 from yewrill.lab.netsim import Path as Wire
 from yewrill.lab.ownnet import OwnNet, trouble
 from yewrill.lab.raftcheck import Bounds, Broken, Checker
--- a/tests/fixture_configuration.py
+++ b/tests/fixture_configuration.py
@@ -6,7 +6,10 @@
 
 from fixture_simulator import SITE, STATE_WORDS, settings_values
 
-from yewrill.config.reading import Config, TopologyNames, differing, read_config, read_endpoints
+from yewrill.config.endpoints import read_endpoints
+from yewrill.config.reading import read_config
+from yewrill.config.reload import changed_keys
+from yewrill.config.schema import Config, TopologyNames
 
 LIMITS = {**SITE["limits"], "connect_timeout": 175.0, "idle_close": 9000.0}
 SERVERS = (
@@ -128,7 +131,7 @@
     """The keys that a reload names as ignored, where all are others."""
     raw = {**LEAST, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"}
     settings = {**LEAST["settings"], "areas": ["other"], "limits": {}, "tick": 3.0}
-    return differing(read_config(WHOLE), read_config({**raw, "settings": settings}))
+    return changed_keys(read_config(WHOLE), read_config({**raw, "settings": settings}))
 
 
 def destination_values() -> list[list[Any]]:
--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -18,7 +18,8 @@
 from fixture_messages import KEPT, VOTERS, applied_duties
 from helper import SETTINGS
 
-from yewrill.config.reading import StateConfig, TopologyNames, read_config
+from yewrill.config.reading import read_config
+from yewrill.config.schema import StateConfig, TopologyNames
 from yewrill.dispatch.engine import Attempt, DecisionEngine, Request
 from yewrill.leases import disk as voters_disk
 from yewrill.leases import raft
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,8 @@
 from helper import SETTINGS
 
 from yewrill.cli import main
-from yewrill.config.reading import ConfigError, load_config, read_config
+from yewrill.config.errors import ConfigError
+from yewrill.config.reading import load_config, read_config
 
 ROOT = Path(__file__).parent.parent
 GOOD = {
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,8 @@
 from helper import SETTINGS, Client, Discovery, Peer, done, story, timed_story, world
 from test_state import program
 
-from yewrill.config.reading import TopologyNames, read_settings
+from yewrill.config.schema import TopologyNames
+from yewrill.config.settings import read_settings
 from yewrill.dispatch.engine import DecisionEngine
 from yewrill.net import discovery as poolconfig
 from yewrill.net.discovery import EndpointList, Watch
--- a/tests/test_extras.py
+++ b/tests/test_extras.py
@@ -47,7 +47,7 @@
     [
         ("yewrill.lab.soak", "lab"),
         ("yewrill.lab.cluster.rig", "lab"),
-        ("yewrill.ownership.disk", "owners"),
+        ("yewrill.leases.disk", "owners"),
         ("h11", "lab"),
     ],
 )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,8 @@
 from helper import SETTINGS, Peer, done, story, world
 
 from yewrill import Dispatcher, Settings
-from yewrill.config.reading import ConfigError, read_settings
+from yewrill.config.errors import ConfigError
+from yewrill.config.settings import read_settings
 from yewrill.policy import interface as api
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -10,7 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yewrill.config.reading import ConfigError, MembersConfig, read_config
+from yewrill.config.errors import ConfigError
+from yewrill.config.reading import read_config
+from yewrill.config.schema import MembersConfig
 from yewrill.lab.netsim import Net, Path
 from yewrill.membership import Members
 from yewrill.membership.format import MOST, Codec, Refused, Stranger
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -17,7 +17,8 @@
 from helper import SETTINGS, Client, Discovery, Peer, done, story, world
 from machine_faults import FaultyDisk
 
-from yewrill.config.reading import ConfigError, read_config
+from yewrill.config.errors import ConfigError
+from yewrill.config.reading import read_config
 from yewrill.persistence.attempts import (
     CLOCK_DOUBT_MS,
     LONG_AGO,
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -17,7 +17,8 @@
 from opentelemetry.proto.collector.trace.v1 import trace_service_pb2 as service
 
 from yewrill.cli import main
-from yewrill.config.reading import ConfigError, read_config
+from yewrill.config.errors import ConfigError
+from yewrill.config.reading import read_config
 from yewrill.tracing import breakdown, context, export, otlp, retry, sampling
 from yewrill.tracing.export import Exporter, ExportTarget, StoreSpool
 from yewrill.tracing.tracer import SamplingConfig, Tracer
--- a/tests/test_views_hook.py
+++ b/tests/test_views_hook.py
@@ -3,7 +3,8 @@
 import pytest
 from helper import SETTINGS, story, timed_story
 
-from yewrill.config.reading import ConfigError, read_config
+from yewrill.config.errors import ConfigError
+from yewrill.config.reading import read_config
 from yewrill.lab.cluster.audit import Terms, audit
 from yewrill.store import StoreError, StorePoisoned
 from yewrill.views import facade
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,7 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from yewrill.config.reading import ConfigError, read_config
+from yewrill.config.errors import ConfigError
+from yewrill.config.reading import read_config
 from yewrill.lab.netsim import Path
 from yewrill.lab.zonenet import ZoneNet
 from yewrill.policy import Dispatcher
--- a/yewrill/__main__.py
+++ b/yewrill/__main__.py
@@ -16,7 +16,8 @@
 import os  # noqa: E402
 import sys  # noqa: E402
 
-from yewrill.config.reading import ENV_CONFIG, ConfigError, load_config  # noqa: E402
+from yewrill.config.errors import ConfigError  # noqa: E402
+from yewrill.config.reading import ENV_CONFIG, load_config  # noqa: E402
 from yewrill.service.service import serve  # noqa: E402
 
 
--- a/yewrill/cli.py
+++ b/yewrill/cli.py
@@ -13,7 +13,9 @@
 from yewrill import __version__
 from yewrill.config import writing as configwrite
 from yewrill.config.cluster_trace import FORMATS, BadRow, TraceError, formats
-from yewrill.config.reading import ENV_CONFIG, FRONTS, ConfigError, load_config
+from yewrill.config.errors import ConfigError
+from yewrill.config.reading import ENV_CONFIG, load_config
+from yewrill.config.schema import FRONTS
 from yewrill.extras import not_installed
 
 MOST_BAD_ROWS = 20  # told one by one; the rest are counted
--- /dev/null
+++ b/yewrill/config/endpoints.py
@@ -0,0 +1,53 @@
+"""Reads endpoint lists: discovery's answers and the list last known."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from yewrill.config.errors import ConfigError
+from yewrill.config.schema import TopologyNames
+from yewrill.config.values import (
+    quoted,
+    read_address,
+    read_integer,
+    read_list,
+    read_number,
+    read_object,
+    read_text,
+)
+from yewrill.dispatch.engine import Endpoint
+from yewrill.policy import interface as api
+
+STATES = {"SERVING": api.RUNNING, "DRAINING": api.DRAINING, "DELETED": api.GONE}
+STATE_NAMES = {state: word for word, state in STATES.items()}
+
+
+def read_endpoints(answer: Any, key: str, topology: TopologyNames) -> list[Endpoint]:
+    """Read one of discovery's answers, or the list last known. Raises ConfigError."""
+    answer = read_object(answer, key)
+    read_integer(answer.get("version"), f"{key}.version")
+    found = []
+    for i, server in enumerate(read_list(answer.get("servers"), f"{key}.servers")):
+        at = f"{key}.servers[{i}]"
+        entry = read_object(server, at)
+        state = STATES.get(entry.get("state", "SERVING"))
+        if state is None:
+            raise ConfigError(
+                f"{at}.state: {quoted(entry.get('state'))} is not one of {', '.join(STATES)}"
+            )
+        removed = state == api.GONE  # a removed endpoint needs no address
+        found.append(
+            Endpoint(
+                read_text(entry.get("id"), f"{at}.id"),
+                ("", 0)
+                if removed and not entry.get("addr")
+                else read_address(entry.get("addr"), f"{at}.addr"),
+                TopologyNames.position(entry.get("zone", 0), topology.zones, f"{at}.zone"),
+                TopologyNames.position(entry.get("kind", 0), topology.kinds, f"{at}.kind"),
+                read_integer(entry.get("cell", 0), f"{at}.cell"),
+                state,
+                read_number(entry.get("weight", 1.0), f"{at}.weight"),
+                read_number(entry.get("started_ms", 0), f"{at}.started_ms"),
+            )
+        )
+    return found
--- /dev/null
+++ b/yewrill/config/optional_sections.py
@@ -0,0 +1,191 @@
+"""Reads the sections of the operators' file that turn a subsystem on; None where a section is absent."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any
+
+from yewrill.config.errors import ConfigError
+from yewrill.config.schema import (
+    STATE_MODES,
+    MembersConfig,
+    OwnershipConfig,
+    StateConfig,
+    TracingConfig,
+    ZonesConfig,
+)
+from yewrill.config.values import (
+    quoted,
+    read_address,
+    read_choice,
+    read_integer,
+    read_list,
+    read_number,
+    read_object,
+    read_text,
+    reject_unknown_keys,
+)
+
+
+def read_described_section(
+    raw: Mapping[str, Any], key: str, where: str, needs: tuple[str, ...]
+) -> Any:
+    """A section whose schema its own package defines, imported only if the section is there."""
+    if raw.get(key) is None:
+        return None
+    from yewrill.config.sections import SectionError, read_section
+
+    try:
+        return read_section(raw, key, where, needs)
+    except SectionError as error:
+        raise ConfigError(str(error)) from None
+
+
+def read_state(raw: Mapping[str, Any]) -> StateConfig | None:
+    """The sections `state_dir` and `state`."""
+    state = read_object(raw.get("state", {}), "state")
+    reject_unknown_keys(state, ("mode", "unsafe_window_ms", "patience_ms"), "state")
+    if raw.get("state_dir") is None:
+        if "state" in raw:
+            raise ConfigError("state_dir: missing, and state has no use without it")
+        return None
+    default = StateConfig("")
+    return StateConfig(
+        read_text(raw["state_dir"], "state_dir"),
+        read_choice(state.get("mode", default.mode), "state.mode", STATE_MODES),
+        read_number(
+            state.get("unsafe_window_ms", default.unsafe_window_ms),
+            "state.unsafe_window_ms",
+            0.0,
+            30 * 86_400_000.0,
+        ),
+        read_number(
+            state.get("patience_ms", default.patience_ms), "state.patience_ms", 1.0, 60_000.0
+        ),
+    )
+
+
+def read_tracing(raw: Mapping[str, Any]) -> TracingConfig | None:
+    """The section `tracing`."""
+    if raw.get("tracing") is None:
+        return None
+    given, default = read_object(raw["tracing"], "tracing"), TracingConfig()
+    reject_unknown_keys(given, TracingConfig.__slots__, "tracing")
+
+    def number(key: str, low: float, high: float) -> float:
+        return read_number(given.get(key, getattr(default, key)), f"tracing.{key}", low, high)
+
+    found = TracingConfig(
+        share=number("share", 0.0, 1.0),
+        queue=read_integer(given.get("queue", default.queue), "tracing.queue", 1, 10**6),
+        honoured=number("honoured", 0.0, 1e6),
+        file_mb=number("file_mb", 0.001, 1e6),
+        files=read_integer(given.get("files", default.files), "tracing.files", 1, 1000),
+        spool_mb=number("spool_mb", 0.0, 1e5),
+        collector=read_text(given["collector"], "tracing.collector")
+        if "collector" in given
+        else "",
+        file=read_text(given["file"], "tracing.file") if "file" in given else "",
+    )
+    if not found.collector and not found.file:
+        raise ConfigError("tracing: a collector or a file is needed")
+    if found.collector:
+        address, slash, path = found.collector.removeprefix("http://").partition("/")
+        if not found.collector.startswith("http://"):
+            raise ConfigError(
+                f"tracing.collector: {quoted(found.collector)} is not http://IPv4-ADDRESS:PORT/PATH"
+            )
+        read_address(address, "tracing.collector")
+    if found.spool_mb and raw.get("state_dir") is None:
+        raise ConfigError("tracing.spool_mb: needs state_dir")
+    return found
+
+
+def read_members(raw: Mapping[str, Any]) -> MembersConfig | None:
+    """The section `members`."""
+    if raw.get("members") is None:
+        return None
+    given = read_object(raw["members"], "members")
+    reject_unknown_keys(given, MembersConfig.__slots__, "members")
+    keys = [
+        read_text(key, f"members.keys[{i}]")
+        for i, key in enumerate(read_list(given.get("keys"), "members.keys"))
+    ]
+    if not 1 <= len(keys) <= 2:
+        raise ConfigError("members.keys: one key, or two during a change")
+    for i, key in enumerate(keys):
+        try:
+            found = len(bytes.fromhex(key))
+        except ValueError:
+            found = 0
+        if not 16 <= found <= 64:
+            raise ConfigError(f"members.keys[{i}]: 32 to 128 hexadecimal digits are needed")
+    peers = read_list(given.get("peers"), "members.peers")
+    if not peers:
+        raise ConfigError("members.peers: at least one address is needed")
+    listen = read_address(given.get("listen"), "members.listen", any_port=True)
+    if listen[0] == "0.0.0.0":
+        raise ConfigError("members.listen: an address that peers can reach is needed, not 0.0.0.0")
+    names = {
+        key: given.get(key, raw.get("name", "yewrill") if key == "name" else "")
+        for key in ("name", "zone", "region")
+    }
+    for key, value in names.items():
+        if not isinstance(value, str) or len(value) > 64 or (key == "name" and not value):
+            raise ConfigError(f"members.{key}: a text of at most 64 characters is needed")
+    return MembersConfig(
+        listen,
+        tuple(read_address(peer, f"members.peers[{i}]") for i, peer in enumerate(peers)),
+        tuple(keys),
+        bytes_per_s=read_number(
+            given.get("bytes_per_s", 20_000.0), "members.bytes_per_s", 2_000.0, 1e9
+        ),
+        interval=read_number(given.get("interval", 0.5), "members.interval", 0.05, 60.0),
+        **names,
+    )
+
+
+def read_ownership(raw: Mapping[str, Any]) -> OwnershipConfig | None:
+    """The section `ownership`."""
+    if raw.get("ownership") is None:
+        return None
+    given = read_object(raw["ownership"], "ownership")
+    reject_unknown_keys(given, OwnershipConfig.__slots__, "ownership")
+    if raw.get("members") is None:
+        raise ConfigError("ownership: needs members")
+    voters = tuple(
+        read_text(name, f"ownership.voters[{i}]")
+        for i, name in enumerate(read_list(given.get("voters"), "ownership.voters"))
+    )
+    if len(voters) not in (1, 3, 5, 7) or len(set(voters)) != len(voters):
+        raise ConfigError(
+            "ownership.voters: 3, 5 or 7 different members are needed (1 alone to try it)"
+        )
+    trust = given.get("trust_disk", False)
+    if not isinstance(trust, bool):
+        raise ConfigError("ownership.trust_disk: true or false")
+    return OwnershipConfig(
+        voters,
+        read_text(given.get("dir"), "ownership.dir"),
+        read_number(given.get("span", 2.0), "ownership.span", 0.5, 3600.0),
+        trust,
+    )
+
+
+def read_zones(raw: Mapping[str, Any]) -> ZonesConfig | None:
+    """The section `zones`."""
+    if raw.get("zones") is None:
+        return None
+    given = read_object(raw["zones"], "zones")
+    reject_unknown_keys(given, ZonesConfig.__slots__, "zones")
+    if raw.get("members") is None:
+        raise ConfigError("zones: needs members")
+    if not raw["members"].get("zone"):
+        raise ConfigError("members.zone: zones needs it, in the words of settings.areas")
+    default = ZonesConfig()
+    return ZonesConfig(
+        hold=read_number(given.get("hold", default.hold), "zones.hold", 0.1, 3600.0),
+        step=read_number(given.get("step", default.step), "zones.step", 0.1, 3600.0),
+        most_out=read_number(given.get("most_out", default.most_out), "zones.most_out", 0.0, 1.0),
+        stands=read_number(given.get("stands", default.stands), "zones.stands", 1.0, 3600.0),
+    )
--- /dev/null
+++ b/yewrill/config/reload.py
@@ -0,0 +1,58 @@
+"""Compares the configuration in force with the one that a reload has read."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from dataclasses import fields
+from typing import Any
+
+from yewrill.config.errors import ConfigError
+from yewrill.config.schema import Config
+
+# Keys of the file for fields that have another name.
+KEY_OF_FIELD = {
+    "topology": "settings.areas or settings.kinds",
+    "connect_timeout_ms": "settings.limits.connect_timeout",
+    "idle_close_ms": "settings.limits.idle_close",
+    "answer_margin_ms": "timing.answer_margin_ms",
+    "state": "state_dir or state",
+    "linger_ms": "timing.linger_ms",
+    "grace_ms": "timing.grace_ms",
+}
+START_ONLY_KEYS = ("known", "seed")
+
+
+def key_paths(value: Any, path: str = "") -> Iterator[str]:
+    """The paths of a file's keys; for a list of objects, the keys that all of them have."""
+    if isinstance(value, Mapping):
+        for key, below in value.items():
+            if path or (key not in START_ONLY_KEYS and not key.startswith("x-")):
+                at = f"{path}.{key}" if path else key
+                yield at
+                yield from key_paths(below, at)
+    elif isinstance(value, list) and value and all(isinstance(item, Mapping) for item in value):
+        for key in sorted(set.intersection(*(set(item) for item in value))):
+            yield f"{path}[].{key}"
+
+
+def check_reload(before: Config, now: Config) -> None:
+    """Raise ConfigError if the configuration may not replace the one in force without a restart."""
+    # A key that has gone missing is taken for a truncated file, not for a request for the default.
+    for key in sorted(before.stated - now.stated):
+        raise ConfigError(f"{key}: missing, the file in service has it")
+    for part, old, new in (
+        ("areas", before.topology.zones, now.topology.zones),
+        ("kinds", before.topology.kinds, now.topology.kinds),
+    ):
+        if new[: len(old)] != old:
+            raise ConfigError(f"settings.{part}: may only grow while the program serves")
+
+
+def changed_keys(before: Config, now: Config) -> list[str]:
+    """The keys of the file in which two configurations differ, without those that only a start uses."""
+    return [
+        KEY_OF_FIELD.get(f.name, f.name)
+        for f in fields(Config)
+        if f.name not in ("known", "seed", "stated", "inherited_fd", "link_dir")
+        and getattr(before, f.name) != getattr(now, f.name)
+    ]
--- a/yewrill/config/writing.py
+++ b/yewrill/config/writing.py
@@ -6,7 +6,9 @@
 from typing import Any
 
 from yewrill.config.cluster_trace import Trace
-from yewrill.config.reading import ConfigError, check_sense, read_config
+from yewrill.config.errors import ConfigError
+from yewrill.config.reading import read_config
+from yewrill.config.settings import check_consistency
 
 # What is written when nothing else is said: cautious figures for a small fleet on one network.
 LIMITS = {
@@ -171,5 +173,5 @@
     if derived:
         raw["x-derived"] = dict(derived)
     read_config(raw)
-    check_sense(raw["settings"])
+    check_consistency(raw["settings"])
     return raw
--- a/yewrill/lab/cluster/entry.py
+++ b/yewrill/lab/cluster/entry.py
@@ -156,10 +156,10 @@
 
 def _drain() -> None:
     """Drains are not heard of."""
-    from yewrill.config import reading as config
+    from yewrill.config import endpoints as config
     from yewrill.policy import interface as api
 
-    config._STATES["DRAINING"] = api.RUNNING
+    config.STATES["DRAINING"] = api.RUNNING
 
 
 def _return_at_once() -> None:
--- a/yewrill/lab/scale/hollow.py
+++ b/yewrill/lab/scale/hollow.py
@@ -22,7 +22,8 @@
 import trio
 import ujson
 
-from yewrill.config.reading import Config, read_config
+from yewrill.config.reading import read_config
+from yewrill.config.schema import Config
 from yewrill.membership import Members
 from yewrill.service.subsystems import Subsystem, SubsystemContext, create_subsystems
 
--- a/yewrill/lab/scale/module.py
+++ b/yewrill/lab/scale/module.py
@@ -10,7 +10,8 @@
 import ujson
 
 from yewrill import Dispatcher, Settings
-from yewrill.config.reading import TopologyNames, read_endpoints
+from yewrill.config.endpoints import read_endpoints
+from yewrill.config.schema import TopologyNames
 from yewrill.lab.scale.fit import line
 from yewrill.policy import interface as api
 
--- a/yewrill/net/discovery.py
+++ b/yewrill/net/discovery.py
@@ -12,7 +12,9 @@
 import trio
 import ujson
 
-from yewrill.config.reading import STATE_WORDS, ConfigError, TopologyNames, read_endpoints
+from yewrill.config.endpoints import STATE_NAMES, read_endpoints
+from yewrill.config.errors import ConfigError
+from yewrill.config.schema import TopologyNames
 from yewrill.dispatch.engine import DecisionEngine, Endpoint
 from yewrill.net.connection import Connection
 from yewrill.net.http import ClientSide, PeerEnded
@@ -133,7 +135,7 @@
                     "zone": d.zone,
                     "kind": d.kind,
                     "cell": d.cell,
-                    "state": STATE_WORDS[d.state],
+                    "state": STATE_NAMES[d.state],
                     "weight": d.weight,
                     "started_ms": d.started_ms,
                 }
--- a/yewrill/persistence/disk.py
+++ b/yewrill/persistence/disk.py
@@ -15,7 +15,7 @@
 import trio
 import ujson
 
-from yewrill.config.reading import StateConfig
+from yewrill.config.schema import StateConfig
 from yewrill.store import Batch, Store, StoreError, StoreHeld, StorePoisoned
 
 log = logging.getLogger("yewrill.state")
--- a/yewrill/persistence/persistent_state.py
+++ b/yewrill/persistence/persistent_state.py
@@ -19,7 +19,7 @@
 import trio
 import ujson
 
-from yewrill.config.reading import StateConfig
+from yewrill.config.schema import StateConfig
 from yewrill.dispatch.engine import Attempt, Request
 from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.net.discovery import REMEMBERED, EndpointList
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -13,7 +13,9 @@
 
 import trio
 
-from yewrill.config.reading import Config, ConfigError, check_succession, differing
+from yewrill.config.errors import ConfigError
+from yewrill.config.reload import changed_keys, check_reload
+from yewrill.config.schema import Config
 from yewrill.dispatch.engine import Attempt, DecisionEngine, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served, carry
 from yewrill.dispatch.outcome import AttemptOutcome
@@ -246,7 +248,7 @@
             return
         try:
             config = self._load()
-            check_succession(self.config, config)
+            check_reload(self.config, config)
         except (
             Exception
         ) as error:  # whatever is wrong with the file, the one that served so far goes on
@@ -278,7 +280,7 @@
             *taken.discovery,
             ",".join(c.name for c in taken.settings.classes),
         )
-        if others := differing(taken, config):
+        if others := changed_keys(taken, config):
             log.warning("reload-ignored keys=%s: a restart takes them up", ",".join(others))
 
     async def drain(self) -> None:
--- a/yewrill/service/subsystems.py
+++ b/yewrill/service/subsystems.py
@@ -14,7 +14,7 @@
 import trio
 
 if TYPE_CHECKING:
-    from yewrill.config.reading import Config
+    from yewrill.config.schema import Config
     from yewrill.dispatch.engine import DecisionEngine
     from yewrill.dispatch.lifecycle import AttemptRunner
     from yewrill.net.discovery import EndpointList
--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -14,7 +14,7 @@
 import trio
 
 from yewrill import __version__
-from yewrill.config.reading import Config, TracingConfig
+from yewrill.config.schema import Config, TracingConfig
 from yewrill.dispatch.engine import Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served
 from yewrill.net.http import HttpRequest
