--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -341,7 +341,7 @@
 def test_a_long_trace_is_sampled_and_the_same_each_time(tmp_path, monkeypatch):
     from yewrill.config import cluster_trace as traces
 
-    monkeypatch.setattr(traces, "SAMPLE", 100)
+    monkeypatch.setattr(traces, "MAX_RUN_TIMES_PER_CLASS", 100)
     path = tmp_path / "t.csv"
     rows = (f"t,1,j,1,Terminated,{100 + i},{100 + i + i % 50},100,0.1\n" for i in range(3000))
     path.write_text("".join(rows))
--- a/yewrill/cli.py
+++ b/yewrill/cli.py
@@ -171,12 +171,17 @@
             _tell_bad(from_trace, bad, trace.rows)
             if strict and bad:
                 raise TraceError(f"{from_trace}: {len(bad)} bad rows")
-            parts, stretches, derived = configwrite.classes_from_trace(trace, time_scale)
+            parts, run_factors, derived = configwrite.classes_from_trace(trace, time_scale)
             rate = sum(c["rate_per_s"] for c in derived.values())
         else:
-            parts, stretches = configwrite.classes_from_options(classes)
+            parts, run_factors = configwrite.classes_from_options(classes)
         raw = configwrite.build(
-            classes=parts, stretches=stretches, tenants=tenants, derived=derived, rate=rate, **rest
+            classes=parts,
+            run_factors=run_factors,
+            tenants=tenants,
+            derived=derived,
+            rate=rate,
+            **rest,
         )
         text = ujson.dumps(raw, indent=2, escape_forward_slashes=False) + "\n"
         if output:
--- a/yewrill/config/cluster_trace.py
+++ b/yewrill/config/cluster_trace.py
@@ -1,4 +1,4 @@
-"""Public cluster traces in CSV, read for what a configuration needs: classes, rates and run times.
+"""Reads public cluster traces in CSV for request classes, rates and run times.
 
 Alibaba's cluster-trace-v2018 `batch_task.csv` has no header and these columns: task_name, instance_num,
 job_name, task_type, status, start_time, end_time, plan_cpu (100 is one core), plan_mem (normalised).
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-SAMPLE = 50_000  # run times kept a class, drawn evenly from all of them: the full trace has millions of rows
+MAX_RUN_TIMES_PER_CLASS = 50_000  # a uniform sample: the full trace has millions of rows
 COLUMNS = (
     "task_name",
     "instance_num",
@@ -27,15 +27,17 @@
     "plan_cpu",
     "plan_mem",
 )
-STATES = ("Ready", "Waiting", "Running", "Terminated", "Failed", "Cancelled", "Interrupted")
+TASK_STATES = ("Ready", "Waiting", "Running", "Terminated", "Failed", "Cancelled", "Interrupted")
 
 
 class TraceError(Exception):
-    """A trace that nothing can be derived from."""
+    """A file from which no request class can be derived."""
 
 
 @dataclass(frozen=True, slots=True)
 class BadRow:
+    """A row that was skipped, and why."""
+
     line: int
     text: str
 
@@ -45,7 +47,7 @@
 
 @dataclass(slots=True)
 class TraceClass:
-    """What a trace tells of one class of jobs; times in milliseconds."""
+    """What a trace says about one request class; times in milliseconds."""
 
     name: str
     arrivals: int = 0
@@ -54,29 +56,33 @@
     slots: float = 0.0  # a sum over arrivals
 
     def quantile(self, q: float) -> float:
+        """A quantile of the run times, `q` from 0 to 1, by nearest rank."""
         ordered = sorted(self.runs)
         return ordered[min(len(ordered) - 1, math.ceil(q * len(ordered)) - 1 if q > 0 else 0)]
 
     @property
     def mean(self) -> float:
+        """The mean run time."""
         return sum(self.runs) / len(self.runs)
 
 
 @dataclass(slots=True)
 class Trace:
+    """The request classes of a trace, and counts of its rows."""
+
     classes: dict[str, TraceClass] = field(default_factory=dict)
-    first: float = math.inf  # start times, seconds
-    last: float = -math.inf
+    first_start: float = math.inf  # start times, seconds
+    last_start: float = -math.inf
     rows: int = 0
     bad: int = 0
 
     @property
-    def span(self) -> float:
-        """Seconds that the arrivals cover; one at least, the trace's own resolution."""
-        return max(1.0, self.last - self.first + 1.0)
+    def duration_s(self) -> float:
+        """Time from the first start to the last, at least 1 s, the resolution of the trace."""
+        return max(1.0, self.last_start - self.first_start + 1.0)
 
 
-def _figure(row: list[str], column: str, *, absent: float | None = None) -> float:
+def _number(row: list[str], column: str, *, absent: float | None = None) -> float:
     text = row[COLUMNS.index(column)].strip()
     if not text and absent is not None:
         return absent
@@ -97,20 +103,20 @@
     if not kind.isalnum():
         raise ValueError(f"task_type: {kind!r} is not a type")
     status = row[4].strip()
-    if status not in STATES:
-        raise ValueError(f"status: {status!r} is not one of {', '.join(STATES)}")
-    start, end = _figure(row, "start_time"), _figure(row, "end_time", absent=0.0)
+    if status not in TASK_STATES:
+        raise ValueError(f"status: {status!r} is not one of {', '.join(TASK_STATES)}")
+    start, end = _number(row, "start_time"), _number(row, "end_time", absent=0.0)
     run = None
     if status == "Terminated":
         if end < start:
             raise ValueError(f"end_time: {end:g} is before start_time {start:g}")
         run = (end - start) * 1000.0
-    instances = _figure(row, "instance_num", absent=1.0)
+    instances = _number(row, "instance_num", absent=1.0)
     return (
         f"type-{kind}",
         start,
         run,
-        max(1.0, _figure(row, "plan_cpu", absent=100.0) / 100.0),
+        max(1.0, _number(row, "plan_cpu", absent=100.0) / 100.0),
         int(instances),
     )
 
@@ -132,7 +138,10 @@
 
 
 def read_batch_task(path: str | Path, on_bad: Callable[[BadRow], None]) -> Trace:
-    """Read `batch_task.csv`, plain or as .gz. Bad rows are told by line and left out."""
+    """Read `batch_task.csv`, plain or as .gz.
+
+    Bad rows are passed to `on_bad` and skipped. Raises TraceError if no class is left, or for an unreadable file.
+    """
     trace = Trace()
     rng = random.Random(0)  # the same file gives the same configuration
     try:
@@ -143,7 +152,7 @@
             try:
                 if row[0].startswith("\0"):
                     raise ValueError(row[0][1:])
-                _take(trace, rng, *_batch_task(row))
+                _add_task(trace, rng, *_batch_task(row))
             except ValueError as error:
                 trace.bad += 1
                 on_bad(BadRow(line, str(error)))
@@ -157,7 +166,7 @@
     return trace
 
 
-def _take(
+def _add_task(
     trace: Trace,
     rng: random.Random,
     name: str,
@@ -172,15 +181,18 @@
     count = max(1, instances)
     found.arrivals += count
     found.slots += slots * count
-    trace.first, trace.last = min(trace.first, start), max(trace.last, start)
+    trace.first_start, trace.last_start = (
+        min(trace.first_start, start),
+        max(trace.last_start, start),
+    )
     if run is None:
         return
     found.finished += 1
-    if len(found.runs) < SAMPLE:
+    if len(found.runs) < MAX_RUN_TIMES_PER_CLASS:
         found.runs.append(run)
     else:
         at = rng.randrange(found.finished)
-        if at < SAMPLE:
+        if at < MAX_RUN_TIMES_PER_CLASS:
             found.runs[at] = run
 
 
@@ -190,4 +202,5 @@
 
 
 def formats() -> Iterable[str]:
+    """The names of the formats that can be read."""
     return FORMATS
--- a/yewrill/config/sections.py
+++ b/yewrill/config/sections.py
@@ -1,4 +1,4 @@
-"""Sections of the operators' file that packages describe themselves, by msgspec; imported only if named."""
+"""Reads sections whose schema is a msgspec struct of their package; imported only if one is present."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 
 
 class SectionError(Exception):
-    """A section that can't be used; the text begins with the faulty key."""
+    """An invalid section; the text begins with the faulty key."""
 
 
 def read_section(raw: Mapping[str, Any], key: str, where: str, needs: tuple[str, ...] = ()) -> Any:
-    """The section as its package's struct (`module:Struct`). The struct may check itself further in
-    `__post_init__`, by a ValueError whose text begins with the key. Raises SectionError."""
+    """Convert a section to its struct, `where` as `module:Struct`. Raises SectionError.
+
+    The struct may check itself in `__post_init__` by a ValueError whose text begins with the key.
+    """
     for other in needs:
         if raw.get(other) is None:
             raise SectionError(f"{key}: needs {other}")
@@ -27,12 +29,14 @@
     try:
         return msgspec.convert(raw[key], getattr(importlib.import_module(module), name))
     except msgspec.ValidationError as error:
-        told, _, path = str(error).partition(" - at `$")
+        message, _, path = str(error).partition(" - at `$")
         at = key + path.rstrip("`")
-        if (found := _UNKNOWN.search(told)) is not None:
+        if (found := _UNKNOWN.search(message)) is not None:
             raise SectionError(f"{at}.{found[1]}: no such key") from None
-        if (found := _MISSING.search(told)) is not None:
+        if (found := _MISSING.search(message)) is not None:
             raise SectionError(f"{at}.{found[1]}: missing") from None
         if path:
-            raise SectionError(f"{at}: {told[0].lower()}{told[1:].replace('`', '')}") from None
-        raise SectionError(f"{key}.{told}" if ":" in told else f"{key}: {told}") from None
+            raise SectionError(
+                f"{at}: {message[0].lower()}{message[1:].replace('`', '')}"
+            ) from None
+        raise SectionError(f"{key}.{message}" if ":" in message else f"{key}: {message}") from None
--- a/yewrill/config/writing.py
+++ b/yewrill/config/writing.py
@@ -1,4 +1,4 @@
-"""Makes a configuration file for one application: from options, or from a public cluster trace."""
+"""Writes a configuration file for one application, from options or from a public cluster trace."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from yewrill.config.reading import read_config
 from yewrill.config.settings import check_consistency
 
-# What is written when nothing else is said: cautious figures for a small fleet on one network.
-LIMITS = {
+# Defaults for a small fleet on one network.
+DEFAULT_LIMITS = {
     "try_limit": 3,
     "connect_timeout": 150.0,
     "idle_close": 10000.0,
@@ -21,7 +21,7 @@
     "cancel": True,
     "second_copies": False,
 }
-RULES = {
+DEFAULT_RULES = {
     "answer_slack": 8.0,
     "fall": 3000.0,
     "fall_multiple": 3.0,
@@ -41,11 +41,11 @@
 }
 _TENANT_KEYS = {"quota_per_s": float, "share": float}
 
-LEAST_DEADLINE = 100.0  # ms: a shorter one leaves no time for a second attempt
+MIN_DEADLINE_MS = 100.0  # a shorter one leaves no time for a retry
 
 
 def parse_item(text: str, key: str, keys: Mapping[str, type]) -> tuple[str, dict[str, Any]]:
-    """`name:key=value,key=value` as given on the command line."""
+    """Parse `name:key=value,key=value` of the command line. Raises ConfigError."""
     name, _, rest = text.partition(":")
     values: dict[str, Any] = {}
     for part in filter(None, rest.split(",")):
@@ -62,37 +62,40 @@
 
 
 def classes_from_options(items: tuple[str, ...]) -> tuple[list[dict[str, Any]], list[float]]:
-    """Request classes, and their stretches, which the settings hold in a place of their own."""
-    classes, stretches = [], []
+    """Request classes, and the run factors of their latency objectives, which stand apart in the settings."""
+    classes, run_factors = [], []
     for item in items:
         name, values = parse_item(item, "--class", _CLASS_KEYS)
-        stretches.append(values.pop("stretch", 0.0))
+        run_factors.append(values.pop("stretch", 0.0))
         classes.append({"name": name, "repeat": "pure", "value": 1.0, **values})
-    return classes, stretches
+    return classes, run_factors
 
 
 def classes_from_trace(
     trace: Trace, scale: float
 ) -> tuple[list[dict[str, Any]], list[float], dict[str, Any]]:
-    """Request classes by task type: wanted within the median run's own time again plus the spread to its
-    95th percentile, given up after twice the 99th. The figures that this rests on go along."""
-    classes, stretches, derived = [], [], {}
+    """Request classes by task type, with the statistics that they are derived from.
+
+    The latency objective is twice the run time plus the distance from median to 95th percentile, the
+    deadline twice the 99th percentile. `scale` multiplies all times.
+    """
+    classes, run_factors, derived = [], [], {}
     for name, found in trace.classes.items():
         p50, p95, p99 = (found.quantile(q) * scale for q in (0.5, 0.95, 0.99))
-        deadline = max(LEAST_DEADLINE, 2.0 * p99)
-        aim = min(deadline, max(LEAST_DEADLINE / 2, p95 - p50))
+        deadline = max(MIN_DEADLINE_MS, 2.0 * p99)
+        objective = min(deadline, max(MIN_DEADLINE_MS / 2, p95 - p50))
         classes.append(
             {
                 "name": name,
                 "repeat": "pure",
                 "value": 1.0,
-                "aim": round(aim, 3),
+                "aim": round(objective, 3),
                 "deadline": round(deadline, 3),
             }
         )
-        stretches.append(2.0)
+        run_factors.append(2.0)
         derived[name] = {
-            "rate_per_s": round(found.arrivals / (trace.span * scale), 6),
+            "rate_per_s": round(found.arrivals / (trace.duration_s * scale), 6),
             "run_ms": {
                 "mean": round(found.mean * scale, 3),
                 "p50": round(p50, 3),
@@ -103,7 +106,7 @@
             "arrivals": found.arrivals,
             "finished_rows": found.finished,
         }
-    return classes, stretches, derived
+    return classes, run_factors, derived
 
 
 def build(
@@ -114,7 +117,7 @@
     front: str,
     mgmt: str | None = None,
     classes: list[dict[str, Any]],
-    stretches: list[float],
+    run_factors: list[float],
     tenants: tuple[str, ...] = (),
     zones: tuple[str, ...] = (),
     kinds: tuple[str, ...] = (),
@@ -128,7 +131,7 @@
     free_slots: str | None = None,
     cross_zone_fee: float = 0.0,
 ) -> dict[str, Any]:
-    """The whole configuration, checked by the same code that reads it."""
+    """The whole configuration, checked by the code that reads it. Raises ConfigError."""
     parties = []
     for item in tenants:
         tenant, values = parse_item(item, "--tenant", _TENANT_KEYS)
@@ -155,9 +158,9 @@
             "registry_mode": "push",
             "request_classes": classes,
             "parties": parties,
-            "limits": dict(LIMITS),
-            "rules": dict(RULES),
-            "specifics": {"class_stretch": stretches, "tells_start": True, "progress": 1000.0},
+            "limits": dict(DEFAULT_LIMITS),
+            "rules": dict(DEFAULT_RULES),
+            "specifics": {"class_stretch": run_factors, "tells_start": True, "progress": 1000.0},
         },
     }
     if reports:
