--- a/yewrill/config/cluster_trace.py
+++ b/yewrill/config/cluster_trace.py
@@ -140,7 +140,7 @@
 def read_batch_task(path: str | Path, on_bad: Callable[[BadRow], None]) -> Trace:
     """Read `batch_task.csv`, plain or as .gz.
 
-    Bad rows are passed to `on_bad` and skipped. Raises TraceError if no class is left, or for an unreadable file.
+    Bad rows are passed to `on_bad` and skipped. Raises TraceError if no class is left, or on an I/O error.
     """
     trace = Trace()
     rng = random.Random(0)  # the same file gives the same configuration
