--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -17,7 +17,7 @@
         if not summary.starved:
             break
     assert not summary.starved
-    assert summary.requests > 300 and sum(summary.troubles.values()) >= 3
+    assert summary.requests > 300 and sum(summary.faults.values()) >= 3
     return summary
 
 
--- a/tests/test_soak_oracle.py
+++ b/tests/test_soak_oracle.py
@@ -7,13 +7,13 @@
 from yewrill.lab.soak.events import (
     Attempt,
     AttemptEnd,
-    ColdStart,
     Effect,
     History,
-    Life,
-    LifeEvent,
+    ProcessEvent,
+    ProcessState,
     Request,
     RequestEnd,
+    SlowStart,
 )
 from yewrill.lab.soak.oracle import Rule, Terms, allowed_when_cold, judge
 from yewrill.lab.soak.plan import Kind, draw, overlapping
@@ -32,25 +32,28 @@
 
 
 def request(id, kind="tour", at=10.0, **more) -> Request:
-    given = {"sent": at, "end": RequestEnd.ANSWERED, "ended": at + 0.1, "status": 200, "answers": 1}
+    given = {"sent": at, "end": RequestEnd.ANSWERED, "finished": at + 0.1, "status": 200, "answers": 1}
     return Request(id, f"k-{id}", kind, "d0", 2.0, at, **{**given, **more})
 
 
 def attempt(id, kind="tour", at=10.02, **more) -> Attempt:
-    given = {"whole": at, "ended": at + 0.05, "end": AttemptEnd.ANSWERED}
+    given = {"whole": at, "finished": at + 0.05, "end": AttemptEnd.ANSWERED}
     return Attempt(id, f"k-{id}", kind, "w0", 1.9, at, **{**given, **more})
 
 
-def life(what, at, pid=1, code=0) -> LifeEvent:
-    return LifeEvent("d0", pid, what, at, code)
+def state(what, at, pid=1, code=0) -> ProcessEvent:
+    return ProcessEvent("d0", pid, what, at, code)
 
 
 def clean() -> History:
     history = History()
     history.requests = [request("a"), request("b", "save"), request("c", "once")]
     history.attempts = [attempt("a"), attempt("b", "save"), attempt("c", "once")]
-    history.lives = [life(Life.STARTED, 0.0), life(Life.READY, 1.0)]
-    history.lives += [life(Life.TERMINATED, 20.0), life(Life.EXITED, 23.0)]
+    history.process_events = [state(ProcessState.STARTED, 0.0), state(ProcessState.READY, 1.0)]
+    history.process_events += [
+        state(ProcessState.TERMINATED, 20.0),
+        state(ProcessState.EXITED, 23.0),
+    ]
     history.calm = [(9.0, 12.0)]
     return history
 
@@ -64,7 +67,7 @@
 
 
 def late_answer(history):
-    history.requests[0].ended = 10.0 + 2.0 + 0.6
+    history.requests[0].finished = 10.0 + 2.0 + 0.6
 
 
 def two_answers(history):
@@ -72,13 +75,13 @@
 
 
 def begun_after_leaving(history):
-    history.requests[0].end, history.requests[0].ended = RequestEnd.LEFT, 10.0
+    history.requests[0].end, history.requests[0].finished = RequestEnd.LEFT, 10.0
     history.attempts[0] = attempt("a", at=10.2)
 
 
 def overlapping_attempts(history):
     history.attempts.append(attempt("a", at=10.03))
-    history.attempts[0].ended = 10.5
+    history.attempts[0].finished = 10.5
 
 
 def unsafe_twice(history):
@@ -89,7 +92,7 @@
 
 
 def keyed_after_its_window(history):
-    history.requests[1].patience, history.requests[1].ended = 10.0, 14.0
+    history.requests[1].client_timeout, history.requests[1].finished = 10.0, 14.0
     history.attempts.append(attempt("b", "save", at=13.5))
 
 
@@ -99,11 +102,11 @@
 
 
 def told_too_much(history):
-    history.attempts[0].told = 2.3
+    history.attempts[0].notified = 2.3
 
 
 def over_the_cold_budget(history):
-    history.cold.append(ColdStart("w0", 9.9))
+    history.cold.append(SlowStart("w0", 9.9))
     many = int(allowed_when_cold(TERMS, 1.0)) + 3
     for number in range(many):
         id = f"m{number}"
@@ -112,19 +115,19 @@
 
 
 def unclean_exit(history):
-    history.lives[3] = life(Life.EXITED, 23.0, code=1)
+    history.process_events[3] = state(ProcessState.EXITED, 23.0, code=1)
 
 
 def late_exit(history):
-    history.lives[3] = life(Life.EXITED, 24.0)
+    history.process_events[3] = state(ProcessState.EXITED, 24.0)
 
 
 def crash(history):
-    history.lives[2:] = [life(Life.EXITED, 15.0, code=-11)]
+    history.process_events[2:] = [state(ProcessState.EXITED, 15.0, code=-11)]
 
 
 def never_ready(history):
-    history.lives.pop(1)
+    history.process_events.pop(1)
 
 
 def refused_by_a_well_fleet(history):
@@ -134,7 +137,7 @@
 
 def stopped_and_stays(history):
     history.requests[0].stops, history.requests[0].in_order = True, False
-    history.requests[0].sent, history.requests[0].ended = None, 13.4
+    history.requests[0].sent, history.requests[0].finished = None, 13.4
     history.attempts.pop(0)
 
 
@@ -177,12 +180,12 @@
 def test_only_the_protocols_own_excuses_count():
     history = clean()
     closed(history)
-    history.lives.insert(2, life(Life.KILLED, 10.05, pid=2))
-    history.lives.insert(2, life(Life.STARTED, 0.0, pid=2))
-    history.lives.insert(3, life(Life.READY, 0.5, pid=2))
+    history.process_events.insert(2, state(ProcessState.KILLED, 10.05, pid=2))
+    history.process_events.insert(2, state(ProcessState.STARTED, 0.0, pid=2))
+    history.process_events.insert(3, state(ProcessState.READY, 0.5, pid=2))
     assert judge(history, TERMS) == []  # its process was killed under it
     history.requests[0].begun = history.requests[0].sent = 10.2
-    history.requests[0].ended = 10.3
+    history.requests[0].finished = 10.3
     assert [breach.rule for breach in judge(history, TERMS)] == [Rule.NOT_CLOSED]
     history.requests[0].kept = True
     history.attempts.pop(0)
@@ -193,8 +196,8 @@
     assert draw(7) == draw(7)
     assert draw(7) != draw(8)
     plays = [draw(seed) for seed in range(60)]
-    assert {trouble.kind for play in plays for trouble in play.troubles} == set(Kind)
-    assert sum(bool(overlapping(play.troubles)) for play in plays) > 50
+    assert {fault.kind for play in plays for fault in play.faults} == set(Kind)
+    assert sum(bool(overlapping(play.faults)) for play in plays) > 50
     first = draw(3)
     left = draw(3, leave_out=(0,))
-    assert [t.number for t in left.troubles] == [t.number for t in first.troubles if t.number]
+    assert [t.number for t in left.faults] == [t.number for t in first.faults if t.number]
--- a/yewrill/lab/soak/clients.py
+++ b/yewrill/lab/soak/clients.py
@@ -12,15 +12,15 @@
 import trio
 
 from yewrill.lab.soak.events import Effect, History, Request, RequestEnd
-from yewrill.lab.soak.http import GONE, next_event, reset
+from yewrill.lab.soak.http import DISCONNECTED, next_event, reset
 from yewrill.lab.soak.oracle import ANSWER_SLACK, SLACK, STOP_TIME
 from yewrill.lab.soak.plan import Plan
 
-PATIENCE = (0.05, 0.15, 0.4, 1.0, 2.0, 2.5, 10.0, 60.0)
-PATIENCE_WEIGHTS = (1, 1, 3, 6, 10, 10, 2, 1)
+CLIENT_TIMEOUT = (0.05, 0.15, 0.4, 1.0, 2.0, 2.5, 10.0, 60.0)
+CLIENT_TIMEOUT_WEIGHTS = (1, 1, 3, 6, 10, 10, 2, 1)
 KINDS = ("tour", "save", "once")
 KIND_WEIGHTS = (5, 2, 3)
-MOST_IDLE = 12  # connections kept for a dispatcher
+MAX_IDLE = 12  # connections kept for a dispatcher
 
 
 class Style(Enum):
@@ -37,7 +37,7 @@
 STYLES = tuple(Style)
 CALM_WEIGHTS = (12, 2, 1, 0, 0, 0)
 USUAL_WEIGHTS = (12, 2, 2, 1, 1, 1)
-LEAVING_WEIGHTS = (4, 1, 8, 2, 0, 0)
+DISCONNECT_WEIGHTS = (4, 1, 8, 2, 0, 0)
 
 
 class Connection:
@@ -102,11 +102,11 @@
 
     async def _ask(self, id: str, kind: str, key: str) -> None:
         style = self._rng.choices(STYLES, self.style_weights)[0]
-        patience = self._rng.choices(PATIENCE, PATIENCE_WEIGHTS)[0]
-        request = first = await self._once(id, kind, key, patience, style, fresh=False)
+        client_timeout = self._rng.choices(CLIENT_TIMEOUT, CLIENT_TIMEOUT_WEIGHTS)[0]
+        request = first = await self._once(id, kind, key, client_timeout, style, fresh=False)
         if request.end is RequestEnd.CLOSED and request.kept and request.in_order:
             # The close has crossed a request that was not read: its client sends it once more.
-            request = await self._once(id, kind, key, patience, Style.WHOLE, fresh=True)
+            request = await self._once(id, kind, key, client_timeout, Style.WHOLE, fresh=True)
         if self._plan.terms.effects[kind] is Effect.IDEMPOTENT:
             return
         again = f"{id}-again"
@@ -123,29 +123,29 @@
             await self._once(again, kind, key, 2.0, Style.WHOLE, fresh=True)
 
     async def _once(
-        self, id: str, kind: str, key: str, patience: float, style: Style, fresh: bool
+        self, id: str, kind: str, key: str, client_timeout: float, style: Style, fresh: bool
     ) -> Request:
-        request = Request(id, key, kind, self.name, patience, self._history.now())
+        request = Request(id, key, kind, self.name, client_timeout, self._history.now())
         self._history.requests.append(request)
         connection: Connection | None = None
         try:
             connection = self._idle.pop() if self._idle and not fresh else None
             if connection is None:
                 connection = Connection(await trio.open_tcp_stream(*self._address))
-        except GONE:
-            request.end, request.ended = RequestEnd.NOT_TAKEN, self._history.now()
+        except DISCONNECTED:
+            request.end, request.finished = RequestEnd.NOT_TAKEN, self._history.now()
             return request
         request.kept = connection.used
-        limit = min(patience, self._plan.seconds) + ANSWER_SLACK + SLACK + 0.2
+        limit = min(client_timeout, self._plan.seconds) + ANSWER_SLACK + SLACK + 0.2
         try:
             with trio.fail_after(max(limit, STOP_TIME + 0.5) + 4.0):
                 await self._exchange(connection, request, style)
         except trio.TooSlowError:
             request.end = RequestEnd.TIMED_OUT
-        except GONE:
+        except DISCONNECTED:
             request.end = RequestEnd.CLOSED
-        request.ended = request.ended or self._history.now()
-        if request.end is RequestEnd.ANSWERED and connection.used and len(self._idle) < MOST_IDLE:
+        request.finished = request.finished or self._history.now()
+        if request.end is RequestEnd.ANSWERED and connection.used and len(self._idle) < MAX_IDLE:
             self._idle.append(connection)
         else:
             reset(connection.stream)
@@ -174,13 +174,13 @@
             return
         if style is Style.HALF_CLOSE:
             await trio.sleep(0.05 * self._rng.random())
-            request.end, request.ended = RequestEnd.LEFT, self._history.now()
+            request.end, request.finished = RequestEnd.LEFT, self._history.now()
             await stream.send_eof()
-            with trio.move_on_after(0.5), suppress(*GONE):
+            with trio.move_on_after(0.5), suppress(*DISCONNECTED):
                 await connection.answer()
             return
         request.status, more = await connection.answer()
-        request.end, request.ended = RequestEnd.ANSWERED, self._history.now()
+        request.end, request.finished = RequestEnd.ANSWERED, self._history.now()
         request.answers = 1
         if connection.parser.trailing_data[0]:
             request.answers = 2
@@ -196,7 +196,7 @@
             await trio.sleep(self._rng.uniform(0.0, 0.02))
 
     async def _leave(self, stream: trio.SocketStream, request: Request) -> None:
-        request.end, request.ended = RequestEnd.LEFT, self._history.now()
+        request.end, request.finished = RequestEnd.LEFT, self._history.now()
         if self._rng.random() < 0.5:
             reset(stream)
         else:
@@ -208,7 +208,7 @@
             "Host: app",
             f"X-Request-ID: {request.id}",
             "X-Tenant-Id: acme",
-            f"X-Timeout-Ms: {int(request.patience * 1000)}",
+            f"X-Timeout-Ms: {int(request.client_timeout * 1000)}",
             f"Idempotency-Key: {request.key}",
             "Content-Length: 2",
         ]
--- a/yewrill/lab/soak/commands.py
+++ b/yewrill/lab/soak/commands.py
@@ -17,8 +17,8 @@
 from yewrill.lab.soak.plan import draw, overlapping
 from yewrill.lab.soak.play import Outcome, play
 
-MOST_PROCESSES = 200
-MOST_LINES = 12  # of a log, for each breach
+MAX_PROCESSES = 200
+MAX_LINES = 12  # of a log, for each breach
 
 
 @dataclass(frozen=True)
@@ -51,7 +51,7 @@
     requests: int = 0
     attempts: int = 0
     statuses: Counter = field(default_factory=Counter)
-    troubles: Counter = field(default_factory=Counter)
+    faults: Counter = field(default_factory=Counter)
     pairs: Counter = field(default_factory=Counter)
     breaches: Counter = field(default_factory=Counter)
     report: str = ""
@@ -71,7 +71,7 @@
 
 def summed_up(seed: Seed, outcome: Outcome) -> Summary:
     """A play's figures and, if a rule was broken, its report."""
-    history, troubles = outcome.history, outcome.plan.troubles
+    history, faults = outcome.history, outcome.plan.faults
     return Summary(
         seed,
         outcome.starved,
@@ -81,8 +81,8 @@
         Counter(
             str(r.status) if r.status else r.end.name if r.end else "open" for r in history.requests
         ),
-        Counter(trouble.kind.name for trouble in troubles),
-        overlapping(troubles),
+        Counter(fault.kind.name for fault in faults),
+        overlapping(faults),
         Counter(breach.rule.name for breach in outcome.breaches),
         "\n".join(_report(seed, outcome)),
     )
@@ -92,22 +92,22 @@
     if not outcome.breaches:
         return
     yield f"seed {seed.seed}: {len(outcome.breaches)} breaches; {seed.command()}"
-    for trouble in outcome.plan.troubles:
-        whom = ",".join(f"d{n}" for n in trouble.dispatchers)
+    for fault in outcome.plan.faults:
+        whom = ",".join(f"d{n}" for n in fault.dispatchers)
         rules = " ".join(
-            f"{r.call.name}/{r.origin.name}/{r.error}/{r.at_most}" for r in trouble.rules
+            f"{r.call.name}/{r.origin.name}/{r.error}/{r.max_count}" for r in fault.rules
         )
         yield (
-            f"  trouble {trouble.number}: {trouble.kind.name} {trouble.at:.2f} to {trouble.until:.2f} "
-            f"{whom} w{list(trouble.workers)} {rules} {trouble.step or ''}"
+            f"  trouble {fault.number}: {fault.kind.name} {fault.at:.2f} to {fault.until:.2f} "
+            f"{whom} w{list(fault.workers)} {rules} {fault.step or ''}"
         )
-    for life in outcome.history.lives:
-        yield f"  {life.at:.3f} {life.dispatcher} {life.pid} {life.life.value} {life.code or ''}"
+    for state in outcome.history.process_events:
+        yield f"  {state.at:.3f} {state.dispatcher} {state.pid} {state.state.value} {state.code or ''}"
     for breach in outcome.breaches[:20]:
         yield f"{breach.rule.name}: {breach.rule.value}"
         yield f"  {breach.first}"
         yield f"  {breach.second}"
-        for line in outcome.logs.get(breach.subject, [])[:MOST_LINES]:
+        for line in outcome.logs.get(breach.subject, [])[:MAX_LINES]:
             yield f"    {line}"
 
 
@@ -123,7 +123,7 @@
 def shrink(seed: Seed) -> Seed:
     """Leave out troubles as long as a rule is still broken."""
     kept = seed
-    for number in range(len(draw(seed.seed, seed.dispatchers, seed.seconds).troubles)):
+    for number in range(len(draw(seed.seed, seed.dispatchers, seed.seconds).faults)):
         tried = replace(kept, leave_out=(*kept.leave_out, number))
         if play_seed(tried).breaches:
             kept = tried
@@ -155,8 +155,8 @@
     program: str,
 ) -> None:
     """Real dispatchers, overlapping troubles drawn by a seed, and an oracle. Exit status 1 on a breach."""
-    if dispatchers * side_by_side > MOST_PROCESSES // 2:
-        raise click.UsageError(f"at most {MOST_PROCESSES // 2} dispatchers at once")
+    if dispatchers * side_by_side > MAX_PROCESSES // 2:
+        raise click.UsageError(f"at most {MAX_PROCESSES // 2} dispatchers at once")
     plays = [
         Seed(seed + i, dispatchers, seconds, tuple(leave_out), keep, program) for i in range(seeds)
     ]
@@ -177,7 +177,7 @@
                 click.echo(shrink(found.seed).command())
         total.requests += found.requests
         total.attempts += found.attempts
-        for name in ("statuses", "troubles", "pairs", "breaches"):
+        for name in ("statuses", "faults", "pairs", "breaches"):
             getattr(total, name).update(getattr(found, name))
     figures = {
         "played": played,
@@ -185,7 +185,7 @@
         "requests": total.requests,
         "attempts": total.attempts,
         "statuses": dict(total.statuses),
-        "troubles": dict(total.troubles),
+        "troubles": dict(total.faults),
         "pairs": len(total.pairs),
         "overlaps": sum(total.pairs.values()),
         "breaches": dict(total.breaches),
--- a/yewrill/lab/soak/discovery.py
+++ b/yewrill/lab/soak/discovery.py
@@ -9,11 +9,11 @@
 import trio
 import ujson
 
-from yewrill.lab.soak.http import GONE, next_event, reset
+from yewrill.lab.soak.http import DISCONNECTED, next_event, reset
 from yewrill.lab.soak.plan import Kind
 from yewrill.lab.soak.workers import Worker
 
-LONGEST_HOLD = 4.0
+MAX_HOLD = 4.0
 SLOWNESS = 1.0
 
 
@@ -41,7 +41,7 @@
     async def handle(self, stream: trio.SocketStream) -> None:
         """Serve a connection."""
         parser = h11.Connection(h11.SERVER)
-        with suppress(*GONE):
+        with suppress(*DISCONNECTED):
             while isinstance(event := await next_event(stream, parser), h11.Request):
                 while not isinstance(await next_event(stream, parser), h11.EndOfMessage):
                     pass
@@ -52,7 +52,7 @@
     async def _answer(self, stream: trio.SocketStream, target: str) -> None:
         if "from=" in target:
             known = int(target.partition("from=")[2].partition("&")[0])
-            hold = min(LONGEST_HOLD, float(target.partition("hold_ms=")[2] or 0) / 1000.0)
+            hold = min(MAX_HOLD, float(target.partition("hold_ms=")[2] or 0) / 1000.0)
             with trio.move_on_after(hold):
                 while known == self._version:
                     await self._changed.wait()
--- a/yewrill/lab/soak/events.py
+++ b/yewrill/lab/soak/events.py
@@ -19,7 +19,7 @@
     """How an attempt ended, as its worker saw it."""
 
     ANSWERED = "answered"
-    TURNED_AWAY = "turned away"  # with the promise that it never ran
+    REJECTED = "turned away"  # with the promise that it never ran
     CLOSED = "closed by the dispatcher"
     BROKEN = "broken by the worker"
 
@@ -42,14 +42,14 @@
     key: str
     kind: str
     dispatcher: str
-    patience: float
+    client_timeout: float
     begun: float
     kept: bool = False
     sent: float | None = None
     in_order: bool = True  # a whole request of the protocol; else an error or a close is owed
     stops: bool = False  # its client stopped in the middle and stays
     end: RequestEnd | None = None
-    ended: float = 0.0
+    finished: float = 0.0
     status: int = 0
     answers: int = 0
 
@@ -62,23 +62,23 @@
     key: str
     kind: str
     worker: str
-    told: float  # seconds that the dispatcher said it would wait
+    notified: float  # seconds that the dispatcher said it would wait
     begun: float
     whole: float | None = None
-    ended: float | None = None
+    finished: float | None = None
     end: AttemptEnd | None = None
     stale: bool = False  # its connection had been closed when the worker came to read it
 
 
 @dataclass(frozen=True, slots=True)
-class ColdStart:
+class SlowStart:
     """A worker began anew, cold."""
 
     worker: str
     at: float
 
 
-class Life(Enum):
+class ProcessState(Enum):
     """What happened to a dispatcher's process."""
 
     STARTED = "started"
@@ -92,12 +92,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LifeEvent:
+class ProcessEvent:
     """A process of a dispatcher: `code` where it exited."""
 
     dispatcher: str
     pid: int
-    life: Life
+    state: ProcessState
     at: float
     code: int = 0
 
@@ -108,7 +108,7 @@
 
     dispatcher: str
     worker: str
-    told: float
+    notified: float
 
 
 @dataclass
@@ -117,8 +117,8 @@
 
     requests: list[Request] = field(default_factory=list)
     attempts: list[Attempt] = field(default_factory=list)
-    cold: list[ColdStart] = field(default_factory=list)
-    lives: list[LifeEvent] = field(default_factory=list)
+    cold: list[SlowStart] = field(default_factory=list)
+    process_events: list[ProcessEvent] = field(default_factory=list)
     calm: list[tuple[float, float]] = field(
         default_factory=list
     )  # spans without any trouble of late
--- a/yewrill/lab/soak/http.py
+++ b/yewrill/lab/soak/http.py
@@ -10,7 +10,7 @@
 import trio
 
 CHUNK = 65536
-GONE = (OSError, trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError)
+DISCONNECTED = (OSError, trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError)
 
 
 def reset(stream: trio.SocketStream) -> None:
--- a/yewrill/lab/soak/nodes.py
+++ b/yewrill/lab/soak/nodes.py
@@ -14,14 +14,14 @@
 import ujson
 
 from yewrill.lab.cluster.rig import free_port
-from yewrill.lab.soak.events import History, Life, LifeEvent
+from yewrill.lab.soak.events import History, ProcessEvent, ProcessState
 from yewrill.lab.soak.plan import GRACE, Plan
 from yewrill.lab.soak.shim import Shim
 
 READY = b" ready name="
 VIOLATION = b" rule-violation "
 KEY = "7a" * 16
-CLASS_DEADLINE_MS, AIM_MS = 2500.0, 400.0
+CLASS_DEADLINE_MS, LATENCY_OBJECTIVE_MS = 2500.0, 400.0
 SEVERAL = 3  # reloads in a row
 
 
@@ -67,7 +67,7 @@
         classes = [
             {
                 "name": name,
-                "aim": AIM_MS,
+                "aim": LATENCY_OBJECTIVE_MS,
                 "deadline": CLASS_DEADLINE_MS,
                 "repeat": idempotency.value,
                 "group": "all",
@@ -156,19 +156,19 @@
                 cwd=self._plan.program or None,
             )
         self.process = process
-        self._note(process, Life.STARTED)
+        self._note(process, ProcessState.STARTED)
         ready = self.ready
         with trio.CancelScope() as scope:
             self._nursery.start_soon(self._wait, process, scope)
             while READY not in self._log_from(begin):
                 await trio.sleep(0.02)
-            self._note(process, Life.READY)
+            self._note(process, ProcessState.READY)
             ready.set()
 
     async def _wait(self, process: subprocess.Popen, scope: trio.CancelScope) -> None:
         while (code := process.poll()) is None:
             await trio.sleep(0.01)
-        self._note(process, Life.EXITED, code)
+        self._note(process, ProcessState.EXITED, code)
         scope.cancel()
 
     def _log_from(self, begin: int) -> bytes:
@@ -176,17 +176,19 @@
             log.seek(begin)
             return log.read()
 
-    def _note(self, process: subprocess.Popen, life: Life, code: int = 0) -> None:
-        event = LifeEvent(self.name, process.pid, life, self._history.now(), code)
-        self._history.lives.append(event)
+    def _note(self, process: subprocess.Popen, state: ProcessState, code: int = 0) -> None:
+        event = ProcessEvent(self.name, process.pid, state, self._history.now(), code)
+        self._history.process_events.append(event)
 
-    def send(self, number: int, life: Life, process: subprocess.Popen | None = None) -> None:
+    def send(
+        self, number: int, state: ProcessState, process: subprocess.Popen | None = None
+    ) -> None:
         """Send a signal to the process that serves, or to the given one."""
         process = process or self.process
         if process is not None and process.poll() is None:
-            if life is Life.KILLED and self.ready.is_set():
+            if state is ProcessState.KILLED and self.ready.is_set():
                 self.ready = trio.Event()  # who waits for it from now on waits for the next process
-            self._note(process, life)
+            self._note(process, state)
             process.send_signal(number)
 
     async def end(self, process: subprocess.Popen | None = None) -> None:
@@ -194,17 +196,17 @@
         process = process or self.process
         if process is None or process.poll() is not None:
             return
-        self.send(signal.SIGTERM, Life.TERMINATED, process)
+        self.send(signal.SIGTERM, ProcessState.TERMINATED, process)
         with trio.move_on_after(GRACE + 1.0):
             while process.poll() is None:
                 await trio.sleep(0.01)
         if process.poll() is None:
-            self.send(signal.SIGKILL, Life.KILLED, process)
+            self.send(signal.SIGKILL, ProcessState.KILLED, process)
 
     async def reload(self) -> None:
         """SIGHUP, several in a row."""
         for _ in range(SEVERAL):
-            self.send(signal.SIGHUP, Life.RELOADED)
+            self.send(signal.SIGHUP, ProcessState.RELOADED)
             await trio.sleep(0.02)
 
     async def upgrade(self) -> None:
@@ -218,8 +220,8 @@
         if self.process is None:
             return None
         try:
-            told = Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
-            return self.process.pid, int(told[1]) / 1e9
+            notified = Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
+            return self.process.pid, int(notified[1]) / 1e9
         except (OSError, IndexError, ValueError):
             return None
 
--- a/yewrill/lab/soak/oracle.py
+++ b/yewrill/lab/soak/oracle.py
@@ -16,23 +16,23 @@
 from yewrill.lab.soak.events import (
     Attempt,
     AttemptEnd,
-    ColdStart,
     Effect,
     History,
-    Life,
-    LifeEvent,
+    ProcessEvent,
+    ProcessState,
     Request,
     RequestEnd,
+    SlowStart,
 )
 
 ANSWER_SLACK = 0.5  # after a client's patience
 LEFT_SLACK = 0.1  # an attempt may begin so long after its client left
-TOLD_SLACK = 0.15  # a worker may be told so much more than its client has left
+DEADLINE_SLACK = 0.15  # a worker may be told so much more than its client has left
 STOP_TIME = 3.0
 SLACK = 0.06
 WINDOW_SLACK = 0.05  # the protocol's, on sockets
 READY_TIME = 10.0
-ENOUGH_PATIENCE = 0.6  # a request with so much is served by a fleet that is well
+ENOUGH_CLIENT_TIMEOUT = 0.6  # a request with so much is served by a fleet that is well
 
 
 class Rule(Enum):
@@ -112,7 +112,7 @@
         self.by_id: dict[str, list[Request]] = defaultdict(list)
         for request in history.requests:
             self.by_id[request.id].append(request)
-        self.pauses = list(_pauses(history.lives))
+        self.pauses = list(_pauses(history.process_events))
 
     def killed_under(self, request: Request) -> bool:
         """Whether a process of its dispatcher was killed or ended while the request was there.
@@ -120,10 +120,10 @@
         An end by SIGTERM that leaves a request unanswered is judged as a close, so only kills count."""
         kills = [
             e.at
-            for e in self.history.lives
-            if e.life is Life.KILLED and e.dispatcher == request.dispatcher
+            for e in self.history.process_events
+            if e.state is ProcessState.KILLED and e.dispatcher == request.dispatcher
         ]
-        return any(request.begun - SLACK <= at <= request.ended + SLACK for at in kills)
+        return any(request.begun - SLACK <= at <= request.finished + SLACK for at in kills)
 
     def paused(self, dispatcher: str, since: float, until: float) -> float:
         """For how long a dispatcher was stopped within a span."""
@@ -134,13 +134,13 @@
         )
 
 
-def _pauses(lives: list[LifeEvent]) -> Iterator[tuple[str, float, float]]:
+def _pauses(process_events: list[ProcessEvent]) -> Iterator[tuple[str, float, float]]:
     stopped: dict[int, float] = {}
-    for life in lives:
-        if life.life is Life.PAUSED:
-            stopped[life.pid] = life.at
-        elif life.life is Life.RESUMED and life.pid in stopped:
-            yield life.dispatcher, stopped.pop(life.pid), life.at
+    for state in process_events:
+        if state.state is ProcessState.PAUSED:
+            stopped[state.pid] = state.at
+        elif state.state is ProcessState.RESUMED and state.pid in stopped:
+            yield state.dispatcher, stopped.pop(state.pid), state.at
 
 
 def _line(found: Request | Attempt) -> str:
@@ -148,15 +148,15 @@
         sent = "unsent" if found.sent is None else f"sent at {found.sent:.3f}"
         end = found.end.value if found.end else "open"
         return (
-            f"request {found.id} ({found.kind}, key {found.key}, waits {found.patience:g} s) at "
+            f"request {found.id} ({found.kind}, key {found.key}, waits {found.client_timeout:g} s) at "
             f"{found.dispatcher}{' on a kept connection' if found.kept else ''}: {sent}, {end} "
-            f"{found.status or ''} at {found.ended:.3f}"
+            f"{found.status or ''} at {found.finished:.3f}"
         )
-    end = f"{found.end.value} at {found.ended:.3f}" if found.end and found.ended else "open"
+    end = f"{found.end.value} at {found.finished:.3f}" if found.end and found.finished else "open"
     whole = "never whole" if found.whole is None else f"whole at {found.whole:.3f}"
     return (
         f"attempt {found.id} (key {found.key}) at {found.worker}: begun at {found.begun:.3f}, {whole}, "
-        f"told {found.told:.3f} s, {end}"
+        f"told {found.notified:.3f} s, {end}"
     )
 
 
@@ -164,21 +164,21 @@
     for request in case.history.requests:
         if request.answers > 1:
             yield Breach(Rule.ONE_ANSWER, request.id, _line(request), f"{request.answers} answers")
-        if request.stops and request.ended > request.begun + STOP_TIME + SLACK:
+        if request.stops and request.finished > request.begun + STOP_TIME + SLACK:
             yield Breach(Rule.STOPPED, request.id, _line(request), f"begun at {request.begun:.3f}")
         if request.sent is None or request.end in (RequestEnd.LEFT, RequestEnd.NOT_TAKEN):
             continue
         if case.killed_under(request):
             continue
-        due = request.sent + request.patience + ANSWER_SLACK + SLACK
+        due = request.sent + request.client_timeout + ANSWER_SLACK + SLACK
         if request.end is RequestEnd.CLOSED:
             attempts = case.attempts[request.id]
-            before = [a for a in attempts if a.begun <= request.ended + SLACK]
+            before = [a for a in attempts if a.begun <= request.finished + SLACK]
             if not request.in_order or (request.kept and not before):
                 continue
             other = _line(before[0]) if before else "nothing was forwarded"
             yield Breach(Rule.NOT_CLOSED, request.id, _line(request), other)
-        elif request.end is not RequestEnd.ANSWERED or request.ended > due:
+        elif request.end is not RequestEnd.ANSWERED or request.finished > due:
             yield Breach(Rule.ANSWER, request.id, _line(request), f"owed by {due:.3f}")
 
 
@@ -188,11 +188,11 @@
         gone = [r for r in requests if r.end is RequestEnd.LEFT]
         if not gone or len(gone) < len(requests):
             continue
-        left = max(gone, key=lambda request: request.ended)
+        left = max(gone, key=lambda request: request.finished)
         for attempt in attempts:
             allowed = LEFT_SLACK + SLACK
-            allowed += case.paused(left.dispatcher, left.ended, attempt.begun)
-            if attempt.begun > left.ended + allowed:
+            allowed += case.paused(left.dispatcher, left.finished, attempt.begun)
+            if attempt.begun > left.finished + allowed:
                 yield Breach(Rule.LEFT, id, _line(left), _line(attempt))
 
 
@@ -200,12 +200,12 @@
     for id, attempts in case.attempts.items():
         whole = [a for a in attempts if a.whole is not None and not a.stale]
         for first, second in zip(whole, whole[1:], strict=False):
-            if first.ended is None or first.ended > second.whole + SLACK:
+            if first.finished is None or first.finished > second.whole + SLACK:
                 yield Breach(Rule.OVERLAP, id, _line(first), _line(second))
 
 
 def _may_have_run(attempt: Attempt) -> bool:
-    return attempt.whole is not None and attempt.end is not AttemptEnd.TURNED_AWAY
+    return attempt.whole is not None and attempt.end is not AttemptEnd.REJECTED
 
 
 def _by_key(case: _Case, idempotency: Effect) -> Iterator[list[Attempt]]:
@@ -242,7 +242,7 @@
         if case.terms.effects.get(request.kind) is Effect.IDEMPOTENT_BY_KEY:
             continue  # a repeat within its window is dropped by the workers
         for attempt in case.attempts[request.id]:
-            if _may_have_run(attempt) and attempt.begun <= request.ended:
+            if _may_have_run(attempt) and attempt.begun <= request.finished:
                 yield Breach(Rule.REFUSED_RAN, request.id, _line(request), _line(attempt))
 
 
@@ -252,11 +252,13 @@
         if not requests:
             continue
         for attempt in attempts:
-            rest = max(request.sent + request.patience - attempt.begun for request in requests)
+            rest = max(
+                request.sent + request.client_timeout - attempt.begun for request in requests
+            )
             request = requests[-1]
-            allowed = TOLD_SLACK + SLACK
+            allowed = DEADLINE_SLACK + SLACK
             allowed += case.paused(request.dispatcher, request.begun, attempt.begun)
-            if attempt.told > max(0.0, rest) + allowed:
+            if attempt.notified > max(0.0, rest) + allowed:
                 yield Breach(
                     Rule.TOLD_TIME, id, f"{_line(request)}: {rest:.3f} s left", _line(attempt)
                 )
@@ -272,10 +274,10 @@
 def _cold(case: _Case) -> Iterator[Breach]:
     terms = case.terms
     for start in case.history.cold:
-        yield from _cold_start(case, terms, start)
+        yield from _slow_start(case, terms, start)
 
 
-def _cold_start(case: _Case, terms: Terms, start: ColdStart) -> Iterator[Breach]:
+def _slow_start(case: _Case, terms: Terms, start: SlowStart) -> Iterator[Breach]:
     later = [c.at for c in case.history.cold if c.worker == start.worker and c.at > start.at]
     until = min([start.at + terms.warm_after, *later])
     times = sorted(
@@ -299,43 +301,49 @@
 
 
 def _processes(case: _Case) -> Iterator[Breach]:
-    by_pid: dict[int, dict[Life, LifeEvent]] = defaultdict(dict)
-    for life in case.history.lives:
-        by_pid[life.pid].setdefault(life.life, life)
-    for lives in by_pid.values():
-        yield from _process(case, lives)
-
-
-def _process(case: _Case, lives: dict[Life, LifeEvent]) -> Iterator[Breach]:
-    started = lives[Life.STARTED]
-    name, ended = started.dispatcher, lives.get(Life.EXITED)
-    told = lives.get(Life.TERMINATED)
-    killed = lives.get(Life.KILLED)
-    ready = lives.get(Life.READY)
+    by_pid: dict[int, dict[ProcessState, ProcessEvent]] = defaultdict(dict)
+    for state in case.history.process_events:
+        by_pid[state.pid].setdefault(state.state, state)
+    for process_events in by_pid.values():
+        yield from _process(case, process_events)
+
+
+def _process(case: _Case, process_events: dict[ProcessState, ProcessEvent]) -> Iterator[Breach]:
+    started = process_events[ProcessState.STARTED]
+    name, finished = started.dispatcher, process_events.get(ProcessState.EXITED)
+    notified = process_events.get(ProcessState.TERMINATED)
+    killed = process_events.get(ProcessState.KILLED)
+    ready = process_events.get(ProcessState.READY)
     out = (
-        min(e.at for e in (told, killed, ended) if e is not None)
-        if (told or killed or ended)
+        min(e.at for e in (notified, killed, finished) if e is not None)
+        if (notified or killed or finished)
         else None
     )
     if ready is None and (out is None or out - started.at > READY_TIME):
         yield Breach(Rule.READY, name, f"started at {started.at:.3f}", "never ready")
     elif ready is not None and ready.at - started.at > READY_TIME:
         yield Breach(Rule.READY, name, f"started at {started.at:.3f}", f"ready at {ready.at:.3f}")
-    if told is not None and not (killed is not None and killed.at < told.at + case.terms.grace):
-        pause = case.paused(name, told.at, told.at + case.terms.grace + 1.0)
+    if notified is not None and not (
+        killed is not None and killed.at < notified.at + case.terms.grace
+    ):
+        pause = case.paused(name, notified.at, notified.at + case.terms.grace + 1.0)
         if (
-            ended is None
-            or ended.code != 0
-            or ended.at - told.at > case.terms.grace + pause + SLACK
+            finished is None
+            or finished.code != 0
+            or finished.at - notified.at > case.terms.grace + pause + SLACK
         ):
-            end = "never ended" if ended is None else f"ended with {ended.code} at {ended.at:.3f}"
-            yield Breach(Rule.CLEAN_EXIT, name, f"SIGTERM at {told.at:.3f}", end)
-    elif told is None and killed is None and ended is not None:
+            end = (
+                "never ended"
+                if finished is None
+                else f"ended with {finished.code} at {finished.at:.3f}"
+            )
+            yield Breach(Rule.CLEAN_EXIT, name, f"SIGTERM at {notified.at:.3f}", end)
+    elif notified is None and killed is None and finished is not None:
         yield Breach(
             Rule.CRASH,
             name,
             f"started at {started.at:.3f}",
-            f"ended with {ended.code} at {ended.at:.3f}",
+            f"ended with {finished.code} at {finished.at:.3f}",
         )
 
 
@@ -343,10 +351,10 @@
     for request in case.history.requests:
         if request.sent is None or request.status not in (429, 503) or not request.in_order:
             continue
-        if request.patience < ENOUGH_PATIENCE:
+        if request.client_timeout < ENOUGH_CLIENT_TIMEOUT:
             continue
         for begin, end in case.history.calm:
-            if begin <= request.sent and request.ended <= end:
+            if begin <= request.sent and request.finished <= end:
                 yield Breach(
                     Rule.WELL_FLEET,
                     request.id,
--- a/yewrill/lab/soak/plan.py
+++ b/yewrill/lab/soak/plan.py
@@ -54,13 +54,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class Fault:
     """A trouble: from when for how long (seconds), and whom it befalls."""
 
     number: int
     kind: Kind
     at: float
-    span: float
+    duration: float
     dispatchers: tuple[int, ...] = ()
     workers: tuple[int, ...] = ()
     rules: tuple[Rule, ...] = ()
@@ -69,7 +69,7 @@
     @property
     def until(self) -> float:
         """When it is over."""
-        return self.at + self.span
+        return self.at + self.duration
 
 
 @dataclass(frozen=True)
@@ -84,13 +84,13 @@
     terms: Terms
     inherited: bool  # the rig holds the listening sockets
     control: bool  # members and views are on
-    troubles: tuple[Trouble, ...] = field(default=())
+    faults: tuple[Fault, ...] = field(default=())
     program: str = ""  # the root of the checkout whose dispatchers play, this one by default
 
     @property
-    def troubles_end(self) -> float:
+    def faults_end(self) -> float:
         """From when on no trouble is there."""
-        return max((trouble.until for trouble in self.troubles), default=OPENING)
+        return max((fault.until for fault in self.faults), default=OPENING)
 
 
 _CALL_ERRORS = (
@@ -104,7 +104,7 @@
     (Call.CONNECT, Origin.ANY, (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN)),
     (Call.SOCKET, Origin.ANY, (errno.ENFILE, errno.ENOBUFS)),
 )
-_LONGEST_CALL_FAULT = 1.0
+_MAX_CALL_FAULT = 1.0
 _BRIEF = (Call.RECV, Call.SEND)  # a connection may fail for 0.1 s and more of these in a row
 
 
@@ -126,7 +126,7 @@
     (Kind.WORKER_RESETS, Kind.CLIENTS_LEAVE, Kind.SHORT_CALLS),
     (Kind.WORKER_CLOSES_IDLE, Kind.WORKER_TWICE, Kind.PAUSE),
 )
-CROSSING_SHARE = 0.4
+CROSSING_FRACTION = 0.4
 
 
 def draw(
@@ -157,19 +157,19 @@
     workers = max(5, 5 * dispatchers // 3)
     until = OPENING + max(1.0, seconds - OPENING - RECOVERY - CLOSING)
     kinds = [kind for kind in Kind if _fits(kind, inherited, state_kept)]
-    troubles = []
+    faults = []
     at = OPENING
     while at < until:
         together = [rng.choice(kinds) for _ in range(rng.choice((1, 2, 2, 3)))]
-        if rng.random() < CROSSING_SHARE:
+        if rng.random() < CROSSING_FRACTION:
             together = [kind for kind in rng.choice(CROSSINGS) if kind in kinds]
         befallen = rng.randrange(dispatchers)
         for place, kind in enumerate(together):
-            trouble = _trouble(rng, len(troubles), kind, at + 0.3 * place, dispatchers, workers)
-            if trouble.dispatchers:
-                trouble = replace(trouble, dispatchers=(befallen, *trouble.dispatchers[1:]))
-            if trouble.at < until:  # the play waits for its end
-                troubles.append(trouble)
+            fault = _inject(rng, len(faults), kind, at + 0.3 * place, dispatchers, workers)
+            if fault.dispatchers:
+                fault = replace(fault, dispatchers=(befallen, *fault.dispatchers[1:]))
+            if fault.at < until:  # the play waits for its end
+                faults.append(fault)
         at += rng.uniform(0.5, 1.2)
     return Plan(
         seed,
@@ -180,7 +180,7 @@
         terms=terms,
         inherited=inherited,
         control=control,
-        troubles=tuple(t for t in troubles if t.number not in leave_out),
+        faults=tuple(t for t in faults if t.number not in leave_out),
     )
 
 
@@ -192,27 +192,27 @@
     return state_kept or kind not in (Kind.DISK_ERRS, Kind.DISK_SLOW)
 
 
-def _trouble(
+def _inject(
     rng: random.Random, number: int, kind: Kind, at: float, dispatchers: int, workers: int
-) -> Trouble:
+) -> Fault:
     at += rng.uniform(0.0, 0.5)
-    span = rng.uniform(0.3, 2.0)
+    duration = rng.uniform(0.3, 2.0)
     some = tuple(sorted(rng.sample(range(dispatchers), rng.choice((1, 1, min(2, dispatchers))))))
-    few = tuple(sorted(rng.sample(range(workers), rng.choice((1, 1, 2)))))
+    min_count = tuple(sorted(rng.sample(range(workers), rng.choice((1, 1, 2)))))
     if kind is Kind.PAUSE:
-        return Trouble(number, kind, at, 0.15, some[:1])
+        return Fault(number, kind, at, 0.15, some[:1])
     if kind in (Kind.TERMINATE, Kind.RELOAD_INTO_DRAIN, Kind.UPGRADE):
-        return Trouble(number, kind, at, GRACE + 1.0, some[:1])
+        return Fault(number, kind, at, GRACE + 1.0, some[:1])
     if kind in (Kind.KILL, Kind.RELOAD):
-        return Trouble(number, kind, at, 1.0, some[:1])
+        return Fault(number, kind, at, 1.0, some[:1])
     if kind is Kind.CLOCK_STEP:
         step = rng.choice((-3600.0, 3600.0, -5.0, 5.0, -0.7))
-        return Trouble(number, kind, at, 0.1, step=step)
+        return Fault(number, kind, at, 0.1, step=step)
     if kind is Kind.CALLS_FAIL:
         rule = _failing_call(rng)
-        longest = 0.1 if rule.call in _BRIEF else _LONGEST_CALL_FAULT
-        return Trouble(number, kind, at, rng.uniform(0.05, longest), some, rules=(rule,))
-    return Trouble(number, kind, at, span, some, few, _rules(rng, kind))
+        max_duration = 0.1 if rule.call in _BRIEF else _MAX_CALL_FAULT
+        return Fault(number, kind, at, rng.uniform(0.05, max_duration), some, rules=(rule,))
+    return Fault(number, kind, at, duration, some, min_count, _rules(rng, kind))
 
 
 def _failing_call(rng: random.Random) -> Rule:
@@ -223,23 +223,23 @@
 def _rules(rng: random.Random, kind: Kind) -> tuple[Rule, ...]:
     """What befalls system calls in troubles of some kinds."""
     if kind is Kind.SHORT_CALLS:
-        return tuple(Rule(call, at_most=rng.choice((1, 3, 50))) for call in _BRIEF)
+        return tuple(Rule(call, max_count=rng.choice((1, 3, 50))) for call in _BRIEF)
     if kind is Kind.DISK_SLOW:
         return (Rule(Call.SYNC, slow_ms=80),)
     if kind is Kind.DISK_ERRS:
         all_rules = (
             Rule(Call.SYNC, error=errno.EIO, chance=rng.choice((0.3, 1.0))),
             Rule(Call.PWRITE, error=rng.choice((errno.EIO, errno.ENOSPC)), chance=0.7),
-            Rule(Call.PWRITE, at_most=7),
+            Rule(Call.PWRITE, max_count=7),
         )
         return tuple(rng.sample(all_rules, rng.choice((1, 2))))
     return ()
 
 
-def overlapping(troubles: Sequence[Trouble]) -> Counter[tuple[str, str]]:
+def overlapping(faults: Sequence[Fault]) -> Counter[tuple[str, str]]:
     """Pairs of kinds of troubles that were there at once, and how often."""
     return Counter(
         tuple(sorted((one.kind.name, other.kind.name)))
-        for one, other in combinations(troubles, 2)
+        for one, other in combinations(faults, 2)
         if one.at < other.until and other.at < one.until
     )
--- a/yewrill/lab/soak/play.py
+++ b/yewrill/lab/soak/play.py
@@ -11,9 +11,9 @@
 
 import trio
 
-from yewrill.lab.soak.clients import LEAVING_WEIGHTS, USUAL_WEIGHTS, Traffic
+from yewrill.lab.soak.clients import DISCONNECT_WEIGHTS, USUAL_WEIGHTS, Traffic
 from yewrill.lab.soak.discovery import Discovery
-from yewrill.lab.soak.events import History, Life
+from yewrill.lab.soak.events import History, ProcessState
 from yewrill.lab.soak.nodes import Node
 from yewrill.lab.soak.oracle import Breach, judge
 from yewrill.lab.soak.plan import (
@@ -21,9 +21,9 @@
     GRACE,
     OPENING,
     RECOVERY,
+    Fault,
     Kind,
     Plan,
-    Trouble,
 )
 from yewrill.lab.soak.workers import Worker
 
@@ -107,7 +107,7 @@
             async with trio.open_nursery() as sources:
                 for traffic in self.traffic:
                     sources.start_soon(traffic.run, requests)
-                await self._play_troubles()
+                await self._inject_faults()
                 sources.cancel_scope.cancel()
             async with trio.open_nursery() as ending:
                 for node in self.nodes:
@@ -118,14 +118,14 @@
             requests.cancel_scope.cancel()
         await trio.sleep(WATCH)
 
-    async def _play_troubles(self) -> None:
+    async def _inject_faults(self) -> None:
         """Calm, troubles, and calm again."""
         began = self.history.now()
         self.history.calm.append((began + CALM_FROM, began + OPENING))
-        async with trio.open_nursery() as troubles:
-            for trouble in self.plan.troubles:
-                troubles.start_soon(self._trouble, trouble, began)
-            troubles.start_soon(self._unquiet, began)
+        async with trio.open_nursery() as faults:
+            for fault in self.plan.faults:
+                faults.start_soon(self._inject, fault, began)
+            faults.start_soon(self._unquiet, began)
         await trio.sleep(RECOVERY)
         well = self.history.now()
         await trio.sleep(CLOSING)
@@ -152,87 +152,87 @@
         await trio.sleep(OPENING)
         for traffic in self.traffic:
             traffic.style_weights = USUAL_WEIGHTS
-        await trio.sleep(max(0.0, began + self.plan.troubles_end - self.history.now()))
+        await trio.sleep(max(0.0, began + self.plan.faults_end - self.history.now()))
         for traffic in self.traffic:
             traffic.style_weights = (1, 0, 0, 0, 0, 0)
 
     # -- troubles
 
-    async def _trouble(self, trouble: Trouble, began: float) -> None:
-        await trio.sleep(max(0.0, began + trouble.at - self.history.now()))
-        kind = trouble.kind
+    async def _inject(self, fault: Fault, began: float) -> None:
+        await trio.sleep(max(0.0, began + fault.at - self.history.now()))
+        kind = fault.kind
         if kind in _ON_NODES:
             async with trio.open_nursery() as nursery:
-                for number in trouble.dispatchers:
+                for number in fault.dispatchers:
                     nursery.start_soon(self._on_node, kind, self.nodes[number])
-        elif trouble.rules:
-            await self._strike(trouble)
+        elif fault.rules:
+            await self._strike(fault)
         elif kind is Kind.CLOCK_STEP:
-            self._step(trouble.step)
+            self._run_step(fault.step)
         elif kind is Kind.WORKER_COLD:
-            await self._restart_workers(trouble)
+            await self._restart_workers(fault)
         elif kind is Kind.WORKER_DRAINS:
-            await self._drain_workers(trouble)
+            await self._drain_workers(fault)
         elif kind in (Kind.CLIENTS_LEAVE, Kind.CLIENTS_BURST):
-            await self._clients(trouble)
+            await self._clients(fault)
         else:
-            await self._mode(trouble)
+            await self._mode(fault)
 
-    async def _strike(self, trouble: Trouble) -> None:
-        shims = [self.nodes[number].shim for number in trouble.dispatchers]
+    async def _strike(self, fault: Fault) -> None:
+        shims = [self.nodes[number].shim for number in fault.dispatchers]
         for shim in shims:
-            shim.add(trouble.rules)
-        await trio.sleep(trouble.span)
+            shim.add(fault.rules)
+        await trio.sleep(fault.duration)
         for shim in shims:
-            shim.remove(trouble.rules)
+            shim.remove(fault.rules)
 
-    def _step(self, step: float) -> None:
+    def _run_step(self, step: float) -> None:
         self.wall_offset += step
         for node in self.nodes:
             node.shim.set_wall(self.wall_offset)
 
-    async def _restart_workers(self, trouble: Trouble) -> None:
-        for number in trouble.workers:
+    async def _restart_workers(self, fault: Fault) -> None:
+        for number in fault.workers:
             self.workers[number].restart((time.time() + self.wall_offset) * 1000.0)
         await trio.sleep(LIST_LAG)
         self.tell()
 
-    async def _drain_workers(self, trouble: Trouble) -> None:
+    async def _drain_workers(self, fault: Fault) -> None:
         for state in ("DRAINING", "SERVING"):
-            for number in trouble.workers:
+            for number in fault.workers:
                 self.workers[number].state = state
             self.tell()
             await trio.sleep(DRAIN_TIME)
 
-    async def _clients(self, trouble: Trouble) -> None:
-        some = [self.traffic[number] for number in trouble.dispatchers]
-        if trouble.kind is Kind.CLIENTS_BURST:
+    async def _clients(self, fault: Fault) -> None:
+        some = [self.traffic[number] for number in fault.dispatchers]
+        if fault.kind is Kind.CLIENTS_BURST:
             some = self.traffic
         for traffic in some:
-            if trouble.kind is Kind.CLIENTS_BURST:
+            if fault.kind is Kind.CLIENTS_BURST:
                 traffic.burst = BURST
             else:
-                traffic.style_weights = LEAVING_WEIGHTS
-        await trio.sleep(trouble.span)
+                traffic.style_weights = DISCONNECT_WEIGHTS
+        await trio.sleep(fault.duration)
         for traffic in some:
             traffic.burst = 1.0
-            if trouble.kind is Kind.CLIENTS_LEAVE:
+            if fault.kind is Kind.CLIENTS_LEAVE:
                 traffic.style_weights = USUAL_WEIGHTS
 
-    async def _mode(self, trouble: Trouble) -> None:
+    async def _mode(self, fault: Fault) -> None:
         """Workers or discoveries misbehave for a while."""
-        kind = trouble.kind
+        kind = fault.kind
         if kind.name.startswith("WORKER"):
-            some = [self.workers[number] for number in trouble.workers]
+            some = [self.workers[number] for number in fault.workers]
             for worker in some:
                 worker.begin(kind)
-            await trio.sleep(trouble.span)
+            await trio.sleep(fault.duration)
             for worker in some:
                 worker.end(kind)
             return
         for discovery in self.discoveries:
             discovery.modes.append(kind)
-        await trio.sleep(trouble.span)
+        await trio.sleep(fault.duration)
         for discovery in self.discoveries:
             discovery.modes.remove(kind)
 
@@ -250,16 +250,16 @@
 
     async def _kill(self, node: Node) -> None:
         process = node.process
-        node.send(signal.SIGKILL, Life.KILLED)
+        node.send(signal.SIGKILL, ProcessState.KILLED)
         while process is not None and process.poll() is None:
             await trio.sleep(0.01)
         await node.start()
 
     async def _pause(self, node: Node) -> None:
         process = node.process
-        node.send(signal.SIGSTOP, Life.PAUSED, process)
+        node.send(signal.SIGSTOP, ProcessState.PAUSED, process)
         await trio.sleep(0.15)
-        node.send(signal.SIGCONT, Life.RESUMED, process)
+        node.send(signal.SIGCONT, ProcessState.RESUMED, process)
 
     async def _reload(self, node: Node) -> None:
         self._discovery = 1 - self._discovery
--- a/yewrill/lab/soak/shim.py
+++ b/yewrill/lab/soak/shim.py
@@ -17,8 +17,8 @@
 SOURCE = Path(__file__).with_name("shim.c")
 _HEAD = struct.Struct("=qii")
 _RULE = struct.Struct("=iiiiiIQ")
-MOST_RULES = 8
-PAGE_BYTES = _HEAD.size + MOST_RULES * _RULE.size
+MAX_RULES = 8
+PAGE_BYTES = _HEAD.size + MAX_RULES * _RULE.size
 CERTAIN = 2**32 - 1
 
 
@@ -49,7 +49,7 @@
     call: Call
     origin: Origin = Origin.ANY
     error: int = 0
-    at_most: int = 0
+    max_count: int = 0
     slow_ms: int = 0
     chance: float = 1.0
 
@@ -96,7 +96,7 @@
 
     def add(self, rules: Sequence[Rule]) -> None:
         """Put rules in force beside those that are; what does not fit is left out."""
-        self._rules = [*self._rules, *rules][:MOST_RULES]
+        self._rules = [*self._rules, *rules][:MAX_RULES]
         self._write()
 
     def remove(self, rules: Sequence[Rule]) -> None:
@@ -115,7 +115,7 @@
                 rule.call,
                 rule.origin,
                 rule.error,
-                rule.at_most,
+                rule.max_count,
                 rule.slow_ms,
                 int(rule.chance * CERTAIN),
                 0,
--- a/yewrill/lab/soak/workers.py
+++ b/yewrill/lab/soak/workers.py
@@ -11,14 +11,14 @@
 import trio
 import ujson
 
-from yewrill.lab.soak.events import Attempt, AttemptEnd, ColdStart, History
-from yewrill.lab.soak.http import GONE, next_event, reset
+from yewrill.lab.soak.events import Attempt, AttemptEnd, History, SlowStart
+from yewrill.lab.soak.http import DISCONNECTED, next_event, reset
 from yewrill.lab.soak.oracle import Terms
 from yewrill.lab.soak.plan import Kind
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
-TURNED_AWAY = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+REJECTED = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -59,15 +59,15 @@
         self.state = "SERVING"
         self.started_ms = 0.0
         self.address: tuple[str, int] = ("", 0)
-        self._cold_from: float | None = None
+        self._started_at: float | None = None
         self._streams: set[trio.SocketStream] = set()
-        self._room = trio.Semaphore(terms.slots)
+        self._free_slots = trio.Semaphore(terms.slots)
         self._well = trio.Event()  # nothing keeps it from reading
 
     def restart(self, wall_ms: float) -> None:
         """It begins anew, cold, its connections broken."""
-        self._cold_from = self._history.now()
-        self._history.cold.append(ColdStart(self.name, self._cold_from))
+        self._started_at = self._history.now()
+        self._history.cold.append(SlowStart(self.name, self._started_at))
         self.started_ms = wall_ms
         for stream in list(self._streams):
             reset(stream)
@@ -97,10 +97,10 @@
             "started_ms": self.started_ms,
         }
 
-    def _warmth(self) -> float:
-        if self._cold_from is None:
+    def _warm_up_progress(self) -> float:
+        if self._started_at is None:
             return 1.0
-        age = (self._history.now() - self._cold_from) / self._terms.warm_after
+        age = (self._history.now() - self._started_at) / self._terms.warm_after
         start = self._terms.start_capacity
         return min(1.0, start + (1.0 - start) * age)
 
@@ -108,7 +108,7 @@
         """Serve a connection."""
         self._streams.add(stream)
         parser = h11.Connection(h11.SERVER)
-        with suppress(*GONE):
+        with suppress(*DISCONNECTED):
             while await self._exchange(stream, parser):
                 parser = h11.Connection(h11.SERVER)
         self._streams.discard(stream)
@@ -146,11 +146,11 @@
         attempt.stale = closed_already(stream)
         try:
             attempt.end = await self._job(stream, attempt)
-        except GONE:
+        except DISCONNECTED:
             attempt.end = AttemptEnd.CLOSED
         finally:
-            attempt.ended = self._history.now()
-        return attempt.end in (AttemptEnd.ANSWERED, AttemptEnd.TURNED_AWAY)
+            attempt.finished = self._history.now()
+        return attempt.end in (AttemptEnd.ANSWERED, AttemptEnd.REJECTED)
 
     def _attempt(self, target: str, headers: dict[str, str], begun: float) -> Attempt:
         attempt = Attempt(
@@ -167,8 +167,8 @@
     async def _job(self, stream: trio.SocketStream, attempt: Attempt) -> AttemptEnd:
         """Carry a job; how it ended. Raises one of GONE once the dispatcher has closed the connection."""
         if Kind.WORKER_BUSY in self.modes and self._rng.random() < 0.7:
-            await stream.send_all(TURNED_AWAY)
-            return AttemptEnd.TURNED_AWAY
+            await stream.send_all(REJECTED)
+            return AttemptEnd.REJECTED
         if Kind.WORKER_ERRS in self.modes and self._rng.random() < 0.5:
             await stream.send_all(ERROR)
             if Kind.WORKER_TWICE in self.modes:
@@ -190,19 +190,19 @@
 
     async def _work(self, stream: trio.SocketStream, attempt: Attempt) -> AttemptEnd:
         try:
-            async with self._room:
+            async with self._free_slots:
                 await stream.send_all(HEAD + line(attempt.id, "started"))
                 if Kind.WORKER_HANGS in self.modes:
                     await trio.sleep_forever()
-                span = self._terms.run * self._rng.uniform(0.6, 1.4) / self._warmth()
+                duration = self._terms.run * self._rng.uniform(0.6, 1.4) / self._warm_up_progress()
                 if Kind.WORKER_RESETS in self.modes and self._rng.random() < 0.6:
-                    await trio.sleep(span * self._rng.random())
+                    await trio.sleep(duration * self._rng.random())
                     reset(stream)
                     return AttemptEnd.BROKEN
-                await trio.sleep(span)
+                await trio.sleep(duration)
             await self._answer(stream, attempt.id)
             return AttemptEnd.ANSWERED
-        except GONE:
+        except DISCONNECTED:
             return AttemptEnd.CLOSED
 
     async def _answer(self, stream: trio.SocketStream, id: str) -> None:
@@ -223,6 +223,6 @@
 
 async def _until_closed(stream: trio.SocketStream, scope: trio.CancelScope) -> None:
     """A dispatcher sends nothing more on a connection under way: it ends, or breaks."""
-    with suppress(*GONE):
+    with suppress(*DISCONNECTED):
         await stream.receive_some(1)
     scope.cancel()
