--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -78,7 +78,7 @@
     while heap:
         now, _, what, args = heappop(heap)
         if what == "list":
-            events = [api.WorkerList(api.LIST_FULL, [api.WorkerEntry(n) for n in names])]
+            events = [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(n) for n in names])]
         elif what == "arrive":
             (number,) = args
             if number < jobs:
@@ -98,7 +98,9 @@
                 begin(at, free, waiting, now, waiting[name].pop(0), name, rng)
             report = {"qps": now // 1000.0, "inflight": 5.0 - free[name], "x0": float(free[name])}
             events = [
-                api.AttemptEnded(job, 0, name, api.SERVED, 200.0, True, report if reports else None)
+                api.AttemptEnded(
+                    job, 0, name, api.PolicyOutcome.SERVED, 200.0, True, report if reports else None
+                )
             ]
         began = time.process_time()
         actions = d.handle(now, events)
--- a/tests/fixture_simulator.py
+++ b/tests/fixture_simulator.py
@@ -238,9 +238,9 @@
 
 
 EFFECT_WORDS = {
-    api.IDEMPOTENT: "pure",
-    api.IDEMPOTENT_BY_KEY: "token",
-    api.NON_IDEMPOTENT: "side_effect",
+    api.Idempotency.IDEMPOTENT: "pure",
+    api.Idempotency.IDEMPOTENT_BY_KEY: "token",
+    api.Idempotency.NON_IDEMPOTENT: "side_effect",
 }
 
 
@@ -276,21 +276,25 @@
 
 
 OUTCOME_WORDS = {
-    api.SERVED: "served",
-    api.ERROR: "server_error",
-    api.FULL: "turned_away",
-    api.TIMEOUT: "no_answer",
-    api.NO_CONNECTION: "no_connection",
-    api.CONNECTION_LOST: "connection_lost",
-    api.CANCELLED: "called_off",
-    api.NOT_SENT: "not_sent",
+    api.PolicyOutcome.SERVED: "served",
+    api.PolicyOutcome.ERROR: "server_error",
+    api.PolicyOutcome.REJECTED: "turned_away",
+    api.PolicyOutcome.TIMEOUT: "no_answer",
+    api.PolicyOutcome.NO_CONNECTION: "no_connection",
+    api.PolicyOutcome.CONNECTION_LOST: "connection_lost",
+    api.PolicyOutcome.CANCELLED: "called_off",
+    api.PolicyOutcome.NOT_SENT: "not_sent",
+}
+STATE_WORDS = {
+    api.WorkerState.RUNNING: "Running",
+    api.WorkerState.DRAINING: "Stopping",
+    api.WorkerState.REMOVED: "Deleted",
 }
-STATE_WORDS = {api.RUNNING: "Running", api.DRAINING: "Stopping", api.GONE: "Deleted"}
 FORM_WORDS = {
-    api.LIST_CHANGES: "delta",
-    api.LIST_FULL: "full",
-    api.LIST_CACHED: "cached",
-    api.LIST_FAILED: "failed",
+    api.ListForm.CHANGES: "delta",
+    api.ListForm.FULL: "full",
+    api.ListForm.CACHED: "cached",
+    api.ListForm.FAILED: "failed",
 }
 ABOUT = {"ticket": "t1", "attempt": 2, "worker": "w1"}
 EVENTS: tuple[dict[str, Any], ...] = (
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -118,7 +118,8 @@
         ]
         for i in range(dispatchers):
             self.tell(
-                i, [api.WorkerList(api.LIST_CACHED, [self.entry(h) for h in self.hosts.values()])]
+                i,
+                [api.WorkerList(api.ListForm.CACHED, [self.entry(h) for h in self.hosts.values()])],
             )
         self.rate = load * workers * slots / self.work
         self.used: list[set[str]] = [set() for _ in range(dispatchers)]
@@ -138,7 +139,7 @@
         self.hosts[host.name] = host
         return host
 
-    def entry(self, host, state=api.RUNNING):
+    def entry(self, host, state=api.WorkerState.RUNNING):
         return api.WorkerEntry(host.name, host.zone, state=state, launched=host.launched)
 
     def at(self, when, what, *args):
@@ -151,7 +152,7 @@
                 self.now + self.rng.random() * spread,
                 self.tell,
                 i,
-                [api.WorkerList(api.LIST_CHANGES, list(entries))],
+                [api.WorkerList(api.ListForm.CHANGES, list(entries))],
             )
 
     def restart(self, i):
@@ -160,7 +161,7 @@
             Settings(**self.places[i], **self.settings), self.rng.getrandbits(64)
         )
         self.tell(
-            i, [api.WorkerList(api.LIST_CACHED, [self.entry(h) for h in self.hosts.values()])]
+            i, [api.WorkerList(api.ListForm.CACHED, [self.entry(h) for h in self.hosts.values()])]
         )
 
     def run(self, span):
@@ -201,7 +202,13 @@
                 self.used[i].add(action.worker)
                 self.at(self.now + TRIP, self.reach, i, job, number, action.worker)
             elif kind is api.Cancel:
-                self.back(i, self.requests[action.request_id], action.attempt, "", api.CANCELLED)
+                self.back(
+                    i,
+                    self.requests[action.request_id],
+                    action.attempt,
+                    "",
+                    api.PolicyOutcome.CANCELLED,
+                )
 
     def ring(self, i, module, token):
         if self.modules[i] is module:  # a timer ends with the dispatcher that set it
@@ -220,7 +227,9 @@
             host.free -= job.need
             run = job.run * host.slow / (host.speed * self.warmth(host, self.now))
             if host.errs and self.rng.random() < host.errs:
-                self.at(self.now + 0.1 * run, self.finish, host, i, job, number, api.ERROR)
+                self.at(
+                    self.now + 0.1 * run, self.finish, host, i, job, number, api.PolicyOutcome.ERROR
+                )
                 continue
             told = self.now + TRIP
             self.at(told, self.tell, i, [api.AttemptStarted(job.name, number, host.name)])
@@ -240,7 +249,7 @@
             return 1.0
         return start + (1.0 - start) * (at - host.launched) / span
 
-    def finish(self, host, i, job, number, outcome=api.SERVED):
+    def finish(self, host, i, job, number, outcome=api.PolicyOutcome.SERVED):
         host.free += job.need
         self.fill(host)
         self.at(self.now + TRIP, self.back, i, job, number, host.name, outcome)
@@ -250,7 +259,12 @@
             i,
             [
                 api.AttemptEnded(
-                    job.name, number, name, outcome, self.now - job.arrived, outcome == api.SERVED
+                    job.name,
+                    number,
+                    name,
+                    outcome,
+                    self.now - job.arrived,
+                    outcome == api.PolicyOutcome.SERVED,
                 )
             ],
         )
--- a/tests/test_basics.py
+++ b/tests/test_basics.py
@@ -12,12 +12,12 @@
         classes=[api.RequestClass("c", latency_objective=500.0, deadline=5000.0)], max_attempts=3
     )
     d = Dispatcher(settings, 1)
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w1")])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w1")])])
     sends = [
         a for a in d.handle(5.0, [api.RequestArrived("j", 0, 5005.0)]) if isinstance(a, api.Send)
     ]
     assert [(a.request_id, a.worker) for a in sends] == [("j", "w1")]
-    d.handle(50.0, [api.AttemptEnded("j", 0, "w1", api.SERVED, 45.0, True)])
+    d.handle(50.0, [api.AttemptEnded("j", 0, "w1", api.PolicyOutcome.SERVED, 45.0, True)])
     assert not d.requests and not d.attempts.out
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -54,7 +54,9 @@
     """Cold workers take the place of the old ones: what comes can go nowhere else."""
     old = list(world.hosts.values())
     new = [world.add_host(launched=world.now, errs=errs) for _ in old]
-    world.tell_all([*map(world.entry, new), *(world.entry(h, api.DRAINING) for h in old)])
+    world.tell_all(
+        [*map(world.entry, new), *(world.entry(h, api.WorkerState.DRAINING) for h in old)]
+    )
     return new
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -26,14 +26,14 @@
         Settings(classes=[api.RequestClass("c", 500.0, 5000.0)], dispatchers=40, index=index), 7
     )
     whole = [api.WorkerEntry(f"w{i % 4999}") for i in range(entries)]  # one of 5,000 is there twice
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, whole)])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, whole)])
     out = d.handle(1.0, [api.RequestArrived("a", 0, 5001.0)])
     assert sum(type(action) is api.Send for action in out) == min(1, entries)
     assert len(d.fleet.mine[-1]) >= min(entries, 6)
-    d.handle(2.0, [api.WorkerList(api.LIST_FULL, [])])
+    d.handle(2.0, [api.WorkerList(api.ListForm.FULL, [])])
     out = d.handle(3.0, [api.RequestArrived("b", 0, 5003.0)])
     assert not d.fleet.mine[-1] and not any(type(action) is api.Send for action in out)
-    out = d.handle(4.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w9999")])])
+    out = d.handle(4.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w9999")])])
     assert [a.worker for a in out if type(a) is api.Send][:1] == ["w9999"]
 
 
@@ -45,7 +45,8 @@
             Settings(classes=[api.RequestClass("c", 500.0, 5000.0)], dispatchers=40), seed
         )
         d.handle(
-            0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry(f"w{i:02d}") for i in range(60)])]
+            0.0,
+            [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i:02d}") for i in range(60)])],
         )
         firsts.add(d.fleet.mine[-1][0].name)
     assert len(firsts) > 20
@@ -59,7 +60,7 @@
         d = Dispatcher(Settings(classes=[request_class], dispatchers=dispatchers, index=i), i)
         # Where crossing zones costs nothing, those of another zone are as near as ours.
         entries = [api.WorkerEntry(n, zone=int(n[-1], 16) % 2) for n in names]
-        d.handle(0.0, [api.WorkerList(api.LIST_FULL, entries)])
+        d.handle(0.0, [api.WorkerList(api.ListForm.FULL, entries)])
         ours = {w.name for w in d.fleet.workers.values() if w.part > 0.0}
         assert {w.name for w in d.fleet.mine[-1]} == ours
         found.append({w.name: w.part for w in d.fleet.mine[-1]})
@@ -107,7 +108,7 @@
     new = [world.add_host(launched=world.now) for _ in old]
     world.tell_all([world.entry(h) for h in new])
     world.run(500.0)
-    world.tell_all([world.entry(h, api.DRAINING) for h in old])
+    world.tell_all([world.entry(h, api.WorkerState.DRAINING) for h in old])
     world.run(6000.0)
     warm = [0.31 + 0.69 * k / 62 for k in range(62)]
     for host in new:
@@ -125,7 +126,9 @@
     world.run(3000.0)
     old = list(world.hosts.values())[:50]
     new = [world.add_host(launched=world.now) for _ in old]
-    world.tell_all([*map(world.entry, new), *(world.entry(h, api.DRAINING) for h in old)])
+    world.tell_all(
+        [*map(world.entry, new), *(world.entry(h, api.WorkerState.DRAINING) for h in old)]
+    )
     world.run(3100.0)
     sent = sum(work for host in new for at, work in host.cold_work if at - host.launched < 3000.0)
     # Of 3 times what they can do at their start; 0.44 with each dispatcher's part kept to, 0.77 without.
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -117,7 +117,9 @@
 
 def test_guaranteed_rates_fill_the_slots_from_the_highest_utility_and_stay_under_one():
     d = dispatcher(tenants=[api.Tenant("a", 30.0), api.Tenant("b", 10.0)])
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry(f"w{i}") for i in range(20)])])
+    d.handle(
+        0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(20)])]
+    )
     for c in d.admission.classes:
         c.mean = 1000.0
         c.arrivals = 10
@@ -136,10 +138,10 @@
 
 def test_jobs_leave_by_deadline_and_wait_while_no_slot_is_free():
     d = dispatcher()
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     first = d.handle(1.0, [api.RequestArrived("a", 0, 9001.0)])
     assert [a.request_id for a in first if isinstance(a, api.Send)] == ["a"]
-    d.handle(2.0, [api.AttemptEnded("a", 0, "w", api.FULL, 1.0)])
+    d.handle(2.0, [api.AttemptEnded("a", 0, "w", api.PolicyOutcome.REJECTED, 1.0)])
     assert "a" in d.requests and d.requests["a"].held
     early = api.RequestArrived("early", 0, 8900.0, retry=True)  # first asked for 103 ms ago
     out = d.handle(3.0, [api.RequestArrived("late", 0, 9003.0), early])
@@ -148,7 +150,7 @@
     w = d.fleet.workers["w"]
     w.free, w.free_at, w.cap, w.blocked = 1.0, 300.0, 9.0, 0.0
     w.kind.slots = 1.0
-    out = d.handle(300.0, [api.ProbeEnded("w", api.SERVED, {})])
+    out = d.handle(300.0, [api.ProbeEnded("w", api.PolicyOutcome.SERVED, {})])
     sends = [a.request_id for a in out if isinstance(a, api.Send)]
     assert sends == ["early", "a", "late"][: len(sends)] and sends
 
@@ -161,7 +163,7 @@
     # Three seconds of a share of one a second, and two: five may run ahead.
     assert marks == [False] * 5 + [True] * 3
     assert not tenant.over_share(1001.0)
-    d.handle(1001.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    d.handle(1001.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     d.admission.controller.gapped = 1
     d.admission.controller.changed = 1001.0
     out = d.handle(1002.0, [api.RequestArrived("over", 1, 10_000.0)])
@@ -183,7 +185,7 @@
 
 def test_x_is_the_run_time_quantile_over_the_slots_this_dispatcher_may_fill():
     d = dispatcher(dispatchers=4, tells_start=True)
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry(f"w{i}") for i in range(8)])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(8)])])
     d.fleet.run_quantile, d.fleet.kinds[0].free = 600.0, 2.0
     # Two slots held by started jobs, one job still waiting at its worker, and a fourth of 8 * 2 free slots.
     d.fleet.inflight, d.fleet.waiting = 3.0, 1.0
@@ -196,7 +198,7 @@
 def test_jobs_waiting_at_a_worker_count_until_their_start_is_told():
     # Found on overloaded days: jams in the workers' own queues were not seen by the controller.
     d = dispatcher(tells_start=True)
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     d.handle(1.0, [api.RequestArrived("j", 0, 9001.0)])
     assert len(d.attempts.waiting) == 1 and d.fleet.waiting == 1.0
     d.handle(2.0, [api.AttemptStarted("j", 0, "w")])
@@ -205,14 +207,14 @@
 
 def test_the_cap_is_learned_from_full_answers():
     d = dispatcher()
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w = d.fleet.workers["w"]
     w.kind.slots, w.kind.free, w.cap = 4.0, 8.0, 8.0
     out = []
     for i in range(3):
         out += d.handle(1.0 + i, [api.RequestArrived(f"j{i}", 0, 9000.0)])
     assert sum(isinstance(a, api.Send) for a in out) == 3
-    d.handle(5.0, [api.AttemptEnded("j2", 0, "w", api.FULL, 1.0)])
+    d.handle(5.0, [api.AttemptEnded("j2", 0, "w", api.PolicyOutcome.REJECTED, 1.0)])
     assert w.cap == 2.0 and w.room() <= 0.0
 
 
@@ -220,18 +222,18 @@
     classes = [api.RequestClass("c", 500.0, 5000.0, kind=1)]
     d = Dispatcher(Settings(classes=classes, kinds=2, max_attempts=3), 1)
     entries = [api.WorkerEntry(f"w{i}", kind=int(i == 7)) for i in range(9)]
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, entries)])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, entries)])
     out = d.handle(1.0, [api.RequestArrived("j", 0, 5001.0)])
     assert [a.worker for a in out if isinstance(a, api.Send)] == ["w7"]
 
 
 def test_a_list_on_request_is_watched_and_asked_for_again_after_growing_pauses():
     d = dispatcher(list_on_request=True)
-    out = d.handle(0.0, [api.WorkerList(api.LIST_CACHED, [api.WorkerEntry("w")])])
+    out = d.handle(0.0, [api.WorkerList(api.ListForm.CACHED, [api.WorkerEntry("w")])])
     assert [a for a in out if isinstance(a, api.WatchList)] == [api.WatchList(True)]
     delays = []
     for i in range(6):
-        out = d.handle(10.0 + i, [api.WorkerList(api.LIST_FAILED)])
+        out = d.handle(10.0 + i, [api.WorkerList(api.ListForm.FAILED)])
         delays.append(next(a.delay for a in out if isinstance(a, api.SetTimer)))
     assert delays[-1] > 4.0 * delays[0]
     assert d.fleet.workers["w"].usable  # the old list still holds
@@ -244,11 +246,11 @@
 @pytest.mark.parametrize("report, room", REPORTS)
 def test_reports_without_free_slots_are_read_for_what_they_tell(report, room):
     d = dispatcher(report_fields=tuple(report))
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w = d.fleet.workers["w"]
     w.kind.slots = 4.0
     before = w.free_at
-    d.handle(1000.0, [api.ProbeEnded("w", api.SERVED, report)])
+    d.handle(1000.0, [api.ProbeEnded("w", api.PolicyOutcome.SERVED, report)])
     assert (w.free == room and w.free_at == 1000.0) if room is not None else w.free_at == before
 
 
@@ -259,7 +261,7 @@
     # Found on full-size days: with a tenth the class worth least fell under half of what a late-seeing policy
     # serves of it, and the standing test failed by that. With few, a third cost an overloaded day a fifth.
     d = dispatcher(tenants=[api.Tenant("a", 1e6)], dispatchers=dispatchers)
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     cheap, dear = d.admission.classes
     cheap.mean = dear.mean = 100.0
     cheap.arrivals = dear.arrivals = 500.0
@@ -271,7 +273,7 @@
 @pytest.mark.parametrize("need", [{"width": 4.0}, {"memory": 4.0}])
 def test_a_wide_or_memory_heavy_job_waits_for_that_much_room(need):
     d = dispatcher()
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w = d.fleet.workers["w"]
     w.kind.slots, w.kind.free, w.cap, w.free, w.free_at = 1.0, 2.0, 8.0, 2.0, 1.0
     d.fleet.residual = (
@@ -286,7 +288,7 @@
 
 def test_a_hint_sets_the_expected_run_time_and_so_the_due_time():
     d = dispatcher()
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [])])
     d.handle(10.0, [api.RequestArrived("j", 0, 9010.0, hint=300.0)])
     assert (d.requests["j"].run, d.requests["j"].due) == (300.0, 10.0 + 1000.0 - 300.0)
 
@@ -299,7 +301,7 @@
         marks_retry=marked,
     )
     d = Dispatcher(settings, 1)
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     d.handle(1.0, [api.RequestArrived("first", 0, 5001.0)])
     d.fleet.workers["w"].blocked = 1e9
     d.admission.controller.gapped, d.admission.controller.changed = 1, 1.0  # overload, a moment ago
@@ -342,7 +344,7 @@
         max_attempts=3,
     )
     d = Dispatcher(settings, 1)
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     now = 1.0
     for i in range(400):
         actions = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 5000.0)])
@@ -357,7 +359,13 @@
                 now,
                 [
                     api.AttemptEnded(
-                        done.request.id, done.number, "w", api.SERVED, 60.0, True, report
+                        done.request.id,
+                        done.number,
+                        "w",
+                        api.PolicyOutcome.SERVED,
+                        60.0,
+                        True,
+                        report,
                     )
                 ],
             )
@@ -377,7 +385,9 @@
         ),
         1,
     )
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w1"), api.WorkerEntry("w2")])])
+    d.handle(
+        0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w1"), api.WorkerEntry("w2")])]
+    )
     return d
 
 
@@ -406,7 +416,7 @@
                     f"j{now}",
                     0,
                     "w1",
-                    api.CONNECTION_LOST,
+                    api.PolicyOutcome.CONNECTION_LOST,
                     1.0,
                     True,
                     stale_connection=stale_connection,
@@ -423,7 +433,7 @@
             now + 1.0,
             [
                 api.AttemptStarted(f"l{now}", 0, "w1"),
-                api.AttemptEnded(f"k{now}", 0, "w1", api.CONNECTION_LOST, 1.0, True),
+                api.AttemptEnded(f"k{now}", 0, "w1", api.PolicyOutcome.CONNECTION_LOST, 1.0, True),
             ],
         )
         assert w.blocked <= now + 1.0
@@ -442,7 +452,9 @@
     out = d.handle(100.0, [api.TimerFired(1)])
     assert [a.request_id for a in out if isinstance(a, api.Cancel)] == ["silent"] * lost
     if lost:
-        out = d.handle(101.0, [api.AttemptEnded("silent", 0, "w1", api.CANCELLED, 100.0)])
+        out = d.handle(
+            101.0, [api.AttemptEnded("silent", 0, "w1", api.PolicyOutcome.CANCELLED, 100.0)]
+        )
         assert [(a.request_id, a.worker) for a in out if isinstance(a, api.Send)] == [
             ("silent", "w2")
         ]
@@ -469,7 +481,7 @@
         out = d.handle(300.0 + i, [api.RequestArrived(f"k{i}", 0, 9300.0)])
         probes += [a.worker for a in out if isinstance(a, api.Probe)]
     assert probes == ["w1"]
-    d.handle(400.0, [api.ProbeEnded("w1", api.SERVED)])
+    d.handle(400.0, [api.ProbeEnded("w1", api.PolicyOutcome.SERVED)])
     assert d.fleet.workers["w1"].blocked <= 400.0
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -353,7 +353,7 @@
     def moment(now, *events):
         sends.extend(a for a in module.handle(now, list(events)) if isinstance(a, api.Send))
 
-    moment(0.0, api.WorkerList(api.LIST_FULL, [api.WorkerEntry(f"w{i}") for i in range(6)]))
+    moment(0.0, api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(6)]))
     w = module.fleet.workers["w3"]
     w.blocked, w.fails, w.refused = 1e9, 5, True
     moment(5000.0, api.WorkerReturned("w3", 5000.0))
@@ -363,7 +363,9 @@
     assert sends.pop().worker == "w3"
     moment(7100.0, api.RequestArrived("b", 0, 16100.0))
     assert sends.pop().worker != "w3"  # one is on its way there, and it is cold
-    moment(7200.0, api.AttemptEnded("a", 0, "w3", api.NO_CONNECTION, 10.0, final=True))
+    moment(
+        7200.0, api.AttemptEnded("a", 0, "w3", api.PolicyOutcome.NO_CONNECTION, 10.0, final=True)
+    )
     moment(7700.0, api.RequestArrived("c", 0, 16700.0))
     assert sends.pop().worker == "w3"  # it was not up yet, and is still owed one
     moment(7800.0, api.AttemptStarted("c", 0, "w3"))
@@ -674,7 +676,7 @@
 
     two = [api.Tenant("a", 10.0), api.Tenant("b", 20.0)]
     module = Dispatcher(settings("x", "y", tenants=two), 1)
-    module.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    module.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     x, y = module.admission.classes
     y.mean, y.seen = 321.0, 9
     b = module.admission.tenants[1]
@@ -694,7 +696,9 @@
     assert module.requests["held"].cls is x  # it began with that
     module.handle(20.0, [api.RequestArrived("new", 1, 9020.0)])
     assert module.requests["new"].cls is y
-    module.handle(500.0, [api.AttemptEnded("held", 0, "w", api.SERVED, 490.0, final=True)])
+    module.handle(
+        500.0, [api.AttemptEnded("held", 0, "w", api.PolicyOutcome.SERVED, 490.0, final=True)]
+    )
     assert "held" not in module.requests and x.seen == 1
 
 
@@ -702,7 +706,7 @@
 def test_a_job_that_was_held_for_long_does_not_queue_at_a_worker_on_top(held_for, queues):
     settings = api.Settings([api.RequestClass("tour", 1000.0, 9000.0)], tells_start=True)
     module = Dispatcher(settings, 1)
-    module.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    module.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w, job = module.fleet.workers["w"], None
     module.fleet.residual = 200.0
     w.cap = w.inflight = w.running = 5.0  # full, of jobs that have started
@@ -719,7 +723,7 @@
         [api.RequestClass("tour", 100.0, 9000.0, objective_run_factor=9.0)], tells_start=True
     )
     module = Dispatcher(settings, 1)
-    module.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+    module.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w, now = module.fleet.workers["w"], 0.0
     ratios = []
     for i in range(20):  # ten times as long as the guess
@@ -731,7 +735,8 @@
         assert sent == [f"j{i}"]
         module.handle(now + 1.0, [api.AttemptStarted(f"j{i}", 0, "w")])
         module.handle(
-            now + 501.0, [api.AttemptEnded(f"j{i}", 0, "w", api.SERVED, 501.0, final=True)]
+            now + 501.0,
+            [api.AttemptEnded(f"j{i}", 0, "w", api.PolicyOutcome.SERVED, 501.0, final=True)],
         )
         ratios.append(w.pace())
         now += 1000.0
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -143,13 +143,20 @@
     )
     d = Dispatcher(settings, 1)
     d.handle(
-        0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry(f"w{i}") for i in range(workers)])]
+        0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(workers)])]
     )
     return d
 
 
 def told(d, now, free, held, worker="w0"):
-    d.handle(now, [api.ProbeEnded(worker, api.SERVED, {"qps": now, "inflight": held, "x0": free})])
+    d.handle(
+        now,
+        [
+            api.ProbeEnded(
+                worker, api.PolicyOutcome.SERVED, {"qps": now, "inflight": held, "x0": free}
+            )
+        ],
+    )
 
 
 def test_slots_are_what_is_free_and_held_in_one_reading_up_and_down():
@@ -169,10 +176,10 @@
     d = reporting()
     w = d.fleet.workers["w0"]
     again = {"qps": 1.0, "inflight": 1.0, "x0": 4.0}
-    d.handle(1000.0, [api.ProbeEnded("w0", api.SERVED, again)])
+    d.handle(1000.0, [api.ProbeEnded("w0", api.PolicyOutcome.SERVED, again)])
     for i in range(3):
         d.handle(1300.0 + i, [api.RequestArrived(f"j{i}", 0, 9000.0)])
-    d.handle(1400.0, [api.ProbeEnded("w0", api.SERVED, again)])
+    d.handle(1400.0, [api.ProbeEnded("w0", api.PolicyOutcome.SERVED, again)])
     assert (w.free, w.free_at) == (1.0, 1000.0)
 
 
@@ -186,7 +193,9 @@
         out = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
         sends += [a for a in out if isinstance(a, api.Send)]
         d.handle(now + 1.0, [api.AttemptStarted(f"j{i}", 0, "w0")])
-        d.handle(now + 90.0, [api.AttemptEnded(f"j{i}", 0, "w0", api.SERVED, 89.0, True)])
+        d.handle(
+            now + 90.0, [api.AttemptEnded(f"j{i}", 0, "w0", api.PolicyOutcome.SERVED, 89.0, True)]
+        )
     assert d.fleet.blind and len(sends) == 40
 
 
@@ -208,7 +217,9 @@
         d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
         assert not (i > 40 and d.attempts.waiting)  # the controller closed its gate for them
         d.handle(now + 50.0, [api.AttemptStarted(f"j{i}", 0, "w0")])
-        d.handle(now + 200.0, [api.AttemptEnded(f"j{i}", 0, "w0", api.SERVED, 200.0, True)])
+        d.handle(
+            now + 200.0, [api.AttemptEnded(f"j{i}", 0, "w0", api.PolicyOutcome.SERVED, 200.0, True)]
+        )
         now += 1000.0
     d.handle(now, [api.RequestArrived("late", 0, now + 9000.0)])
     d.handle(now + 100.0, [api.TimerFired(99)])
@@ -232,7 +243,12 @@
                     d.handle(now, [api.AttemptStarted(attempt.request.id, attempt.number, "w0")])
                 elif attempt.started and now - attempt.started >= 100.0:
                     d.handle(
-                        now, [api.AttemptEnded(attempt.request.id, 0, "w0", api.SERVED, 0.0, True)]
+                        now,
+                        [
+                            api.AttemptEnded(
+                                attempt.request.id, 0, "w0", api.PolicyOutcome.SERVED, 0.0, True
+                            )
+                        ],
                     )
         assert len(w.queue) <= 12
         return sent, d.fleet.surprise
@@ -278,13 +294,20 @@
     assert len(firsts) == 1
     home = firsts.pop()
     d = all_of_them[0]
-    d.handle(2.0, [api.WorkerList(api.LIST_CHANGES, [api.WorkerEntry(home, state=api.DRAINING)])])
+    d.handle(
+        2.0,
+        [
+            api.WorkerList(
+                api.ListForm.CHANGES, [api.WorkerEntry(home, state=api.WorkerState.DRAINING)]
+            )
+        ],
+    )
     second = sent_to(d, 3.0, "j2", "k1")
     assert second not in (None, home)
-    d.handle(4.0, [api.AttemptEnded("j2", 0, second, api.NO_CONNECTION, 1.0)])
+    d.handle(4.0, [api.AttemptEnded("j2", 0, second, api.PolicyOutcome.NO_CONNECTION, 1.0)])
     assert sent_to(d, 5.0, "j3", "k1") not in (None, home, second)
     # Back, and cold: it has lost what it kept, and its budget comes before any key.
-    d.handle(6.0, [api.WorkerList(api.LIST_CHANGES, [api.WorkerEntry(home, launched=6.0)])])
+    d.handle(6.0, [api.WorkerList(api.ListForm.CHANGES, [api.WorkerEntry(home, launched=6.0)])])
     assert not d.fleet.workers[home].keys
 
 
@@ -307,7 +330,7 @@
                 d.handle(now, [api.AttemptStarted(job, 0, name)])
         while runs and runs[0][0] <= now:
             _, job, name = runs.pop(0)
-            d.handle(now, [api.AttemptEnded(job, 0, name, api.SERVED, 400.0, True)])
+            d.handle(now, [api.AttemptEnded(job, 0, name, api.PolicyOutcome.SERVED, 400.0, True)])
         most = max(most, *(worker.inflight for worker in d.fleet.workers.values()))
     used = Counter({name: n for name, n in used.items() if n > 10})
     assert 2 <= len(used) <= 6 and most <= 8.0
@@ -359,6 +382,8 @@
         fleet.run(1500.0)
         old = list(fleet.hosts.values())[:4]
         new = [fleet.add_host(launched=fleet.now) for _ in old]
-        fleet.tell_all([*map(fleet.entry, new), *(fleet.entry(h, api.DRAINING) for h in old)])
+        fleet.tell_all(
+            [*map(fleet.entry, new), *(fleet.entry(h, api.WorkerState.DRAINING) for h in old)]
+        )
         fleet.run(2500.0)
     assert digest.hexdigest()[:16] == recorded
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,14 +10,16 @@
 from yewrill.policy import interface as api
 
 CLASSES = [
-    api.RequestClass("safe", 200.0, 2000.0, 1.0, 0.3, api.IDEMPOTENT, objective_run_factor=2.0),
+    api.RequestClass(
+        "safe", 200.0, 2000.0, 1.0, 0.3, api.Idempotency.IDEMPOTENT, objective_run_factor=2.0
+    ),
     api.RequestClass(
         "keyed",
         400.0,
         4000.0,
         3.0,
         0.2,
-        api.IDEMPOTENT_BY_KEY,
+        api.Idempotency.IDEMPOTENT_BY_KEY,
         "cell",
         1500.0,
         objective_run_factor=2.0,
@@ -28,13 +30,20 @@
         4000.0,
         3.0,
         0.2,
-        api.IDEMPOTENT_BY_KEY,
+        api.Idempotency.IDEMPOTENT_BY_KEY,
         "all",
         1500.0,
         objective_run_factor=2.0,
     ),
     api.RequestClass(
-        "unsafe", 400.0, 4000.0, 8.0, 0.0, api.NON_IDEMPOTENT, objective_run_factor=2.0, kind=1
+        "unsafe",
+        400.0,
+        4000.0,
+        8.0,
+        0.0,
+        api.Idempotency.NON_IDEMPOTENT,
+        objective_run_factor=2.0,
+        kind=1,
     ),
 ]
 FINAL = (api.Reject, api.Fail)
@@ -73,7 +82,7 @@
         }
         self.stopped: set[str] = set()
         self.pending: list[api.Event] = [
-            api.WorkerList(api.LIST_CACHED, list(self.workers.values()))
+            api.WorkerList(api.ListForm.CACHED, list(self.workers.values()))
         ]
         self.trace: list[str] = []
         self.number = 0
@@ -95,17 +104,21 @@
             events.append(api.RequestArrived(name, cls, deadline))
         if rng.random() < 0.1:
             entry = self.workers[rng.choice(sorted(self.workers))]
-            entry.state = rng.choice((api.RUNNING, api.DRAINING, api.GONE))
+            entry.state = rng.choice(
+                (api.WorkerState.RUNNING, api.WorkerState.DRAINING, api.WorkerState.REMOVED)
+            )
             entry.launched = rng.choice((entry.launched, self.now))
-            events.append(api.WorkerList(api.LIST_CHANGES, [entry]))
+            events.append(api.WorkerList(api.ListForm.CHANGES, [entry]))
         if rng.random() < 0.02:
-            events.append(api.WorkerList(api.LIST_FAILED))
+            events.append(api.WorkerList(api.ListForm.FAILED))
         for event in events:
             if isinstance(event, api.WorkerList):
                 for entry in event.entries:
-                    (self.stopped.discard if entry.state == api.RUNNING else self.stopped.add)(
-                        entry.worker
-                    )
+                    (
+                        self.stopped.discard
+                        if entry.state == api.WorkerState.RUNNING
+                        else self.stopped.add
+                    )(entry.worker)
         actions = self.d.handle(self.now, events)
         self.trace.append(repr(actions))
         for action in actions:
@@ -129,17 +142,17 @@
             if rng.random() < 0.15:
                 outcome = rng.choice(
                     (
-                        api.SERVED,
-                        api.ERROR,
-                        api.FULL,
-                        api.TIMEOUT,
-                        api.NO_CONNECTION,
-                        api.CONNECTION_LOST,
-                        api.CANCELLED,
+                        api.PolicyOutcome.SERVED,
+                        api.PolicyOutcome.ERROR,
+                        api.PolicyOutcome.REJECTED,
+                        api.PolicyOutcome.TIMEOUT,
+                        api.PolicyOutcome.NO_CONNECTION,
+                        api.PolicyOutcome.CONNECTION_LOST,
+                        api.PolicyOutcome.CANCELLED,
                     )
                 )
                 attempt["outcome"] = outcome
-                final = job["final"] or outcome == api.SERVED
+                final = job["final"] or outcome == api.PolicyOutcome.SERVED
                 job["final"] = final
                 report = {"x0": rng.randrange(-1, 5), "odd": 1.0} if rng.random() < 0.5 else None
                 events.append(
@@ -160,7 +173,7 @@
             self.timers.append((self.now + action.delay, action.token))
         elif isinstance(action, api.Probe):
             assert action.worker in self.workers
-            outcome = self.rng.choice((api.SERVED, api.TIMEOUT))
+            outcome = self.rng.choice((api.PolicyOutcome.SERVED, api.PolicyOutcome.TIMEOUT))
             self.pending.append(api.ProbeEnded(action.worker, outcome, {"x0": 2}))
         elif isinstance(action, api.Send):
             self.check_send(action)
@@ -171,8 +184,10 @@
             if isinstance(action, api.Reject):
                 ran = [a for a in job["attempts"] if a["outcome"] not in api.NEVER_RAN]
                 spec = CLASSES[job["cls"]]
-                shared = spec.idempotency == api.IDEMPOTENT_BY_KEY and spec.group == "all"
-                assert not ran or spec.idempotency == api.IDEMPOTENT or shared
+                shared = (
+                    spec.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY and spec.group == "all"
+                )
+                assert not ran or spec.idempotency == api.Idempotency.IDEMPOTENT or shared
 
     def check_send(self, action: api.Send) -> None:
         job = self.requests[action.request_id]
@@ -183,8 +198,8 @@
         assert spec.kind in (-1, entry.kind)
         assert len(job["attempts"]) < self.settings.max_attempts
         ran = [a for a in job["attempts"] if a["outcome"] not in api.NEVER_RAN]
-        if ran and spec.idempotency != api.IDEMPOTENT:
-            assert spec.idempotency == api.IDEMPOTENT_BY_KEY, "an unsafe job sent again"
+        if ran and spec.idempotency != api.Idempotency.IDEMPOTENT:
+            assert spec.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY, "an unsafe job sent again"
             assert all(self.now - a["at"] <= spec.window for a in ran)
             assert spec.group == "all" or all(
                 self.workers[a["worker"]].cell == entry.cell for a in ran
@@ -227,7 +242,7 @@
         d.fleet.kinds[0].slots = 4.0
         d.admission.classes[0].mean = 1000.0
         d.handle(
-            1000.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("cold", launched=1000.0)])]
+            1000.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("cold", launched=1000.0)])]
         )
         for i in range(20):
             now = 1000.0 + 100.0 * i
@@ -240,7 +255,7 @@
 def test_a_fast_failing_worker_does_not_draw_the_work():
     classes = [api.RequestClass("c", 500.0, 5000.0)]
     d = Dispatcher(Settings(classes=classes, max_attempts=3, tells_start=True), 1)
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry(f"w{i}") for i in range(6)])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(6)])])
     for kind in d.fleet.kinds:
         kind.slots, kind.free = 4.0, 3.0
     sends = {f"w{i}": 0 for i in range(6)}
@@ -254,7 +269,7 @@
                 sends[a.worker] += 1
                 n = d.requests[a.request_id].tries - 1
                 bad = a.worker == "w0"
-                outcome = api.ERROR if bad else api.SERVED
+                outcome = api.PolicyOutcome.ERROR if bad else api.PolicyOutcome.SERVED
                 events.append(api.AttemptEnded(a.request_id, n, a.worker, outcome, 20.0, not bad))
         now += 20.0
         d.handle(now, events)
@@ -264,12 +279,14 @@
 def test_the_final_answer_does_not_wait_for_an_outcome():
     d = Dispatcher(
         Settings(
-            classes=[api.RequestClass("c", 500.0, 5000.0, idempotency=api.NON_IDEMPOTENT)],
+            classes=[
+                api.RequestClass("c", 500.0, 5000.0, idempotency=api.Idempotency.NON_IDEMPOTENT)
+            ],
             max_attempts=3,
         ),
         1,
     )
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w1")])])
+    d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w1")])])
     out = d.handle(1.0, [api.RequestArrived("j", 0, 5001.0)])
     due = min(a.delay for a in out if isinstance(a, api.SetTimer) and a.token == 4) + 1.0
     assert due < 5001.0
@@ -280,7 +297,9 @@
 @pytest.mark.parametrize("count", [0, 1, 400])
 def test_any_size_of_fleet(count):
     d = Dispatcher(Settings(classes=[api.RequestClass("c", 500.0, 5000.0)], max_attempts=3), 1)
-    d.handle(0.0, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry(f"w{i}") for i in range(count)])])
+    d.handle(
+        0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(count)])]
+    )
     out = d.handle(1.0, [api.RequestArrived("j", 0, 5001.0)])
     assert len([a for a in out if isinstance(a, api.Send)]) == min(count, 1)
     out = d.handle(4999.0, [api.TimerFired(4)])
--- a/tests/test_rules_checks.py
+++ b/tests/test_rules_checks.py
@@ -32,13 +32,13 @@
 @pytest.mark.parametrize(
     "idempotency, out, ran_at, expected",
     [
-        (api.IDEMPOTENT, False, None, None),
-        (api.IDEMPOTENT, False, 1.0, None),
-        (api.IDEMPOTENT, True, None, Rule.OVERLAP),
-        (api.NON_IDEMPOTENT, False, None, None),
-        (api.NON_IDEMPOTENT, False, 1.0, Rule.UNSAFE_REPEAT),
-        (api.IDEMPOTENT_BY_KEY, False, 9000.0, None),
-        (api.IDEMPOTENT_BY_KEY, False, 4000.0, Rule.WINDOW_OVER),
+        (api.Idempotency.IDEMPOTENT, False, None, None),
+        (api.Idempotency.IDEMPOTENT, False, 1.0, None),
+        (api.Idempotency.IDEMPOTENT, True, None, Rule.OVERLAP),
+        (api.Idempotency.NON_IDEMPOTENT, False, None, None),
+        (api.Idempotency.NON_IDEMPOTENT, False, 1.0, Rule.UNSAFE_REPEAT),
+        (api.Idempotency.IDEMPOTENT_BY_KEY, False, 9000.0, None),
+        (api.Idempotency.IDEMPOTENT_BY_KEY, False, 4000.0, Rule.WINDOW_OVER),
     ],
 )
 def test_an_attempt_is_checked_against_what_may_have_run(idempotency, out, ran_at, expected):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -384,7 +384,7 @@
     ]
     module = Dispatcher(api.Settings(classes, max_attempts=3, **more), 1)
     workers = [api.WorkerEntry(f"w{i}", cell=i // 2) for i in range(4)]
-    module.handle(now, [api.WorkerList(api.LIST_FULL, workers)])
+    module.handle(now, [api.WorkerList(api.ListForm.FULL, workers)])
     return [
         action
         for i in range(20)
@@ -401,21 +401,23 @@
 
 
 def test_the_module_decides_on_a_repeat_by_what_an_earlier_run_sent():
-    assert {type(action) for action in decided(api.NON_IDEMPOTENT, 10.0)} == {api.Fail}
-    assert {type(action) for action in decided(api.IDEMPOTENT_BY_KEY, 7000.0)} == {
+    assert {type(action) for action in decided(api.Idempotency.NON_IDEMPOTENT, 10.0)} == {api.Fail}
+    assert {type(action) for action in decided(api.Idempotency.IDEMPOTENT_BY_KEY, 7000.0)} == {
         api.Fail
     }  # nearly past its window
-    assert {type(action) for action in decided(api.IDEMPOTENT_BY_KEY, LONG_AGO, now=1e13)} == {
-        api.Fail
-    }
+    assert {
+        type(action) for action in decided(api.Idempotency.IDEMPOTENT_BY_KEY, LONG_AGO, now=1e13)
+    } == {api.Fail}
     for cell, rack in ((0, {"w0", "w1"}), (1, {"w2", "w3"}), (9, set())):
-        actions = decided(api.IDEMPOTENT_BY_KEY, 3000.0, cell)
+        actions = decided(api.Idempotency.IDEMPOTENT_BY_KEY, 3000.0, cell)
         sent = {action.worker for action in actions if type(action) is api.Send}
         assert sent <= rack and bool(sent) == bool(rack)
         # Refusing would say that it never ran: nobody may say that of a job that may have.
         assert api.Reject not in map(type, actions)
     assert {
-        action.worker for action in decided(api.IDEMPOTENT_BY_KEY, -1.0) if type(action) is api.Send
+        action.worker
+        for action in decided(api.Idempotency.IDEMPOTENT_BY_KEY, -1.0)
+        if type(action) is api.Send
     } & {
         "w0",
         "w1",
@@ -426,12 +428,17 @@
     # The module's clock starts at 1,000 s, and the first run of the job is longer ago than that.
     classes = [
         api.RequestClass(
-            "tour", 2000.0, 9000.0, idempotency=api.IDEMPOTENT_BY_KEY, group="all", window=7.2e6
+            "tour",
+            2000.0,
+            9000.0,
+            idempotency=api.Idempotency.IDEMPOTENT_BY_KEY,
+            group="all",
+            window=7.2e6,
         )
     ]
     for ago, expected in ((7.1e6, api.Fail), (6.0e6, api.Send)):
         module = Dispatcher(api.Settings(classes, max_attempts=3), 1)
-        module.handle(1e6, [api.WorkerList(api.LIST_FULL, [api.WorkerEntry("w")])])
+        module.handle(1e6, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
         out = module.handle(1e6 + 1, [api.RequestArrived("j", 0, 1e6 + 5000.0, ran_ago=ago)])
         assert [type(a) for a in out if isinstance(a, (api.Send, api.Fail))] == [expected]
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -364,7 +364,7 @@
     spec = api.RequestClass("a", 500.0, 4000.0)
     module = Dispatcher(api.Settings([spec], zone=0, tells_start=True, fees=more), 1)
     entries = [api.WorkerEntry(name, zone) for name, zone in zone_of.items()]
-    module.handle(0.0, [api.WorkerList(api.LIST_FULL, entries)])
+    module.handle(0.0, [api.WorkerList(api.ListForm.FULL, entries)])
     if shares is not None:
         module.handle(0.0, [api.ZoneTrafficWeights(shares)])
     counts, now = {}, 0.0
@@ -378,7 +378,12 @@
                     [
                         api.AttemptStarted(action.request_id, 0, action.worker),
                         api.AttemptEnded(
-                            action.request_id, 0, action.worker, api.SERVED, 20.0, True
+                            action.request_id,
+                            0,
+                            action.worker,
+                            api.PolicyOutcome.SERVED,
+                            20.0,
+                            True,
                         ),
                     ],
                 )
--- a/yewrill/config/reading.py
+++ b/yewrill/config/reading.py
@@ -27,7 +27,11 @@
     "BALANCER_INHERITED_FD"  # the clients' listening socket, where the platform holds it
 )
 ENV_TEMPORARY = "TMPDIR"  # shared by the runs of one dispatcher
-_STATES = {"SERVING": api.RUNNING, "DRAINING": api.DRAINING, "DELETED": api.GONE}
+_STATES = {
+    "SERVING": api.WorkerState.RUNNING,
+    "DRAINING": api.WorkerState.DRAINING,
+    "DELETED": api.WorkerState.REMOVED,
+}
 STATE_WORDS = {state: word for word, state in _STATES.items()}
 
 
@@ -244,7 +248,7 @@
             raise ConfigError(
                 f"{at}.state: {_show(entry.get('state'))} is not one of {', '.join(_STATES)}"
             )
-        gone = state == api.GONE  # what is gone needs no address
+        gone = state == api.WorkerState.REMOVED  # what is gone needs no address
         found.append(
             Endpoint(
                 _text(entry.get("id"), f"{at}.id"),
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -56,7 +56,7 @@
     ran_cell: int = -1
     # What the checks go by: its class's effect and window, and when the first attempt that may have run was
     # sent, on the module's clock.
-    idempotency: str = api.IDEMPOTENT
+    idempotency: str = api.Idempotency.IDEMPOTENT
     window: float = 0.0
     ran_at: float | None = None
     on_progress: Callable[[Attempt, float], None] | None = None
@@ -118,7 +118,7 @@
     zone: int = 0
     kind: int = 0
     cell: int = 0
-    state: str = api.RUNNING
+    state: str = api.WorkerState.RUNNING
     weight: float = 1.0
     started_ms: float = 0.0  # wall clock
 
@@ -338,7 +338,9 @@
     ) -> None:
         """What discovery tells."""
         self._starts.note(time.time() * 1000.0, self.now())
-        form = api.LIST_CACHED if cached else api.LIST_FULL if full else api.LIST_CHANGES
+        form = (
+            api.ListForm.CACHED if cached else api.ListForm.FULL if full else api.ListForm.CHANGES
+        )
         if self._counting:
             endpoints = list(endpoints)
             log.debug(
@@ -457,7 +459,9 @@
                     broken, request=request.id, attempt=attempt.number, worker=action.worker
                 )
                 self._put(
-                    api.AttemptEnded(request.key, attempt.number, action.worker, api.NOT_SENT, 0.0)
+                    api.AttemptEnded(
+                        request.key, attempt.number, action.worker, api.PolicyOutcome.NOT_SENT, 0.0
+                    )
                 )
             elif request.closed:  # it ended between the module's last moment and this one
                 self.report(attempt, AttemptOutcome.NOT_SENT)
--- a/yewrill/dispatch/outcome.py
+++ b/yewrill/dispatch/outcome.py
@@ -38,16 +38,16 @@
 
 
 _OUTCOME = {
-    AttemptOutcome.SERVED: api.SERVED,
-    AttemptOutcome.FAILED: api.ERROR,
-    AttemptOutcome.MALFORMED_RESPONSE: api.ERROR,
-    AttemptOutcome.TURNED_AWAY: api.FULL,
-    AttemptOutcome.UNREACHABLE: api.NO_CONNECTION,
-    AttemptOutcome.RESET: api.CONNECTION_LOST,
-    AttemptOutcome.STALE_UNREACHABLE: api.NO_CONNECTION,
-    AttemptOutcome.STALE_RESET: api.CONNECTION_LOST,
-    AttemptOutcome.TIMED_OUT: api.TIMEOUT,
-    AttemptOutcome.CANCELLED: api.CANCELLED,
-    AttemptOutcome.NOT_SENT: api.NOT_SENT,
-    AttemptOutcome.BROKEN: api.ERROR,  # may have run, as far as anyone here can tell
+    AttemptOutcome.SERVED: api.PolicyOutcome.SERVED,
+    AttemptOutcome.FAILED: api.PolicyOutcome.ERROR,
+    AttemptOutcome.MALFORMED_RESPONSE: api.PolicyOutcome.ERROR,
+    AttemptOutcome.TURNED_AWAY: api.PolicyOutcome.REJECTED,
+    AttemptOutcome.UNREACHABLE: api.PolicyOutcome.NO_CONNECTION,
+    AttemptOutcome.RESET: api.PolicyOutcome.CONNECTION_LOST,
+    AttemptOutcome.STALE_UNREACHABLE: api.PolicyOutcome.NO_CONNECTION,
+    AttemptOutcome.STALE_RESET: api.PolicyOutcome.CONNECTION_LOST,
+    AttemptOutcome.TIMED_OUT: api.PolicyOutcome.TIMEOUT,
+    AttemptOutcome.CANCELLED: api.PolicyOutcome.CANCELLED,
+    AttemptOutcome.NOT_SENT: api.PolicyOutcome.NOT_SENT,
+    AttemptOutcome.BROKEN: api.PolicyOutcome.ERROR,  # may have run, as far as anyone here can tell
 }
--- a/yewrill/dispatch/safety.py
+++ b/yewrill/dispatch/safety.py
@@ -91,10 +91,10 @@
         return Rule.OVERLAP
     if facts.ran_at is None:
         return None
-    if facts.idempotency == api.NON_IDEMPOTENT:
+    if facts.idempotency == api.Idempotency.NON_IDEMPOTENT:
         return Rule.UNSAFE_REPEAT
     if (
-        facts.idempotency == api.IDEMPOTENT_BY_KEY
+        facts.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY
         and facts.now - facts.ran_at > facts.window + KEYED_SLACK_MS
     ):
         return Rule.WINDOW_OVER
--- a/yewrill/lab/cluster/entry.py
+++ b/yewrill/lab/cluster/entry.py
@@ -159,7 +159,7 @@
     from yewrill.config import reading as config
     from yewrill.policy import interface as api
 
-    config._STATES["DRAINING"] = api.RUNNING
+    config._STATES["DRAINING"] = api.WorkerState.RUNNING
 
 
 def _return_at_once() -> None:
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -20,7 +20,13 @@
 from yewrill.zone_failover.machine import Rules
 
 TRIP = 0.0005  # seconds to a worker and back
-LOST = (api.TIMEOUT, api.NO_CONNECTION, api.CONNECTION_LOST, api.CANCELLED, api.ERROR)
+LOST = (
+    api.PolicyOutcome.TIMEOUT,
+    api.PolicyOutcome.NO_CONNECTION,
+    api.PolicyOutcome.CONNECTION_LOST,
+    api.PolicyOutcome.CANCELLED,
+    api.PolicyOutcome.ERROR,
+)
 
 
 @dataclass(eq=False)
@@ -142,7 +148,7 @@
 
     def _list(self) -> api.WorkerList:
         return api.WorkerList(
-            api.LIST_FULL,
+            api.ListForm.FULL,
             [
                 api.WorkerEntry(w.name, w.zone, launched=1e3 * w.launched)
                 for w in self.workers.values()
@@ -157,14 +163,14 @@
                 w.mode = mode
                 if mode == "gone":
                     for attempt in [*w.running, *w.queue]:
-                        self._end(attempt, api.CONNECTION_LOST)
+                        self._end(attempt, api.PolicyOutcome.CONNECTION_LOST)
 
     def mend(self, zone: int) -> None:
         """The zone's workers start anew, cold, and lists tell it."""
         for w in self.workers.values():
             if w.zone == zone:
                 for attempt in [*w.running, *w.queue]:
-                    self._end(attempt, api.CONNECTION_LOST)
+                    self._end(attempt, api.PolicyOutcome.CONNECTION_LOST)
                 w.mode, w.cold_from, w.launched = "well", self.now, self.now
         for member in self.living():
             self._feed(member, self._list())
@@ -210,12 +216,18 @@
             elif kind is api.Cancel:
                 attempt = self.jobs[member.name, action.request_id]["live"]
                 if attempt is not None and attempt.number == action.attempt:
-                    self.at(self.now, lambda attempt=attempt: self._end(attempt, api.CANCELLED))
+                    self.at(
+                        self.now,
+                        lambda attempt=attempt: self._end(attempt, api.PolicyOutcome.CANCELLED),
+                    )
             elif kind is api.Reject or kind is api.Fail:
                 self.answered.append((self.now, "refused" if kind is api.Reject else "failed", 0.0))
                 attempt = self.jobs[member.name, action.request_id]["live"]
                 if attempt is not None:
-                    self.at(self.now, lambda attempt=attempt: self._end(attempt, api.TIMEOUT))
+                    self.at(
+                        self.now,
+                        lambda attempt=attempt: self._end(attempt, api.PolicyOutcome.TIMEOUT),
+                    )
 
     def _send_job(self, member: Member, action: api.Send) -> None:
         job = self.jobs[member.name, action.request_id]
@@ -237,9 +249,9 @@
         if attempt.over:
             return
         if w.mode == "gone":
-            self._end(attempt, api.CONNECTION_LOST)
+            self._end(attempt, api.PolicyOutcome.CONNECTION_LOST)
         elif w.mode == "failing":
-            self.at(self.now + 0.005, lambda: self._end(attempt, api.ERROR))
+            self.at(self.now + 0.005, lambda: self._end(attempt, api.PolicyOutcome.ERROR))
         else:
             w.queue.append(attempt)
             if self.now - w.cold_from < self.model.warm_after:
@@ -261,7 +273,7 @@
             job = self.jobs[attempt.member.name, attempt.job]
             late = self.now - job["at"] > self.model.aim
             self.answered.append((self.now, "served", 0.0 if late else 1.0))
-            self._end(attempt, api.SERVED)
+            self._end(attempt, api.PolicyOutcome.SERVED)
 
     def _end(self, attempt: Attempt, outcome: str) -> None:
         if attempt.over:
@@ -286,7 +298,7 @@
                 w.name,
                 outcome,
                 1e3 * (self.now - attempt.sent),
-                outcome == api.SERVED,
+                outcome == api.PolicyOutcome.SERVED,
             ),
         )
         self._serve(w)
--- a/yewrill/lab/scale/module.py
+++ b/yewrill/lab/scale/module.py
@@ -45,7 +45,7 @@
     """A module that knows so many workers."""
     module = Dispatcher(settings(teams), 1)
     entries = [api.WorkerEntry(f"w{i:04d}", i % 11) for i in range(workers)]
-    module.handle(0.0, [api.WorkerList(api.LIST_CACHED, entries)])
+    module.handle(0.0, [api.WorkerList(api.ListForm.CACHED, entries)])
     return module
 
 
@@ -63,7 +63,7 @@
             if isinstance(action, api.Send):
                 worker = action.worker
                 module.handle(now + 1.0, [api.AttemptStarted(name, 0, worker)])
-                ended = api.AttemptEnded(name, 0, worker, api.SERVED, 100.0, True)
+                ended = api.AttemptEnded(name, 0, worker, api.PolicyOutcome.SERVED, 100.0, True)
                 module.handle(now + 100.0, [ended])
         busy += time.process_time() - began
     return busy / jobs
--- a/yewrill/net/discovery.py
+++ b/yewrill/net/discovery.py
@@ -72,7 +72,11 @@
     def may_send(self, name: str) -> bool:
         """Whether new work may still go there: not once it drains, is gone or was taken out by hand."""
         endpoint = self._known.get(name)
-        return endpoint is not None and endpoint.state == api.RUNNING and name not in self._out
+        return (
+            endpoint is not None
+            and endpoint.state == api.WorkerState.RUNNING
+            and name not in self._out
+        )
 
     # -- taken out and put back by hand
 
@@ -117,8 +121,8 @@
 
     def _laid_over(self, endpoint: Endpoint) -> Endpoint:
         """A line of the list as the module is to see it."""
-        if endpoint.id in self._out and endpoint.state == api.RUNNING:
-            return replace(endpoint, state=api.DRAINING)
+        if endpoint.id in self._out and endpoint.state == api.WorkerState.RUNNING:
+            return replace(endpoint, state=api.WorkerState.DRAINING)
         return endpoint
 
     def snapshot(self) -> dict[str, Any]:
@@ -149,7 +153,7 @@
         if full:
             self._known = {}
         for endpoint in endpoints:
-            if endpoint.state == api.GONE:
+            if endpoint.state == api.WorkerState.REMOVED:
                 self._known.pop(endpoint.id, None)
             else:
                 self._known[endpoint.id] = endpoint
--- a/yewrill/persistence/attempts.py
+++ b/yewrill/persistence/attempts.py
@@ -95,9 +95,9 @@
 
 def window_of(request_class: api.RequestClass, unsafe_window: float) -> float:
     """For how long, in ms, an attempt of this class must be remembered; 0: not at all."""
-    if request_class.idempotency == api.IDEMPOTENT_BY_KEY:
+    if request_class.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY:
         return request_class.window
-    return unsafe_window if request_class.idempotency == api.NON_IDEMPOTENT else 0.0
+    return unsafe_window if request_class.idempotency == api.Idempotency.NON_IDEMPOTENT else 0.0
 
 
 def least_age(at: Clocks, now: Clocks) -> float:
--- a/yewrill/policy/attempts.py
+++ b/yewrill/policy/attempts.py
@@ -115,7 +115,12 @@
             self._left_queue(attempt)
         outcome = event.outcome
         if (
-            outcome in (api.TIMEOUT, api.CANCELLED, api.CONNECTION_LOST)
+            outcome
+            in (
+                api.PolicyOutcome.TIMEOUT,
+                api.PolicyOutcome.CANCELLED,
+                api.PolicyOutcome.CONNECTION_LOST,
+            )
             and w.usable
             and not event.stale_connection
         ):
@@ -125,21 +130,21 @@
         else:
             fleet.hold(w, -request.need)
             w.free += request.need
-        if outcome == api.SERVED:
+        if outcome == api.PolicyOutcome.SERVED:
             w.alive()
             run = (now - attempt.started if attempt.started else event.elapsed) * attempt.warm
             request.cls.observe(run, request.run, request.hinted)
             w.ran(min(20.0, run / max(1.0, request.run)), request.known)
             fleet.ran(run)
-        elif outcome == api.ERROR:
+        elif outcome == api.PolicyOutcome.ERROR:
             w.erred()
-        elif outcome == api.FULL:
+        elif outcome == api.PolicyOutcome.REJECTED:
             w.full(request.run)
         elif event.stale_connection:
             pass  # that tells of the connection only
-        elif outcome == api.NO_CONNECTION:
+        elif outcome == api.PolicyOutcome.NO_CONNECTION:
             w.lost(refused=True)
-        elif outcome in (api.CONNECTION_LOST, api.TIMEOUT) or (
+        elif outcome in (api.PolicyOutcome.CONNECTION_LOST, api.PolicyOutcome.TIMEOUT) or (
             attempt.silent and not attempt.overtaken
         ):
             w.lost()
--- a/yewrill/policy/dispatcher.py
+++ b/yewrill/policy/dispatcher.py
@@ -133,13 +133,13 @@
         self.admission.control([queue for queue in queues if queue], self.now)
 
     def _list(self, event: api.WorkerList) -> None:
-        if event.form == api.LIST_FAILED:
+        if event.form == api.ListForm.FAILED:
             # The list service is out of reach or overrun: ask again later, each at its own time.
             self.watch_fails = min(self.watch_fails + 1, 5)
             pause = 300.0 * 2**self.watch_fails
             self.out.append(api.SetTimer(WATCH_TIMER, pause * (0.5 + self.rng.random())))
             return
-        if event.form != api.LIST_CACHED:
+        if event.form != api.ListForm.CACHED:
             self.watch_fails = 0
         elif self.settings.list_on_request:
             self.out.append(api.WatchList(True))
@@ -291,12 +291,12 @@
         if w is None:
             return
         w.probing = False
-        if event.outcome == api.SERVED:
+        if event.outcome == api.PolicyOutcome.SERVED:
             if event.report:
                 w.report(event.report)
             if w.fails:  # it answers again: try it
                 w.blocked = self.now
-        elif event.outcome != api.FULL:
+        elif event.outcome != api.PolicyOutcome.REJECTED:
             w.lost(refused=True)
         self.stirred = True
 
--- a/yewrill/policy/fleet.py
+++ b/yewrill/policy/fleet.py
@@ -126,7 +126,7 @@
 
     def take(self, event: api.WorkerList) -> None:
         """Changes of the list, or the whole of it."""
-        if event.form != api.LIST_CHANGES:
+        if event.form != api.ListForm.CHANGES:
             for w in self.workers.values():
                 w.listed = False
         for entry in event.entries:
@@ -155,9 +155,9 @@
             w.blocked = 0.0
             w.fails = 0
         w.zone, w.cell = entry.zone, entry.cell
-        w.listed = entry.state != api.GONE
+        w.listed = entry.state != api.WorkerState.REMOVED
         # A drain is kept from the moment it is heard of.
-        w.usable = entry.state == api.RUNNING
+        w.usable = entry.state == api.WorkerState.RUNNING
 
     def regroup(self) -> None:
         """Count the usable workers, and sort them by kind and zone."""
--- a/yewrill/policy/interface.py
+++ b/yewrill/policy/interface.py
@@ -8,33 +8,48 @@
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 
-# How an attempt or a probe can end.
-SERVED = "served"
-ERROR = "error"  # the worker answered with an error; the job may have run
-FULL = "full"  # sent back unseen; it never ran
-TIMEOUT = "timeout"  # no answer in time; it may have run or still run
-NO_CONNECTION = "no_connection"  # it never ran
-CONNECTION_LOST = "connection_lost"  # it may have run
-CANCELLED = "cancelled"  # it may have run
-NOT_SENT = "not_sent"  # it never ran
-NEVER_RAN = frozenset({FULL, NO_CONNECTION, NOT_SENT})
-
-# How often a class's effect may happen.
-IDEMPOTENT = "safe"
-IDEMPOTENT_BY_KEY = "keyed"
-NON_IDEMPOTENT = "unsafe"
-
-# States of a worker in the list.
-RUNNING = "running"
-DRAINING = "draining"
-GONE = "gone"
-
-# Kinds of list messages: changes only, the whole list, the list as last known, a failed call.
-LIST_CHANGES = "changes"
-LIST_FULL = "full"
-LIST_CACHED = "cached"
-LIST_FAILED = "failed"
+
+class PolicyOutcome(StrEnum):
+    """How an attempt or a health check ended, in the terms that decisions depend on."""
+
+    SERVED = "served"
+    ERROR = "error"  # the worker answered with an error; the request may have run
+    REJECTED = "full"  # the worker sent it back unstarted; it never ran
+    TIMEOUT = "timeout"  # no answer in time; it may have run or still run
+    NO_CONNECTION = "no_connection"  # it never ran
+    CONNECTION_LOST = "connection_lost"  # it may have run
+    CANCELLED = "cancelled"  # it may have run
+    NOT_SENT = "not_sent"  # it never ran
+
+
+NEVER_RAN = frozenset({PolicyOutcome.REJECTED, PolicyOutcome.NO_CONNECTION, PolicyOutcome.NOT_SENT})
+
+
+class Idempotency(StrEnum):
+    """Whether a request of a class may run more than once."""
+
+    IDEMPOTENT = "safe"
+    IDEMPOTENT_BY_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
+
+
+class WorkerState(StrEnum):
+    """State of a worker in the endpoint list."""
+
+    RUNNING = "running"
+    DRAINING = "draining"
+    REMOVED = "gone"
+
+
+class ListForm(StrEnum):
+    """Kind of a message of the endpoint list."""
+
+    CHANGES = "changes"  # changed entries only
+    FULL = "full"  # the whole list
+    CACHED = "cached"  # the whole list as it was last known
+    FAILED = "failed"  # the call for it failed
 
 
 # ---------------------------------------------------------------------------------------------- settings
@@ -49,7 +64,7 @@
     deadline: float
     priority_weight: float = 1.0
     late_weight_fraction: float = 0.0  # the part of the worth that a late answer still earns
-    idempotency: str = IDEMPOTENT
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
     group: str = "all"  # keyed: which workers drop repeats: "all", "zone" or "cell"
     window: float = 0.0  # keyed: how long they do, from the first attempt that may have run
     objective_run_factor: float = 0.0
@@ -120,14 +135,14 @@
     zone: int = 0
     kind: int = 0
     cell: int = 0
-    state: str = RUNNING
+    state: WorkerState = WorkerState.RUNNING
     weight: float = 1.0
     launched: float = 0.0
 
 
 @dataclass(slots=True)
 class WorkerList:
-    form: str
+    form: ListForm
     entries: Sequence[WorkerEntry] = ()
 
 
@@ -201,7 +216,7 @@
     request_id: str
     attempt: int
     worker: str
-    outcome: str
+    outcome: PolicyOutcome
     elapsed: float
     final: bool = False  # the job is finished; nothing more is owed
     report: Mapping[str, float] | None = None
@@ -213,7 +228,7 @@
 @dataclass(slots=True)
 class ProbeEnded:
     worker: str
-    outcome: str
+    outcome: PolicyOutcome
     report: Mapping[str, float] | None = None
 
 
--- a/yewrill/policy/requests.py
+++ b/yewrill/policy/requests.py
@@ -120,17 +120,20 @@
         """Whether it may have run, and may not run again."""
         spec = self.spec
         return self.ran_at is not None and (
-            spec.idempotency == api.NON_IDEMPOTENT
-            or (spec.idempotency == api.IDEMPOTENT_BY_KEY and now - self.ran_at > spec.window * 0.9)
+            spec.idempotency == api.Idempotency.NON_IDEMPOTENT
+            or (
+                spec.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY
+                and now - self.ran_at > spec.window * 0.9
+            )
         )
 
     def may_repeat(self, w: Worker, now: float) -> bool:
         """Whether a job that may have run may run at this worker too."""
         spec = self.spec
-        if spec.idempotency == api.IDEMPOTENT:
+        if spec.idempotency == api.Idempotency.IDEMPOTENT:
             return True
         if (
-            spec.idempotency != api.IDEMPOTENT_BY_KEY
+            spec.idempotency != api.Idempotency.IDEMPOTENT_BY_KEY
             or self.ran_at is None
             or now - self.ran_at > spec.window * 0.95
         ):
@@ -144,8 +147,8 @@
         spec = self.spec
         return not self.live and (
             self.ran_at is None
-            or spec.idempotency == api.IDEMPOTENT
-            or (spec.idempotency == api.IDEMPOTENT_BY_KEY and spec.group == "all")
+            or spec.idempotency == api.Idempotency.IDEMPOTENT
+            or (spec.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY and spec.group == "all")
         )
 
 
--- a/yewrill/simulator/codec.py
+++ b/yewrill/simulator/codec.py
@@ -15,26 +15,30 @@
 
 
 _OUTCOME = {
-    "served": api.SERVED,
-    "server_error": api.ERROR,
-    "turned_away": api.FULL,
-    "no_answer": api.TIMEOUT,
-    "no_connection": api.NO_CONNECTION,
-    "connection_lost": api.CONNECTION_LOST,
-    "called_off": api.CANCELLED,
-    "not_sent": api.NOT_SENT,
+    "served": api.PolicyOutcome.SERVED,
+    "server_error": api.PolicyOutcome.ERROR,
+    "turned_away": api.PolicyOutcome.REJECTED,
+    "no_answer": api.PolicyOutcome.TIMEOUT,
+    "no_connection": api.PolicyOutcome.NO_CONNECTION,
+    "connection_lost": api.PolicyOutcome.CONNECTION_LOST,
+    "called_off": api.PolicyOutcome.CANCELLED,
+    "not_sent": api.PolicyOutcome.NOT_SENT,
+}
+_STATE = {
+    "Running": api.WorkerState.RUNNING,
+    "Stopping": api.WorkerState.DRAINING,
+    "Deleted": api.WorkerState.REMOVED,
 }
-_STATE = {"Running": api.RUNNING, "Stopping": api.DRAINING, "Deleted": api.GONE}
 _FORM = {
-    "delta": api.LIST_CHANGES,
-    "full": api.LIST_FULL,
-    "cached": api.LIST_CACHED,
-    "failed": api.LIST_FAILED,
+    "delta": api.ListForm.CHANGES,
+    "full": api.ListForm.FULL,
+    "cached": api.ListForm.CACHED,
+    "failed": api.ListForm.FAILED,
 }
 _EFFECT = {
-    "pure": api.IDEMPOTENT,
-    "token": api.IDEMPOTENT_BY_KEY,
-    "side_effect": api.NON_IDEMPOTENT,
+    "pure": api.Idempotency.IDEMPOTENT,
+    "token": api.Idempotency.IDEMPOTENT_BY_KEY,
+    "side_effect": api.Idempotency.NON_IDEMPOTENT,
 }
 
 
