--- a/tests/fixture_simulator.py
+++ b/tests/fixture_simulator.py
@@ -266,11 +266,17 @@
         classes,
         [[one.name, one.quota_per_s, one.share] for one in read.tenants],
         [read.kinds, read.zone, read.dispatchers, read.index, read.over_quota_weight],
-        [read.weight_by_work, read.list_on_request, read.tells_start, read.progress_every],
+        [read.weight_by_work, read.list_on_request, read.reports_start, read.progress_interval],
         [list(read.report_fields), read.free_slots_field, read.reports_on_probe],
         [read.may_probe, read.may_cancel, read.fifo, read.marks_retry],
         [read.max_attempts, read.max_retry_after, read.answer_slack],
-        [read.cold_multiple, read.cold_window, read.start_capacity, read.warm_after, read.tick],
+        [
+            read.slow_start_multiple,
+            read.slow_start_window,
+            read.start_capacity,
+            read.warm_after,
+            read.tick,
+        ],
         dict(read.fees),
     ]
 
--- a/tests/test_basics.py
+++ b/tests/test_basics.py
@@ -18,7 +18,7 @@
     ]
     assert [(a.request_id, a.worker) for a in sends] == [("j", "w1")]
     d.handle(50.0, [api.AttemptEnded("j", 0, "w1", api.PolicyOutcome.SERVED, 45.0, True)])
-    assert not d.requests and not d.attempts.out
+    assert not d.requests and not d.attempts.outstanding
 
 
 def test_what_the_platform_starts_imports_nothing_that_it_has_no_use_for():
--- a/tests/test_call_errors.py
+++ b/tests/test_call_errors.py
@@ -84,7 +84,7 @@
         faults.append((("connect",), error, trio.current_time() + 0.02))
         statuses = [(await w.ask(X_Request_ID=f"r{number}")).status for number in range(3)]
         assert set(statuses) <= {200, 503}
-        assert not w.service.engine.avoided()
+        assert not w.service.engine.ejected()
 
 
 def failing_once(monkeypatch, name, error, times=3):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -39,8 +39,8 @@
         clock.offset = step
         await tell(w, started(new, ago=0.0))
         found = worker(w, "new")
-        assert found.cold_from >= 0
-        age = w.service.engine.now() - found.cold_from
+        assert found.slow_start.started_at >= 0
+        age = w.service.engine.now() - found.slow_start.started_at
         assert 0.0 <= age < WARM_AFTER_MS / 2
 
 
@@ -53,11 +53,11 @@
         entry = started(peer, ago=60.0)
         await tell(w, entry)
         before = worker(w, "d1").launched
-        assert worker(w, "d1").cold_from < 0
+        assert worker(w, "d1").slow_start.started_at < 0
         clock.offset = step
         await tell(w, entry)
         assert worker(w, "d1").launched == before
-        assert worker(w, "d1").cold_from < 0
+        assert worker(w, "d1").slow_start.started_at < 0
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
@@ -72,8 +72,8 @@
         clock.offset = step
         await tell(w, entry)
         found = worker(w, "d1")
-        age = w.service.engine.now() - found.cold_from
-        assert found.cold_from >= 0 and 0.0 <= age < WARM_AFTER_MS / 2
+        age = w.service.engine.now() - found.slow_start.started_at
+        assert found.slow_start.started_at >= 0 and 0.0 <= age < WARM_AFTER_MS / 2
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
@@ -85,7 +85,7 @@
         await w.call("PUT /_profilers/attach?name=d1")
         clock.offset = step
         assert 0.0 <= w.service.endpoints.back["d1"] < 20_000.0
-        assert worker(w, "d1").cold_from >= 0
+        assert worker(w, "d1").slow_start.started_at >= 0
 
 
 def test_starts_are_read_by_the_clock_on_either_side_of_a_step():
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -38,8 +38,8 @@
         max(3000.0, mean * rng.uniform(5.0, 12.0)),
         start_capacity=rng.uniform(0.3, 0.6),
         warm_after=rng.uniform(3000.0, 9000.0),
-        cold_multiple=rng.uniform(2.5, 4.0),
-        cold_window=rng.uniform(2000.0, 3000.0),
+        slow_start_multiple=rng.uniform(2.5, 4.0),
+        slow_start_window=rng.uniform(2000.0, 3000.0),
         **fleet,
     )
 
@@ -47,7 +47,9 @@
 def flood(world):
     """From here on twice the work that cold workers may take comes in, besides what the old ones can do."""
     terms = world.settings
-    world.rate = world.slots * len(world.hosts) * (1.0 + 2.0 * terms["cold_multiple"]) / world.work
+    world.rate = (
+        world.slots * len(world.hosts) * (1.0 + 2.0 * terms["slow_start_multiple"]) / world.work
+    )
 
 
 def appear(world, errs=0.0):
@@ -77,10 +79,10 @@
     for _ in range(
         int(
             3
-            * world.settings["cold_multiple"]
+            * world.settings["slow_start_multiple"]
             * world.slots
             * OLD
-            * world.settings["cold_window"]
+            * world.settings["slow_start_window"]
             / world.work
         )
         + 2 * dispatchers
@@ -151,7 +153,7 @@
 def excess(world, host):
     """The most by which any window of its warm-up is over N and chance, in requests; and that N."""
     terms, sent = world.settings, host.cold_work
-    window, worst, of = terms["cold_window"], -1e9, 0.0
+    window, worst, of = terms["slow_start_window"], -1e9, 0.0
     first, work = 0, 0.0
     for at, more in sent:
         if at - host.launched >= terms["warm_after"]:
@@ -161,7 +163,7 @@
             work -= sent[first][1]
             first += 1
         capacity = world.slots * world.warmth(host, at)
-        n = terms["cold_multiple"] * capacity * window / world.work
+        n = terms["slow_start_multiple"] * capacity * window / world.work
         over = work / world.work - n - 2.0 * sqrt(n) - 2.0
         if over > worst:
             worst, of = over, n
@@ -178,7 +180,7 @@
         for at, work in host.cold_work
         if at - host.launched < terms["warm_after"]
     )
-    return sent / (terms["cold_multiple"] * capacity)
+    return sent / (terms["slow_start_multiple"] * capacity)
 
 
 @pytest.mark.parametrize("case", DRAWS, ids=lambda case: case.__name__)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -108,7 +108,7 @@
         self.module = self.engine._module
         self.worker = ""
         monkeypatch.setattr(
-            self.module.choice,
+            self.module.selection,
             "worker_for",
             lambda job, need: self.module.fleet.workers.get(self.worker),
         )
@@ -116,12 +116,12 @@
 
     @property
     def held(self) -> int:
-        return sum(map(len, self.module.held.values()))
+        return sum(map(len, self.module.queues.values()))
 
     def open(self, worker: str) -> None:
         """Have every held job sent there at once, without a turn of the loop."""
         self.worker = worker
-        self.module.stirred = True
+        self.module.release_needed = True
         self.engine.set_zone_weights({})  # any event will do
         self.engine.tick()
 
@@ -323,7 +323,7 @@
 
 def blameless(w, peer: Peer) -> bool:
     worker = w.service.engine._module.fleet.workers[peer.name]
-    return not worker.fails and worker.blocked <= w.service.engine.now()
+    return not worker.ejection.failures and worker.ejection.until <= w.service.engine.now()
 
 
 @FRONTS
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,10 +29,10 @@
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, whole)])
     out = d.handle(1.0, [api.RequestArrived("a", 0, 5001.0)])
     assert sum(type(action) is api.Send for action in out) == min(1, entries)
-    assert len(d.fleet.mine[-1]) >= min(entries, 6)
+    assert len(d.fleet.subset[-1]) >= min(entries, 6)
     d.handle(2.0, [api.WorkerList(api.ListForm.FULL, [])])
     out = d.handle(3.0, [api.RequestArrived("b", 0, 5003.0)])
-    assert not d.fleet.mine[-1] and not any(type(action) is api.Send for action in out)
+    assert not d.fleet.subset[-1] and not any(type(action) is api.Send for action in out)
     out = d.handle(4.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w9999")])])
     assert [a.worker for a in out if type(a) is api.Send][:1] == ["w9999"]
 
@@ -48,7 +48,7 @@
             0.0,
             [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i:02d}") for i in range(60)])],
         )
-        firsts.add(d.fleet.mine[-1][0].name)
+        firsts.add(d.fleet.subset[-1][0].name)
     assert len(firsts) > 20
 
 
@@ -61,9 +61,9 @@
         # Where crossing zones costs nothing, those of another zone are as near as ours.
         entries = [api.WorkerEntry(n, zone=int(n[-1], 16) % 2) for n in names]
         d.handle(0.0, [api.WorkerList(api.ListForm.FULL, entries)])
-        ours = {w.name for w in d.fleet.workers.values() if w.part > 0.0}
-        assert {w.name for w in d.fleet.mine[-1]} == ours
-        found.append({w.name: w.part for w in d.fleet.mine[-1]})
+        ours = {w.name for w in d.fleet.workers.values() if w.capacity_fraction > 0.0}
+        assert {w.name for w in d.fleet.subset[-1]} == ours
+        found.append({w.name: w.capacity_fraction for w in d.fleet.subset[-1]})
     return found
 
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -6,8 +6,9 @@
 
 from yewrill import Dispatcher, Settings
 from yewrill.policy import interface as api
-from yewrill.policy.admission import Controller, Gap
-from yewrill.policy.patience import UsualPatience
+from yewrill.policy.call_gapping import CallGap
+from yewrill.policy.client_timeout import ClientTimeoutEstimate
+from yewrill.policy.controller import Controller
 
 
 def detect(limits, lam, counts, between, x):
@@ -51,59 +52,59 @@
 
 def controller(rungs=3):
     c = Controller(random.Random(1))
-    c.rungs = rungs
+    c.priority_levels = rungs
     return c
 
 
 def test_four_detections_change_nothing_and_a_pass_starts_the_count_anew():
     c = controller()
     for _ in range(4):
-        c.note(1, 1000.0)
-    c.note(0, 1000.0)
+        c.record_test(1, 1000.0)
+    c.record_test(0, 1000.0)
     for _ in range(4):
-        c.note(1, 1000.0)
-    assert (c.level, c.gapped) == (0, 0)
-    c.note(1, 1000.0)
-    assert (c.level, c.gapped) == (1, 1)
+        c.record_test(1, 1000.0)
+    assert (c.level, c.gapped_levels) == (0, 0)
+    c.record_test(1, 1000.0)
+    assert (c.level, c.gapped_levels) == (1, 1)
 
 
 def test_level_1_climbs_a_rung_every_x_and_recovery_lifts_them_one_by_one():
     c = controller()
     now = 10_000.0
     for _ in range(5):
-        c.note(1, now)
-    assert c.gapped == 1
-    c.note(1, now + 1.0)
-    assert c.gapped == 1  # not before X is over
+        c.record_test(1, now)
+    assert c.gapped_levels == 1
+    c.record_test(1, now + 1.0)
+    assert c.gapped_levels == 1  # not before X is over
     seen = []
     for _ in range(4):
         now += 100_000.0
-        c.note(1, now)
-        seen.append(c.gapped)
+        c.record_test(1, now)
+        seen.append(c.gapped_levels)
     assert seen == [2, 3, 3, 3]
     for _ in range(5):
-        c.note(0, now)
-    assert c.level == 0 and c.gapped == 2  # X had passed since the last change
+        c.record_test(0, now)
+    assert c.level == 0 and c.gapped_levels == 2  # X had passed since the last change
     seen = []
     for _ in range(4):
         now += 100_000.0
-        c.note(0, now)
-        seen.append(c.gapped)
+        c.record_test(0, now)
+        seen.append(c.gapped_levels)
     assert seen == [1, 0, 0, 0]
 
 
 def test_level_2_gaps_every_rung_at_once():
     c = controller()
     for _ in range(5):
-        c.note(2, 5.0)
-    assert (c.level, c.gapped) == (2, 3)
+        c.record_test(2, 5.0)
+    assert (c.level, c.gapped_levels) == (2, 3)
 
 
 def test_gap_passes_one_job_an_interval_and_saves_up_five():
-    gap = Gap()
-    assert not gap.passes(0.0)  # nothing is guaranteed
+    gap = CallGap()
+    assert not gap.admits(0.0)  # nothing is guaranteed
     gap.rate = 0.01  # every 100 ms
-    passed = [now for now in range(1000, 2000, 10) if gap.passes(float(now))]
+    passed = [now for now in range(1000, 2000, 10) if gap.admits(float(now))]
     assert passed == [1000, 1010, 1020, 1030, 1040, *range(1100, 2000, 100)]
 
 
@@ -121,19 +122,19 @@
         0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(20)])]
     )
     for c in d.admission.classes:
-        c.mean = 1000.0
+        c.mean_run_time = 1000.0
         c.arrivals = 10
     d.handle(1000.0, [])
     rates = [[t.gaps[c].rate * 1000.0 for c in d.admission.classes] for t in d.admission.tenants]
     # 20 slots times (1)'s bound carry no 20 + 20 jobs a second of 1 s each: the dear class is guaranteed all
     # of what fits, the cheap one its floor of a tenth.
-    slots = d.fleet.slots()
+    slots = d.fleet.estimate.available_slots()
     assert slots == pytest.approx(20.0)
     assert rates[0][1] / rates[1][1] == pytest.approx(3.0, rel=0.05)
     total = sum(map(sum, rates)) * 1.0
     assert total < slots + 0.11 * 20.0
     assert rates[0][0] + rates[1][0] == pytest.approx(2.0, rel=0.05)
-    assert d.admission.classes[1].rung > d.admission.classes[0].rung > 0
+    assert d.admission.classes[1].priority_level > d.admission.classes[0].priority_level > 0
 
 
 def test_jobs_leave_by_deadline_and_wait_while_no_slot_is_free():
@@ -142,13 +143,13 @@
     first = d.handle(1.0, [api.RequestArrived("a", 0, 9001.0)])
     assert [a.request_id for a in first if isinstance(a, api.Send)] == ["a"]
     d.handle(2.0, [api.AttemptEnded("a", 0, "w", api.PolicyOutcome.REJECTED, 1.0)])
-    assert "a" in d.requests and d.requests["a"].held
+    assert "a" in d.requests and d.requests["a"].queued
     early = api.RequestArrived("early", 0, 8900.0, retry=True)  # first asked for 103 ms ago
     out = d.handle(3.0, [api.RequestArrived("late", 0, 9003.0), early])
     assert not [a for a in out if isinstance(a, api.Send)]
-    assert [entry[2].id for entry in d.held[-1]][0] == "early"
+    assert [entry[2].id for entry in d.queues[-1]][0] == "early"
     w = d.fleet.workers["w"]
-    w.free, w.free_at, w.cap, w.blocked = 1.0, 300.0, 9.0, 0.0
+    w.free_slots, w.free_slots_at, w.max_inflight_slots, w.ejection.until = 1.0, 300.0, 9.0, 0.0
     w.kind.slots = 1.0
     out = d.handle(300.0, [api.ProbeEnded("w", api.PolicyOutcome.SERVED, {})])
     sends = [a.request_id for a in out if isinstance(a, api.Send)]
@@ -157,15 +158,15 @@
 
 def test_traffic_beyond_a_share_is_the_lowest_rung():
     d = dispatcher(tenants=[api.Tenant("a", 1.0)], over_quota_weight=0.1)
-    d.admission.controller.rungs = 3
+    d.admission.controller.priority_levels = 3
     tenant = d.admission.tenants[0]
-    marks = [tenant.over_share(0.0) for _ in range(8)]
+    marks = [tenant.over_quota(0.0) for _ in range(8)]
     # Three seconds of a share of one a second, and two: five may run ahead.
     assert marks == [False] * 5 + [True] * 3
-    assert not tenant.over_share(1001.0)
+    assert not tenant.over_quota(1001.0)
     d.handle(1001.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
-    d.admission.controller.gapped = 1
-    d.admission.controller.changed = 1001.0
+    d.admission.controller.gapped_levels = 1
+    d.admission.controller.changed_at = 1001.0
     out = d.handle(1002.0, [api.RequestArrived("over", 1, 10_000.0)])
     assert [a.request_id for a in out if isinstance(a, api.Reject)] == ["over"]
 
@@ -175,47 +176,47 @@
         short = api.RequestClass("short", 500.0, 9000.0, priority_weight=2.0)
         classes = [short, api.RequestClass("long", 500.0, 9000.0, priority_weight=3.0)]
         d = Dispatcher(Settings(classes=classes, weight_by_work=by_work), 1)
-        d.admission.classes[0].mean, d.admission.classes[1].mean = (
+        d.admission.classes[0].mean_run_time, d.admission.classes[1].mean_run_time = (
             100.0,
             1000.0,
         )  # 2 / 100 against 3 / 1000
         d.handle(0.0, [])
-        assert max(d.admission.classes, key=lambda c: c.rung).spec.name == higher
+        assert max(d.admission.classes, key=lambda c: c.priority_level).spec.name == higher
 
 
 def test_x_is_the_run_time_quantile_over_the_slots_this_dispatcher_may_fill():
-    d = dispatcher(dispatchers=4, tells_start=True)
+    d = dispatcher(dispatchers=4, reports_start=True)
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(8)])])
-    d.fleet.run_quantile, d.fleet.kinds[0].free = 600.0, 2.0
+    d.fleet.estimate.run_time_quantile, d.fleet.estimate.kinds[0].free_slots = 600.0, 2.0
     # Two slots held by started jobs, one job still waiting at its worker, and a fourth of 8 * 2 free slots.
-    d.fleet.inflight, d.fleet.waiting = 3.0, 1.0
-    assert d.fleet.slots() == pytest.approx(2.0 + 16.0 / 4)
-    assert d.fleet.drain_time() == pytest.approx(100.0)
-    d.fleet.kinds[0].free = 0.0  # the fleet shrinks: x rises at once
-    assert d.fleet.drain_time() == pytest.approx(300.0)
+    d.fleet.estimate.inflight_slots, d.fleet.estimate.unstarted_slots = 3.0, 1.0
+    assert d.fleet.estimate.available_slots() == pytest.approx(2.0 + 16.0 / 4)
+    assert d.fleet.estimate.drain_time() == pytest.approx(100.0)
+    d.fleet.estimate.kinds[0].free_slots = 0.0  # the fleet shrinks: x rises at once
+    assert d.fleet.estimate.drain_time() == pytest.approx(300.0)
 
 
 def test_jobs_waiting_at_a_worker_count_until_their_start_is_told():
     # Found on overloaded days: jams in the workers' own queues were not seen by the controller.
-    d = dispatcher(tells_start=True)
+    d = dispatcher(reports_start=True)
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     d.handle(1.0, [api.RequestArrived("j", 0, 9001.0)])
-    assert len(d.attempts.waiting) == 1 and d.fleet.waiting == 1.0
+    assert len(d.attempts.waiting) == 1 and d.fleet.estimate.unstarted_slots == 1.0
     d.handle(2.0, [api.AttemptStarted("j", 0, "w")])
-    assert not d.attempts.waiting and d.fleet.waiting == 0.0
+    assert not d.attempts.waiting and d.fleet.estimate.unstarted_slots == 0.0
 
 
 def test_the_cap_is_learned_from_full_answers():
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w = d.fleet.workers["w"]
-    w.kind.slots, w.kind.free, w.cap = 4.0, 8.0, 8.0
+    w.kind.slots, w.kind.free_slots, w.max_inflight_slots = 4.0, 8.0, 8.0
     out = []
     for i in range(3):
         out += d.handle(1.0 + i, [api.RequestArrived(f"j{i}", 0, 9000.0)])
     assert sum(isinstance(a, api.Send) for a in out) == 3
     d.handle(5.0, [api.AttemptEnded("j2", 0, "w", api.PolicyOutcome.REJECTED, 1.0)])
-    assert w.cap == 2.0 and w.room() <= 0.0
+    assert w.max_inflight_slots == 2.0 and w.estimated_free_slots() <= 0.0
 
 
 def test_a_job_goes_only_to_the_machine_kind_it_needs():
@@ -249,9 +250,13 @@
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w = d.fleet.workers["w"]
     w.kind.slots = 4.0
-    before = w.free_at
+    before = w.free_slots_at
     d.handle(1000.0, [api.ProbeEnded("w", api.PolicyOutcome.SERVED, report)])
-    assert (w.free == room and w.free_at == 1000.0) if room is not None else w.free_at == before
+    assert (
+        (w.free_slots == room and w.free_slots_at == 1000.0)
+        if room is not None
+        else w.free_slots_at == before
+    )
 
 
 @pytest.mark.parametrize("dispatchers, part", [(1, 0.10125), (8, 0.11), (200, 0.35), (1000, 0.35)])
@@ -263,7 +268,7 @@
     d = dispatcher(tenants=[api.Tenant("a", 1e6)], dispatchers=dispatchers)
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     cheap, dear = d.admission.classes
-    cheap.mean = dear.mean = 100.0
+    cheap.mean_run_time = dear.mean_run_time = 100.0
     cheap.arrivals = dear.arrivals = 500.0
     d.handle(1500.0, [api.TimerFired(99)])
     rates = {c.spec.name: d.admission.tenants[0].gaps[c].rate for c in (cheap, dear)}
@@ -275,13 +280,19 @@
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w = d.fleet.workers["w"]
-    w.kind.slots, w.kind.free, w.cap, w.free, w.free_at = 1.0, 2.0, 8.0, 2.0, 1.0
-    d.fleet.residual = (
+    w.kind.slots, w.kind.free_slots, w.max_inflight_slots, w.free_slots, w.free_slots_at = (
+        1.0,
+        2.0,
+        8.0,
+        2.0,
+        1.0,
+    )
+    d.fleet.estimate.residual_run_time = (
         2000.0  # two slots short: a wait of 2.5 times that, beyond any time constraint
     )
     out = d.handle(1.0, [api.RequestArrived("j", 0, 9001.0, **need)])
-    assert not [a for a in out if isinstance(a, api.Send)] and d.requests["j"].held
-    w.kind.free, w.free, w.free_at = 4.0, 4.0, 2.0
+    assert not [a for a in out if isinstance(a, api.Send)] and d.requests["j"].queued
+    w.kind.free_slots, w.free_slots, w.free_slots_at = 4.0, 4.0, 2.0
     out = d.handle(2.0, [api.TimerFired(2)])
     assert [a.request_id for a in out if isinstance(a, api.Send)] == ["j"]
 
@@ -290,7 +301,10 @@
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [])])
     d.handle(10.0, [api.RequestArrived("j", 0, 9010.0, hint=300.0)])
-    assert (d.requests["j"].run, d.requests["j"].due) == (300.0, 10.0 + 1000.0 - 300.0)
+    assert (d.requests["j"].expected_run_time, d.requests["j"].latest_start) == (
+        300.0,
+        10.0 + 1000.0 - 300.0,
+    )
 
 
 def a_storm_of_late_retries(marked: bool):
@@ -303,8 +317,11 @@
     d = Dispatcher(settings, 1)
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     d.handle(1.0, [api.RequestArrived("first", 0, 5001.0)])
-    d.fleet.workers["w"].blocked = 1e9
-    d.admission.controller.gapped, d.admission.controller.changed = 1, 1.0  # overload, a moment ago
+    d.fleet.workers["w"].ejection.until = 1e9
+    d.admission.controller.gapped_levels, d.admission.controller.changed_at = (
+        1,
+        1.0,
+    )  # overload, a moment ago
     late = [
         api.RequestArrived(f"late{i}", 0, 2002.0 - 7.0 * (i % 50), retry=marked) for i in range(200)
     ]
@@ -327,7 +344,7 @@
     mixed = [job for pair in zip(late[:100], first, strict=True) for job in pair]
     d.handle(2.0, mixed)
     assert {
-        d.requests[job.request_id].arrived - d.requests[job.request_id].asked
+        d.requests[job.request_id].arrived_at - d.requests[job.request_id].first_asked_at
         for job in first
         if job.request_id in d.requests
     } <= {0}
@@ -338,7 +355,7 @@
 def test_slots_are_learned_from_start_notices_only_while_nothing_reports_load(fields, learned):
     settings = Settings(
         classes=[api.RequestClass("c", 1000.0, 5000.0)],
-        tells_start=True,
+        reports_start=True,
         report_fields=fields,
         free_slots_field="x0",
         max_attempts=3,
@@ -353,7 +370,7 @@
                 now + 1.0, [api.AttemptStarted(send.request_id, 0, "w")]
             )  # the worker always has a slot
         now += 10.0
-        for done in [a for a in d.attempts.out.values() if now - a.sent > 60.0]:
+        for done in [a for a in d.attempts.outstanding.values() if now - a.sent_at > 60.0]:
             report = {"x0": -1.0 - i % 7} if fields else None
             d.handle(
                 now,
@@ -370,7 +387,9 @@
                 ],
             )
     worker = d.fleet.workers["w"]
-    assert (worker.kind.slots > 5.9) is learned and worker.running == len(d.attempts.out)
+    assert (worker.kind.slots > 5.9) is learned and worker.running_slots == len(
+        d.attempts.outstanding
+    )
 
 
 def in_trouble(latency_objective=1000.0, **more):
@@ -378,7 +397,7 @@
     d = Dispatcher(
         Settings(
             classes=[api.RequestClass("c", latency_objective, 9000.0)],
-            tells_start=True,
+            reports_start=True,
             max_attempts=4,
             may_cancel=True,
             **more,
@@ -393,10 +412,10 @@
 
 def send(d, job, now, worker=None):
     for name, w in d.fleet.workers.items():
-        w.blocked = 1e9 if worker and name != worker else 0.0
+        w.ejection.until = 1e9 if worker and name != worker else 0.0
     out = d.handle(now, [api.RequestArrived(job, 0, now + 9000.0)])
     for w in d.fleet.workers.values():
-        w.blocked = 0.0
+        w.ejection.until = 0.0
     return next(a.worker for a in out if isinstance(a, api.Send))
 
 
@@ -423,9 +442,9 @@
                 )
             ],
         )
-        assert (w.blocked > now + 1.0) is blocked
+        assert (w.ejection.until > now + 1.0) is blocked
     # A sign of life between two losses: it stays in.
-    w.fails = 0
+    w.ejection.failures = 0
     for now in (6000.0, 6100.0):
         send(d, f"k{now}", now, "w1")
         send(d, f"l{now}", now, "w1")
@@ -436,7 +455,7 @@
                 api.AttemptEnded(f"k{now}", 0, "w1", api.PolicyOutcome.CONNECTION_LOST, 1.0, True),
             ],
         )
-        assert w.blocked <= now + 1.0
+        assert w.ejection.until <= now + 1.0
 
 
 @pytest.mark.parametrize(
@@ -458,11 +477,11 @@
         assert [(a.request_id, a.worker) for a in out if isinstance(a, api.Send)] == [
             ("silent", "w2")
         ]
-        assert not d.fleet.workers["w1"].fails  # its worker is well
+        assert not d.fleet.workers["w1"].ejection.failures  # its worker is well
 
 
 def test_a_running_attempt_without_a_word_for_too_long_is_given_up():
-    d = in_trouble(progress_every=1000.0)
+    d = in_trouble(progress_interval=1000.0)
     send(d, "j", 1.0, "w1")
     d.handle(2.0, [api.AttemptStarted("j", 0, "w1")])
     d.handle(1002.0, [api.AttemptProgress("j", 0, "w1", 0.3)])
@@ -475,20 +494,20 @@
     assert not [
         a for a in d.handle(1.0, [api.RequestArrived("j", 0, 9001.0)]) if isinstance(a, api.Probe)
     ]
-    d.fleet.workers["w1"].fails, d.fleet.workers["w1"].blocked = 3, 8000.0
+    d.fleet.workers["w1"].ejection.failures, d.fleet.workers["w1"].ejection.until = 3, 8000.0
     probes = []
     for i in range(30):
         out = d.handle(300.0 + i, [api.RequestArrived(f"k{i}", 0, 9300.0)])
         probes += [a.worker for a in out if isinstance(a, api.Probe)]
     assert probes == ["w1"]
     d.handle(400.0, [api.ProbeEnded("w1", api.PolicyOutcome.SERVED)])
-    assert d.fleet.workers["w1"].blocked <= 400.0
+    assert d.fleet.workers["w1"].ejection.until <= 400.0
 
 
 def test_the_first_jobs_of_a_dispatcher_that_knows_no_slots_go_out_at_once_wide_ones_too():
     # A restarted dispatcher must not refuse its first seconds' jobs while it learns how many slots there are.
     d = in_trouble(latency_objective=200.0)
-    d.fleet.residual = 2000.0  # a job without a slot would wait too long
+    d.fleet.estimate.residual_run_time = 2000.0  # a job without a slot would wait too long
     out = d.handle(1.0, [api.RequestArrived("wide", 0, 9001.0, width=8.0)])
     out += d.handle(2.0, [api.RequestArrived(f"j{i}", 0, 9002.0) for i in range(5)])
     assert len([a for a in out if isinstance(a, api.Send)]) == 6
@@ -501,11 +520,11 @@
     for i in range(2):
         send(d, f"j{i}", 1.0, "w1")
         d.handle(2.0, [api.AttemptStarted(f"j{i}", 0, "w1")])
-    d.fleet.workers["w2"].blocked = 1e9
+    d.fleet.workers["w2"].ejection.until = 1e9
     d.handle(3.0, [api.RequestArrived("waits", 0, 9003.0, width=width)])
-    assert len(w.queue) == 1
+    assert len(w.unstarted) == 1
     d.handle(100.0, [api.RequestArrived("next", 0, 9100.0)])
-    assert (w.cap == 3.0) is capped
+    assert (w.max_inflight_slots == 3.0) is capped
 
 
 @pytest.mark.parametrize(
@@ -530,12 +549,12 @@
 
 
 def test_the_usual_patience_is_that_of_first_tries_and_no_longer_than_the_settings_say():
-    known = UsualPatience(2500.0)
+    known = ClientTimeoutEstimate(2500.0)
     for stated in [60_000.0] + [1000.0, 640.0, 310.0] * 20:
-        known.note(stated)
+        known.record(stated)
     known.refresh(2500.0)
     assert known.usual == 1000.0
     for _ in range(60):
-        known.note(60_000.0)
+        known.record(60_000.0)
     known.refresh(2500.0)
     assert known.usual == 2500.0
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -19,7 +19,7 @@
 from yewrill.net import listener
 from yewrill.net.management import ManagementListener
 from yewrill.policy import interface as api
-from yewrill.policy.dispatcher import HELD_TIMER, Dispatcher
+from yewrill.policy.dispatcher import RELEASE_TIMER, Dispatcher
 from yewrill.service.hot_restart import HotRestart, link_path
 from yewrill.service.service import LEAST_SOCKETS, SPARE, Service
 
@@ -341,11 +341,11 @@
 def test_a_worker_put_back_is_cold_unblocked_and_first_in_line_until_it_shows_life():
     settings = api.Settings(
         [api.RequestClass("tour", 2000.0, 9000.0)],
-        tells_start=True,
+        reports_start=True,
         warm_after=6000.0,
         start_capacity=0.3,
-        cold_multiple=3.0,
-        cold_window=3000.0,
+        slow_start_multiple=3.0,
+        slow_start_window=3000.0,
         max_attempts=3,
     )
     module, sends = Dispatcher(settings, 1), []
@@ -355,10 +355,12 @@
 
     moment(0.0, api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(6)]))
     w = module.fleet.workers["w3"]
-    w.blocked, w.fails, w.refused = 1e9, 5, True
+    w.ejection.until, w.ejection.failures, w.ejection.connection_refused = 1e9, 5, True
     moment(5000.0, api.WorkerReturned("w3", 5000.0))
-    assert w.cold_from == 5000.0 and w.blocked <= 5000.0 and not w.fails
-    w.credit = 0.0
+    assert (
+        w.slow_start.started_at == 5000.0 and w.ejection.until <= 5000.0 and not w.ejection.failures
+    )
+    w.slow_start.credit = 0.0
     moment(7000.0, api.RequestArrived("a", 0, 16000.0))
     assert sends.pop().worker == "w3"
     moment(7100.0, api.RequestArrived("b", 0, 16100.0))
@@ -369,7 +371,7 @@
     moment(7700.0, api.RequestArrived("c", 0, 16700.0))
     assert sends.pop().worker == "w3"  # it was not up yet, and is still owed one
     moment(7800.0, api.AttemptStarted("c", 0, "w3"))
-    assert w.owed < 0 and not module.fleet.owed
+    assert w.reattached_at < 0 and not module.fleet.reattached
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
@@ -525,7 +527,7 @@
         at = await metrics(w)
         assert at["concurrent"] == 0 and at["success.tour"] == 1
         worker = w.service.engine._module.fleet.workers["d1"]
-        worker.fails, worker.blocked = 1, w.service.engine.now() + 1e4
+        worker.ejection.failures, worker.ejection.until = 1, w.service.engine.now() + 1e4
         assert (await metrics(w))["targets_disabled"] == 1
 
 
@@ -678,7 +680,7 @@
     module = Dispatcher(settings("x", "y", tenants=two), 1)
     module.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     x, y = module.admission.classes
-    y.mean, y.seen = 321.0, 9
+    y.mean_run_time, y.run_times_seen = 321.0, 9
     b = module.admission.tenants[1]
     module.handle(
         10.0,
@@ -693,34 +695,36 @@
     ] and module.admission.classes[1] is y
     assert y.index == 1
     assert module.admission.tenants == [b] and set(b.gaps) == set(module.admission.classes)
-    assert module.requests["held"].cls is x  # it began with that
+    assert module.requests["held"].class_state is x  # it began with that
     module.handle(20.0, [api.RequestArrived("new", 1, 9020.0)])
-    assert module.requests["new"].cls is y
+    assert module.requests["new"].class_state is y
     module.handle(
         500.0, [api.AttemptEnded("held", 0, "w", api.PolicyOutcome.SERVED, 490.0, final=True)]
     )
-    assert "held" not in module.requests and x.seen == 1
+    assert "held" not in module.requests and x.run_times_seen == 1
 
 
 @pytest.mark.parametrize("held_for, queues", [(0.0, True), (450.0, False)])
 def test_a_job_that_was_held_for_long_does_not_queue_at_a_worker_on_top(held_for, queues):
-    settings = api.Settings([api.RequestClass("tour", 1000.0, 9000.0)], tells_start=True)
+    settings = api.Settings([api.RequestClass("tour", 1000.0, 9000.0)], reports_start=True)
     module = Dispatcher(settings, 1)
     module.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w, job = module.fleet.workers["w"], None
-    module.fleet.residual = 200.0
-    w.cap = w.inflight = w.running = 5.0  # full, of jobs that have started
-    w.blocked = held_for
+    module.fleet.estimate.residual_run_time = 200.0
+    w.max_inflight_slots = w.inflight_slots = w.running_slots = (
+        5.0  # full, of jobs that have started
+    )
+    w.ejection.until = held_for
     module.handle(0.0, [api.RequestArrived("a", 0, 9000.0)])
     job = module.requests["a"]
-    assert (job.due, job.tries) == (500.0, int(queues))
-    module.handle(held_for, [api.TimerFired(HELD_TIMER)])
-    assert job.tries == int(queues)
+    assert (job.latest_start, job.attempt_count) == (500.0, int(queues))
+    module.handle(held_for, [api.TimerFired(RELEASE_TIMER)])
+    assert job.attempt_count == int(queues)
 
 
 def test_a_class_not_known_yet_makes_no_worker_look_slow():
     settings = api.Settings(
-        [api.RequestClass("tour", 100.0, 9000.0, objective_run_factor=9.0)], tells_start=True
+        [api.RequestClass("tour", 100.0, 9000.0, objective_run_factor=9.0)], reports_start=True
     )
     module = Dispatcher(settings, 1)
     module.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
@@ -738,9 +742,9 @@
             now + 501.0,
             [api.AttemptEnded(f"j{i}", 0, "w", api.PolicyOutcome.SERVED, 501.0, final=True)],
         )
-        ratios.append(w.pace())
+        ratios.append(w.run_time_factor())
         now += 1000.0
-    assert max(ratios) < 1.1 and w.seen > 0
+    assert max(ratios) < 1.1 and w.run_times_seen > 0
 
 
 @story
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -321,7 +321,7 @@
                 reply.status == 200 and b"refused" not in reply.body and b"failed" not in reply.body
             )
         assert all(
-            worker.blocked <= w.service.engine.now() and not worker.fails
+            worker.ejection.until <= w.service.engine.now() and not worker.ejection.failures
             for worker in w.service.engine._module.fleet.workers.values()
         )
         assert (
@@ -350,7 +350,7 @@
         assert (await w.ask(X_Request_ID="r1")).status == 200
         await given_up.wait()  # long before its time was up: the later job had started
         assert peer.exchanges[1].id == "r1"
-        assert not w.service.engine._module.fleet.workers["d1"].fails
+        assert not w.service.engine._module.fleet.workers["d1"].ejection.failures
 
 
 @story
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -104,11 +104,11 @@
         for i in range(len(said)):
             assert (await w.ask(body=b"%d" % i, X_Request_ID=f"r{i}")).body == b"r"
             await trio.testing.wait_all_tasks_blocked()
-            seen.append(worker.reading)
+            seen.append(worker.last_report)
         assert seen == [(2.0, 3.0, 1.0)] * 6 + [(2.0, 3.0, 2.0)]
         await w.ask(body=b"full", X_Request_ID="full")
         await trio.testing.wait_all_tasks_blocked()
-        assert worker.reading == (5.0, 9.0, 0.0)
+        assert worker.last_report == (5.0, 9.0, 0.0)
         assert await w.service.worker_connections.probe("d1") == (
             AttemptOutcome.SERVED,
             {**GOOD, "x0": 4.0},
@@ -135,7 +135,7 @@
 def reporting(workers=1, **more):
     settings = Settings(
         [api.RequestClass("c", 1000.0, 9000.0)],
-        tells_start=True,
+        reports_start=True,
         report_fields=FIELDS,
         free_slots_field="x0",
         max_attempts=3,
@@ -161,13 +161,13 @@
 
 def test_slots_are_what_is_free_and_held_in_one_reading_up_and_down():
     d = reporting()
-    kind = d.fleet.kinds[0]
+    kind = d.fleet.estimate.kinds[0]
     for goal in (8.0, 4.0):  # only ever growing, they were taken for 7 where there were 4
         for i in range(60):
             told(d, 1000.0 * goal + 10.0 * i, goal - i % 4, i % 4)
         assert kind.slots == pytest.approx(goal, abs=0.1)
     told(d, 90_000.0, 0.0, 10.0)
-    assert d.fleet.workers["w0"].free == pytest.approx(
+    assert d.fleet.workers["w0"].free_slots == pytest.approx(
         -6.0, abs=0.3
     )  # the queue there, not just "none free"
 
@@ -180,13 +180,13 @@
     for i in range(3):
         d.handle(1300.0 + i, [api.RequestArrived(f"j{i}", 0, 9000.0)])
     d.handle(1400.0, [api.ProbeEnded("w0", api.PolicyOutcome.SERVED, again)])
-    assert (w.free, w.free_at) == (1.0, 1000.0)
+    assert (w.free_slots, w.free_slots_at) == (1.0, 1000.0)
 
 
 def test_where_reports_stop_start_notices_take_over():
     d = reporting()
     told(d, 1000.0, 0.0, 9.0)
-    assert not d.handle(1001.0, [api.TimerFired(99)]) and not d.fleet.blind
+    assert not d.handle(1001.0, [api.TimerFired(99)]) and not d.fleet.estimate.without_load_reports
     sends = []
     for i in range(40):  # all that comes starts at once, whatever the last report said
         now = 7000.0 + 100.0 * i
@@ -196,7 +196,7 @@
         d.handle(
             now + 90.0, [api.AttemptEnded(f"j{i}", 0, "w0", api.PolicyOutcome.SERVED, 89.0, True)]
         )
-    assert d.fleet.blind and len(sends) == 40
+    assert d.fleet.estimate.without_load_reports and len(sends) == 40
 
 
 def test_a_report_of_a_full_fleet_leaves_each_dispatcher_its_even_part():
@@ -204,10 +204,13 @@
     d = reporting(workers=4, dispatchers=2)
     for i in range(4):
         told(d, 1000.0, 0.0, 12.0, f"w{i}")
-    assert all(w.room() < 0.0 for w in d.fleet.workers.values())
+    assert all(w.estimated_free_slots() < 0.0 for w in d.fleet.workers.values())
     d.handle(2500.0, [api.TimerFired(99)])
-    assert not d.fleet.blind
-    assert all(w.room() == pytest.approx(w.kind.slots / 2.0) for w in d.fleet.workers.values())
+    assert not d.fleet.estimate.without_load_reports
+    assert all(
+        w.estimated_free_slots() == pytest.approx(w.kind.slots / 2.0)
+        for w in d.fleet.workers.values()
+    )
 
 
 def test_jobs_on_their_way_to_another_zone_are_no_queue_there():
@@ -223,9 +226,11 @@
         now += 1000.0
     d.handle(now, [api.RequestArrived("late", 0, now + 9000.0)])
     d.handle(now + 100.0, [api.TimerFired(99)])
-    assert len(d.attempts.waiting) == 1 and d.fleet.waiting == 1.0  # this one waits
+    assert (
+        len(d.attempts.waiting) == 1 and d.fleet.estimate.unstarted_slots == 1.0
+    )  # this one waits
     d.handle(now + 110.0, [api.AttemptStarted("late", 0, "w0")])
-    assert not d.attempts.waiting and d.fleet.waiting == 0.0
+    assert not d.attempts.waiting and d.fleet.estimate.unstarted_slots == 0.0
 
 
 def test_jobs_that_wait_longer_than_expected_at_workers_make_it_queue_less_there():
@@ -238,10 +243,10 @@
             told(d, now, 0.0, 5.0)
             out = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
             sent += sum(isinstance(a, api.Send) for a in out)
-            for attempt in list(d.attempts.out.values()):
-                if not attempt.started and now - attempt.sent >= wait:
+            for attempt in list(d.attempts.outstanding.values()):
+                if not attempt.started_at and now - attempt.sent_at >= wait:
                     d.handle(now, [api.AttemptStarted(attempt.request.id, attempt.number, "w0")])
-                elif attempt.started and now - attempt.started >= 100.0:
+                elif attempt.started_at and now - attempt.started_at >= 100.0:
                     d.handle(
                         now,
                         [
@@ -250,8 +255,8 @@
                             )
                         ],
                     )
-        assert len(w.queue) <= 12
-        return sent, d.fleet.surprise
+        assert len(w.unstarted) <= 12
+        return sent, d.fleet.estimate.estimation_error
 
     (many, low), (few, high) = queued(0.0), queued(400.0)
     assert few < 0.7 * many and high > 50.0 > low
@@ -308,7 +313,7 @@
     assert sent_to(d, 5.0, "j3", "k1") not in (None, home, second)
     # Back, and cold: it has lost what it kept, and its budget comes before any key.
     d.handle(6.0, [api.WorkerList(api.ListForm.CHANGES, [api.WorkerEntry(home, launched=6.0)])])
-    assert not d.fleet.workers[home].keys
+    assert not d.fleet.workers[home].recent_keys
 
 
 def test_a_key_that_is_half_of_the_traffic_is_spread_over_as_many_workers_as_it_needs():
@@ -331,14 +336,20 @@
         while runs and runs[0][0] <= now:
             _, job, name = runs.pop(0)
             d.handle(now, [api.AttemptEnded(job, 0, name, api.PolicyOutcome.SERVED, 400.0, True)])
-        most = max(most, *(worker.inflight for worker in d.fleet.workers.values()))
+        most = max(most, *(worker.inflight_slots for worker in d.fleet.workers.values()))
     used = Counter({name: n for name, n in used.items() if n > 10})
     assert 2 <= len(used) <= 6 and most <= 8.0
     assert used.most_common(1)[0][1] >= 0.3 * sum(used.values())
 
 
 # Names of actions and their fields as they were when the digests below were recorded.
-RECORDED_NAMES = {"Reject": "Refuse", "request_id": "job", "reason": "why"}
+RECORDED_NAMES = {
+    "Reject": "Refuse",
+    "request_id": "job",
+    "reason": "why",
+    "candidates": "among",
+    "delay_reason": "held",
+}
 
 
 def as_recorded(action: api.Action) -> str:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -59,14 +59,14 @@
             kinds=2,
             dispatchers=dispatchers,
             tenants=[api.Tenant("a", 50.0)],
-            tells_start=True,
+            reports_start=True,
             report_fields=("x0",),
             free_slots_field="x0",
             may_probe=True,
             max_attempts=4,
             answer_slack=8.0,
-            cold_multiple=3.0,
-            cold_window=2000.0,
+            slow_start_multiple=3.0,
+            slow_start_window=2000.0,
             start_capacity=0.2,
             warm_after=5000.0,
             list_on_request=bool(seed % 2),
@@ -231,22 +231,25 @@
             Settings(
                 classes=[cls],
                 dispatchers=dispatchers,
-                cold_multiple=3.0,
-                cold_window=2000.0,
+                slow_start_multiple=3.0,
+                slow_start_window=2000.0,
                 start_capacity=0.2,
                 warm_after=10_000.0,
                 max_attempts=3,
             ),
             number,
         )
-        d.fleet.kinds[0].slots = 4.0
-        d.admission.classes[0].mean = 1000.0
+        d.fleet.estimate.kinds[0].slots = 4.0
+        d.admission.classes[0].mean_run_time = 1000.0
         d.handle(
             1000.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("cold", launched=1000.0)])]
         )
         for i in range(20):
             now = 1000.0 + 100.0 * i
-            d.fleet.kinds[0].free, d.fleet.workers["cold"].cap = 50.0, 50.0
+            d.fleet.estimate.kinds[0].free_slots, d.fleet.workers["cold"].max_inflight_slots = (
+                50.0,
+                50.0,
+            )
             out = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 20_000.0)])
             sent += sum(isinstance(a, api.Send) for a in out)
     assert sent * 1.0 <= 6.0
@@ -254,10 +257,10 @@
 
 def test_a_fast_failing_worker_does_not_draw_the_work():
     classes = [api.RequestClass("c", 500.0, 5000.0)]
-    d = Dispatcher(Settings(classes=classes, max_attempts=3, tells_start=True), 1)
+    d = Dispatcher(Settings(classes=classes, max_attempts=3, reports_start=True), 1)
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(6)])])
-    for kind in d.fleet.kinds:
-        kind.slots, kind.free = 4.0, 3.0
+    for kind in d.fleet.estimate.kinds:
+        kind.slots, kind.free_slots = 4.0, 3.0
     sends = {f"w{i}": 0 for i in range(6)}
     now = 0.0
     for i in range(300):
@@ -267,7 +270,7 @@
         for a in out:
             if isinstance(a, api.Send):
                 sends[a.worker] += 1
-                n = d.requests[a.request_id].tries - 1
+                n = d.requests[a.request_id].attempt_count - 1
                 bad = a.worker == "w0"
                 outcome = api.PolicyOutcome.ERROR if bad else api.PolicyOutcome.SERVED
                 events.append(api.AttemptEnded(a.request_id, n, a.worker, outcome, 20.0, not bad))
--- a/tests/test_rules_checks.py
+++ b/tests/test_rules_checks.py
@@ -60,9 +60,11 @@
     peers = [Peer("d1", breaks), Peer("d2", done)]
     async with world(*peers) as w:
         # A module with a fault: it forgets that an unsafe job may have run.
-        monkeypatch.setattr("yewrill.policy.requests.PendingRequest.spent", lambda job, now: False)
         monkeypatch.setattr(
-            "yewrill.policy.requests.PendingRequest.may_repeat", lambda job, worker, now: True
+            "yewrill.policy.requests.PendingRequest.must_not_repeat", lambda job, now: False
+        )
+        monkeypatch.setattr(
+            "yewrill.policy.requests.PendingRequest.may_repeat_at", lambda job, worker, now: True
         )
         for number in range(6):
             assert (await w.ask("/once", X_Request_ID=f"r{number}")).status in (200, 502, 503)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -303,7 +303,7 @@
         assert 0.0 < service.endpoints.back["d1"] < 20_000.0
         service.engine.tick()
         worker = service.engine._module.fleet.workers["d1"]
-        assert worker.cold_from >= 0  # put back a moment ago, by a run that is dead
+        assert worker.slow_start.started_at >= 0  # put back a moment ago, by a run that is dead
         async with await trio.open_tcp_stream(*service.listener.address) as stream:
             assert (await Client(stream).ask()).status == 200
         nursery.cancel_scope.cancel()
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -362,7 +362,7 @@
 def decided(shares, zone_of, jobs=200, **more):
     """How many of so many jobs the module sends to each zone."""
     spec = api.RequestClass("a", 500.0, 4000.0)
-    module = Dispatcher(api.Settings([spec], zone=0, tells_start=True, fees=more), 1)
+    module = Dispatcher(api.Settings([spec], zone=0, reports_start=True, fees=more), 1)
     entries = [api.WorkerEntry(name, zone) for name, zone in zone_of.items()]
     module.handle(0.0, [api.WorkerList(api.ListForm.FULL, entries)])
     if shares is not None:
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -133,8 +133,8 @@
     so long."""
     found: dict[int, int] = {}
     for worker in module.fleet.workers.values():
-        if worker.queue and worker.running <= 0.0 and now - worker.waiting_since > after:
-            found[worker.zone] = found.get(worker.zone, 0) + len(worker.queue)
+        if worker.unstarted and worker.running_slots <= 0.0 and now - worker.waiting_since > after:
+            found[worker.zone] = found.get(worker.zone, 0) + len(worker.unstarted)
     return found
 
 
@@ -192,9 +192,9 @@
         """The fleet's plan: the part of its normal new work that each zone gets; one not named gets all."""
         self._put(api.ZoneTrafficWeights(dict(weights)))
 
-    def avoided(self) -> set[str]:
+    def ejected(self) -> set[str]:
         """The destinations that the module leaves out at present."""
-        return self._module.avoided(self.now())
+        return self._module.ejected(self.now())
 
     # -- what the network code calls
 
@@ -383,7 +383,7 @@
             faulty = False
         except Exception:
             log.exception("module-fault events=%d", len(events))
-            actions, faulty = self._module.out, True
+            actions, faulty = self._module.actions, True
         for action in actions:
             try:
                 self._carry_out(action, now)
@@ -451,7 +451,11 @@
             request.attempt_count += 1
             if request.trace is not None:
                 attempt.trace = request.trace.chosen(
-                    attempt.number, action.worker, action.among, action.held, trio.current_time()
+                    attempt.number,
+                    action.worker,
+                    action.candidates,
+                    action.delay_reason,
+                    trio.current_time(),
                 )
             broken = rules.check_attempt(self._attempt_facts(request, now))
             if broken is not None:
--- a/yewrill/lab/cluster/entry.py
+++ b/yewrill/lab/cluster/entry.py
@@ -164,18 +164,20 @@
 
 def _return_at_once() -> None:
     """Whatever has just started gets all the work at once."""
-    from yewrill.policy.choice import Choice
+    from yewrill.policy.worker_selection import WorkerSelection
 
-    worker_for = Choice.worker_for
+    worker_for = WorkerSelection.worker_for
 
     def eager(self: Any, job: Any, need: float) -> Any:
         fleet = self.fleet
         fresh = [
-            w for w in fleet.workers.values() if w.usable and 0 < w.launched > fleet.now - 1500.0
+            w
+            for w in fleet.workers.values()
+            if w.usable and 0 < w.launched > fleet.estimate.now - 1500.0
         ]
-        return fleet.rng.choice(fresh) if fresh else worker_for(self, job, need)
+        return fleet.estimate.rng.choice(fresh) if fresh else worker_for(self, job, need)
 
-    Choice.worker_for = eager
+    WorkerSelection.worker_for = eager
 
 
 def _old_plan() -> None:
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -66,8 +66,8 @@
     deadline: float = 3.0
     start_capacity: float = 0.3
     warm_after: float = 4.0
-    cold_multiple: float = 3.0
-    cold_window: float = 1.0
+    slow_start_multiple: float = 3.0
+    slow_start_window: float = 1.0
 
 
 class Fleet(ZoneNet):
@@ -114,13 +114,13 @@
             [api.Tenant("acme", 1.2 * self.total)],
             zone=int(zone[1:]),
             index=index,
-            tells_start=True,
+            reports_start=True,
             may_cancel=True,
             fifo=True,
             max_attempts=3,
             max_retry_after=1000.0,
-            cold_multiple=model.cold_multiple,
-            cold_window=1e3 * model.cold_window,
+            slow_start_multiple=model.slow_start_multiple,
+            slow_start_window=1e3 * model.slow_start_window,
             start_capacity=model.start_capacity,
             warm_after=1e3 * model.warm_after,
         )
@@ -317,10 +317,12 @@
         model, worst = self.model, 0.0
         for w in self.workers.values():
             for i, (first, _) in enumerate(w.begun):
-                window = [(at, run) for at, run in w.begun[i:] if at < first + model.cold_window]
+                window = [
+                    (at, run) for at, run in w.begun[i:] if at < first + model.slow_start_window
+                ]
                 age = window[-1][0] - w.cold_from
                 start = model.start_capacity
                 warmth = min(1.0, start + (1.0 - start) * age / model.warm_after)
-                budget = model.cold_multiple * warmth * w.slots * model.cold_window
+                budget = model.slow_start_multiple * warmth * w.slots * model.slow_start_window
                 worst = max(worst, sum(run for _, run in window) / budget)
         return worst
--- a/yewrill/lab/scale/module.py
+++ b/yewrill/lab/scale/module.py
@@ -35,7 +35,7 @@
         ],
         tenants=[api.Tenant(f"team{i:03d}", 64.0, share) for i in range(teams)],
         dispatchers=1,
-        tells_start=True,
+        reports_start=True,
         fifo=True,
         max_attempts=4,
     )
--- a/yewrill/policy/attempts.py
+++ b/yewrill/policy/attempts.py
@@ -1,4 +1,7 @@
-"""The attempts that are out: what they tell of their workers, how they end, and which are lost in silence."""
+"""The attempts that are out: what they show of their workers, how they end, and which are lost in silence.
+
+Times are milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -6,186 +9,216 @@
 from heapq import heappop, heappush
 
 from yewrill.policy import interface as api
-from yewrill.policy.beliefs import Worker
 from yewrill.policy.fleet import Fleet
+from yewrill.policy.interface import PolicyOutcome
 from yewrill.policy.requests import Attempt, PendingRequest
+from yewrill.policy.worker_estimate import WorkerEstimate
 
-REORDERED = 20.0  # attempts sent within this time of each other may reach a worker in another order
-OVERTAKEN = (
-    25.0  # a job sent before one that started this long ago, and not started itself, is lost
+# Attempts sent within this time of each other may reach a worker in another order.
+REORDERING_MS = 20.0
+# An attempt sent before one that started this long ago, and not started itself, is lost.
+OVERTAKEN_MS = 25.0
+# A worker that runs none of our requests and starts none of those waiting for this long is silent.
+STUCK_MS = 600.0
+# How long after a sure sign of lost attempts less sure signs are taken for it too.
+SILENT_LOSSES_MS = 10000.0
+MAX_PROGRESS_INTERVALS = 1.5  # a running request without a sign for longer is lost
+MAX_RUN_TIME_RATIO = 20.0
+MAY_STILL_RUN = frozenset(
+    {PolicyOutcome.TIMEOUT, PolicyOutcome.CANCELLED, PolicyOutcome.CONNECTION_LOST}
 )
-STUCK = 600.0  # a worker that runs none of our jobs and starts none of those waiting for this long is silent
-WARY = 10000.0  # how long after a sure sign of lost attempts less sure signs are taken for it too
-NO_WORD = 1.5  # a running job without a word for this many progress intervals is lost
 
 
 class Attempts:
+    """Attempts by request and number, and the slots that they hold at workers."""
+
     def __init__(self, fleet: Fleet):
         self.fleet = fleet
-        self.out: dict[tuple[str, int], Attempt] = {}
-        self.travelling: list[
-            tuple[float, int, Attempt]
-        ] = []  # by when they must be at their workers
-        self.waiting: list[
-            tuple[float, int]
-        ] = []  # due times of those there whose start was not told
-        self.ghosts: list[
-            tuple[float, int, Attempt]
-        ] = []  # lost ones whose slots may still be held
-        self.count = 0
-
-    def send(self, request: PendingRequest, w: Worker) -> None:
-        """Book a new attempt of a job at a worker."""
-        fleet = self.fleet
-        now = fleet.now
-        self.count += 1
-        attempt = Attempt(request, request.tries, w, now, request.run * w.pace(), self.count, now)
-        heappush(self.travelling, (now + fleet.trip(w), self.count, attempt))
-        request.live[request.tries] = attempt
-        self.out[(request.id, request.tries)] = attempt
-        request.tries += 1
-        if not w.queue:
-            w.waiting_since = now
-        w.queue.append(attempt)
-        self.arrive()
-        fleet.hold(w, request.need)
-        w.free -= request.need
-        w.sent_at = now
+        self.estimate = fleet.estimate
+        self.outstanding: dict[tuple[str, int], Attempt] = {}
+        # By when they must be at their workers.
+        self.in_transit: list[tuple[float, int, Attempt]] = []
+        # Latest starts of those there whose start was not reported.
+        self.waiting: list[tuple[float, int]] = []
+        # Ended without an answer: until when their slots may still be held.
+        self.lost: list[tuple[float, int, Attempt]] = []
+        self._sequence = 0
+
+    def send(self, request: PendingRequest, worker: WorkerEstimate) -> None:
+        """Book a new attempt of a request at a worker."""
+        now = self.estimate.now
+        self._sequence += 1
+        attempt = Attempt(
+            request,
+            request.attempt_count,
+            worker,
+            now,
+            request.expected_run_time * worker.run_time_factor(),
+            self._sequence,
+            now,
+        )
+        arrives_at = now + self.estimate.zone_delay(worker.zone)
+        heappush(self.in_transit, (arrives_at, self._sequence, attempt))
+        request.live_attempts[request.attempt_count] = attempt
+        self.outstanding[(request.id, request.attempt_count)] = attempt
+        request.attempt_count += 1
+        if not worker.unstarted:
+            worker.waiting_since = now
+        worker.unstarted.append(attempt)
+        self.update_in_transit()
+        self.fleet.hold_slots(worker, request.slots_needed)
+        worker.free_slots -= request.slots_needed
+        worker.last_sent_at = now
         if request.key:
-            w.fetched(request.key)
-        if w.cold_from >= 0:
-            w.credit -= request.cold_work()
-            attempt.warm = w.warmth()
+            worker.record_key(request.key)
+        if worker.warming_up:
+            worker.slow_start.credit -= request.slow_start_work()
+            attempt.warm_up_progress = worker.warm_up_progress()
 
-    def arrive(self) -> None:
+    def update_in_transit(self) -> None:
         """Count those that must have reached their workers by now among the waiting."""
-        while self.travelling and self.travelling[0][0] <= self.fleet.now:
-            attempt = heappop(self.travelling)[2]
-            if attempt in attempt.worker.queue:
-                attempt.waits = True
-                insort(self.waiting, (attempt.request.due, attempt.order))
-                self.fleet.waiting += attempt.request.need
-
-    def started(self, event: api.AttemptStarted | api.AttemptProgress) -> None:
-        """A worker tells that it began to run one of them."""
-        attempt = self.out.get((event.request_id, event.attempt))
-        if attempt is None or attempt.started:
+        while self.in_transit and self.in_transit[0][0] <= self.estimate.now:
+            attempt = heappop(self.in_transit)[2]
+            if attempt in attempt.worker.unstarted:
+                attempt.waiting_at_worker = True
+                insort(self.waiting, (attempt.request.latest_start, attempt.sequence))
+                self.estimate.unstarted_slots += attempt.request.slots_needed
+
+    def record_start(self, event: api.AttemptStarted | api.AttemptProgress) -> None:
+        """A worker reports that it began to run one of them."""
+        attempt = self.outstanding.get((event.request_id, event.attempt))
+        if attempt is None or attempt.started_at:
             return
-        fleet, w = self.fleet, attempt.worker
-        attempt.started = attempt.heard = fleet.now
-        fleet.waited(w, fleet.now - attempt.sent, attempt.request.wait)
-        if fleet.settings.fifo:
-            for earlier in w.queue:
-                if earlier.sent > attempt.sent - REORDERED:
+        estimate, worker = self.estimate, attempt.worker
+        now = estimate.now
+        attempt.started_at = attempt.last_signal_at = now
+        estimate.record_start(worker.zone, now - attempt.sent_at, attempt.request.expected_wait)
+        if estimate.settings.fifo:
+            for earlier in worker.unstarted:
+                if earlier.sent_at > attempt.sent_at - REORDERING_MS:
                     break
-                earlier.overtaken = earlier.overtaken or fleet.now
-        self._left_queue(attempt)
-        w.running += attempt.request.need
-        if fleet.blind and w.running > w.kind.slots:
-            w.kind.slots += 0.3 * (w.running - w.kind.slots)  # it runs that many of ours at once
-        w.alive()
-
-    def progress(self, event: api.AttemptProgress) -> None:
-        attempt = self.out.get((event.request_id, event.attempt))
+                earlier.overtaken_at = earlier.overtaken_at or now
+        self._remove_unstarted(attempt)
+        worker.running_slots += attempt.request.slots_needed
+        kind = worker.kind
+        if estimate.without_load_reports and worker.running_slots > kind.slots:
+            kind.slots += 0.3 * (worker.running_slots - kind.slots)  # it runs that many of ours
+        self.fleet.mark_alive(worker)
+
+    def record_progress(self, event: api.AttemptProgress) -> None:
+        """A worker reports how far a request is, and so that it has started."""
+        attempt = self.outstanding.get((event.request_id, event.attempt))
         if attempt is not None:
-            attempt.heard = self.fleet.now
-            self.started(event)
-
-    def _left_queue(self, attempt: Attempt) -> None:
-        w = attempt.worker
-        w.queue.remove(attempt)
-        w.waiting_since = self.fleet.now
-        if attempt.waits:
-            attempt.waits = False
-            self.fleet.waiting -= attempt.request.need
-            del self.waiting[bisect_left(self.waiting, (attempt.request.due, attempt.order))]
-
-    def ended(self, event: api.AttemptEnded) -> Attempt | None:
-        """Take an attempt's end into what is believed of its worker."""
-        attempt = self.out.pop((event.request_id, event.attempt), None)
+            attempt.last_signal_at = self.estimate.now
+            self.record_start(event)
+
+    def _remove_unstarted(self, attempt: Attempt) -> None:
+        worker = attempt.worker
+        worker.unstarted.remove(attempt)
+        worker.waiting_since = self.estimate.now
+        if attempt.waiting_at_worker:
+            attempt.waiting_at_worker = False
+            self.estimate.unstarted_slots -= attempt.request.slots_needed
+            position = bisect_left(self.waiting, (attempt.request.latest_start, attempt.sequence))
+            del self.waiting[position]
+
+    def record_end(self, event: api.AttemptEnded) -> Attempt | None:
+        """Take an attempt's end into what is believed of its worker; None if it is not known."""
+        attempt = self.outstanding.pop((event.request_id, event.attempt), None)
         if attempt is None:
             return None
-        fleet = self.fleet
-        now = fleet.now
-        request, w = attempt.request, attempt.worker
-        request.live.pop(attempt.number, None)
-        if attempt.started:
-            w.running -= request.need
+        request, worker = attempt.request, attempt.worker
+        request.live_attempts.pop(attempt.number, None)
+        if attempt.started_at:
+            worker.running_slots -= request.slots_needed
         else:
-            self._left_queue(attempt)
-        outcome = event.outcome
-        if (
-            outcome
-            in (
-                api.PolicyOutcome.TIMEOUT,
-                api.PolicyOutcome.CANCELLED,
-                api.PolicyOutcome.CONNECTION_LOST,
-            )
-            and w.usable
-            and not event.stale_connection
-        ):
+            self._remove_unstarted(attempt)
+        self._release_or_keep_slots(attempt, event)
+        self._learn(attempt, event)
+        if event.report:
+            worker.apply_report(event.report)
+        if event.outcome not in api.NEVER_RAN and request.ran_at is None:
+            # Once set, this stands: a later attempt that never ran proves nothing of an earlier one.
+            request.ran_at = attempt.sent_at
+            request.ran_zone, request.ran_cell = worker.zone, worker.cell
+        return attempt
+
+    def _release_or_keep_slots(self, attempt: Attempt, event: api.AttemptEnded) -> None:
+        worker = attempt.worker
+        if event.outcome in MAY_STILL_RUN and worker.usable and not event.stale_connection:
             # It may still run: it keeps its slot for the time it was expected to take.
-            self.count += 1
-            heappush(self.ghosts, (now + attempt.expected, self.count, attempt))
+            self._sequence += 1
+            until = self.estimate.now + attempt.expected_run_time
+            heappush(self.lost, (until, self._sequence, attempt))
         else:
-            fleet.hold(w, -request.need)
-            w.free += request.need
-        if outcome == api.PolicyOutcome.SERVED:
-            w.alive()
-            run = (now - attempt.started if attempt.started else event.elapsed) * attempt.warm
-            request.cls.observe(run, request.run, request.hinted)
-            w.ran(min(20.0, run / max(1.0, request.run)), request.known)
-            fleet.ran(run)
-        elif outcome == api.PolicyOutcome.ERROR:
-            w.erred()
-        elif outcome == api.PolicyOutcome.REJECTED:
-            w.full(request.run)
+            self.fleet.hold_slots(worker, -attempt.request.slots_needed)
+            worker.free_slots += attempt.request.slots_needed
+
+    def _learn(self, attempt: Attempt, event: api.AttemptEnded) -> None:
+        """What the outcome says of the worker, the class and the fleet."""
+        worker, outcome = attempt.worker, event.outcome
+        if outcome == PolicyOutcome.SERVED:
+            self._learn_run_time(attempt, event.elapsed)
+        elif outcome == PolicyOutcome.ERROR:
+            worker.record_error()
+        elif outcome == PolicyOutcome.REJECTED:
+            worker.record_rejection(attempt.request.expected_run_time)
         elif event.stale_connection:
             pass  # that tells of the connection only
-        elif outcome == api.PolicyOutcome.NO_CONNECTION:
-            w.lost(refused=True)
-        elif outcome in (api.PolicyOutcome.CONNECTION_LOST, api.PolicyOutcome.TIMEOUT) or (
-            attempt.silent and not attempt.overtaken
+        elif outcome == PolicyOutcome.NO_CONNECTION:
+            worker.record_loss(refused=True)
+        elif outcome in (PolicyOutcome.CONNECTION_LOST, PolicyOutcome.TIMEOUT) or (
+            attempt.presumed_lost and not attempt.overtaken_at
         ):
-            w.lost()
-        if event.report:
-            w.report(event.report)
-        if outcome not in api.NEVER_RAN and request.ran_at is None:
-            # Once set, this stands: a later attempt that never ran proves nothing of an earlier one.
-            request.ran_at, request.ran_zone, request.ran_cell = attempt.sent, w.zone, w.cell
-        return attempt
+            worker.record_loss()
+
+    def _learn_run_time(self, attempt: Attempt, elapsed: float) -> None:
+        request, worker = attempt.request, attempt.worker
+        self.fleet.mark_alive(worker)
+        if attempt.started_at:
+            elapsed = self.estimate.now - attempt.started_at
+        run_time = elapsed * attempt.warm_up_progress
+        request.class_state.record_run_time(run_time, request.expected_run_time, request.hinted)
+        ratio = min(MAX_RUN_TIME_RATIO, run_time / max(1.0, request.expected_run_time))
+        worker.record_run_time(ratio, request.run_time_known)
+        self.estimate.record_run_time(run_time)
 
-    def expire_ghosts(self) -> bool:
-        """Give back the slots of lost work that must be over by now, if there are any."""
-        before = len(self.ghosts)
-        while self.ghosts and self.ghosts[0][0] <= self.fleet.now:
-            attempt = heappop(self.ghosts)[2]
-            self.fleet.hold(attempt.worker, -attempt.request.need)
-        return len(self.ghosts) < before
+    def release_lost_slots(self) -> bool:
+        """Give back the slots of lost attempts that must be over by now; whether there were any."""
+        before = len(self.lost)
+        while self.lost and self.lost[0][0] <= self.estimate.now:
+            attempt = heappop(self.lost)[2]
+            self.fleet.hold_slots(attempt.worker, -attempt.request.slots_needed)
+        return len(self.lost) < before
 
-    def lost(self) -> list[Attempt]:
+    def find_silent(self) -> list[Attempt]:
         """Those newly found lost in silence."""
         found = [
-            a for a in self.out.values() if not a.silent and self._is_silent(a, self.fleet.now)
+            attempt
+            for attempt in self.outstanding.values()
+            if not attempt.presumed_lost and self._is_silent(attempt)
         ]
         for attempt in found:
-            attempt.silent = True
+            attempt.presumed_lost = True
         return found
 
-    def _is_silent(self, attempt: Attempt, now: float) -> bool:
+    def _is_silent(self, attempt: Attempt) -> bool:
         """Whether an attempt is past the time at which its worker should have said something of it."""
-        fleet, w = self.fleet, attempt.worker
-        s = fleet.settings
-        if attempt.started:
-            return 0.0 < s.progress_every * NO_WORD < now - attempt.heard
-        if not s.tells_start:
+        estimate, worker = self.estimate, attempt.worker
+        settings, now = estimate.settings, estimate.now
+        if attempt.started_at:
+            allowed = settings.progress_interval * MAX_PROGRESS_INTERVALS
+            return 0.0 < allowed < now - attempt.last_signal_at
+        if not settings.reports_start:
             return False
-        if attempt.overtaken:
-            if now - attempt.overtaken <= OVERTAKEN:
+        if attempt.overtaken_at:
+            if now - attempt.overtaken_at <= OVERTAKEN_MS:
                 return False
-            fleet.wary = now + WARY
+            estimate.silent_losses_until = now + SILENT_LOSSES_MS
             return True
-        waited = now - max(attempt.sent, w.waiting_since)
+        waited = now - max(attempt.sent_at, worker.waiting_since)
         return (
-            now < fleet.wary and w.running <= 0.0 and waited > max(STUCK, 2.0 * fleet.run_quantile)
+            now < estimate.silent_losses_until
+            and worker.running_slots <= 0.0
+            and waited > max(STUCK_MS, 2.0 * estimate.run_time_quantile)
         )
--- a/yewrill/policy/dispatcher.py
+++ b/yewrill/policy/dispatcher.py
@@ -1,25 +1,37 @@
-"""Routes events to the parts, holds jobs until a worker is found, and gives every job its final answer."""
+"""Routes events to the parts, queues requests until a worker is found, and gives each its final answer."""
 
 from __future__ import annotations
 
 import random
 from bisect import bisect_left, insort
+from collections.abc import Callable
 from heapq import heappop, heappush
+from typing import Any
 
 from yewrill.policy import interface as api
 from yewrill.policy.admission import Admission
 from yewrill.policy.attempts import Attempts
-from yewrill.policy.choice import Choice
 from yewrill.policy.fleet import Fleet
+from yewrill.policy.interface import PolicyOutcome, RejectionReason
 from yewrill.policy.requests import PendingRequest
-
-RETRY_HELD = (
-    0.015  # held jobs look for a worker this often when nothing else happens, in parts of T_1
-)
-SWEEP = 0.1  # attempts that are out are looked over this often, in parts of T_1
-REFRESH = 1000.0  # how often rates, rungs and guaranteed rates are worked out
-
-TICKER, HELD_TIMER, WATCH_TIMER, END_TIMER = 1, 2, 3, 4
+from yewrill.policy.worker_selection import WorkerSelection
+
+# Queued requests look for a worker this often when nothing else happens, in parts of T_1; never more often
+# than the minimum, against a timer storm where very many dispatchers queue requests with long constraints.
+RELEASE_INTERVAL = 0.015
+MIN_RELEASE_INTERVAL_MS = 10.0
+SWEEP_INTERVAL = 0.1  # outstanding attempts are looked over this often, in parts of T_1
+MIN_SWEEP_INTERVAL_MS = 30.0
+REFRESH_INTERVAL_MS = 1000.0  # of rates, priority levels and guaranteed rates
+MAX_MISSES = 3  # requests of a queue that find no worker before the others of it wait
+MIN_RETRY_RUN_TIMES = 0.5  # with less time than this left there is no other attempt
+LIST_RETRY_MS = 300.0  # doubled for each failed call in a row
+MAX_LIST_FAILURES = 5
+MAX_PROBE_CREDIT = 4.0
+PROBE_DRAWS = 2  # workers looked at for a probe
+
+# Tokens of the timers.
+SWEEP_TIMER, RELEASE_TIMER, LIST_TIMER, DEADLINE_TIMER = 1, 2, 3, 4
 
 
 class Dispatcher:
@@ -29,289 +41,316 @@
         self.settings = settings
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.out: list[api.Action] = []
+        self.actions: list[api.Action] = []
         self.fleet = Fleet(settings, seed, self.rng)
-        self.admission = Admission(settings, self.rng, self.fleet)
-        self.choice = Choice(self.fleet, self.admission)
+        self.estimate = self.fleet.estimate
+        self.admission = Admission(settings, self.rng, self.estimate)
+        self.selection = WorkerSelection(self.fleet, self.admission)
         self.attempts = Attempts(self.fleet)
-        # The selector: the held jobs of each machine kind (-1: any), the one that must start first in front.
-        self.held: dict[int, list[tuple[float, int, PendingRequest]]] = {
-            pool: [] for pool in sorted({spec.kind for spec in settings.classes})
+        # The selector: queued requests by machine kind, the one that must start first in front.
+        self.queues: dict[int, list[tuple[float, int, PendingRequest]]] = {
+            kind: [] for kind in sorted({spec.kind for spec in settings.classes})
         }
         self.requests: dict[str, PendingRequest] = {}
-        self.ends: list[tuple[float, int, PendingRequest]] = []  # final answers due
-        self.count = 0
+        self.deadlines: list[tuple[float, int, PendingRequest]] = []  # of final answers
         self.probe_credit = 1.0
-        self.ticking = self.held_armed = self.stirred = False
-        self.end_armed = -1.0
-        self.watch_fails = 0
-        self.on = {
-            api.RequestArrived: self._arrived,
-            api.AttemptStarted: self.attempts.started,
-            api.AttemptProgress: self.attempts.progress,
-            api.AttemptEnded: self._ended,
-            api.AnswerStarted: self._done,
-            api.ProbeEnded: self._probed,
-            api.ClientLeft: self._done,
-            api.TimerFired: self._timer,
-            api.WorkerList: self._list,
-            api.WorkerReturned: self._returned,
-            api.SettingsChanged: self._retune,
-            api.ZoneTrafficWeights: self._share,
+        self.release_needed = False
+        self._sequence = 0
+        self._sweep_timer_set = self._release_timer_set = False
+        self._deadline_timer_at = -1.0
+        self._list_failures = 0
+        self._handlers: dict[type, Callable[[Any], object]] = {
+            api.RequestArrived: self._on_request_arrived,
+            api.AttemptStarted: self.attempts.record_start,
+            api.AttemptProgress: self.attempts.record_progress,
+            api.AttemptEnded: self._on_attempt_ended,
+            api.AnswerStarted: self._on_nothing_owed,
+            api.ProbeEnded: self._on_probe_ended,
+            api.ClientLeft: self._on_nothing_owed,
+            api.TimerFired: self._on_timer,
+            api.WorkerList: self._on_worker_list,
+            api.WorkerReturned: self._on_worker_returned,
+            api.SettingsChanged: self._on_settings_changed,
+            api.ZoneTrafficWeights: self._on_zone_weights,
         }
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
         """Take the events of one moment, in their order, and return the actions, in theirs."""
-        self.now = self.fleet.now = now
-        self.out = []
-        if self.admission.refreshed < 0 or now - self.admission.refreshed >= REFRESH:
+        self.now = self.estimate.now = now
+        self.actions = []
+        refreshed_at = self.admission.refreshed_at
+        if refreshed_at < 0 or now - refreshed_at >= REFRESH_INTERVAL_MS:
             self.admission.refresh(now)
-        self.fleet.free_by_starts()
-        self.attempts.arrive()
+        self.estimate.update_free_slots()
+        self.attempts.update_in_transit()
         for event in events:
-            self.on[type(event)](event)
-        self.stirred |= self.attempts.expire_ghosts()
-        self._answer_due()
-        if self.stirred:
+            self._handlers[type(event)](event)
+        self.release_needed |= self.attempts.release_lost_slots()
+        self._answer_overdue()
+        if self.release_needed:
             self._release()
-        self._arm_end()
-        if not self.ticking and (self.requests or self.attempts.out):
-            self.ticking = True
-            self.out.append(api.SetTimer(TICKER, max(30.0, SWEEP * self.admission.order[0].limit)))
-        return self.out
+        self._set_deadline_timer()
+        self._set_sweep_timer()
+        return self.actions
 
-    def avoided(self, now: float) -> set[str]:
+    def ejected(self, now: float) -> set[str]:
         """The listed workers that get nothing at present, because they drain or have failed."""
         return {
-            w.name
-            for w in self.fleet.workers.values()
-            if w.listed and (not w.usable or (w.fails and w.blocked > now))
+            worker.name
+            for worker in self.fleet.workers.values()
+            if worker.listed
+            and (not worker.usable or (worker.ejection.failures and worker.ejection.until > now))
         }
 
-    def _retune(self, event: api.SettingsChanged) -> None:
+    def _on_settings_changed(self, event: api.SettingsChanged) -> None:
         self.settings = settings = event.settings
-        self.fleet.reconfigure(settings)
+        self.estimate.reconfigure(settings)
         for spec in settings.classes:
-            self.held.setdefault(spec.kind, [])
+            self.queues.setdefault(spec.kind, [])
         self.admission.reconfigure(settings, self.now)
         self.fleet.regroup()
-        self.stirred = True
+        self.release_needed = True
 
-    # ------------------------------------------------------------------------------- arrivals and the list
+    # -- arrivals and the endpoint list
 
-    def _arrived(self, event: api.RequestArrived) -> None:
+    def _on_request_arrived(self, event: api.RequestArrived) -> None:
         now = self.now
-        cls = self.admission.classes[event.request_class]
-        run = event.hint * cls.hint_ratio if event.hint > 0 else cls.mean
-        request = PendingRequest(event, cls, now, run, self.settings)
-        self.requests[request.id] = request
-        self.count += 1
-        heappush(self.ends, (request.deadline - 2.0 * self.settings.tick, self.count, request))
-        if request.spent(now):
+        request = self._open(event)
+        if request.must_not_repeat(now):
             self._finish(request)
-            self.out.append(api.Fail(request.id, "it may have run before a restart"))
+            reason = RejectionReason.RAN_BEFORE_RESTART
+            self.actions.append(api.Fail(request.id, reason.value))
             return
-        self._control()
-        if request.guessed_late and not self.admission.overloaded:
-            request.take_for_first_try()
-        if now >= request.due:
-            # A client's retry that can't be in time any more takes nothing from its tenant's share or gap: a
-            # storm of such retries would have the tenant's first tries refused, and so feed itself.
-            self._give_up(request, "it can't be in time")
+        self._run_controller()
+        if request.presumed_retry and not self.admission.overloaded:
+            request.treat_as_first_try()
+        if now >= request.latest_start:
+            # A client's retry that can't be in time any more takes nothing from its tenant's quota or gap: a
+            # storm of such retries would have the tenant's first tries rejected, and so feed itself.
+            self._give_up(request, RejectionReason.TOO_LATE.value)
             return
-        self.probe_credit = min(4.0, self.probe_credit + 1.0)  # a probe a job at most
-        ground = self.admission.admit(request, now)
-        if ground:
-            self._give_up(request, ground)
+        self.probe_credit = min(MAX_PROBE_CREDIT, self.probe_credit + 1.0)  # one a request at most
+        reason = self.admission.admit(request, now)
+        if reason:
+            self._give_up(request, reason)
             return
-        self._hold(request)
+        self._enqueue(request)
         if self.settings.may_probe:
-            self._probe_some(cls.spec.kind)
+            self._probe_ejected(request.spec.kind)
 
-    def _control(self) -> None:
-        queues = (*self.held.values(), self.attempts.waiting)
-        self.admission.control([queue for queue in queues if queue], self.now)
+    def _open(self, event: api.RequestArrived) -> PendingRequest:
+        state = self.admission.classes[event.request_class]
+        run_time = event.hint * state.hint_ratio if event.hint > 0 else state.mean_run_time
+        request = PendingRequest(event, state, self.now, run_time, self.settings)
+        self.requests[request.id] = request
+        self._sequence += 1
+        answer_by = request.deadline - 2.0 * self.settings.tick
+        heappush(self.deadlines, (answer_by, self._sequence, request))
+        return request
+
+    def _run_controller(self) -> None:
+        queues = (*self.queues.values(), self.attempts.waiting)
+        self.admission.run_controller([queue for queue in queues if queue], self.now)
 
-    def _list(self, event: api.WorkerList) -> None:
+    def _on_worker_list(self, event: api.WorkerList) -> None:
         if event.form == api.ListForm.FAILED:
-            # The list service is out of reach or overrun: ask again later, each at its own time.
-            self.watch_fails = min(self.watch_fails + 1, 5)
-            pause = 300.0 * 2**self.watch_fails
-            self.out.append(api.SetTimer(WATCH_TIMER, pause * (0.5 + self.rng.random())))
+            # The list service is out of reach or overloaded: ask again later, each at its own time.
+            self._list_failures = min(self._list_failures + 1, MAX_LIST_FAILURES)
+            backoff = LIST_RETRY_MS * 2**self._list_failures
+            self.actions.append(api.SetTimer(LIST_TIMER, backoff * (0.5 + self.rng.random())))
             return
         if event.form != api.ListForm.CACHED:
-            self.watch_fails = 0
+            self._list_failures = 0
         elif self.settings.list_on_request:
-            self.out.append(api.WatchList(True))
-        self.fleet.take(event)
-        self.stirred = True
+            self.actions.append(api.WatchList(True))
+        self.fleet.apply_list(event)
+        self.release_needed = True
 
-    def _returned(self, event: api.WorkerReturned) -> None:
-        w = self.fleet.workers.get(event.worker)
-        if w is not None:
-            w.replaced(event.since)
-            self.stirred = True
+    def _on_worker_returned(self, event: api.WorkerReturned) -> None:
+        worker = self.fleet.workers.get(event.worker)
+        if worker is not None:
+            self.fleet.mark_reattached(worker, event.since)
+            self.release_needed = True
 
-    def _share(self, event: api.ZoneTrafficWeights) -> None:
+    def _on_zone_weights(self, event: api.ZoneTrafficWeights) -> None:
         self.fleet.zone_weights = event.weights
         self.fleet.regroup()
 
-    # ----------------------------------------------------------------------------------------------- release
+    # -- the queues
 
-    def _hold(self, request: PendingRequest) -> None:
-        self.count += 1
-        request.held, request.order = True, self.count
-        insort(self.held[request.spec.kind], (request.due, request.order, request))
-        self.stirred = True
+    def _enqueue(self, request: PendingRequest) -> None:
+        self._sequence += 1
+        request.queued, request.sequence = True, self._sequence
+        insort(self.queues[request.spec.kind], (request.latest_start, request.sequence, request))
+        self.release_needed = True
 
-    def _take_out(self, request: PendingRequest) -> None:
-        queue = self.held[request.spec.kind]
-        del queue[bisect_left(queue, (request.due, request.order))]
-        request.held = False
+    def _dequeue(self, request: PendingRequest) -> None:
+        queue = self.queues[request.spec.kind]
+        del queue[bisect_left(queue, (request.latest_start, request.sequence))]
+        request.queued = False
 
     def _release(self) -> None:
-        """Let held jobs go, earliest deadline first, while workers with room are found."""
-        self.stirred = False
-        for queue in self.held.values():
-            misses = 0
-            at = 0
-            while at < len(queue) and misses < 3:
-                request = queue[at][2]
-                if self.now >= request.due:
-                    self._take_out(request)
-                    self._control()  # a departure
-                    self._give_up(request, "it can't be in time")
-                    continue
-                worker = self.choice.worker_for(
-                    request, request.need + 1.0 if request.over else request.need
-                )
-                if worker is None:
-                    misses += 1
-                    at += 1
-                    continue
-                self._take_out(request)
-                self.attempts.send(request, worker)
-                self.out.append(
-                    api.Send(request.id, worker.name, 0.0, self.choice.among, request.reason)
-                )
-                self._control()
-        if not self.held_armed and any(self.held.values()):
-            self.held_armed = True
-            # Guards against a timer storm where very many dispatchers hold jobs with long constraints.
-            delay = max(10.0, RETRY_HELD * self.admission.order[0].limit)
-            self.out.append(api.SetTimer(HELD_TIMER, delay))
+        """Send queued requests, earliest deadline first, while workers with free slots are found."""
+        self.release_needed = False
+        for queue in self.queues.values():
+            self._release_queue(queue)
+        if not self._release_timer_set and any(self.queues.values()):
+            self._release_timer_set = True
+            interval = RELEASE_INTERVAL * self.admission.tightest_constraint
+            delay = max(MIN_RELEASE_INTERVAL_MS, interval)
+            self.actions.append(api.SetTimer(RELEASE_TIMER, delay))
+
+    def _release_queue(self, queue: list[tuple[float, int, PendingRequest]]) -> None:
+        misses = 0  # those that found no worker are at the head of the queue
+        while misses < len(queue) and misses < MAX_MISSES:
+            request = queue[misses][2]
+            if self.now >= request.latest_start:
+                self._dequeue(request)
+                self._run_controller()  # a departure
+                self._give_up(request, RejectionReason.TOO_LATE.value)
+                continue
+            slots = request.slots_needed
+            worker = self.selection.worker_for(
+                request, slots + 1.0 if request.over_quota else slots
+            )
+            if worker is None:
+                misses += 1
+                continue
+            self._dequeue(request)
+            self.attempts.send(request, worker)
+            candidates = self.selection.candidate_count
+            self.actions.append(
+                api.Send(request.id, worker.name, 0.0, candidates, request.delay_reason)
+            )
+            self._run_controller()
 
-    # ------------------------------------------------------------------------------------- ends and answers
+    # -- ends and answers
 
-    def _ended(self, event: api.AttemptEnded) -> None:
-        attempt = self.attempts.ended(event)
+    def _on_attempt_ended(self, event: api.AttemptEnded) -> None:
+        attempt = self.attempts.record_end(event)
         if attempt is None:
             return
-        self.stirred = True
+        self.release_needed = True
         request = attempt.request
         if event.final:
             self._finish(request)
-        elif not request.done and not request.live:
-            request.last = attempt.worker
-            self._again(request)
-
-    def _again(self, request: PendingRequest) -> None:
-        """An attempt came to nothing: try again where the class allows, else answer."""
-        now = self.now
-        out_of_tries = request.tries >= min(request.most, self.settings.max_attempts)
-        if request.spent(now) or out_of_tries or request.deadline - now < request.run * 0.5:
-            self._give_up(
-                request,
-                "it may have run, and may not run again"
-                if request.spent(now)
-                else "out of tries"
-                if out_of_tries
-                else "no time for another try",
-            )
-        elif now >= request.due:
-            self._give_up(request, "it can't be in time")
+        elif not request.finished and not request.live_attempts:
+            request.last_failed_worker = attempt.worker
+            self._retry(request)
+
+    def _retry(self, request: PendingRequest) -> None:
+        """An attempt failed: queue another where the class allows, else answer."""
+        reason = self._no_retry_reason(request)
+        if reason is None:
+            self._enqueue(request)
         else:
-            self._hold(request)
+            self._give_up(request, reason.value)
+
+    def _no_retry_reason(self, request: PendingRequest) -> RejectionReason | None:
+        """Why there is no other attempt; None if there is one."""
+        if request.must_not_repeat(self.now):
+            return RejectionReason.MUST_NOT_REPEAT
+        if request.attempt_count >= min(request.max_attempts, self.settings.max_attempts):
+            return RejectionReason.OUT_OF_ATTEMPTS
+        time_left = request.deadline - self.now
+        if time_left < request.expected_run_time * MIN_RETRY_RUN_TIMES:
+            return RejectionReason.NO_TIME_FOR_RETRY
+        if self.now >= request.latest_start:
+            return RejectionReason.TOO_LATE
+        return None
 
     def _give_up(self, request: PendingRequest, reason: str) -> None:
-        """The final answer for a job without attempts out: a refusal where the rules allow one."""
+        """The final answer where nothing was served: a rejection where the rules allow one."""
         self._finish(request)
-        self.out.append(
+        self.actions.append(
             api.Reject(request.id, self.settings.max_retry_after, reason)
             if request.may_reject()
             else api.Fail(request.id, reason)
         )
 
     def _finish(self, request: PendingRequest) -> None:
-        if not request.done:
-            request.done = True
+        if not request.finished:
+            request.finished = True
             self.requests.pop(request.id, None)
-            if request.held:
-                self._take_out(request)
+            if request.queued:
+                self._dequeue(request)
 
-    def _done(self, event: api.ClientLeft | api.AnswerStarted) -> None:
-        """Nothing more is owed: the client has left, or its streamed answer has begun."""
+    def _on_nothing_owed(self, event: api.ClientLeft | api.AnswerStarted) -> None:
+        """No other answer is due: the client has left, or its streamed answer has begun."""
         request = self.requests.get(event.request_id)
         if request is not None:
             self._finish(request)
 
-    def _answer_due(self) -> None:
+    def _answer_overdue(self) -> None:
         """Final answers have their own clock: nothing depends on an outcome arriving."""
-        while self.ends and self.ends[0][0] <= self.now:
-            request = heappop(self.ends)[2]
-            if not request.done:
-                out = ", with an attempt out" if request.live else ""
-                self._give_up(request, f"its time is up{out}")
-
-    def _arm_end(self) -> None:
-        ends = self.ends
-        while ends and ends[0][2].done:
-            heappop(ends)
-        if ends and (self.end_armed <= self.now or ends[0][0] < self.end_armed):
-            self.end_armed = ends[0][0]
-            self.out.append(api.SetTimer(END_TIMER, max(0.0, self.end_armed - self.now)))
-
-    # ------------------------------------------------------------------------------------- probes and timers
-
-    def _probe_some(self, kind: int) -> None:
+        while self.deadlines and self.deadlines[0][0] <= self.now:
+            request = heappop(self.deadlines)[2]
+            if not request.finished:
+                reason = (
+                    RejectionReason.DEADLINE_WITH_ATTEMPT
+                    if request.live_attempts
+                    else RejectionReason.DEADLINE
+                )
+                self._give_up(request, reason.value)
+
+    # -- timers and probes
+
+    def _set_deadline_timer(self) -> None:
+        deadlines = self.deadlines
+        while deadlines and deadlines[0][2].finished:
+            heappop(deadlines)
+        if not deadlines:
+            return
+        first = deadlines[0][0]
+        if self._deadline_timer_at <= self.now or first < self._deadline_timer_at:
+            self._deadline_timer_at = first
+            self.actions.append(api.SetTimer(DEADLINE_TIMER, max(0.0, first - self.now)))
+
+    def _set_sweep_timer(self) -> None:
+        if not self._sweep_timer_set and (self.requests or self.attempts.outstanding):
+            self._sweep_timer_set = True
+            interval = SWEEP_INTERVAL * self.admission.tightest_constraint
+            self.actions.append(api.SetTimer(SWEEP_TIMER, max(MIN_SWEEP_INTERVAL_MS, interval)))
+
+    def _on_timer(self, event: api.TimerFired) -> None:
+        token = event.token
+        if token == SWEEP_TIMER:
+            self._sweep_timer_set = False
+            for attempt in self.attempts.find_silent() if self.settings.may_cancel else ():
+                self.actions.append(api.Cancel(attempt.request.id, attempt.number))
+        elif token == RELEASE_TIMER:
+            self._release_timer_set = False
+            self.release_needed = True
+            if self.settings.may_probe:
+                for kind, queue in self.queues.items():
+                    if queue:
+                        self._probe_ejected(kind)
+        elif token == LIST_TIMER:
+            self.actions.append(api.WatchList(True))
+
+    def _probe_ejected(self, kind: int) -> None:
+        """Probe workers that have failed, among a few drawn: of others a probe shows little."""
         group = self.fleet.near[kind] or self.fleet.far[kind]
         size = len(group)
-        for _ in range(2):
+        for _ in range(PROBE_DRAWS):
             if self.probe_credit < 1.0 or not size:
                 return
-            w = group[int(self.rng.random() * size)]
-            # Answers bring reports; a probe of one that is not left out shows little more than that it runs.
-            if w.usable and w.fails and not w.probing:
+            worker = group[int(self.rng.random() * size)]
+            if worker.usable and worker.ejection.failures and not worker.probe_pending:
                 self.probe_credit -= 1.0
-                w.probing = True
-                self.out.append(api.Probe(w.name))
+                worker.probe_pending = True
+                self.actions.append(api.Probe(worker.name))
 
-    def _probed(self, event: api.ProbeEnded) -> None:
-        w = self.fleet.workers.get(event.worker)
-        if w is None:
+    def _on_probe_ended(self, event: api.ProbeEnded) -> None:
+        worker = self.fleet.workers.get(event.worker)
+        if worker is None:
             return
-        w.probing = False
-        if event.outcome == api.PolicyOutcome.SERVED:
+        worker.probe_pending = False
+        if event.outcome == PolicyOutcome.SERVED:
             if event.report:
-                w.report(event.report)
-            if w.fails:  # it answers again: try it
-                w.blocked = self.now
-        elif event.outcome != api.PolicyOutcome.REJECTED:
-            w.lost(refused=True)
-        self.stirred = True
-
-    def _timer(self, event: api.TimerFired) -> None:
-        token = event.token
-        if token == TICKER:
-            self.ticking = False
-            for attempt in self.attempts.lost() if self.settings.may_cancel else ():
-                self.out.append(api.Cancel(attempt.request.id, attempt.number))
-        elif token == HELD_TIMER:
-            self.held_armed = False
-            self.stirred = True
-            if self.settings.may_probe:
-                for pool, queue in self.held.items():
-                    if queue:
-                        self._probe_some(pool)
-        elif token == WATCH_TIMER:
-            self.out.append(api.WatchList(True))
+                worker.apply_report(event.report)
+            if worker.ejection.failures:  # it answers again: try it
+                worker.ejection.until = self.now
+        elif event.outcome != PolicyOutcome.REJECTED:
+            worker.record_loss(refused=True)
+        self.release_needed = True
--- a/yewrill/policy/interface.py
+++ b/yewrill/policy/interface.py
@@ -52,6 +52,32 @@
     FAILED = "failed"  # the call for it failed
 
 
+class RejectionReason(StrEnum):
+    """Why a request is answered without a result; the values appear in traces."""
+
+    OVER_QUOTA = "its tenant is over its share"
+    TOO_LATE = "it can't be in time"
+    OUT_OF_ATTEMPTS = "out of tries"
+    NO_TIME_FOR_RETRY = "no time for another try"
+    MUST_NOT_REPEAT = "it may have run, and may not run again"
+    RAN_BEFORE_RESTART = "it may have run before a restart"
+    DEADLINE = "its time is up"
+    DEADLINE_WITH_ATTEMPT = "its time is up, with an attempt out"
+
+    @staticmethod
+    def gapped(levels: int) -> str:
+        """The reason of a rejection by call gapping, with so many priority levels gapped."""
+        return f"gap level {levels}"
+
+
+class DelayReason(StrEnum):
+    """Why a request was not sent at once; the values appear in traces."""
+
+    NO_WORKER = "no worker"
+    NO_FREE_SLOT = "no room"
+    SLOW_START = "cold budget"
+
+
 # ---------------------------------------------------------------------------------------------- settings
 
 
@@ -93,8 +119,8 @@
     over_quota_weight: float = 1.0
     weight_by_work: bool = False  # worth counts for each unit of work, not for each job
     list_on_request: bool = False  # the worker list must be asked for
-    tells_start: bool = False
-    progress_every: float = 0.0
+    reports_start: bool = False
+    progress_interval: float = 0.0
     report_fields: Sequence[str] = ()
     free_slots_field: str = ""  # which report field counts free slots
     reports_on_probe: bool = False
@@ -105,8 +131,8 @@
     max_attempts: int = 1
     max_retry_after: float = 0.0  # 0: clients take no advice
     answer_slack: float = 0.0
-    cold_multiple: float = 1.0
-    cold_window: float = 0.0
+    slow_start_multiple: float = 1.0
+    slow_start_window: float = 0.0
     start_capacity: float = 1.0
     warm_after: float = 0.0
     tick: float = 1.0
@@ -268,8 +294,8 @@
     request_id: str
     worker: str
     timeout: float = 0.0  # 0: until the client gives up
-    among: int = 0  # workers that were considered
-    held: str = ""  # why it was not sent at once, in plain words
+    candidates: int = 0  # workers that were considered
+    delay_reason: str = ""  # why it was not sent at once
 
 
 @dataclass(slots=True)
@@ -278,7 +304,7 @@
 
     request_id: str
     retry_after: float = 0.0
-    reason: str = ""  # the ground, in plain words
+    reason: str = ""
 
 
 @dataclass(slots=True)
--- a/yewrill/policy/rendezvous_hashing.py
+++ b/yewrill/policy/rendezvous_hashing.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing: which of some nodes a key belongs to, worked out alike by all who know the same nodes.
+"""Rendezvous hashing: which of some nodes a key belongs to, the same for all who know the same nodes.
 
 Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (IEEE/ACM Transactions on
 Networking, 1998). A node that comes or goes moves only the keys that it gains or had. Pure: no I/O, no state,
-and the same figures on every machine.
+and the same results on every machine.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 
 
 def homes(
-    key: str, nodes: Iterable[Node], most: int, number_of: Callable[[Node], int]
+    key: str, nodes: Iterable[Node], count: int, number_of: Callable[[Node], int]
 ) -> list[Node]:
-    """The first `most` of the nodes that a key belongs to, the foremost first."""
+    """The first `count` of the nodes that a key belongs to, the foremost first."""
     of_key = number(key)
-    return nlargest(most, nodes, key=lambda node: weight(of_key, number_of(node)))
+    return nlargest(count, nodes, key=lambda node: weight(of_key, number_of(node)))
--- a/yewrill/service/management_calls.py
+++ b/yewrill/service/management_calls.py
@@ -83,7 +83,7 @@
             service.metrics.add(service.tracing_hooks.metrics())
         service.metrics.add(service.engine.violations.metrics())
         service.metrics.add(self._reasons())
-        avoided = service.engine.avoided()
+        avoided = service.engine.ejected()
         listed = service.endpoints.names
         disabled = sum(not service.endpoints.may_send(name) or name in avoided for name in listed)
         gauges = {
