--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -106,7 +106,7 @@
         actions = d.handle(now, events)
         spent += time.process_time() - began
         for action in actions:
-            if isinstance(action, api.SetTimer) and (d.jobs or len(heap) > 1):
+            if isinstance(action, api.SetTimer) and (d.requests or len(heap) > 1):
                 at(now + action.delay, "timer", action.token)
             elif isinstance(action, api.Send):
                 if free[action.worker] > 0:
--- a/yewrill/policy/admission.py
+++ b/yewrill/policy/admission.py
@@ -11,7 +11,7 @@
 
 from yewrill.policy import interface as api
 from yewrill.policy.call_gapping import TenantState
-from yewrill.policy.controller import Controller, LoadLevel
+from yewrill.policy.controller import Controller
 from yewrill.policy.fleet_estimate import FleetEstimate
 from yewrill.policy.interface import RejectionReason
 from yewrill.policy.requests import ClassState, PendingRequest
@@ -59,7 +59,7 @@
     @property
     def overloaded(self) -> bool:
         """Whether the controller sees overload, or has traffic gapped since it last did."""
-        return self.controller.level > LoadLevel.NORMAL or self.controller.gapped_levels > 0
+        return bool(self.controller.level) or self.controller.gapped_levels > 0
 
     def admit(self, request: PendingRequest, now: float) -> str | None:
         """Charge a new request to its class, tenant and gap: why it is rejected, or None."""
--- a/yewrill/policy/attempts.py
+++ b/yewrill/policy/attempts.py
@@ -24,9 +24,15 @@
 SILENT_LOSSES_MS = 10000.0
 MAX_PROGRESS_INTERVALS = 1.5  # a running request without a sign for longer is lost
 MAX_RUN_TIME_RATIO = 20.0
-MAY_STILL_RUN = frozenset(
-    {PolicyOutcome.TIMEOUT, PolicyOutcome.CANCELLED, PolicyOutcome.CONNECTION_LOST}
-)
+# Members under module names: each access through the class costs a function call in Python 3.11.
+_SERVED = PolicyOutcome.SERVED
+_ERROR = PolicyOutcome.ERROR
+_REJECTED = PolicyOutcome.REJECTED
+_TIMEOUT = PolicyOutcome.TIMEOUT
+_NO_CONNECTION = PolicyOutcome.NO_CONNECTION
+_CONNECTION_LOST = PolicyOutcome.CONNECTION_LOST
+_CANCELLED = PolicyOutcome.CANCELLED
+MAY_STILL_RUN = frozenset({_TIMEOUT, _CANCELLED, _CONNECTION_LOST})
 
 
 class Attempts:
@@ -157,17 +163,17 @@
     def _learn(self, attempt: Attempt, event: api.AttemptEnded) -> None:
         """What the outcome says of the worker, the class and the fleet."""
         worker, outcome = attempt.worker, event.outcome
-        if outcome == PolicyOutcome.SERVED:
+        if outcome == _SERVED:
             self._learn_run_time(attempt, event.elapsed)
-        elif outcome == PolicyOutcome.ERROR:
+        elif outcome == _ERROR:
             worker.record_error()
-        elif outcome == PolicyOutcome.REJECTED:
+        elif outcome == _REJECTED:
             worker.record_rejection(attempt.request.expected_run_time)
         elif event.stale_connection:
             pass  # that tells of the connection only
-        elif outcome == PolicyOutcome.NO_CONNECTION:
+        elif outcome == _NO_CONNECTION:
             worker.record_loss(refused=True)
-        elif outcome in (PolicyOutcome.CONNECTION_LOST, PolicyOutcome.TIMEOUT) or (
+        elif outcome in (_CONNECTION_LOST, _TIMEOUT) or (
             attempt.presumed_lost and not attempt.overtaken_at
         ):
             worker.record_loss()
--- a/yewrill/policy/controller.py
+++ b/yewrill/policy/controller.py
@@ -25,11 +25,15 @@
     SEVERE = 2
 
 
+# Members under module names: each access through the class costs a function call in Python 3.11.
+_NORMAL, _OVERLOAD, _SEVERE = LoadLevel
+
+
 class Controller:
     """Load levels from conditions (4) and (6), and how many of the priority levels are gapped."""
 
     def __init__(self, rng: random.Random):
-        self.level = LoadLevel.NORMAL
+        self.level = _NORMAL
         self.gapped_levels = 0
         self.passes = 0  # consecutive ones
         self.detections = 0  # consecutive ones of overload
@@ -51,7 +55,7 @@
 
         `constraints` are T_k, ascending; `rates` lambda_k in requests a millisecond; counts[k] is N(T_k);
         between[i][k] is N(T_i) - N(T_i - T_k)."""
-        worst = LoadLevel.NORMAL
+        worst = _NORMAL
         for k, t_k in enumerate(constraints):
             ahead = sum(rates[j] * (t_k - constraints[j]) for j in range(k))
             base = sum(rates[j] * constraints[j] for j in range(k))
@@ -62,15 +66,15 @@
                 )  # (5)
                 load = max(load, (between[i][k] + ahead + middle + base) * x)  # (6)
             if load >= t_k:
-                return LoadLevel.SEVERE
+                return _SEVERE
             if load >= t_k * MARGIN_F:
-                worst = LoadLevel.OVERLOAD
+                worst = _OVERLOAD
         return worst
 
     def record_test(self, found: LoadLevel, now: float) -> None:
         """Take one test's result: `DETECTIONS` alike in a row move the load level."""
         self._update_level(found)
-        if self.level == LoadLevel.SEVERE:
+        if self.level == _SEVERE:
             if self.gapped_levels < self.priority_levels:
                 self.gapped_levels = self.priority_levels  # all at once
                 self.changed_at = now
@@ -82,21 +86,21 @@
             self.detections = self.severe_detections = 0
             self.passes += 1
             if self.passes >= DETECTIONS:
-                self.level = LoadLevel.NORMAL
+                self.level = _NORMAL
             return
         self.detections += 1
-        self.severe_detections = self.severe_detections + 1 if found == LoadLevel.SEVERE else 0
+        self.severe_detections = self.severe_detections + 1 if found == _SEVERE else 0
         self.passes = 0
         if self.detections >= DETECTIONS:
             severe = self.severe_detections >= DETECTIONS
-            self.level = LoadLevel.SEVERE if severe else max(LoadLevel.OVERLOAD, self.level)
+            self.level = _SEVERE if severe else max(_OVERLOAD, self.level)
 
     def _step(self, now: float) -> None:
         """Gap one priority level more, or lift one, as the load level asks."""
-        if self.level == LoadLevel.OVERLOAD and self.gapped_levels < self.priority_levels:
+        if self.level == _OVERLOAD and self.gapped_levels < self.priority_levels:
             self.gapped_levels += 1
         elif (
-            self.level == LoadLevel.NORMAL
+            self.level == _NORMAL
             and self.gapped_levels > 0
             and now - self.changed_at >= RECOVERY_STEPS * self.step
         ):
--- a/yewrill/policy/fleet.py
+++ b/yewrill/policy/fleet.py
@@ -14,6 +14,10 @@
 HOMES = 4  # workers looked at for a key, besides those that any request looks at
 MAX_KEYS = 4096  # keys whose homes are remembered
 ANY_KIND = -1
+# Members under module names: each access through the class costs a function call in Python 3.11.
+_CHANGES = api.ListForm.CHANGES
+_RUNNING = api.WorkerState.RUNNING
+_REMOVED = api.WorkerState.REMOVED
 
 
 class Fleet:
@@ -68,7 +72,7 @@
 
     def apply_list(self, event: api.WorkerList) -> None:
         """Take changes of the list, or the whole of it."""
-        if event.form != api.ListForm.CHANGES:
+        if event.form != _CHANGES:
             for worker in self.workers.values():
                 worker.listed = False
         for entry in event.entries:
@@ -82,8 +86,8 @@
         if entry.launched != worker.launched:
             worker.mark_restarted(entry.launched)
         worker.zone, worker.cell = entry.zone, entry.cell
-        worker.listed = entry.state != api.WorkerState.REMOVED
-        worker.usable = entry.state == api.WorkerState.RUNNING
+        worker.listed = entry.state != _REMOVED
+        worker.usable = entry.state == _RUNNING
 
     def _add(self, entry: api.WorkerEntry) -> WorkerEstimate:
         kinds = self.estimate.kinds
--- a/yewrill/policy/requests.py
+++ b/yewrill/policy/requests.py
@@ -12,6 +12,8 @@
 MIN_RUN_TIMES = 6  # run times seen of a class before its mean tells anything of a worker's speed
 REPEAT_MARGIN = 0.9  # of the deduplication window in which a repeat is still decided on
 REPEAT_AT_MARGIN = 0.95  # and in which a worker may still get one
+# Members under module names: each access through the class costs a function call in Python 3.11.
+_IDEMPOTENT, _IDEMPOTENT_BY_KEY, _NON_IDEMPOTENT = api.Idempotency
 
 
 @dataclass(eq=False, slots=True)
@@ -166,9 +168,9 @@
         """Whether it may have run, and may not run again."""
         spec = self.spec
         return self.ran_at is not None and (
-            spec.idempotency == api.Idempotency.NON_IDEMPOTENT
+            spec.idempotency == _NON_IDEMPOTENT
             or (
-                spec.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY
+                spec.idempotency == _IDEMPOTENT_BY_KEY
                 and now - self.ran_at > spec.window * REPEAT_MARGIN
             )
         )
@@ -176,10 +178,10 @@
     def may_repeat_at(self, worker: WorkerEstimate, now: float) -> bool:
         """Whether a request that may have run may run at this worker too."""
         spec = self.spec
-        if spec.idempotency == api.Idempotency.IDEMPOTENT:
+        if spec.idempotency == _IDEMPOTENT:
             return True
         if (
-            spec.idempotency != api.Idempotency.IDEMPOTENT_BY_KEY
+            spec.idempotency != _IDEMPOTENT_BY_KEY
             or self.ran_at is None
             or now - self.ran_at > spec.window * REPEAT_AT_MARGIN
         ):
@@ -195,8 +197,8 @@
         spec = self.spec
         return not self.live_attempts and (
             self.ran_at is None
-            or spec.idempotency == api.Idempotency.IDEMPOTENT
-            or (spec.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY and spec.group == "all")
+            or spec.idempotency == _IDEMPOTENT
+            or (spec.idempotency == _IDEMPOTENT_BY_KEY and spec.group == "all")
         )
 
 
--- a/yewrill/policy/worker_estimate.py
+++ b/yewrill/policy/worker_estimate.py
@@ -17,6 +17,7 @@
 
 REPORT_LAG_MS = 200.0  # sends younger than this are taken not to be in a worker's report yet
 NEW_REPORT_WEIGHT = 0.6  # against what is known of all workers
+MIN_REPORT_FADE_MS = 200.0  # until a report counts no more, where run times are short
 START_OVERDUE_MS = 60.0  # a start notice later than this means that the request waits at the worker
 KEYS_PER_SLOT = 1.0  # keys that a worker is thought to keep
 ERROR_FADE_MS = 4000.0  # half-life of the error rate
@@ -74,7 +75,7 @@
         """Free slots it is thought to have: its last report, fading into its kind's average."""
         fleet, kind, now = self.fleet, self.kind, self.fleet.now
         # Without a fresh report, what we have there ourselves against what we have on its peers tells most.
-        even = kind.inflight_slots / max(1, kind.worker_count)
+        even = kind.inflight_slots / (kind.worker_count if kind.worker_count > 1 else 1)
         if fleet.without_load_reports:
             # One slot more than is known of is tried: only so is a larger worker learned of.
             free = max(1.0, kind.free_slots) + even - self.inflight_slots
@@ -82,11 +83,17 @@
             # Reports average what was true seconds ago: our even part of it is ours all the same.
             free = max(kind.free_slots + even, kind.slots * self.capacity_fraction)
             free -= self.inflight_slots
-        span = max(200.0, fleet.run_time_quantile)
-        if now - self.free_slots_at < span:
-            weight = NEW_REPORT_WEIGHT * (1.0 - (now - self.free_slots_at) / span)
+        age = now - self.free_slots_at
+        fade = (
+            fleet.run_time_quantile
+            if fleet.run_time_quantile > MIN_REPORT_FADE_MS
+            else MIN_REPORT_FADE_MS
+        )
+        if age < fade:
+            weight = NEW_REPORT_WEIGHT * (1.0 - age / fade)
             free = weight * self.free_slots + (1.0 - weight) * free
-        free = min(free, self.max_inflight_slots - self.inflight_slots)
+        limit = self.max_inflight_slots - self.inflight_slots
+        free = min(free, limit)
         if self.unstarted and fleet.settings.reports_start and self.start_overdue():
             free = self._free_slots_while_overdue(free)
         return free
--- a/yewrill/policy/worker_selection.py
+++ b/yewrill/policy/worker_selection.py
@@ -29,6 +29,8 @@
 # Multiples of it, less their whole parts, fill the range to 1 evenly.
 GOLDEN_RATIO = 0.6180339887
 NO_FINISH = 1e18
+# Members under module names: each access through the class costs a function call in Python 3.11.
+_NO_WORKER, _NO_FREE_SLOT, _SLOW_START = DelayReason
 
 
 @dataclass(slots=True)
@@ -85,8 +87,10 @@
 
     def _closed_zones(self, request: PendingRequest) -> set[int]:
         """The zones that the fleet's plan closes to this request."""
-        position = request.sequence * GOLDEN_RATIO % 1.0
         weights = self.fleet.zone_weights
+        if not weights:
+            return set()
+        position = request.sequence * GOLDEN_RATIO % 1.0
         return {zone for zone, weight in weights.items() if position >= weight}
 
     def _all_closed(self, kind: int, closed_zones: set[int]) -> bool:
@@ -128,59 +132,66 @@
     ) -> WorkerEstimate | None:
         best = None
         best_finish = NO_FINISH
-        reason = DelayReason.NO_WORKER
-        now, without_load_reports = self.estimate.now, self.estimate.without_load_reports
+        reason = _NO_WORKER
+        run_time, homes = request.expected_run_time, terms.homes
+        without_load_reports = self.estimate.without_load_reports
         self.candidate_count = len(candidates)
-        excluded = request.last_failed_worker if len(candidates) > 1 else None
-        for worker in candidates:
-            if worker is excluded or not self._may_send(request, worker, terms, now):
-                continue
+        for worker in self._eligible(request, candidates, terms.closed_zones):
             spare = worker.estimated_free_slots() - terms.slots_needed
             if without_load_reports and worker.inflight_slots <= 0.0:
                 # Nothing of ours is there: no worker is better, however wide the request.
                 spare = max(spare, 0.0)
             wait = worker.expected_wait(spare)
             if spare < 0 and wait > terms.max_wait:
-                reason = DelayReason.NO_FREE_SLOT
+                reason = _NO_FREE_SLOT
                 continue
             factor = worker.run_time_factor()
-            if worker.warming_up:
+            if worker.slow_start.started_at >= 0:
                 progress = worker.warm_up_progress()
                 work = request.slow_start_work()
                 if progress < 1.0 and not worker.has_slow_start_budget(work, progress):
-                    reason = DelayReason.SLOW_START
+                    reason = _SLOW_START
                     continue
                 factor /= progress
-            finish = wait + request.expected_run_time * factor
-            finish = self._with_costs(request, worker, terms.homes, now, finish)
+            finish = wait + run_time * factor
+            if homes or worker.error_rate > MIN_ERROR_RATE or worker.reattached_at >= 0:
+                finish = self._with_costs(request, worker, homes, finish)
             if finish < best_finish:
                 best, best_finish, request.expected_wait = worker, finish, wait
         if best is None:
             request.delay_reason = reason.value
         return best
 
-    @staticmethod
-    def _may_send(
-        request: PendingRequest, worker: WorkerEstimate, terms: SearchTerms, now: float
-    ) -> bool:
-        """Whether the worker may get the request at all, free slots aside."""
-        return (
-            worker.usable
+    def _eligible(
+        self,
+        request: PendingRequest,
+        candidates: list[WorkerEstimate],
+        closed_zones: set[int],
+    ) -> list[WorkerEstimate]:
+        """The candidates that may get the request at all, free slots aside."""
+        now = self.estimate.now
+        excluded = request.last_failed_worker if len(candidates) > 1 else None
+        eligible = [
+            worker
+            for worker in candidates
+            if worker.usable
             and worker.ejection.until <= now
-            and worker.zone not in terms.closed_zones
-            and (request.ran_at is None or request.may_repeat_at(worker, now))
-        )
+            and worker is not excluded
+            and worker.zone not in closed_zones
+        ]
+        if request.ran_at is None:
+            return eligible
+        return [worker for worker in eligible if request.may_repeat_at(worker, now)]
 
     def _with_costs(
         self,
         request: PendingRequest,
         worker: WorkerEstimate,
         homes: list[WorkerEstimate],
-        now: float,
         finish: float,
     ) -> float:
         """The expected finish, later for a missing key or errors, and sooner for a worker put back."""
-        run_time = request.expected_run_time
+        now, run_time = self.estimate.now, request.expected_run_time
         if homes and worker is not homes[0] and request.key not in worker.recent_keys:
             finish += KEY_SETUP_RUN_TIMES * (self.estimate.run_time_quantile or run_time)
         if worker.error_rate > MIN_ERROR_RATE:
