--- a/tests/fixture_simulator.py
+++ b/tests/fixture_simulator.py
@@ -11,7 +11,8 @@
 
 from yewrill.dispatch import load_report as loadreport
 from yewrill.policy import interface as api
-from yewrill.simulator.codec import decode_event, decode_settings, encode_action
+from yewrill.policy.settings_codec import decode_settings
+from yewrill.simulator.codec import decode_event, encode_action
 from yewrill.simulator.host import serve
 
 SITE = {
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,7 +7,8 @@
 import orjson
 import pytest
 
-from yewrill.simulator.codec import WireError, decode_settings
+from yewrill.policy.settings_codec import decode_settings
+from yewrill.simulator.codec import WireError
 from yewrill.simulator.host import serve
 
 CONFIG = {
--- a/yewrill/config/reading.py
+++ b/yewrill/config/reading.py
@@ -12,7 +12,7 @@
 
 from yewrill.dispatch.engine import Endpoint
 from yewrill.policy import interface as api
-from yewrill.simulator.codec import WireError, decode_settings
+from yewrill.policy.settings_codec import SettingsError, decode_settings
 
 ENV_CONFIG = "BALANCER_CONFIG"
 FRONTS = ("platform", "progress")
@@ -331,7 +331,7 @@
         _number(tenant.get("share", 1.0), f"{at}.share", 0.0, 1.0)
     try:
         return decode_settings(raw)
-    except WireError as error:
+    except SettingsError as error:
         raise ConfigError(f"settings: {error}") from None
     except (TypeError, AttributeError) as error:
         raise ConfigError(f"settings: of the wrong shape: {error}") from None
--- a/yewrill/policy/interface.py
+++ b/yewrill/policy/interface.py
@@ -83,23 +83,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of jobs; `aim` plus `stretch` times the job's own run time is the wanted time."""
+    """A request class.
+
+    `latency_objective` plus `objective_run_factor` times the run time of a request is the time in which its
+    answer has its full worth."""
 
     name: str
     latency_objective: float
     deadline: float
     priority_weight: float = 1.0
-    late_weight_fraction: float = 0.0  # the part of the worth that a late answer still earns
+    late_weight_fraction: float = 0.0  # the part of the weight that a late answer still earns
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    group: str = "all"  # keyed: which workers drop repeats: "all", "zone" or "cell"
-    window: float = 0.0  # keyed: how long they do, from the first attempt that may have run
+    group: str = "all"  # idempotent by key: which workers drop repeats: "all", "zone" or "cell"
+    window: float = (
+        0.0  # idempotent by key: how long they do, from the first attempt that may have run
+    )
     objective_run_factor: float = 0.0
     kind: int = -1  # the machine kind it needs, -1 for any
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer with its guaranteed rate over all dispatchers, in jobs a second (0: none stated)."""
+    """A tenant with its guaranteed rate over all dispatchers, in requests a second (0: none stated)."""
 
     name: str
     quota_per_s: float = 0.0
@@ -108,16 +113,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything the module is told at its start; absent values have the defaults here."""
+    """The settings of a decision module; absent values have the defaults here.
+
+    Raises `ValueError` where the classes contradict each other."""
 
     classes: Sequence[RequestClass]
     tenants: Sequence[Tenant] = ()
     kinds: int = 1
     zone: int = 0
     dispatchers: int = 1
-    index: int = -1  # this one's number among them, from 0; -1: not told
+    index: int = -1  # this one's number among them, from 0; -1: unknown
     over_quota_weight: float = 1.0
-    weight_by_work: bool = False  # worth counts for each unit of work, not for each job
+    weight_by_work: bool = False  # weight counts for each unit of work, not for each request
     list_on_request: bool = False  # the worker list must be asked for
     reports_start: bool = False
     progress_interval: float = 0.0
@@ -126,7 +133,7 @@
     reports_on_probe: bool = False
     may_probe: bool = False
     may_cancel: bool = False
-    fifo: bool = False  # workers start waiting jobs strictly in the order in which they came
+    fifo: bool = False  # workers start waiting requests strictly in order of arrival
     marks_retry: bool = False  # clients mark their retries
     max_attempts: int = 1
     max_retry_after: float = 0.0  # 0: clients take no advice
@@ -168,6 +175,8 @@
 
 @dataclass(slots=True)
 class WorkerList:
+    """The endpoint list, or changes of it."""
+
     form: ListForm
     entries: Sequence[WorkerEntry] = ()
 
@@ -182,7 +191,7 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """From here on these settings hold; jobs that are open keep their class as it was."""
+    """From here on these settings hold; requests that are open keep their class as it was."""
 
     settings: Settings
 
@@ -196,24 +205,26 @@
 
 @dataclass(slots=True)
 class RequestArrived:
+    """A request has come in."""
+
     request_id: str
     request_class: int
     deadline: float  # the clock time when the client gives up on this try
     tenant: int = 0
     width: float = 1.0
     memory: float = 0.0
-    hint: float = 0.0  # expected work, 0 where not told
+    hint: float = 0.0  # expected work, 0 where unknown
     retry: bool = False  # marked as a client's retry
     # An attempt before a restart that may have run: how long ago it was sent (-1: there is none), and where.
     ran_ago: float = -1.0
     ran_zone: int = -1
     ran_cell: int = -1
-    key: str = ""  # what it concerns: a worker keeps for a while what jobs of one key need
+    key: str = ""  # what it concerns: a worker keeps for a while what requests of one key need
 
 
 @dataclass(slots=True)
 class AttemptStarted:
-    """A worker tells that it began to run the job."""
+    """A worker reports that it began to run the request."""
 
     request_id: str
     attempt: int
@@ -222,10 +233,12 @@
 
 @dataclass(slots=True)
 class AttemptProgress:
+    """A worker reports how far it is, 0 to 1."""
+
     request_id: str
     attempt: int
     worker: str
-    share: float
+    fraction: float
 
 
 @dataclass(slots=True)
@@ -239,12 +252,14 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """An attempt has ended, as the network saw it."""
+
     request_id: str
     attempt: int
     worker: str
     outcome: PolicyOutcome
     elapsed: float
-    final: bool = False  # the job is finished; nothing more is owed
+    final: bool = False  # the request is finished; no other answer is due
     report: Mapping[str, float] | None = None
     stale_connection: bool = (
         False  # lost on a connection kept from before: that says little of the worker
@@ -253,6 +268,8 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
+    """A health check has ended."""
+
     worker: str
     outcome: PolicyOutcome
     report: Mapping[str, float] | None = None
@@ -260,11 +277,15 @@
 
 @dataclass(slots=True)
 class ClientLeft:
+    """The client has gone: no answer is due any more."""
+
     request_id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer set by `SetTimer` is due."""
+
     token: int
 
 
@@ -289,7 +310,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; a job's attempts are numbered 0, 1, 2 in the order of their sends."""
+    """Start an attempt; a request's attempts are numbered 0, 1, 2 in the order of their sends."""
 
     request_id: str
     worker: str
@@ -317,28 +338,38 @@
 
 @dataclass(slots=True)
 class Cancel:
+    """Withdraw an attempt; its end is reported like any other."""
+
     request_id: str
     attempt: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Report `TimerFired` after so long."""
+
     token: int
     delay: float
 
 
 @dataclass(slots=True)
 class Probe:
+    """Check the health of a worker."""
+
     worker: str
 
 
 @dataclass(slots=True)
 class WatchList:
+    """Ask for the endpoint list, where it must be asked for."""
+
     active: bool = True
 
 
 @dataclass(slots=True)
 class Log:
+    """A line for the log."""
+
     text: str
 
 
--- a/yewrill/simulator/host.py
+++ b/yewrill/simulator/host.py
@@ -1,4 +1,4 @@
-"""Hosts dispatchers behind the simulator's wire: decodes batches, routes events, encodes actions.
+"""Host of dispatchers behind the simulator's wire: decodes batches, routes events, encodes actions.
 
 No decision is made here. `python -m yewrill.simulator.host` reads standard input and writes standard output.
 """
@@ -13,7 +13,8 @@
 
 from yewrill.policy import Dispatcher
 from yewrill.policy import interface as api
-from yewrill.simulator.codec import WireError, decode_event, decode_settings, encode_action
+from yewrill.policy.settings_codec import SettingsError, decode_settings
+from yewrill.simulator.codec import WireError, decode_event, encode_action
 
 END = orjson.dumps({"what": "End"}) + b"\n"
 
@@ -25,7 +26,7 @@
         self.instances: dict[int, Dispatcher] = {}
 
     def batch(self, now: float, messages: Iterable[dict[str, Any]]) -> list[bytes]:
-        """Handle one batch and return the reply's lines."""
+        """Handle one batch and return the reply's lines. Raises `WireError`, `SettingsError`, `KeyError`."""
         pending: dict[int, list[api.Event]] = {}
         for message in messages:
             number = message["dispatcher_id"]
@@ -39,12 +40,8 @@
                 self.instances.pop(number, None)
             else:
                 event = decode_event(what, message)
-                if event is None:
-                    continue
-                if number in pending:
-                    pending[number].append(event)
-                else:
-                    pending[number] = [event]
+                if event is not None:
+                    pending.setdefault(number, []).append(event)
         lines: list[bytes] = []
         for number, events in pending.items():
             dispatcher = self.instances.get(number)
@@ -55,45 +52,65 @@
         return lines
 
 
+class BatchReader:
+    """Gathers the lines of a batch, from its 'Tick' to its 'End', and hands it to the host."""
+
+    def __init__(self, host: Host):
+        self._host = host
+        self._now: float | None = None  # of the batch that is open
+        self._messages: list[dict[str, Any]] = []
+
+    @property
+    def open(self) -> bool:
+        """Whether a batch has begun and not ended."""
+        return self._now is not None
+
+    def feed(self, line: bytes) -> list[bytes] | None:
+        """Take a line; the reply's lines where it ends a batch, else None.
+
+        Raises `WireError` for what stands in the wrong place, and what `Host.batch` raises."""
+        message = orjson.loads(line)
+        what = message["what"]
+        if what == "End":
+            if self._now is None:
+                raise WireError("'End' without a 'Tick' before it")
+            reply = self._host.batch(self._now, self._messages)
+            self._now, self._messages = None, []
+            return reply
+        if what == "Tick":
+            if self._now is not None:
+                raise WireError("'Tick' before the last batch has ended")
+            self._now = message["sim_time"]
+        elif self._now is None:
+            raise WireError(f"{what!r} outside a batch")
+        else:
+            self._messages.append(message)
+        return None
+
+
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
-    host = Host()
-    now: float | None = None
-    messages: list[dict[str, Any]] = []
-    loads = orjson.loads
+    """Answer batches until the input ends. Raises `WireError` with the number of the faulty line."""
+    reader = BatchReader(Host())
     number = 0
     for line in source:
         number += 1
         try:
-            message = loads(line)
-            what = message["what"]
-            if what == "End":
-                if now is None:
-                    raise WireError("'End' without a 'Tick' before it")
-                reply = host.batch(now, messages)
-                reply.append(END)
-                sink.write(b"".join(reply))
-                sink.flush()
-                now, messages = None, []
-            elif what == "Tick":
-                if now is not None:
-                    raise WireError("'Tick' before the last batch has ended")
-                now = message["sim_time"]
-            elif now is None:
-                raise WireError(f"{what!r} outside a batch")
-            else:
-                messages.append(message)
+            reply = reader.feed(line)
         except orjson.JSONDecodeError as error:
             raise WireError(f"line {number}: not JSON: {error}") from error
         except (KeyError, TypeError) as error:
             raise WireError(f"line {number}: {type(error).__name__}: {error}") from error
-        except WireError as error:
+        except (WireError, SettingsError) as error:
             raise WireError(f"line {number}: {error}") from error
-    if now is not None:
+        if reply is not None:
+            sink.write(b"".join([*reply, END]))
+            sink.flush()
+    if reader.open:
         raise WireError(f"line {number}: the input ended within a batch")
 
 
 def main() -> int:
+    """Serve standard input and output; 1 with a line on standard error where the input is faulty."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, ValueError) as error:
