--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -50,8 +50,8 @@
             ],
             dispatchers=dispatchers,
             index=0,
-            tells_start=True,
-            progress_every=1000.0,
+            reports_start=True,
+            progress_interval=1000.0,
             max_attempts=3,
             report_fields=FIELDS if reports else (),
             free_slots_field="x0" if reports else "",
@@ -78,7 +78,7 @@
     while heap:
         now, _, what, args = heappop(heap)
         if what == "list":
-            events = [api.WorkerList(api.LIST_FULL, [api.WorkerEntry(n) for n in names])]
+            events = [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(n) for n in names])]
         elif what == "arrive":
             (number,) = args
             if number < jobs:
@@ -98,13 +98,15 @@
                 begin(at, free, waiting, now, waiting[name].pop(0), name, rng)
             report = {"qps": now // 1000.0, "inflight": 5.0 - free[name], "x0": float(free[name])}
             events = [
-                api.AttemptEnded(job, 0, name, api.SERVED, 200.0, True, report if reports else None)
+                api.AttemptEnded(
+                    job, 0, name, api.PolicyOutcome.SERVED, 200.0, True, report if reports else None
+                )
             ]
         began = time.process_time()
         actions = d.handle(now, events)
         spent += time.process_time() - began
         for action in actions:
-            if isinstance(action, api.SetTimer) and (d.jobs or len(heap) > 1):
+            if isinstance(action, api.SetTimer) and (d.requests or len(heap) > 1):
                 at(now + action.delay, "timer", action.token)
             elif isinstance(action, api.Send):
                 if free[action.worker] > 0:
--- a/tests/fixture_simulator.py
+++ b/tests/fixture_simulator.py
@@ -11,7 +11,8 @@
 
 from yewrill.dispatch import load_report as loadreport
 from yewrill.policy import interface as api
-from yewrill.simulator.codec import decode_event, decode_settings, encode_action
+from yewrill.policy.settings_codec import decode_settings
+from yewrill.simulator.codec import decode_event, encode_action
 from yewrill.simulator.host import serve
 
 SITE = {
@@ -238,9 +239,9 @@
 
 
 EFFECT_WORDS = {
-    api.IDEMPOTENT: "pure",
-    api.IDEMPOTENT_BY_KEY: "token",
-    api.NON_IDEMPOTENT: "side_effect",
+    api.Idempotency.IDEMPOTENT: "pure",
+    api.Idempotency.IDEMPOTENT_BY_KEY: "token",
+    api.Idempotency.NON_IDEMPOTENT: "side_effect",
 }
 
 
@@ -266,31 +267,41 @@
         classes,
         [[one.name, one.quota_per_s, one.share] for one in read.tenants],
         [read.kinds, read.zone, read.dispatchers, read.index, read.over_quota_weight],
-        [read.weight_by_work, read.list_on_request, read.tells_start, read.progress_every],
+        [read.weight_by_work, read.list_on_request, read.reports_start, read.progress_interval],
         [list(read.report_fields), read.free_slots_field, read.reports_on_probe],
         [read.may_probe, read.may_cancel, read.fifo, read.marks_retry],
         [read.max_attempts, read.max_retry_after, read.answer_slack],
-        [read.cold_multiple, read.cold_window, read.start_capacity, read.warm_after, read.tick],
+        [
+            read.slow_start_multiple,
+            read.slow_start_window,
+            read.start_capacity,
+            read.warm_after,
+            read.tick,
+        ],
         dict(read.fees),
     ]
 
 
 OUTCOME_WORDS = {
-    api.SERVED: "served",
-    api.ERROR: "server_error",
-    api.FULL: "turned_away",
-    api.TIMEOUT: "no_answer",
-    api.NO_CONNECTION: "no_connection",
-    api.CONNECTION_LOST: "connection_lost",
-    api.CANCELLED: "called_off",
-    api.NOT_SENT: "not_sent",
+    api.PolicyOutcome.SERVED: "served",
+    api.PolicyOutcome.ERROR: "server_error",
+    api.PolicyOutcome.REJECTED: "turned_away",
+    api.PolicyOutcome.TIMEOUT: "no_answer",
+    api.PolicyOutcome.NO_CONNECTION: "no_connection",
+    api.PolicyOutcome.CONNECTION_LOST: "connection_lost",
+    api.PolicyOutcome.CANCELLED: "called_off",
+    api.PolicyOutcome.NOT_SENT: "not_sent",
+}
+STATE_WORDS = {
+    api.WorkerState.RUNNING: "Running",
+    api.WorkerState.DRAINING: "Stopping",
+    api.WorkerState.REMOVED: "Deleted",
 }
-STATE_WORDS = {api.RUNNING: "Running", api.DRAINING: "Stopping", api.GONE: "Deleted"}
 FORM_WORDS = {
-    api.LIST_CHANGES: "delta",
-    api.LIST_FULL: "full",
-    api.LIST_CACHED: "cached",
-    api.LIST_FAILED: "failed",
+    api.ListForm.CHANGES: "delta",
+    api.ListForm.FULL: "full",
+    api.ListForm.CACHED: "cached",
+    api.ListForm.FAILED: "failed",
 }
 ABOUT = {"ticket": "t1", "attempt": 2, "worker": "w1"}
 EVENTS: tuple[dict[str, Any], ...] = (
--- a/tests/test_soak_oracle.py
+++ b/tests/test_soak_oracle.py
@@ -32,7 +32,13 @@
 
 
 def request(id, kind="tour", at=10.0, **more) -> Request:
-    given = {"sent": at, "end": RequestEnd.ANSWERED, "finished": at + 0.1, "status": 200, "answers": 1}
+    given = {
+        "sent": at,
+        "end": RequestEnd.ANSWERED,
+        "finished": at + 0.1,
+        "status": 200,
+        "answers": 1,
+    }
     return Request(id, f"k-{id}", kind, "d0", 2.0, at, **{**given, **more})
 
 
--- a/yewrill/config/endpoints.py
+++ b/yewrill/config/endpoints.py
@@ -18,7 +18,11 @@
 from yewrill.dispatch.engine import Endpoint
 from yewrill.policy import interface as api
 
-STATES = {"SERVING": api.RUNNING, "DRAINING": api.DRAINING, "DELETED": api.GONE}
+STATES = {
+    "SERVING": api.WorkerState.RUNNING,
+    "DRAINING": api.WorkerState.DRAINING,
+    "DELETED": api.WorkerState.REMOVED,
+}
 STATE_NAMES = {state: word for word, state in STATES.items()}
 
 
@@ -35,7 +39,7 @@
             raise ConfigError(
                 f"{at}.state: {quoted(entry.get('state'))} is not one of {', '.join(STATES)}"
             )
-        removed = state == api.GONE  # a removed endpoint needs no address
+        removed = state == api.WorkerState.REMOVED  # a removed endpoint needs no address
         found.append(
             Endpoint(
                 read_text(entry.get("id"), f"{at}.id"),
--- a/yewrill/config/settings.py
+++ b/yewrill/config/settings.py
@@ -16,7 +16,7 @@
     read_text,
 )
 from yewrill.policy import interface as api
-from yewrill.simulator.codec import WireError, decode_settings
+from yewrill.policy.settings_codec import SettingsError, decode_settings
 
 # Numbers that are checked where they are given: path, minimum, whether the minimum itself is allowed.
 NUMERIC_SETTINGS = (
@@ -49,7 +49,7 @@
     _check_tenants(raw.get("parties", []))
     try:
         return decode_settings(raw)
-    except WireError as error:
+    except SettingsError as error:
         raise ConfigError(f"settings: {error}") from None
     except (TypeError, AttributeError) as error:
         raise ConfigError(f"settings: of the wrong shape: {error}") from None
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -56,7 +56,7 @@
     ran_cell: int = -1
     # What the checks go by: its class's effect and window, and when the first attempt that may have run was
     # sent, on the module's clock.
-    idempotency: str = api.IDEMPOTENT
+    idempotency: str = api.Idempotency.IDEMPOTENT
     window: float = 0.0
     ran_at: float | None = None
     on_progress: Callable[[Attempt, float], None] | None = None
@@ -118,7 +118,7 @@
     zone: int = 0
     kind: int = 0
     cell: int = 0
-    state: str = api.RUNNING
+    state: str = api.WorkerState.RUNNING
     weight: float = 1.0
     started_ms: float = 0.0  # wall clock
 
@@ -133,8 +133,8 @@
     so long."""
     found: dict[int, int] = {}
     for worker in module.fleet.workers.values():
-        if worker.queue and worker.running <= 0.0 and now - worker.waiting_since > after:
-            found[worker.zone] = found.get(worker.zone, 0) + len(worker.queue)
+        if worker.unstarted and worker.running_slots <= 0.0 and now - worker.waiting_since > after:
+            found[worker.zone] = found.get(worker.zone, 0) + len(worker.unstarted)
     return found
 
 
@@ -192,9 +192,9 @@
         """The fleet's plan: the part of its normal new work that each zone gets; one not named gets all."""
         self._put(api.ZoneTrafficWeights(dict(weights)))
 
-    def avoided(self) -> set[str]:
+    def ejected(self) -> set[str]:
         """The destinations that the module leaves out at present."""
-        return self._module.avoided(self.now())
+        return self._module.ejected(self.now())
 
     # -- what the network code calls
 
@@ -338,7 +338,9 @@
     ) -> None:
         """What discovery tells."""
         self._starts.note(time.time() * 1000.0, self.now())
-        form = api.LIST_CACHED if cached else api.LIST_FULL if full else api.LIST_CHANGES
+        form = (
+            api.ListForm.CACHED if cached else api.ListForm.FULL if full else api.ListForm.CHANGES
+        )
         if self._counting:
             endpoints = list(endpoints)
             log.debug(
@@ -381,7 +383,7 @@
             faulty = False
         except Exception:
             log.exception("module-fault events=%d", len(events))
-            actions, faulty = self._module.out, True
+            actions, faulty = self._module.actions, True
         for action in actions:
             try:
                 self._carry_out(action, now)
@@ -449,7 +451,11 @@
             request.attempt_count += 1
             if request.trace is not None:
                 attempt.trace = request.trace.chosen(
-                    attempt.number, action.worker, action.among, action.held, trio.current_time()
+                    attempt.number,
+                    action.worker,
+                    action.candidates,
+                    action.delay_reason,
+                    trio.current_time(),
                 )
             broken = rules.check_attempt(self._attempt_facts(request, now))
             if broken is not None:
@@ -457,7 +463,9 @@
                     broken, request=request.id, attempt=attempt.number, worker=action.worker
                 )
                 self._put(
-                    api.AttemptEnded(request.key, attempt.number, action.worker, api.NOT_SENT, 0.0)
+                    api.AttemptEnded(
+                        request.key, attempt.number, action.worker, api.PolicyOutcome.NOT_SENT, 0.0
+                    )
                 )
             elif request.closed:  # it ended between the module's last moment and this one
                 self.report(attempt, AttemptOutcome.NOT_SENT)
--- a/yewrill/policy/interface.py
+++ b/yewrill/policy/interface.py
@@ -8,33 +8,74 @@
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 
-# How an attempt or a probe can end.
-SERVED = "served"
-ERROR = "error"  # the worker answered with an error; the job may have run
-FULL = "full"  # sent back unseen; it never ran
-TIMEOUT = "timeout"  # no answer in time; it may have run or still run
-NO_CONNECTION = "no_connection"  # it never ran
-CONNECTION_LOST = "connection_lost"  # it may have run
-CANCELLED = "cancelled"  # it may have run
-NOT_SENT = "not_sent"  # it never ran
-NEVER_RAN = frozenset({FULL, NO_CONNECTION, NOT_SENT})
-
-# How often a class's effect may happen.
-IDEMPOTENT = "safe"
-IDEMPOTENT_BY_KEY = "keyed"
-NON_IDEMPOTENT = "unsafe"
-
-# States of a worker in the list.
-RUNNING = "running"
-DRAINING = "draining"
-GONE = "gone"
-
-# Kinds of list messages: changes only, the whole list, the list as last known, a failed call.
-LIST_CHANGES = "changes"
-LIST_FULL = "full"
-LIST_CACHED = "cached"
-LIST_FAILED = "failed"
+
+class PolicyOutcome(StrEnum):
+    """How an attempt or a health check ended, in the terms that decisions depend on."""
+
+    SERVED = "served"
+    ERROR = "error"  # the worker answered with an error; the request may have run
+    REJECTED = "full"  # the worker sent it back unstarted; it never ran
+    TIMEOUT = "timeout"  # no answer in time; it may have run or still run
+    NO_CONNECTION = "no_connection"  # it never ran
+    CONNECTION_LOST = "connection_lost"  # it may have run
+    CANCELLED = "cancelled"  # it may have run
+    NOT_SENT = "not_sent"  # it never ran
+
+
+NEVER_RAN = frozenset({PolicyOutcome.REJECTED, PolicyOutcome.NO_CONNECTION, PolicyOutcome.NOT_SENT})
+
+
+class Idempotency(StrEnum):
+    """Whether a request of a class may run more than once."""
+
+    IDEMPOTENT = "safe"
+    IDEMPOTENT_BY_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
+
+
+class WorkerState(StrEnum):
+    """State of a worker in the endpoint list."""
+
+    RUNNING = "running"
+    DRAINING = "draining"
+    REMOVED = "gone"
+
+
+class ListForm(StrEnum):
+    """Kind of a message of the endpoint list."""
+
+    CHANGES = "changes"  # changed entries only
+    FULL = "full"  # the whole list
+    CACHED = "cached"  # the whole list as it was last known
+    FAILED = "failed"  # the call for it failed
+
+
+class RejectionReason(StrEnum):
+    """Why a request is answered without a result; the values appear in traces."""
+
+    OVER_QUOTA = "its tenant is over its share"
+    TOO_LATE = "it can't be in time"
+    OUT_OF_ATTEMPTS = "out of tries"
+    NO_TIME_FOR_RETRY = "no time for another try"
+    MUST_NOT_REPEAT = "it may have run, and may not run again"
+    RAN_BEFORE_RESTART = "it may have run before a restart"
+    DEADLINE = "its time is up"
+    DEADLINE_WITH_ATTEMPT = "its time is up, with an attempt out"
+
+    @staticmethod
+    def gapped(levels: int) -> str:
+        """The reason of a rejection by call gapping, with so many priority levels gapped."""
+        return f"gap level {levels}"
+
+
+class DelayReason(StrEnum):
+    """Why a request was not sent at once; the values appear in traces."""
+
+    NO_WORKER = "no worker"
+    NO_FREE_SLOT = "no room"
+    SLOW_START = "cold budget"
 
 
 # ---------------------------------------------------------------------------------------------- settings
@@ -42,23 +83,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of jobs; `aim` plus `stretch` times the job's own run time is the wanted time."""
+    """A request class.
+
+    `latency_objective` plus `objective_run_factor` times the run time of a request is the time in which its
+    answer has its full worth."""
 
     name: str
     latency_objective: float
     deadline: float
     priority_weight: float = 1.0
-    late_weight_fraction: float = 0.0  # the part of the worth that a late answer still earns
-    idempotency: str = IDEMPOTENT
-    group: str = "all"  # keyed: which workers drop repeats: "all", "zone" or "cell"
-    window: float = 0.0  # keyed: how long they do, from the first attempt that may have run
+    late_weight_fraction: float = 0.0  # the part of the weight that a late answer still earns
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    group: str = "all"  # idempotent by key: which workers drop repeats: "all", "zone" or "cell"
+    window: float = (
+        0.0  # idempotent by key: how long they do, from the first attempt that may have run
+    )
     objective_run_factor: float = 0.0
     kind: int = -1  # the machine kind it needs, -1 for any
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer with its guaranteed rate over all dispatchers, in jobs a second (0: none stated)."""
+    """A tenant with its guaranteed rate over all dispatchers, in requests a second (0: none stated)."""
 
     name: str
     quota_per_s: float = 0.0
@@ -67,31 +113,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything the module is told at its start; absent values have the defaults here."""
+    """The settings of a decision module; absent values have the defaults here.
+
+    Raises `ValueError` where the classes contradict each other."""
 
     classes: Sequence[RequestClass]
     tenants: Sequence[Tenant] = ()
     kinds: int = 1
     zone: int = 0
     dispatchers: int = 1
-    index: int = -1  # this one's number among them, from 0; -1: not told
+    index: int = -1  # this one's number among them, from 0; -1: unknown
     over_quota_weight: float = 1.0
-    weight_by_work: bool = False  # worth counts for each unit of work, not for each job
+    weight_by_work: bool = False  # weight counts for each unit of work, not for each request
     list_on_request: bool = False  # the worker list must be asked for
-    tells_start: bool = False
-    progress_every: float = 0.0
+    reports_start: bool = False
+    progress_interval: float = 0.0
     report_fields: Sequence[str] = ()
     free_slots_field: str = ""  # which report field counts free slots
     reports_on_probe: bool = False
     may_probe: bool = False
     may_cancel: bool = False
-    fifo: bool = False  # workers start waiting jobs strictly in the order in which they came
+    fifo: bool = False  # workers start waiting requests strictly in order of arrival
     marks_retry: bool = False  # clients mark their retries
     max_attempts: int = 1
     max_retry_after: float = 0.0  # 0: clients take no advice
     answer_slack: float = 0.0
-    cold_multiple: float = 1.0
-    cold_window: float = 0.0
+    slow_start_multiple: float = 1.0
+    slow_start_window: float = 0.0
     start_capacity: float = 1.0
     warm_after: float = 0.0
     tick: float = 1.0
@@ -120,14 +168,16 @@
     zone: int = 0
     kind: int = 0
     cell: int = 0
-    state: str = RUNNING
+    state: WorkerState = WorkerState.RUNNING
     weight: float = 1.0
     launched: float = 0.0
 
 
 @dataclass(slots=True)
 class WorkerList:
-    form: str
+    """The endpoint list, or changes of it."""
+
+    form: ListForm
     entries: Sequence[WorkerEntry] = ()
 
 
@@ -141,7 +191,7 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """From here on these settings hold; jobs that are open keep their class as it was."""
+    """From here on these settings hold; requests that are open keep their class as it was."""
 
     settings: Settings
 
@@ -155,24 +205,26 @@
 
 @dataclass(slots=True)
 class RequestArrived:
+    """A request has come in."""
+
     request_id: str
     request_class: int
     deadline: float  # the clock time when the client gives up on this try
     tenant: int = 0
     width: float = 1.0
     memory: float = 0.0
-    hint: float = 0.0  # expected work, 0 where not told
+    hint: float = 0.0  # expected work, 0 where unknown
     retry: bool = False  # marked as a client's retry
     # An attempt before a restart that may have run: how long ago it was sent (-1: there is none), and where.
     ran_ago: float = -1.0
     ran_zone: int = -1
     ran_cell: int = -1
-    key: str = ""  # what it concerns: a worker keeps for a while what jobs of one key need
+    key: str = ""  # what it concerns: a worker keeps for a while what requests of one key need
 
 
 @dataclass(slots=True)
 class AttemptStarted:
-    """A worker tells that it began to run the job."""
+    """A worker reports that it began to run the request."""
 
     request_id: str
     attempt: int
@@ -181,10 +233,12 @@
 
 @dataclass(slots=True)
 class AttemptProgress:
+    """A worker reports how far it is, 0 to 1."""
+
     request_id: str
     attempt: int
     worker: str
-    share: float
+    fraction: float
 
 
 @dataclass(slots=True)
@@ -198,12 +252,14 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """An attempt has ended, as the network saw it."""
+
     request_id: str
     attempt: int
     worker: str
-    outcome: str
+    outcome: PolicyOutcome
     elapsed: float
-    final: bool = False  # the job is finished; nothing more is owed
+    final: bool = False  # the request is finished; no other answer is due
     report: Mapping[str, float] | None = None
     stale_connection: bool = (
         False  # lost on a connection kept from before: that says little of the worker
@@ -212,18 +268,24 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
+    """A health check has ended."""
+
     worker: str
-    outcome: str
+    outcome: PolicyOutcome
     report: Mapping[str, float] | None = None
 
 
 @dataclass(slots=True)
 class ClientLeft:
+    """The client has gone: no answer is due any more."""
+
     request_id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer set by `SetTimer` is due."""
+
     token: int
 
 
@@ -248,13 +310,13 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; a job's attempts are numbered 0, 1, 2 in the order of their sends."""
+    """Start an attempt; a request's attempts are numbered 0, 1, 2 in the order of their sends."""
 
     request_id: str
     worker: str
     timeout: float = 0.0  # 0: until the client gives up
-    among: int = 0  # workers that were considered
-    held: str = ""  # why it was not sent at once, in plain words
+    candidates: int = 0  # workers that were considered
+    delay_reason: str = ""  # why it was not sent at once
 
 
 @dataclass(slots=True)
@@ -263,7 +325,7 @@
 
     request_id: str
     retry_after: float = 0.0
-    reason: str = ""  # the ground, in plain words
+    reason: str = ""
 
 
 @dataclass(slots=True)
@@ -276,28 +338,38 @@
 
 @dataclass(slots=True)
 class Cancel:
+    """Withdraw an attempt; its end is reported like any other."""
+
     request_id: str
     attempt: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Report `TimerFired` after so long."""
+
     token: int
     delay: float
 
 
 @dataclass(slots=True)
 class Probe:
+    """Check the health of a worker."""
+
     worker: str
 
 
 @dataclass(slots=True)
 class WatchList:
+    """Ask for the endpoint list, where it must be asked for."""
+
     active: bool = True
 
 
 @dataclass(slots=True)
 class Log:
+    """A line for the log."""
+
     text: str
 
 
