--- a/tests/fixture_service.py
+++ b/tests/fixture_service.py
@@ -19,7 +19,6 @@
 from yewrill.config.reading import read_config
 from yewrill.membership import Members
 from yewrill.service.hot_restart import link_path
-from yewrill.service.management_calls import ManagementCalls
 from yewrill.store import Store
 
 MEMBERS = {
@@ -101,7 +100,7 @@
         assert (await here.ask()).status == 200
         paths = [
             f"{call.method} {path}{' named' if call.named else ''}"
-            for path, call in ManagementCalls(here.service).by_path().items()
+            for path, call in here.service.create_management_calls().by_path().items()
         ]
         text = (await here.call("GET /_vars")).body.decode()
         metrics = [[line.split(":")[0], line.split("|")[1]] for line in text.splitlines()]
@@ -260,7 +259,7 @@
                 pool, hot_restart = here.service.endpoints, here.service.hot_restart
                 first = [
                     hot_restart.open_elsewhere("elders-job"),
-                    here.service.operator_drain,
+                    here.service.operator_drain.active,
                     pool.out,
                     sorted(pool.back),
                     pool.names,
@@ -269,7 +268,7 @@
                 heard += await old_process.line.hear(3)
                 then = [
                     [hot_restart.open_elsewhere(id) for id in ("elders-job", "another-job")],
-                    here.service.operator_drain,
+                    here.service.operator_drain.active,
                     pool.out,
                     sorted(pool.back),
                 ]
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -46,7 +46,7 @@
     async with world(peer, timing={"linger_ms": 300, "grace_ms": 3700}) as w:
         sock = fail_accepts(w, error, lambda: failing)
         w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.draining)
+        await w.until(lambda: w.service.run_state.draining)
         clients = [await w.client() for _ in range(WAITING)]
         for number, client in enumerate(clients):
             await client.send(X_Request_ID=f"r{number}")
--- a/tests/test_basics.py
+++ b/tests/test_basics.py
@@ -38,6 +38,9 @@
         "yewrill.frontends.progress",
         "yewrill.net.management",
         "yewrill.service.hot_restart",
+        "yewrill.service.management_calls",
+        "yewrill.service.metrics_report",
+        "yewrill.service.state_startup",
         "yewrill.persistence",
         "yewrill.service.tracing_hooks",
     }
--- a/tests/test_drawn.py
+++ b/tests/test_drawn.py
@@ -193,6 +193,6 @@
             for i in range(5):
                 for request_class in customer["request_classes"]:
                     nursery.start_soon(one, i, request_class)
-        while w.service.engine.pending or w.service._open:
+        while w.service.engine.pending or w.service.open_requests.ids:
             await trio.sleep(0.05)
         assert (await w.ask("/up", method="GET")).status == 200
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -117,7 +117,7 @@
         await exchange.done()
 
     peer = Peer("d1", note)
-    real, sent = Service._open_state, {}
+    real, sent = Service._restore_state, {}
 
     async def slow(service):  # its socket listens already
         stream = await trio.open_tcp_stream(*service.listener.address)
@@ -130,7 +130,7 @@
             await trio.sleep(0.01)
         return await real(service)
 
-    monkeypatch.setattr(Service, "_open_state", slow)
+    monkeypatch.setattr(Service, "_restore_state", slow)
     async with world(peer) as w:
         await w.until(lambda: "r1" in told)
         at, told_ms = told["r1"]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -549,7 +549,9 @@
     monkeypatch.setattr(listener, "PART_TIME", 10.0)
     async with world(Peer("d1", much), settings=ROOMY) as w:
         w.service.listener.limit(1)  # more than half of all places are taken
-        w.service.leaving = True  # so this is the last answer on its connection
+        w.service.run_state.closing_connections = (
+            True  # so this is the last answer on its connection
+        )
         client = await narrow_client(w)
         sent = as_it_is_sent(monkeypatch, lambda: None)
         await client.send(**LONG)
@@ -630,7 +632,7 @@
 
 
 def restart(w) -> None:
-    w.service.leaving = True
+    w.service.run_state.closing_connections = True
     w.service.listener.close()
 
 
@@ -791,7 +793,7 @@
             w.raw["timing"] = {"linger_ms": 60, "grace_ms": 4000}
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 os.kill(os.getpid(), number)  # no turn of the loop between them
-            await w.until(lambda: w.service.draining and w.service.config.linger_ms == 60)
+            await w.until(lambda: w.service.run_state.draining and w.service.config.linger_ms == 60)
             os.kill(os.getpid(), signal.SIGTERM)
             os.kill(os.getpid(), signal.SIGHUP)
             await w.until(lambda: not w.service.listener.accepting)
@@ -893,7 +895,7 @@
         began = trio.current_time()
         await w.until(lambda: not w.service.listener.clients)
         assert trio.current_time() - began < 0.5
-        assert not w.service._open and not w.service.engine.pending
+        assert not w.service.open_requests.ids and not w.service.engine.pending
         await client.stream.aclose()
 
 
@@ -908,7 +910,9 @@
     peer = Peer("d1", done)
     async with world(peer, front=front, settings=ROOMY) as w:
         assert (await w.ask(X_Timeout_Ms=given)).status == 400
-        assert not peer.exchanges and not w.service.engine.pending and not w.service._open
+        assert (
+            not peer.exchanges and not w.service.engine.pending and not w.service.open_requests.ids
+        )
 
 
 @pytest.mark.parametrize("framing", ["chunked", "in one piece"])
@@ -1057,14 +1061,14 @@
 async def test_an_answer_that_comes_as_its_time_is_up_is_the_only_one(front, script, served):
     """The module gives a job up in the very turn in which its attempt has ended."""
     async with world(Peer("d1", script), front=front, settings=ROOMY) as w:
-        real, engine = w.service._attempt, w.service.engine
+        real, engine = w.service.subsystem_context.run_attempt, w.service.engine
 
         async def attempt(attempt):
             outcome = await real(attempt)
             engine._carry_out(api.Fail(attempt.request.key, "its time is up"), engine.now())
             return outcome
 
-        w.service._attempt = attempt
+        w.service.subsystem_context.run_attempt = attempt
         client = await w.client()
         await client.send("/once", **LONG)
         reply = await client.reply()
@@ -1075,7 +1079,9 @@
             )
         else:
             assert reply.status == (200 if served else 502)
-        await w.until(lambda: not engine.pending and not engine._live and not w.service._open)
+        await w.until(
+            lambda: not engine.pending and not engine._live and not w.service.open_requests.ids
+        )
 
 
 @timed_story
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -21,7 +21,8 @@
 from yewrill.policy import interface as api
 from yewrill.policy.dispatcher import HELD_TIMER, Dispatcher
 from yewrill.service.hot_restart import HotRestart, link_path
-from yewrill.service.service import LEAST_SOCKETS, SPARE, Service
+from yewrill.service.service import Service
+from yewrill.service.socket_budget import MIN_SOCKETS, RESERVED_SOCKETS
 
 MGMT = {"mgmt": "127.0.0.1:0"}
 
@@ -125,7 +126,7 @@
         new_process = await start_heir(w)
         assert (await w.call("GET /_ready")).status == 200
         w.nursery.start_soon(w.old_process.drain)
-        await w.until(lambda: w.old_process.draining)
+        await w.until(lambda: w.old_process.run_state.draining)
         assert (
             not w.old_process.listener.accepting
         )  # at once, while a plain restart goes on for 0.7 s
@@ -150,7 +151,7 @@
     async with shared_world(Peer("d1", done)) as w:
         new_process = await start_heir(w)
         # The program that asked has nothing but the yes: by then the elder must know.
-        assert new_process.serving and w.old_process.hot_restart.new_process_ready
+        assert new_process.run_state.serving and w.old_process.hot_restart.new_process_ready
         assert w.old_process.listener._most + new_process.listener._most <= 541
 
 
@@ -221,12 +222,19 @@
                 await clients[-1].send("/up", "GET")
                 await clients[-1].reply()
             old_process.worker_connections.open = max(0, used - len(old_process.listener.clients))
-            new_processes = old_process._known_here()["sockets"]
-            bounds = old_process.listener._most, old_process.worker_connections._most
-            held = SPARE + len(old_process.listener.clients) + old_process.worker_connections.open
-            assert new_processes >= LEAST_SOCKETS and sum(bounds) + SPARE <= 384 - new_processes
-            assert 384 - new_processes >= min(held, 384 - LEAST_SOCKETS)
-            old_process._bound()  # the heir has gone again
+            new_processes = old_process.state_exchange.snapshot()["sockets"]
+            bounds = old_process.listener._most, old_process.worker_connections._max_open
+            held = (
+                RESERVED_SOCKETS
+                + len(old_process.listener.clients)
+                + old_process.worker_connections.open
+            )
+            assert (
+                new_processes >= MIN_SOCKETS
+                and sum(bounds) + RESERVED_SOCKETS <= 384 - new_processes
+            )
+            assert 384 - new_processes >= min(held, 384 - MIN_SOCKETS)
+            old_process.state_exchange.disconnected()  # the heir has gone again
         old_process.worker_connections.open = 0
         for client in clients:
             await client.stream.aclose()
@@ -238,7 +246,7 @@
         whole = w.old_process.listener._most
         new_process = await start_heir(w)
         assert w.old_process.listener._most < whole
-        new_process.nursery.cancel_scope.cancel()
+        new_process.tasks.nursery.cancel_scope.cancel()
         await w.until(lambda: not w.old_process.hot_restart.new_process_ready)
         assert w.old_process.listener._most == whole
         await start_heir(w)  # the next one finds the elder again
@@ -415,7 +423,7 @@
         assert (await back.ask(X_Request_ID="back", X_Timeout_Ms="3000")).status == 200
         assert (await w.call("PUT /_lameduck/on")).status == 200
         w.nursery.start_soon(w.service.drain)  # SIGTERM works in it as ever
-        await w.until(lambda: w.service.draining)
+        await w.until(lambda: w.service.run_state.draining)
         assert (await w.call("GET /_ready")).status == 503
         await w.ended.wait()
 
@@ -425,8 +433,10 @@
     async with shared_world(Peer("d1", done)) as w:
         assert (await w.call("PUT /_lameduck/on")).status == 200
         old_process, new_process = w.old_process, await start_heir(w)
-        assert new_process.operator_drain and (await w.call("GET /_ready")).status == 200
-        assert (await w.call("PUT /_lameduck/off")).status == 200 and not old_process.operator_drain
+        assert new_process.operator_drain.active and (await w.call("GET /_ready")).status == 200
+        assert (
+            await w.call("PUT /_lameduck/off")
+        ).status == 200 and not old_process.operator_drain.active
 
 
 async def metrics(w) -> dict[str, float]:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -505,7 +505,7 @@
         await early.send()
         assert (await idle.ask("/up", method="GET")).status == 200
         w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.draining)
+        await w.until(lambda: w.service.run_state.draining)
         assert (await idle.ask("/up", method="GET")).status == 503
         late, quiet = await w.client(), await w.client()
         await late.send(X_Request_ID="r2")
@@ -532,7 +532,7 @@
         assert (await kept.ask()).status == 200
         began = trio.current_time()
         w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.draining and not w.service.listener.accepting)
+        await w.until(lambda: w.service.run_state.draining and not w.service.listener.accepting)
         reply = await kept.ask(X_Request_ID="r2")  # a restart is no reason to send it away
         assert reply.status == 200 and "connection" not in reply.headers
         await slow.send("/once", X_Request_ID="last", X_Timeout_Ms="3000")
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -199,7 +199,7 @@
         await client.send()
         await w.until(lambda: peer.exchanges and hasattr(peer.exchanges[0], "seen"))
         w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.draining)
+        await w.until(lambda: w.service.run_state.draining)
         assert (await w.ask(X_Request_ID="r2")).status == 503
         peer.exchanges[0].seen.set()
         reply, events = await read_stream(client)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -141,7 +141,7 @@
         w.raw["discovery"] = address
         w.service.reload()
         w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.draining)
+        await w.until(lambda: w.service.run_state.draining)
         for number, client in enumerate(clients[4:], 4):
             await client.send(X_Request_ID=f"r{number}", **LONG)
         if front == "platform":
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -299,7 +299,7 @@
             )
         )
         await nursery.start(lambda task_status: service.run(signals=False, task_status=task_status))
-        assert service.operator_drain and service.endpoints.out == ["d2"]
+        assert service.operator_drain.active and service.endpoints.out == ["d2"]
         assert 0.0 < service.endpoints.back["d1"] < 20_000.0
         service.engine.tick()
         worker = service.engine._module.fleet.workers["d1"]
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -513,7 +513,7 @@
         w.old_process.reload()
         await start_heir(w, tracing={"file": str(paths[1]), "share": 1.0})
         w.nursery.start_soon(w.old_process.drain)
-        await w.until(lambda: w.old_process.draining)
+        await w.until(lambda: w.old_process.run_state.draining)
         assert (await w.ask(X_Request_ID="next", traceparent=f"00-{TRACE}-{SPAN}-01")).status == 200
         gate.set()
         assert (await slow.reply()).status == 200
--- a/yewrill/net/listener.py
+++ b/yewrill/net/listener.py
@@ -255,6 +255,7 @@
         inherited: int | None = None,
         patience: float | None = None,
         part: str = "clients",
+        closed_unanswered: Callable[[Client], None] = lambda client: None,
     ):
         self._patience = patience  # seconds for a request to be whole, if not the usual ones
         self._part_name = part  # in the log
@@ -277,8 +278,8 @@
         self._nursery: trio.Nursery
         self.accept_failures = 0
         self.closes: Counter[CloseReason] = Counter()
-        # Told of a client whose connection closes though its request has no answer.
-        self.closed_unanswered: Callable[[Client], None] = lambda client: None
+        # Called for a client whose connection closes though its request has no answer.
+        self._closed_unanswered = closed_unanswered
         self.accepting = True
         self._closed = trio.Event()  # the listening socket is
         self.stopping = False  # idle connections go, the others once they are answered
@@ -479,7 +480,7 @@
             log.exception("client-fault")
         finally:
             if not client.gone and client.owes_answer:
-                self.closed_unanswered(client)
+                self._closed_unanswered(client)
             client.leave(reason)
             self.closes[client.closed_for or reason] += 1
             log.debug("closed connection=%d reason=%s", id(client), client.closed_for)
--- a/yewrill/net/worker_connections.py
+++ b/yewrill/net/worker_connections.py
@@ -99,14 +99,21 @@
         endpoints: EndpointList,
         codec: WorkerCodec,
         *,
-        most: int,
+        max_open: int,
         connect_timeout: float,
         idle_limit: float,
+        on_written: Callable[[], None],
+        record_attempt: Callable[[Attempt], Awaitable[bool]] | None = None,
     ):
+        """`connect_timeout` and `idle_limit` in seconds; `on_written` follows an attempt's last byte.
+
+        `record_attempt` waits until an attempt's record is on disk, and returns whether it is; no byte of
+        the attempt is written before.
+        """
         self._engine = engine
         self._endpoints = endpoints
         self._codec = codec
-        self._most = most
+        self._max_open = max_open
         self.reconfigure(connect_timeout, idle_limit)
         self._idle: dict[str, list[_Line]] = {}
         self.open = 0
@@ -115,9 +122,8 @@
         self._settling: list[tuple[str, _Line, float]] = []
         self._distrust: dict[str, tuple[float, float]] = {}  # until when, and for how long that was
         endpoints.on_change = self._changed
-        self.on_written: Callable[[], None] = lambda: None  # an attempt's last byte is written
-        # Where something must be on disk before an attempt's first byte: waits for that, says whether it is.
-        self.record_attempt: Callable[[Attempt], Awaitable[bool]] | None = None
+        self._on_written = on_written
+        self.record_attempt = record_attempt
 
     def reconfigure(self, connect_timeout: float, idle_limit: float) -> None:
         """In seconds: how long a connection may take to come up, and how long it may stand idle there."""
@@ -135,7 +141,7 @@
             attempt.written = True
             if attempt.trace is not None:
                 attempt.trace.written = trio.current_time()
-            self.on_written()
+            self._on_written()
 
         answer: tuple[AttemptOutcome, Any] | None = None
         with scope:
@@ -404,15 +410,15 @@
             line.http.connection.close()
             self.open -= 1
 
-    def limit(self, most: int) -> None:
-        """Another bound; idle connections beyond it go."""
-        self._most = most
-        while self.open > most and self._make_room():
+    def limit(self, max_open: int) -> None:
+        """Set another bound; idle connections beyond it are closed."""
+        self._max_open = max_open
+        while self.open > max_open and self._make_room():
             pass
 
     def _make_room(self) -> bool:
         """Whether one more connection may be opened; an idle one gives way if need be."""
-        if self.open < self._most:
+        if self.open < self._max_open:
             return True
         oldest = min(
             (lines for lines in self._idle.values() if lines),
--- a/yewrill/service/hot_restart.py
+++ b/yewrill/service/hot_restart.py
@@ -13,7 +13,7 @@
 from collections.abc import Awaitable, Callable, Iterator
 from contextlib import contextmanager, suppress
 from pathlib import Path
-from typing import Any
+from typing import Any, Protocol
 
 import trio
 import ujson
@@ -114,24 +114,32 @@
                 yield message
 
 
+class PeerState(Protocol):
+    """What the two processes tell each other."""
+
+    def snapshot(self) -> dict[str, Any]:
+        """All that a new process needs to know."""
+
+    def receive(self, message: dict[str, Any]) -> None:
+        """Apply a snapshot or a change of the other process."""
+
+    def disconnected(self) -> None:
+        """No other process is left."""
+
+
 class HotRestart:
     def __init__(
         self,
         path: Path,
-        *,
-        state: Callable[[], dict[str, Any]],
-        hear: Callable[[dict[str, Any]], None],
-        alone: Callable[[], None],
+        keep_for_another: Callable[[str, str], Awaitable[bool]] | None,
     ):
+        """`keep_for_another` stores a record for a process that waits for the store; whether it did."""
         self._path = path
-        self._state = state  # what an heir needs to know
-        self._hear = hear  # takes a state or a change
-        self._alone = alone  # told when nobody else is left
+        self._keep_for_another = keep_for_another
+        self._peer_state: PeerState  # set by `run`
         self._links: set[_Link] = set()
         self._named: tuple[int, ...] = ()  # the file that is our name for heirs
         self._sock: socket.socket | None = None
-        # Keeps the record of an attempt for a run that waits for the store; whether it is on disk.
-        self.keep_for_another: Callable[[str, str], Awaitable[bool]] | None = None
         self.joined = trio.Event()  # there is no elder, or it has told all, or it had its time
         self._nursery: trio.Nursery
 
@@ -161,8 +169,9 @@
                     return bool(answer and answer.get("kept"))
         return False
 
-    async def run(self) -> None:
-        """Join the elder, if there is one, and serve heirs from `take_name` on."""
+    async def run(self, peer_state: PeerState) -> None:
+        """Join the old process, if there is one, and serve new ones from `take_name` on."""
+        self._peer_state = peer_state
         async with trio.open_nursery() as self._nursery:
             if (
                 self.joined.is_set()
@@ -199,7 +208,9 @@
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(link.write)
-                link.tell({"hello": 1} if link.old_process else {"state": self._state()})
+                link.tell(
+                    {"hello": 1} if link.old_process else {"state": self._peer_state.snapshot()}
+                )
                 async for message in link.lines():
                     self._take(link, message)
                 nursery.cancel_scope.cancel()
@@ -216,7 +227,7 @@
         if not link.old_process and not any(not other.old_process for other in self._links):
             self.take_name()  # it may have taken the name along
         if not self._links:
-            self._alone()
+            self._peer_state.disconnected()
 
     def _take(self, link: _Link, message: dict[str, Any]) -> None:
         if "open" in message:
@@ -240,7 +251,7 @@
                 log.info("heir-ready")
             if "state" in message:
                 link.ids.update(map(str, message["state"].get("ids", ())))
-            self._hear(message)
+            self._peer_state.receive(message)
         except Exception:  # another version may say what we can't read: the rest goes on
             log.exception("handover-fault")
         if "number" in message:
@@ -252,8 +263,8 @@
     async def _keep(self, link: _Link, message: dict[str, Any]) -> None:
         kept = False
         try:
-            if self.keep_for_another is not None:
-                kept = await self.keep_for_another(str(message["keep"]), str(message["value"]))
+            if self._keep_for_another is not None:
+                kept = await self._keep_for_another(str(message["keep"]), str(message["value"]))
         except Exception:  # another version may say what we can't read
             log.exception("handover-fault")
         link.tell({"noted": message.get("number"), "kept": kept})
--- a/yewrill/service/management_calls.py
+++ b/yewrill/service/management_calls.py
@@ -1,65 +1,83 @@
-"""What operators can ask of a running dispatcher, one method a call of the management listener.
+"""The calls that operators make at a running dispatcher, one method a call of the management listener.
 
-Imported only where `mgmt` is set. An order holds for both runs of a dispatcher that is being upgraded, and
-its answer says whether a restart remembers it.
+Imported only where `mgmt` is set. An order holds for both processes of a hot restart, and its answer says
+whether a restart remembers it.
 """
 
 from __future__ import annotations
 
 import logging
 import time
+from collections.abc import Sequence
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import ujson
 
-from yewrill.dispatch.safety import CloseReason, HeldBack
-from yewrill.net.connection import Retries
+from yewrill.net.discovery import EndpointList
 from yewrill.net.http import Reply
 from yewrill.net.management import Call
+from yewrill.service.metrics_report import MetricsReport
+from yewrill.service.operator_drain import OperatorDrain
+from yewrill.service.run_state import RunState
 
 if TYPE_CHECKING:
-    from yewrill.service.service import Service
+    from yewrill.persistence import PersistentState
+    from yewrill.service.hot_restart import HotRestart
     from yewrill.service.subsystems import Subsystem
 
 log = logging.getLogger("yewrill")
 
-NOT_KEPT = b", but not on disk: a restart forgets it\n"
+NOT_STORED = b", but not on disk: a restart forgets it\n"
 NO_SUCH_WORKER = Reply(404, b"no such profiler\n")
 
 
 class ManagementCalls:
     """The calls at one service."""
 
-    def __init__(self, service: Service):
-        self._service = service
+    def __init__(
+        self,
+        run_state: RunState,
+        endpoints: EndpointList,
+        operator_drain: OperatorDrain,
+        metrics_report: MetricsReport,
+        subsystems: Sequence[Subsystem],
+        *,
+        persistent_state: PersistentState | None,
+        hot_restart: HotRestart | None,
+    ):
+        self._run_state = run_state
+        self._endpoints = endpoints
+        self._operator_drain = operator_drain
+        self._metrics_report = metrics_report
+        self._subsystems = subsystems
+        self._persistent_state = persistent_state
+        self._hot_restart = hot_restart
 
     def by_path(self) -> dict[str, Call]:
         """Every call, by the path that it is asked under."""
-        subsystems = self._service.subsystems
         return {
             "/_ready": Call("GET", self._ready),
             "/_vars": Call("GET", self._metrics),
-            "/_lameduck/on": Call("PUT", partial(self._lame, True, b"draining")),
-            "/_lameduck/off": Call("PUT", partial(self._lame, False, b"serving")),
+            "/_lameduck/on": Call("PUT", partial(self._drain, True, b"draining")),
+            "/_lameduck/off": Call("PUT", partial(self._drain, False, b"serving")),
             "/_profilers/detach": Call("PUT", self._detach, named=True),
             "/_profilers/attach": Call("PUT", self._attach, named=True),
             **{
                 f"/_{subsystem.name}": Call("GET", partial(self._status, subsystem))
-                for subsystem in subsystems
+                for subsystem in self._subsystems
             },
             **{
                 f"/_{subsystem.name}/{call}": Call(
                     "PUT", partial(self._order, subsystem, call), named=True
                 )
-                for subsystem in subsystems
+                for subsystem in self._subsystems
                 for call in subsystem.calls
             },
         }
 
     async def _ready(self) -> Reply:
-        service = self._service
-        if service.serving and not service.draining and len(service.endpoints):
+        if self._run_state.serving and not self._run_state.draining and len(self._endpoints):
             return Reply(200, b"ready\n")
         return Reply(503, b"not serving\n")
 
@@ -76,60 +94,39 @@
         return Reply(200, f"{call} {name}\n".encode())
 
     async def _metrics(self) -> Reply:
-        service = self._service
-        for subsystem in service.subsystems:
-            service.metrics.add(subsystem.metrics())
-        if service.tracing_hooks is not None:
-            service.metrics.add(service.tracing_hooks.metrics())
-        service.metrics.add(service.engine.violations.metrics())
-        service.metrics.add(self._reasons())
-        avoided = service.engine.avoided()
-        listed = service.endpoints.names
-        disabled = sum(not service.endpoints.may_send(name) or name in avoided for name in listed)
-        gauges = {
-            "concurrent": service.engine.pending,
-            "targets": len(listed),
-            "targets_disabled": disabled,
-        }
-        return Reply(200, service.metrics.text(gauges).encode())
-
-    def _reasons(self) -> dict[str, int]:
-        """Why attempts were held back and connections closed, and how often calls of the system failed."""
-        held_back = self._service.worker_connections.held_back
-        closes = self._service.listener.closes
-        return {
-            **{f"held_back.{reason.name.lower()}": held_back[reason] for reason in HeldBack},
-            **{f"closed.{reason.value}": closes[reason] for reason in CloseReason},
-            "accept_failures": self._service.listener.accept_failures,
-            "call_retries": Retries.counted,
-        }
+        return Reply(200, self._metrics_report.text().encode())
 
     async def _detach(self, name: str) -> Reply:
-        service = self._service
-        if not service.endpoints.take_out(name):
+        if not self._endpoints.take_out(name):
             return NO_SUCH_WORKER
         log.info("detached worker=%s", name)
-        kept = service.persistent_state is None or await service.persistent_state.taken_out(name)
-        await service.agree({"out": name})
-        return _done(b"detached", kept)
+        state = self._persistent_state
+        stored = state is None or await state.taken_out(name)
+        await self._tell_other_process({"out": name})
+        return _done(b"detached", stored)
 
     async def _attach(self, name: str) -> Reply:
-        service = self._service
-        if not service.endpoints.put_back(name):
+        if not self._endpoints.put_back(name):
             return NO_SUCH_WORKER
         log.info("attached worker=%s", name)
-        kept = service.persistent_state is None or await service.persistent_state.put_back(name)
-        await service.agree({"back": name, "at": time.time() * 1000.0})
-        return _done(b"attached", kept)
+        state = self._persistent_state
+        stored = state is None or await state.put_back(name)
+        await self._tell_other_process({"back": name, "at": time.time() * 1000.0})
+        return _done(b"attached", stored)
+
+    async def _drain(self, on: bool, answer: bytes) -> Reply:
+        self._operator_drain.set(on)
+        state = self._persistent_state
+        stored = state is None or await state.operator_drain(on)
+        await self._tell_other_process({"lame": on})
+        return _done(answer, stored)
 
-    async def _lame(self, on: bool, told: bytes) -> Reply:
-        service = self._service
-        service.set_operator_drain(on)
-        kept = service.persistent_state is None or await service.persistent_state.operator_drain(on)
-        await service.agree({"lame": on})
-        return _done(told, kept)
+    async def _tell_other_process(self, message: dict[str, Any]) -> None:
+        """What operators order holds for the dispatcher, so for both processes of a hot restart."""
+        if self._hot_restart is not None:
+            await self._hot_restart.agree(message)
 
 
-def _done(what: bytes, kept: bool) -> Reply:
+def _done(answer: bytes, stored: bool) -> Reply:
     """The answer to an order, which holds whether it is on disk or not."""
-    return Reply(200, what + (b"\n" if kept else NOT_KEPT))
+    return Reply(200, answer + (b"\n" if stored else NOT_STORED))
--- /dev/null
+++ b/yewrill/service/metrics_report.py
@@ -0,0 +1,71 @@
+"""The text that operators fetch as metrics, gathered from every part that counts."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from yewrill.dispatch.engine import DecisionEngine
+from yewrill.dispatch.safety import CloseReason, HeldBack
+from yewrill.net.connection import Retries
+from yewrill.net.discovery import EndpointList
+from yewrill.net.listener import Listener
+from yewrill.net.worker_connections import WorkerConnectionPool
+from yewrill.observability.metrics import Metrics
+
+if TYPE_CHECKING:
+    from yewrill.service.subsystems import Subsystem
+    from yewrill.service.tracing_hooks import TracingHooks
+
+
+class MetricsReport:
+    """Collects counts and gauges at the moment of the call. The names are those that operators fetch."""
+
+    def __init__(
+        self,
+        metrics: Metrics,
+        engine: DecisionEngine,
+        endpoints: EndpointList,
+        listener: Listener,
+        worker_connections: WorkerConnectionPool,
+        subsystems: Sequence[Subsystem],
+        tracing_hooks: TracingHooks | None,
+    ):
+        self._metrics = metrics
+        self._engine = engine
+        self._endpoints = endpoints
+        self._listener = listener
+        self._worker_connections = worker_connections
+        self._subsystems = subsystems
+        self._tracing_hooks = tracing_hooks
+
+    def text(self) -> str:
+        """All metrics in the form of statsd."""
+        for subsystem in self._subsystems:
+            self._metrics.add(subsystem.metrics())
+        if self._tracing_hooks is not None:
+            self._metrics.add(self._tracing_hooks.metrics())
+        self._metrics.add(self._engine.violations.metrics())
+        self._metrics.add(self._reasons())
+        return self._metrics.text(self._gauges())
+
+    def _gauges(self) -> dict[str, int]:
+        ejected = self._engine.avoided()
+        listed = self._endpoints.names
+        disabled = sum(not self._endpoints.may_send(name) or name in ejected for name in listed)
+        return {
+            "concurrent": self._engine.pending,
+            "targets": len(listed),
+            "targets_disabled": disabled,
+        }
+
+    def _reasons(self) -> dict[str, int]:
+        """Why attempts were held back and connections closed, and how often system calls failed."""
+        held_back = self._worker_connections.held_back
+        closes = self._listener.closes
+        return {
+            **{f"held_back.{reason.name.lower()}": held_back[reason] for reason in HeldBack},
+            **{f"closed.{reason.value}": closes[reason] for reason in CloseReason},
+            "accept_failures": self._listener.accept_failures,
+            "call_retries": Retries.counted,
+        }
--- /dev/null
+++ b/yewrill/service/request_handler.py
@@ -0,0 +1,168 @@
+"""One HTTP exchange with a client: the readiness check, or a request and its final answer."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import trio
+
+from yewrill.dispatch.engine import DecisionEngine, Rejection, Request
+from yewrill.dispatch.lifecycle import Answer, Served, carry
+from yewrill.dispatch.safety import Rule
+from yewrill.net.discovery import EndpointList
+from yewrill.net.http import BadRequest, HttpRequest, Reply
+from yewrill.net.listener import Client
+from yewrill.observability.logs import bind_request
+from yewrill.observability.metrics import ERROR, OVERLOAD, SUCCESS, Metrics
+from yewrill.service.background_tasks import BackgroundTasks
+from yewrill.service.open_requests import OpenRequests
+from yewrill.service.operator_drain import OperatorDrainState
+from yewrill.service.run_state import RunState
+from yewrill.service.subsystems import SubsystemContext
+
+if TYPE_CHECKING:
+    from yewrill.frontends.platform import PlatformFront
+    from yewrill.frontends.progress import ProgressFront
+    from yewrill.persistence import PersistentState
+    from yewrill.service.tracing_hooks import TracingHooks
+
+READY_PATH = "/up"
+
+
+class RequestHandler:
+    """Answers the clients of the listener."""
+
+    def __init__(
+        self,
+        front: PlatformFront | ProgressFront,
+        engine: DecisionEngine,
+        endpoints: EndpointList,
+        context: SubsystemContext,
+        *,
+        run_state: RunState,
+        operator_drain: OperatorDrainState,
+        open_requests: OpenRequests,
+        metrics: Metrics,
+        tasks: BackgroundTasks,
+        persistent_state: PersistentState | None,
+        tracing_hooks: TracingHooks | None,
+    ):
+        self._front = front
+        self._engine = engine
+        self._endpoints = endpoints
+        self._context = context  # its `run_attempt` is what subsystems have made of it
+        self._run_state = run_state
+        self._operator_drain = operator_drain
+        self._open_requests = open_requests
+        self._metrics = metrics
+        self._tasks = tasks
+        self._persistent_state = persistent_state
+        self._tracing_hooks = tracing_hooks
+
+    async def handle(self, client: Client, http_request: HttpRequest) -> bool:
+        """Answer one request. Returns whether the connection may carry another.
+
+        Raises BadRequest, to which the listener sends the answer. On cancellation the decision engine is
+        told that the client left.
+        """
+        if http_request.target.partition("?")[0] == READY_PATH:
+            return await self._answer_readiness(client, http_request)
+        if self._run_state.refuses_requests and not self._front.takes_while_draining:
+            raise BadRequest(503, "draining")
+        now = self._engine.now() - (trio.current_time() - http_request.arrived) * 1000.0
+        request = self._front.reader.read_request(http_request, now)
+        if request.id in self._open_requests:
+            # Still at a client or out at a worker: two of one id can't be told apart there.
+            raise BadRequest(409, "X-Request-ID is in use")
+        if (rejection := self._front.turned_back(http_request)) is not None:
+            await client.send(client.http.whole(rejection, close=True))
+            return False
+        self._open_requests.add(request.id)
+        self._begin_observing(request, http_request, now)
+        self._engine.take(request)
+        try:
+            return await self._respond(client, request)
+        finally:
+            self._finish(client, request)
+
+    async def _answer_readiness(self, client: Client, http_request: HttpRequest) -> bool:
+        if http_request.method != "GET":
+            raise BadRequest(405, "GET only", (("Allow", "GET"),))
+        reply = self._readiness()
+        close = self._closes_after_answer(client)
+        return await client.send(client.http.whole(reply, close)) and not close
+
+    async def _respond(self, client: Client, request: Request) -> bool:
+        request_class = self._front.reader.settings.classes[request.request_class].name
+        client.request, client.on_left, client.proven = request, self._engine.left, True
+        request.has_left = client.has_left
+        async with client.watched(self._tasks.nursery):
+            if request.trace is not None:
+                bind_request(request.id, request.trace.context.trace)
+            return await self._front.respond(
+                client,
+                request,
+                lambda: self._run_to_answer(request, request_class),
+                lambda: self._closes_after_answer(client),
+            )
+
+    def _finish(self, client: Client, request: Request) -> None:
+        client.request = None
+        if not request.closed:  # however this exchange ended, the policy must not wait for it
+            self._engine.left(request)
+        self._open_requests.discard(request.id)
+        if self._persistent_state is not None:
+            self._persistent_state.closed(request)
+        if self._tracing_hooks is not None:
+            self._tracing_hooks.over(request)
+
+    async def _run_to_answer(self, request: Request, request_class: str) -> Answer | None:
+        """Run a request to its final answer and count that. None if the client left before."""
+        answer = await carry(request, self._engine, self._context.run_attempt)
+        if answer is None:
+            return None
+        if self._tracing_hooks is not None:
+            self._tracing_hooks.answered(request, answer)
+        self._metrics.answered(request_class, _status(answer))
+        return answer
+
+    def _begin_observing(self, request: Request, http_request: HttpRequest, now: float) -> None:
+        """Begin the request's records and its trace, with the settings that it was read with."""
+        if self._persistent_state is None and self._tracing_hooks is None:
+            return
+        settings = self._front.reader.settings
+        spec = settings.classes[request.request_class]
+        tenant = settings.tenants[request.tenant].name if settings.tenants else ""
+        if self._persistent_state is not None:
+            self._persistent_state.take(request, spec, tenant)
+        if self._tracing_hooks is not None:
+            self._tracing_hooks.begin(request, http_request, spec, tenant, now)
+
+    def _closes_after_answer(self, client: Client) -> bool:
+        return (
+            self._run_state.closing_connections
+            or self._operator_drain.closing_connections
+            or client.ahead
+        )
+
+    def _readiness(self) -> Reply:
+        # With a new process, the dispatcher is up, whichever of the two is asked.
+        if self._run_state.refuses_requests:
+            return Reply(503, b"draining\n")
+        if self._operator_drain.active:
+            return Reply(503, b"drained by operators\n")
+        if not len(self._endpoints):
+            return Reply(503, b"no pool config yet\n")
+        return Reply(200, b"up\n")
+
+    def closed_unanswered(self, client: Client) -> None:
+        """Count a connection that closed although its request had no answer: a broken rule."""
+        request = client.request.id if client.request is not None else ""
+        self._engine.violations.note(Rule.CLOSED_UNANSWERED, request=request, connection=id(client))
+
+
+def _status(answer: Answer) -> str:
+    """The metrics' name of a final answer."""
+    if isinstance(answer, Served):
+        return SUCCESS
+    return OVERLOAD if isinstance(answer, Rejection) else ERROR
--- /dev/null
+++ b/yewrill/service/state_startup.py
@@ -0,0 +1,77 @@
+"""Bringing persistent state into the service at a start, or when an old process gives the store up."""
+
+from __future__ import annotations
+
+import logging
+from typing import Any
+
+import trio
+
+from yewrill.config.reading import ConfigError
+from yewrill.net.discovery import EndpointList
+from yewrill.persistence import PersistentState
+from yewrill.service.background_tasks import BackgroundTasks
+from yewrill.service.operator_drain import OperatorDrain
+from yewrill.service.state_exchange import StateExchange
+from yewrill.store import StoreHeld
+
+log = logging.getLogger("yewrill")
+
+
+class StateStartup:
+    """Opens the store, restores from it, and has changes written from then on."""
+
+    def __init__(
+        self,
+        persistent_state: PersistentState,
+        endpoints: EndpointList,
+        state_exchange: StateExchange,
+        operator_drain: OperatorDrain,
+        tasks: BackgroundTasks,
+        *,
+        may_wait: bool,
+    ):
+        self._persistent_state = persistent_state
+        self._endpoints = endpoints
+        self._state_exchange = state_exchange
+        self._operator_drain = operator_drain
+        self._tasks = tasks
+        self._may_wait = may_wait  # an old process may hold the store for a while
+
+    async def restore(self) -> dict[str, Any] | None:
+        """Read what the last process left. None if an old process still has the store.
+
+        Raises OSError if another process has it for good.
+        """
+        try:
+            await trio.to_thread.run_sync(self._persistent_state.open_store)
+        except StoreHeld as error:
+            if not self._may_wait:
+                raise OSError(f"state_dir: {error}") from None
+            log.info("state-waits %s", error)
+            return None
+        return await trio.to_thread.run_sync(self._persistent_state.restore)
+
+    def begin(self, restored: dict[str, Any] | None) -> None:
+        """Apply what was restored, and write every change from here on."""
+        if restored is None:
+            self._tasks.start_supervised(self._take_over_store)
+        else:
+            try:
+                if restored["list"]:
+                    self._endpoints.apply(restored["list"], cached=True)
+            except ConfigError as error:  # of another version's form, say
+                log.error("state-unreadable list: %s", error)
+            self._state_exchange.apply({**restored, "list": None})
+        self._endpoints.on_applied = self._persistent_state.list_changed
+        if len(self._endpoints) and not (restored and restored["list"]):
+            self._persistent_state.list_changed()  # the configuration's own
+        self._tasks.start_supervised(self._persistent_state.run)
+
+    async def _take_over_store(self) -> None:
+        """Wait for the store. The old process has told the operators' orders; attempts it has not."""
+        await self._persistent_state.wait_for_store()
+        await trio.to_thread.run_sync(self._persistent_state.recall_attempts)
+        await self._persistent_state.write_all(self._operator_drain.active)
+        log.info("state-taken-over")
+        await trio.sleep_forever()
