--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -74,7 +74,7 @@
 def as_a_line_is_taken(monkeypatch, act) -> list[str]:
     """Have something happen as an attempt begins, with no turn of the loop up to its last look. Returns the
     workers for whom attempts have begun."""
-    real, begun = WorkerConnectionPool._take, []
+    real, begun = WorkerConnectionPool.take_idle, []
 
     def takes(endpoints, worker):
         begun.append(worker.id)
@@ -82,7 +82,7 @@
             act()
         return real(endpoints, worker)
 
-    monkeypatch.setattr(WorkerConnectionPool, "_take", takes)
+    monkeypatch.setattr(WorkerConnectionPool, "take_idle", takes)
     return begun
 
 
@@ -445,7 +445,7 @@
             promised.append(attempt)
             return True
 
-        w.service.worker_connections.record_attempt = record
+        w.service.worker_client.record_attempt = record
         await client.send(**LONG)
         await w.until(lambda: promised and not w.service.listener.clients)
         assert (await w.ask(X_Request_ID="r2", **LONG)).status == 200
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -313,8 +313,8 @@
         request = Request("r1", 0, service.engine.now() + 2000.0)
         attempt = await service.engine.pick(request)
         assert service.endpoints.take_out(attempt.worker)
-        assert (await service.worker_connections.run_attempt(attempt))[0] is AttemptOutcome.NOT_SENT
-        assert (await service.worker_connections.probe("d1"))[0] is AttemptOutcome.TURNED_AWAY
+        assert (await service.worker_client.run_attempt(attempt))[0] is AttemptOutcome.NOT_SENT
+        assert (await service.worker_client.probe("d1"))[0] is AttemptOutcome.TURNED_AWAY
         assert not one.exchanges
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -595,7 +595,7 @@
         assert (
             await w.ask("/once")
         ).status == 503  # refused, which a class that ran would not allow
-        assert (await w.service.worker_connections.probe("d1"))[0] is AttemptOutcome.TURNED_AWAY
+        assert (await w.service.worker_client.probe("d1"))[0] is AttemptOutcome.TURNED_AWAY
         monkeypatch.setattr(Connection, "open", real)
         began = trio.current_time()
         assert (await w.ask("/once", X_Request_ID="r2")).status == 200
@@ -619,9 +619,9 @@
             (503, AttemptOutcome.TURNED_AWAY),
             (404, AttemptOutcome.FAILED),
         ):
-            assert (await w.service.worker_connections.probe("d1"))[0] is outcome
+            assert (await w.service.worker_client.probe("d1"))[0] is outcome
         peer.script = hang
-        assert (await w.service.worker_connections.probe("d1"))[0] is AttemptOutcome.UNREACHABLE
+        assert (await w.service.worker_client.probe("d1"))[0] is AttemptOutcome.UNREACHABLE
         assert (
             peer.connections == 4
         )  # each on its own: an old connection says little of the destination
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -109,7 +109,7 @@
         await w.ask(body=b"full", X_Request_ID="full")
         await trio.testing.wait_all_tasks_blocked()
         assert worker.reading == (5.0, 9.0, 0.0)
-        assert await w.service.worker_connections.probe("d1") == (
+        assert await w.service.worker_client.probe("d1") == (
             AttemptOutcome.SERVED,
             {**GOOD, "x0": 4.0},
         )
--- a/yewrill/frontends/platform.py
+++ b/yewrill/frontends/platform.py
@@ -13,7 +13,7 @@
 from yewrill.dispatch.lifecycle import Answer, Served
 from yewrill.net.http import MAX_BODY, BadRequest, HttpRequest, Reply
 from yewrill.net.listener import Client
-from yewrill.net.worker_connections import MalformedResponse, Word
+from yewrill.net.worker_protocol import MalformedResponse, WorkerMessage
 from yewrill.policy.interface import Settings
 
 Carried = Callable[[], Awaitable[Answer | None]]
@@ -179,7 +179,7 @@
     return http_request.method, http_request.target, headers, http_request.body
 
 
-def word_of(text: bytes | str) -> Word:
+def parse_worker_message(text: bytes | str) -> WorkerMessage:
     """One JSON object of a destination's."""
     try:
         said = ujson.loads(text)
@@ -195,7 +195,7 @@
             raise MalformedResponse("share out of bounds")
         if state == "done":
             body_of(said["result"])  # a result that can't be written to a client is none
-        return Word(said["id"], state, float(share), said.get("result"), said.get("load"))
+        return WorkerMessage(said["id"], state, float(share), said.get("result"), said.get("load"))
     except (ValueError, KeyError, AttributeError, TypeError, OverflowError) as error:
         raise MalformedResponse(f"not a job's line: {type(error).__name__}") from None
 
@@ -220,11 +220,11 @@
     def __init__(self) -> None:
         self._rest = b""
 
-    def feed(self, data: bytes) -> list[Word]:
+    def feed(self, data: bytes) -> list[WorkerMessage]:
         *lines, self._rest = (self._rest + data).split(b"\n")
         if len(self._rest) > MAX_BODY:
             raise MalformedResponse("line too long")
-        return [word_of(line) for line in lines if line.strip()]
+        return [parse_worker_message(line) for line in lines if line.strip()]
 
 
 class PlatformFront:
--- a/yewrill/frontends/progress.py
+++ b/yewrill/frontends/progress.py
@@ -15,10 +15,10 @@
 
 from yewrill.dispatch.engine import Attempt, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served
-from yewrill.frontends.platform import Carried, Closing, Reader, passed_on, word_of
+from yewrill.frontends.platform import Carried, Closing, Reader, parse_worker_message, passed_on
 from yewrill.net.http import MAX_BODY, HttpRequest, Reply
 from yewrill.net.listener import Client
-from yewrill.net.worker_connections import MalformedResponse, Word
+from yewrill.net.worker_protocol import MalformedResponse, WorkerMessage
 
 CONTENT_TYPE = "text/event-stream"
 HEADERS = [
@@ -103,8 +103,8 @@
     def __init__(self) -> None:
         self._parser = EventStreamParser()
 
-    def feed(self, data: bytes) -> list[Word]:
-        return [word_of(event.data) for event in self._parser.feed(data)]
+    def feed(self, data: bytes) -> list[WorkerMessage]:
+        return [parse_worker_message(event.data) for event in self._parser.feed(data)]
 
 
 class _Outlet:
--- a/yewrill/lab/cluster/entry.py
+++ b/yewrill/lab/cluster/entry.py
@@ -130,16 +130,16 @@
 
 def _overlap() -> None:
     """Two attempts at once: each is carried twice."""
-    from yewrill.net.worker_connections import WorkerConnectionPool
+    from yewrill.net.worker_client import WorkerClient
 
-    run_attempt = WorkerConnectionPool.run_attempt
+    run_attempt = WorkerClient.run_attempt
 
     async def twice(self: Any, attempt: Any) -> Any:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(run_attempt, self, replace(attempt, scope=trio.CancelScope()))
             return await run_attempt(self, attempt)
 
-    WorkerConnectionPool.run_attempt = twice
+    WorkerClient.run_attempt = twice
 
 
 def _answer_twice() -> None:
@@ -197,16 +197,16 @@
 
 def _again() -> None:
     """What may not run twice is sent again, once it has run."""
-    from yewrill.net.worker_connections import WorkerConnectionPool
+    from yewrill.net.worker_client import WorkerClient
 
-    run_attempt = WorkerConnectionPool.run_attempt
+    run_attempt = WorkerClient.run_attempt
 
     async def again(self: Any, attempt: Any) -> Any:
         await run_attempt(self, attempt)
         attempt.scope = trio.CancelScope()
         return await run_attempt(self, attempt)
 
-    WorkerConnectionPool.run_attempt = again
+    WorkerClient.run_attempt = again
 
 
 def _minority() -> None:
--- /dev/null
+++ b/yewrill/net/worker_client.py
@@ -0,0 +1,328 @@
+"""One attempt's exchange with a worker, and its health check, each over a connection of the pool.
+
+Order matters: an attempt's record is on disk before its connection is opened, and the last look at the rules
+comes directly before the first byte, because recording and opening take time.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections import Counter
+from collections.abc import Awaitable, Callable
+from contextlib import suppress
+from typing import Any
+
+import h11
+import trio
+import ujson
+
+from yewrill.dispatch import load_report
+from yewrill.dispatch import safety as rules
+from yewrill.dispatch.engine import Attempt, DecisionEngine, Endpoint, Request
+from yewrill.dispatch.outcome import AttemptOutcome
+from yewrill.net.connection import OWN_SHORTAGE
+from yewrill.net.discovery import EndpointList
+from yewrill.net.http import PeerEnded
+from yewrill.net.worker_connections import WorkerConnection, WorkerConnectionPool
+from yewrill.net.worker_protocol import MalformedResponse, WorkerCodec, WorkerMessage
+
+log = logging.getLogger("yewrill.destinations")
+
+PROBE_PATH = "/alive"
+LOAD_PATH = "/metrics/load"  # the same, with a load report as its body, where workers report
+MAX_REPORT_BYTES = 4096
+PROBE_TIMEOUT_SECONDS = 0.2
+# An answer that names no request may come a second time some milliseconds later, and nothing would tell it
+# from the next request's: so its connection carries none until then.
+UNNAMED_ANSWER_PAUSE_SECONDS = 0.05
+
+_FINAL_STATES = {
+    "done": AttemptOutcome.SERVED,
+    "failed": AttemptOutcome.FAILED,
+    "returned": AttemptOutcome.TURNED_AWAY,
+    "lost": AttemptOutcome.RESET,
+}
+_PROBE_STATUSES = {200: AttemptOutcome.SERVED, 503: AttemptOutcome.TURNED_AWAY}
+# What an answer in order can mean; after any other outcome the connection is closed.
+_REUSABLE_AFTER = frozenset(
+    {AttemptOutcome.SERVED, AttemptOutcome.FAILED, AttemptOutcome.TURNED_AWAY}
+)
+
+
+class _ConnectFailed(Exception):
+    """There is no connection for an attempt, which has this outcome."""
+
+    def __init__(self, outcome: AttemptOutcome):
+        super().__init__(outcome)
+        self.outcome = outcome
+
+
+class WorkerClient:
+    """Runs attempts and health checks."""
+
+    def __init__(
+        self,
+        engine: DecisionEngine,
+        endpoints: EndpointList,
+        codec: WorkerCodec,
+        connections: WorkerConnectionPool,
+        *,
+        on_written: Callable[[], None],
+        record_attempt: Callable[[Attempt], Awaitable[bool]] | None = None,
+    ):
+        """`on_written` is called after an attempt's last byte.
+
+        `record_attempt` waits until an attempt's record is on disk, and returns whether it is; no byte of
+        the attempt is written before.
+        """
+        self._engine = engine
+        self._endpoints = endpoints
+        self._codec = codec
+        self._connections = connections
+        self._on_written = on_written
+        self.record_attempt = record_attempt
+        # Attempts whose first byte was not written.
+        self.held_back: Counter[rules.HeldBack] = Counter()
+
+    async def run_attempt(self, attempt: Attempt) -> tuple[AttemptOutcome, Any]:
+        """Run an attempt to its outcome. Its connection is closed or back in the pool on return.
+
+        The attempt's own cancel scope ends it early, with an outcome; a cancellation from outside goes on.
+        """
+        scope = attempt.scope
+        scope.deadline = min(scope.deadline, self._engine.loop_time(attempt.until))
+        answer: tuple[AttemptOutcome, Any] | None = None
+        with scope:
+            answer = await self._connect_and_exchange(attempt)
+        if answer is not None:
+            return answer
+        if attempt.written:
+            return attempt.withdrawn or AttemptOutcome.TIMED_OUT, None
+        # Given up before its last byte went out: the worker never starts on it, and unless it was slow to
+        # take the bytes, that says nothing against it.
+        if not attempt.sent or attempt.withdrawn is AttemptOutcome.NOT_SENT:
+            return AttemptOutcome.NOT_SENT, None
+        return AttemptOutcome.UNREACHABLE, None
+
+    async def _connect_and_exchange(self, attempt: Attempt) -> tuple[AttemptOutcome, Any]:
+        endpoint = self._endpoints.get(attempt.worker)
+        if endpoint is None:
+            return AttemptOutcome.NOT_SENT, None
+        if attempt.trace is not None:
+            attempt.trace.begin = trio.current_time()
+        recorded = self.record_attempt is None or await self.record_attempt(attempt)
+        if not recorded:
+            return self._check_may_send(attempt, record_kept=False)
+        try:
+            connection = await self._connection(endpoint)
+        except _ConnectFailed as failure:
+            return failure.outcome, None
+        if attempt.trace is not None:
+            attempt.trace.connected = trio.current_time()
+        reusable = False
+        try:
+            # Opening took time: the last look before the first byte.
+            if (held := self._check_may_send(attempt)) is not None:
+                reusable = True
+                return held
+            outcome, result = await self._exchange(attempt, connection)
+            reusable = outcome in _REUSABLE_AFTER
+            return outcome, result
+        finally:
+            if reusable:
+                self._connections.give_back(attempt.worker, connection)
+            else:
+                self._connections.discard(connection)
+
+    async def _connection(self, endpoint: Endpoint) -> WorkerConnection:
+        """An idle connection or a new one. Raises _ConnectFailed."""
+        connection = self._connections.take_idle(endpoint)
+        if connection is not None:
+            return connection
+        if not self._connections.make_room():
+            log.warning("sockets-short open=%d: route step not sent", self._connections.open)
+            raise _ConnectFailed(AttemptOutcome.NOT_SENT)
+        try:
+            return await self._connections.connect(endpoint)
+        except trio.TooSlowError:
+            raise _ConnectFailed(AttemptOutcome.UNREACHABLE) from None
+        except OSError as error:
+            if error.errno not in OWN_SHORTAGE:
+                raise _ConnectFailed(AttemptOutcome.UNREACHABLE) from None
+            # A shortage of this process says nothing against the worker.
+            log.warning("sockets-short open=%d: %s", self._connections.open, error.strerror)
+            raise _ConnectFailed(AttemptOutcome.NOT_SENT) from None
+
+    async def _exchange(
+        self, attempt: Attempt, connection: WorkerConnection
+    ) -> tuple[AttemptOutcome, Any]:
+        attempt.sent = self._engine.now()
+        wait_ms = max(1, int(attempt.until - attempt.sent))
+        self._check_stated_time(attempt, wait_ms)
+        data = connection.http.encode(*self._codec.encode_request(attempt, wait_ms))
+        try:
+            await connection.http.connection.send(data)
+        except OSError:
+            return self._send_failed(attempt, connection), None
+        self._mark_written(attempt)
+        try:
+            return await self._read_answer(attempt, connection)
+        except (OSError, PeerEnded):
+            return self._receive_failed(attempt, connection), None
+        except (h11.RemoteProtocolError, MalformedResponse) as error:
+            log.warning("garbled worker=%s: %s", attempt.worker, error)
+            return AttemptOutcome.MALFORMED_RESPONSE, None
+
+    def _mark_written(self, attempt: Attempt) -> None:
+        attempt.written = True
+        if attempt.trace is not None:
+            attempt.trace.written = trio.current_time()
+        self._on_written()
+
+    def _send_failed(self, attempt: Attempt, connection: WorkerConnection) -> AttemptOutcome:
+        if connection.reused:
+            self._connections.pause_reuse(attempt.worker)
+        if connection.http.connection.unsent:
+            if connection.reused:
+                return AttemptOutcome.STALE_UNREACHABLE
+            return AttemptOutcome.UNREACHABLE
+        return AttemptOutcome.STALE_RESET if connection.reused else AttemptOutcome.RESET
+
+    def _receive_failed(self, attempt: Attempt, connection: WorkerConnection) -> AttemptOutcome:
+        if connection.reused and connection.http.parser.their_state is h11.SEND_RESPONSE:
+            self._connections.pause_reuse(attempt.worker)
+            return AttemptOutcome.STALE_RESET
+        return AttemptOutcome.RESET
+
+    def _check_may_send(
+        self, attempt: Attempt, record_kept: bool = True
+    ) -> tuple[AttemptOutcome, None] | None:
+        """None if an attempt's first byte may be written now; else its outcome, counted and logged."""
+        reason = rules.may_send(
+            rules.SendFacts(
+                self._engine.now(),
+                attempt.until,
+                self._endpoints.may_send(attempt.worker),
+                record_kept and _client_left(attempt.request),
+                record_kept,
+            )
+        )
+        if reason is None:
+            return None
+        self.held_back[reason] += 1
+        log.log(
+            logging.WARNING if reason is rules.HeldBack.RECORD_NOT_KEPT else logging.DEBUG,
+            "held-back request=%s attempt=%d worker=%s reason=%s",
+            attempt.request.id,
+            attempt.number,
+            attempt.worker,
+            reason.name.lower(),
+        )
+        return AttemptOutcome.NOT_SENT, None
+
+    def _check_stated_time(self, attempt: Attempt, wait_ms: int) -> None:
+        """Count a violation if the worker is given more time than the client has."""
+        broken = rules.check_told(wait_ms, attempt.sent, attempt.request.deadline)
+        if broken is not None:
+            self._engine.violations.note(
+                broken, request=attempt.request.id, attempt=attempt.number, told_ms=wait_ms
+            )
+
+    async def _read_answer(
+        self, attempt: Attempt, connection: WorkerConnection
+    ) -> tuple[AttemptOutcome, Any]:
+        response = await connection.http.response()
+        if response.status_code != 200:
+            connection.reusable_from = trio.current_time() + UNNAMED_ANSWER_PAUSE_SECONDS
+            return _outcome_of_status(attempt, response), None
+        self._check_content_type(response)
+        decoder = self._codec.decoder()
+        while True:
+            event = await connection.http.event()
+            if isinstance(event, h11.EndOfMessage):
+                return AttemptOutcome.RESET, None  # the answer ended before its last line
+            for message in decoder.feed(bytes(event.data)):
+                outcome = self._take_message(attempt, message)
+                if outcome is not None:
+                    attempt.load = message.load
+                    return outcome, message.result
+
+    def _check_content_type(self, response: h11.Response) -> None:
+        if not self._codec.content_type:
+            return
+        types = [value for name, value in response.headers if name == b"content-type"]
+        expected = self._codec.content_type.encode()
+        if not types or types[0].split(b";")[0].strip().lower() != expected:
+            raise MalformedResponse("wrong content type")
+
+    def _take_message(self, attempt: Attempt, message: WorkerMessage) -> AttemptOutcome | None:
+        """The attempt's outcome if a message is the last one. Raises MalformedResponse."""
+        if message.id != attempt.request.id:
+            raise MalformedResponse(f"answer for {str(message.id)[:64]!r}")
+        if message.state == "started":
+            self._engine.started(attempt)
+            return None
+        if message.state == "running":
+            self._engine.progress(attempt, message.share)
+            return None
+        outcome = _FINAL_STATES.get(message.state)
+        if outcome is None:
+            raise MalformedResponse(f"state {message.state[:64]!r}")
+        return outcome
+
+    async def probe(self, worker: str) -> tuple[AttemptOutcome, Any]:
+        """Ask a worker whether it is alive, and for its load where it reports one.
+
+        A probe that was not sent counts as turned away, which the policy takes for no information; any
+        other outcome would keep the worker ejected for a while.
+        """
+        endpoint = self._endpoints.get(worker)
+        if endpoint is None or not self._endpoints.may_send(worker):
+            return AttemptOutcome.TURNED_AWAY, None
+        # On a new connection: how an old one fares says little of the worker.
+        connection: WorkerConnection | None = None
+        reusable = False
+        load = None
+        try:
+            with trio.fail_after(PROBE_TIMEOUT_SECONDS):
+                if not self._connections.make_room():
+                    return AttemptOutcome.TURNED_AWAY, None
+                connection = await self._connections.connect(endpoint)
+                if not self._endpoints.may_send(worker):  # opening took time
+                    return AttemptOutcome.TURNED_AWAY, None
+                path = LOAD_PATH if self._engine.reports_load else PROBE_PATH
+                await connection.http.connection.send(
+                    connection.http.encode("GET", path, [("Host", "destination")])
+                )
+                response = await connection.http.response()
+                connection.reusable_from = trio.current_time() + UNNAMED_ANSWER_PAUSE_SECONDS
+                if self._engine.reports_load and response.status_code == 200:
+                    with suppress(ValueError):
+                        load = ujson.loads(await connection.http.body(MAX_REPORT_BYTES))
+                reusable = True
+        except (OSError, trio.TooSlowError, PeerEnded) as error:
+            short = isinstance(error, OSError) and error.errno in OWN_SHORTAGE
+            return AttemptOutcome.TURNED_AWAY if short else AttemptOutcome.UNREACHABLE, None
+        except h11.RemoteProtocolError:
+            return AttemptOutcome.MALFORMED_RESPONSE, None
+        finally:
+            if connection is not None:
+                if reusable:
+                    self._connections.give_back(worker, connection)
+                else:
+                    self._connections.discard(connection)
+        return _PROBE_STATUSES.get(response.status_code, AttemptOutcome.FAILED), load
+
+
+def _client_left(request: Request) -> bool:
+    return request.client_left or (request.has_left is not None and request.has_left())
+
+
+def _outcome_of_status(attempt: Attempt, response: h11.Response) -> AttemptOutcome:
+    """What any status but 200 means; a load report among the headers is noted."""
+    for name, value in response.headers:
+        if name == b"x-server-load":
+            attempt.load = load_report.from_header(value.decode("latin-1"))
+    if response.status_code in (503, 504) and (b"x-not-processed", b"1") in list(response.headers):
+        return AttemptOutcome.TURNED_AWAY
+    return AttemptOutcome.FAILED
--- a/yewrill/service/metrics_report.py
+++ b/yewrill/service/metrics_report.py
@@ -10,7 +10,7 @@
 from yewrill.net.connection import Retries
 from yewrill.net.discovery import EndpointList
 from yewrill.net.listener import Listener
-from yewrill.net.worker_connections import WorkerConnectionPool
+from yewrill.net.worker_client import WorkerClient
 from yewrill.observability.metrics import Metrics
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
         engine: DecisionEngine,
         endpoints: EndpointList,
         listener: Listener,
-        worker_connections: WorkerConnectionPool,
+        worker_client: WorkerClient,
         subsystems: Sequence[Subsystem],
         tracing_hooks: TracingHooks | None,
     ):
@@ -35,7 +35,7 @@
         self._engine = engine
         self._endpoints = endpoints
         self._listener = listener
-        self._worker_connections = worker_connections
+        self._worker_client = worker_client
         self._subsystems = subsystems
         self._tracing_hooks = tracing_hooks
 
@@ -61,7 +61,7 @@
 
     def _reasons(self) -> dict[str, int]:
         """Why attempts were held back and connections closed, and how often system calls failed."""
-        held_back = self._worker_connections.held_back
+        held_back = self._worker_client.held_back
         closes = self._listener.closes
         return {
             **{f"held_back.{reason.name.lower()}": held_back[reason] for reason in HeldBack},
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -23,6 +23,7 @@
 from yewrill.frontends.platform import PlatformFront, Reader
 from yewrill.net.discovery import EndpointList, Watch
 from yewrill.net.listener import Listener
+from yewrill.net.worker_client import WorkerClient
 from yewrill.net.worker_connections import WorkerConnectionPool
 from yewrill.observability.logs import logging_to
 from yewrill.observability.metrics import Metrics
@@ -84,20 +85,24 @@
             self.persistent_state.keep_elsewhere = self.hot_restart.keep_elsewhere
         self.open_requests = OpenRequests(self.hot_restart)
         self.worker_connections = WorkerConnectionPool(
-            self.engine,
             self.endpoints,
-            self.front,
             max_open=max_worker_sockets(config.limits.sockets),
             connect_timeout=config.connect_timeout_ms / 1000.0,
             idle_limit=config.idle_close_ms / 1000.0,
+        )
+        self.worker_client = WorkerClient(
+            self.engine,
+            self.endpoints,
+            self.front,
+            self.worker_connections,
             on_written=self.metrics.dispatched,
             record_attempt=None
             if self.persistent_state is None
             else self.persistent_state.record_attempt,
         )
-        run_attempt: AttemptRunner = self.worker_connections.run_attempt
+        run_attempt: AttemptRunner = self.worker_client.run_attempt
         if self.persistent_state is not None:
-            run_attempt = _reporting_outcomes(self.worker_connections, self.persistent_state)
+            run_attempt = _reporting_outcomes(self.worker_client, self.persistent_state)
         self.subsystem_context = SubsystemContext(self.engine, self.endpoints, run_attempt)
 
     def _make_listener(self, config: Config) -> None:
@@ -178,7 +183,7 @@
                 self.engine,
                 self.endpoints,
                 self.listener,
-                self.worker_connections,
+                self.worker_client,
                 self.subsystems,
                 self.tracing_hooks,
             ),
@@ -261,7 +266,7 @@
             if self.persistent_state is not None and self.persistent_state.held:
                 await trio.to_thread.run_sync(self.tracing_hooks.spool_in, self.persistent_state)
             self.tasks.start_supervised(self.tracing_hooks.exporter.run)
-        self.tasks.start_supervised(self.engine.run, self.worker_connections.probe)
+        self.tasks.start_supervised(self.engine.run, self.worker_client.probe)
         self.tasks.start_supervised(self.worker_connections.keep_tidy)
         if self.management is not None:
             self.tasks.start(self.management.run)
@@ -370,12 +375,12 @@
 
 
 def _reporting_outcomes(
-    worker_connections: WorkerConnectionPool, persistent_state: PersistentState
+    worker_client: WorkerClient, persistent_state: PersistentState
 ) -> AttemptRunner:
-    """Runs attempts in the pool, and has the record of each closed by its outcome."""
+    """Runs attempts, and has the record of each closed by its outcome."""
 
     async def run_attempt(attempt: Attempt) -> tuple[AttemptOutcome, Any]:
-        outcome, result = await worker_connections.run_attempt(attempt)
+        outcome, result = await worker_client.run_attempt(attempt)
         persistent_state.ended(attempt, outcome)
         return outcome, result
 
