--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -505,7 +505,7 @@
         await early.send()
         assert (await idle.ask("/up", method="GET")).status == 200
         w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.draining)
+        await w.until(lambda: w.service.run_state.draining)
         assert (await idle.ask("/up", method="GET")).status == 503
         late, quiet = await w.client(), await w.client()
         await late.send(X_Request_ID="r2")
@@ -532,7 +532,7 @@
         assert (await kept.ask()).status == 200
         began = trio.current_time()
         w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.draining and not w.service.listener.accepting)
+        await w.until(lambda: w.service.run_state.draining and not w.service.listener.accepting)
         reply = await kept.ask(X_Request_ID="r2")  # a restart is no reason to send it away
         assert reply.status == 200 and "connection" not in reply.headers
         await slow.send("/once", X_Request_ID="last", X_Timeout_Ms="3000")
@@ -595,7 +595,7 @@
         assert (
             await w.ask("/once")
         ).status == 503  # refused, which a class that ran would not allow
-        assert (await w.service.worker_connections.probe("d1"))[0] is AttemptOutcome.TURNED_AWAY
+        assert (await w.service.worker_client.probe("d1"))[0] is AttemptOutcome.TURNED_AWAY
         monkeypatch.setattr(Connection, "open", real)
         began = trio.current_time()
         assert (await w.ask("/once", X_Request_ID="r2")).status == 200
@@ -619,9 +619,9 @@
             (503, AttemptOutcome.TURNED_AWAY),
             (404, AttemptOutcome.FAILED),
         ):
-            assert (await w.service.worker_connections.probe("d1"))[0] is outcome
+            assert (await w.service.worker_client.probe("d1"))[0] is outcome
         peer.script = hang
-        assert (await w.service.worker_connections.probe("d1"))[0] is AttemptOutcome.UNREACHABLE
+        assert (await w.service.worker_client.probe("d1"))[0] is AttemptOutcome.UNREACHABLE
         assert (
             peer.connections == 4
         )  # each on its own: an old connection says little of the destination
