--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -70,12 +70,13 @@
         figures = Metrics()
         figures.know_state()
         # With patience for a busy machine: what is not written in time is not in the fixture.
-        super().__init__(StateConfig(str(path), patience_ms=10_000.0), pool, figures)
-        self._fixed = clocks
-        self._run = run
-
-    def clocks(self) -> Clocks:
-        return self._fixed
+        super().__init__(
+            StateConfig(str(path), patience_ms=10_000.0),
+            pool,
+            figures,
+            clocks=lambda: clocks,
+            run_id=run,
+        )
 
 
 SERVERS = [
@@ -122,19 +123,23 @@
     persistent_state = FixedKeeper(path, pool, WRITTEN)
     persistent_state.open_store()
     persistent_state.restore()
-    await persistent_state.taken_out("d1")
-    await persistent_state.taken_out("d2")
-    await persistent_state.put_back("d2")
-    await persistent_state.operator_drain(True)
+    await persistent_state.write_detached("d1")
+    await persistent_state.write_detached("d2")
+    await persistent_state.write_reattached("d2")
+    await persistent_state.write_operator_drain(True)
     ended = _operation(9, "once", "k9")
-    persistent_state.take(ended, classes["once"], "acme")
-    assert await persistent_state.record_attempt(Attempt(ended, 0, "d0", 1e9))
-    persistent_state.closed(ended)  # its record goes with the next write
+    persistent_state.attempts.begin_request(ended, classes["once"], "acme")
+    assert await persistent_state.attempts.record_attempt(Attempt(ended, 0, "d0", 1e9))
+    persistent_state.attempts.request_finished(ended)  # its record goes with the next write
     for number, (request_class, key, destination) in enumerate(JOBS):
         operation = _operation(number, request_class, key)
-        persistent_state.take(operation, classes[request_class], "acme")
-        assert await persistent_state.record_attempt(Attempt(operation, 0, destination, 1e9))
-    assert await persistent_state.keep_for_another(OTHER_RUN_KEY, ujson.dumps(OTHER_RUN.encode()))
+        persistent_state.attempts.begin_request(operation, classes[request_class], "acme")
+        assert await persistent_state.attempts.record_attempt(
+            Attempt(operation, 0, destination, 1e9)
+        )
+    assert await persistent_state.attempts.record_for_other_run(
+        OTHER_RUN_KEY, ujson.dumps(OTHER_RUN.encode())
+    )
     spool = StoreSpool(
         persistent_state.keep,
         persistent_state.first,
@@ -149,7 +154,7 @@
     assert await unnamed.put(SPOOLED)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(persistent_state.run)
-        persistent_state.list_changed()
+        persistent_state.endpoint_list_changed()
         while persistent_state.first(b"list") is None:
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
@@ -162,13 +167,13 @@
     persistent_state = FixedKeeper(path, pool, clocks, "of a later run")
     persistent_state.open_store()
     try:
-        state = persistent_state.restore()
+        state = persistent_state.restore().as_message()
         earlier = []
         for number, (request_class, key, _) in enumerate(
             (*JOBS, ("once", "k3", ""), ("once", "k9", ""))
         ):
             operation = _operation(number, request_class, key)
-            persistent_state.take(operation, classes[request_class], "acme")
+            persistent_state.attempts.begin_request(operation, classes[request_class], "acme")
             earlier.append([operation.ran_ago, operation.ran_zone, operation.ran_cell])
         held, number = persistent_state.held_under(SPOOL)
         first = persistent_state.first(SPOOL)
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -9,8 +9,9 @@
 from machine_faults import FaultyDisk, SetClock
 from test_operators import shared_world, start_heir
 
+from yewrill.persistence.attempt_journal import ATTEMPT_PREFIX
 from yewrill.persistence.disk import Disk, Unreadable
-from yewrill.persistence.persistent_state import SENT, TIDY
+from yewrill.persistence.persistent_state import WRITE_INTERVAL_SECONDS
 from yewrill.store import Store
 
 PATIENCE_MS = 1000
@@ -101,7 +102,9 @@
     peer.script = done
     async with world(peer, **state(tmp_path / "killed")) as w:
         # Its own window, an hour by default, has not begun to run out by the monotonic clock.
-        await trio.sleep(2 * TIDY)  # in which what is past its window is forgotten
+        await trio.sleep(
+            2 * WRITE_INTERVAL_SECONDS
+        )  # in which what is past its window is forgotten
         reply = await w.ask("/once", X_Request_ID="again", Idempotency_Key="k")
         assert reply.status == 502
         assert [e.id for e in peer.exchanges] == ["out"]
@@ -115,19 +118,19 @@
     await killed_with_an_attempt_out(peer, tmp_path)
     peer.script = done
     failing = [True]
-    rows = Disk.rows
+    records = Disk.records
 
     def fails(disk, prefix):
-        if failing and prefix == SENT:
+        if failing and prefix == ATTEMPT_PREFIX:
             raise Unreadable("Input/output error")
-        return rows(disk, prefix)
+        return records(disk, prefix)
 
-    monkeypatch.setattr(Disk, "rows", fails)
+    monkeypatch.setattr(Disk, "records", fails)
     async with world(peer, **state(tmp_path / "killed")) as w:
         assert (await w.ask("/once", X_Request_ID="a1", Idempotency_Key="k")).status == 503
         assert (await w.ask(X_Request_ID="plain")).status == 200
         failing.clear()
-        await w.until(lambda: w.service.persistent_state._recalled)
+        await w.until(lambda: w.service.persistent_state.attempts.recovered)
         assert (await w.ask("/once", X_Request_ID="a2", Idempotency_Key="k")).status == 502
         assert (await w.ask("/once", X_Request_ID="a3", Idempotency_Key="other")).status == 200
         assert [e.id for e in peer.exchanges] == ["out", "plain", "a3"]
@@ -151,15 +154,17 @@
         gate.set()
         assert (await client.reply()).status == 200
         persistent_state = w.service.persistent_state
-        await w.until(lambda: persistent_state._disk._told)  # its end was tried and failed
+        await w.until(
+            lambda: persistent_state._disk._failure_logged
+        )  # its end was tried and failed
         disk.error = 0
         await w.until(
             lambda: (
-                persistent_state.held
-                and not persistent_state._ended
-                and not persistent_state._disk._told
+                persistent_state.store_open
+                and not persistent_state.attempts._finished_keys
+                and not persistent_state._disk._failure_logged
                 # Keys leave the list when a write of them begins: that it is done, only the store says.
-                and not list(persistent_state._disk.store.scan(prefix=SENT))
+                and not list(persistent_state._disk.store.scan(prefix=ATTEMPT_PREFIX))
             )
         )
         assert records_left_by_a_kill(tmp_path) == []
@@ -175,10 +180,10 @@
         await busy.send(X_Request_ID="busy")  # so that the old run stays
         await w.until(lambda: peer.exchanges)
         new = await start_heir(w)
-        assert not new.persistent_state.held
+        assert not new.persistent_state.store_open
         w.old_process.listener.stop_accepting()  # the new run alone accepts
         client = await w.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="k")
         await w.until(lambda: len(peer.exchanges) == 2)
-        assert new.engine.pending == 1 and not new.persistent_state.held
+        assert new.engine.pending == 1 and not new.persistent_state.store_open
         assert len(records_left_by_a_kill(tmp_path)) == 1
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -19,13 +19,13 @@
 
 from yewrill.config.reading import ConfigError, read_config
 from yewrill.persistence.attempts import (
-    CLOCK_DOUBT_MS,
-    LONG_AGO,
+    LONG_AGO_MS,
+    MAX_CLOCK_ADJUSTMENT_MS,
     AttemptRecord,
     Clocks,
-    believed,
-    greatest_age,
-    least_age,
+    estimate_earlier_attempt,
+    max_age_ms,
+    min_age_ms,
 )
 from yewrill.policy import Dispatcher
 from yewrill.policy import interface as api
@@ -260,10 +260,14 @@
         counted = re.search(rb"app.state_failed:(\d+)", (await w.call("GET /_vars")).body)
         assert int(counted[1]) >= 4
         assert {e.id for e in peer.exchanges} == {"plain0", "plain1", "plain2"}
-        told = [r for r in caplog.records if "state-failed" in r.getMessage()]
+        told = [r for r in caplog.records if "persistent_state_write_failed" in r.getMessage()]
         assert len(told) == 1
         disk.error = 0
-        await w.until(lambda: any("state-back" in r.getMessage() for r in caplog.records))
+        await w.until(
+            lambda: any(
+                "persistent_state_write_recovered" in r.getMessage() for r in caplog.records
+            )
+        )
         store = w.service.persistent_state._disk.store
         await w.until(lambda: [key for key, _ in store.scan(prefix=b"out/")] == [b"out/d1"])
 
@@ -317,11 +321,13 @@
     async with shared_world(Peer("d1", done), Peer("d2", done), **state(tmp_path)) as w:
         await w.call("PUT /_profilers/detach?name=d1")
         new_process = await start_heir(w)
-        assert not new_process.persistent_state.held and new_process.endpoints.out == ["d1"]
+        assert not new_process.persistent_state.store_open and new_process.endpoints.out == ["d1"]
         assert (await w.ask("/save", X_Request_ID="r", Idempotency_Key="k")).status == 200
         w.nursery.start_soon(w.old_process.drain)
         await w.ended.wait()
-        await w.until(lambda: any("state-taken-over" in r.getMessage() for r in caplog.records))
+        await w.until(
+            lambda: any("persistent_state_taken_over" in r.getMessage() for r in caplog.records)
+        )
         assert [
             key for key, _ in new_process.persistent_state._disk.store.scan(prefix=b"out/")
         ] == [b"out/d1"]
@@ -405,7 +411,7 @@
     assert {type(action) for action in decided(api.IDEMPOTENT_BY_KEY, 7000.0)} == {
         api.Fail
     }  # nearly past its window
-    assert {type(action) for action in decided(api.IDEMPOTENT_BY_KEY, LONG_AGO, now=1e13)} == {
+    assert {type(action) for action in decided(api.IDEMPOTENT_BY_KEY, LONG_AGO_MS, now=1e13)} == {
         api.Fail
     }
     for cell, rack in ((0, {"w0", "w1"}), (1, {"w2", "w3"}), (9, set())):
@@ -439,38 +445,48 @@
 def test_how_long_ago_is_never_taken_for_too_short():
     then = Clocks(1_000_000.0, 500.0, "a")
     for wall in (0.0, 1e9):  # one boot: whatever the wall clock says
-        assert greatest_age(then, Clocks(wall, 3500.0, "a")) == 3000.0
-        assert least_age(then, Clocks(wall, 3500.0, "a")) == 3000.0
+        assert max_age_ms(then, Clocks(wall, 3500.0, "a")) == 3000.0
+        assert min_age_ms(then, Clocks(wall, 3500.0, "a")) == 3000.0
     rebooted = Clocks(1_004_000.0, 10.0, "b")
-    assert greatest_age(then, rebooted) == 4000.0 + CLOCK_DOUBT_MS
+    assert max_age_ms(then, rebooted) == 4000.0 + MAX_CLOCK_ADJUSTMENT_MS
     assert (
-        greatest_age(then, Clocks(999_000.0, 10.0, "b"))
-        == greatest_age(then, Clocks(999_000.0, 600.0, ""))
-        == LONG_AGO
+        max_age_ms(then, Clocks(999_000.0, 10.0, "b"))
+        == max_age_ms(then, Clocks(999_000.0, 600.0, ""))
+        == LONG_AGO_MS
     )
     now = Clocks(1_004_000.0, 4500.0, "a")
 
-    def record(cell=0, steady=500.0, boot="a"):
-        return AttemptRecord("save", "acme", "k", "d1", 0, cell, Clocks(1_000_000.0, steady, boot))
+    def record(cell=0, monotonic=500.0, boot="a"):
+        return AttemptRecord(
+            "save", "acme", "k", "d1", 0, cell, Clocks(1_000_000.0, monotonic, boot)
+        )
 
     assert AttemptRecord.decode(record().encode()) == record()
-    assert believed([record()], now, 7500.0).ago == 4000.0
+    assert estimate_earlier_attempt([record()], now, 7500.0).age_ms == 4000.0
     assert (
-        believed([record(steady=2000.0), record()], now, 7500.0).ago == 4000.0
+        estimate_earlier_attempt([record(monotonic=2000.0), record()], now, 7500.0).age_ms == 4000.0
     )  # the first one counts
     assert (
-        believed([record(), record(cell=1)], now, 7500.0).ago == LONG_AGO
+        estimate_earlier_attempt([record(), record(cell=1)], now, 7500.0).age_ms == LONG_AGO_MS
     )  # two racks: neither knows of both
-    assert believed([record()], now, 3000.0) is None
-    assert believed([record(boot="b")], Clocks(0.0, 0.0, "a"), 7500.0).ago == LONG_AGO
+    assert estimate_earlier_attempt([record()], now, 3000.0) is None
+    assert (
+        estimate_earlier_attempt([record(boot="b")], Clocks(0.0, 0.0, "a"), 7500.0).age_ms
+        == LONG_AGO_MS
+    )
 
 
 def test_how_long_ago_is_never_taken_for_too_long_where_records_are_forgotten():
     then = Clocks(1_000_000.0, 500.0, "a")
     hour = 3_600_000.0
     # Over a reboot the wall clock may have been set by an hour; the boot's own clock can be believed.
-    assert least_age(then, Clocks(1_000_000.0 + hour, 10.0, "b")) == 10.0
-    assert least_age(then, Clocks(0.0, hour, "b")) == hour
-    assert least_age(then, Clocks(1_000_000.0 + 5 * hour, 10.0, "b")) == 5 * hour - CLOCK_DOUBT_MS
+    assert min_age_ms(then, Clocks(1_000_000.0 + hour, 10.0, "b")) == 10.0
+    assert min_age_ms(then, Clocks(0.0, hour, "b")) == hour
+    assert (
+        min_age_ms(then, Clocks(1_000_000.0 + 5 * hour, 10.0, "b"))
+        == 5 * hour - MAX_CLOCK_ADJUSTMENT_MS
+    )
     record = AttemptRecord("once", "acme", "k", "d1", 0, 0, then)
-    assert believed([record], Clocks(1_000_000.0 + hour, 10.0, "b"), hour) is not None
+    assert (
+        estimate_earlier_attempt([record], Clocks(1_000_000.0 + hour, 10.0, "b"), hour) is not None
+    )
--- a/yewrill/persistence/__init__.py
+++ b/yewrill/persistence/__init__.py
@@ -1,13 +1,14 @@
-"""What a dispatcher keeps over a restart: the operators' word, the list of workers, attempts that are out.
+"""What a dispatcher keeps over a restart: operators' settings, the endpoint list, attempts in flight.
 
-Promises: an attempt of a job that may not simply run twice has its record on disk before its first byte, or
-it is not sent; an operators' call waits for the disk before its answer, and the answer says whether it got
-there. A disk that errs costs no other job anything: a store whose sync failed is closed and opened anew,
-again and again with growing pauses, and then gets everything that is to be kept once more.
+Promises: an attempt of a request that must not simply run twice has its record on disk before its first
+byte is sent, or it is not sent; a management call waits for the disk before its answer, and the answer says
+whether the setting got there. A failing disk affects no other request: a store whose sync failed is closed
+and reopened, with exponential backoff, and then the whole state is written again.
 
-`attempts.py` is pure: records of attempts and what to believe of them, by clocks that may have been set.
-`disk.py` holds the store and opens it anew. `keeper.py` is what the rest of the program uses. Imported only
-where `state_dir` is set.
+`attempts.py` is pure: records of attempts, and what follows from them when clocks may have been set.
+`clock.py` reads these clocks. `disk.py` opens, writes and reopens the store. `attempt_journal.py` records
+attempts, `operator_state.py` reads and writes what operators set, and `persistent_state.py` joins them for
+the rest of the program. Imported only where `state_dir` is set.
 """
 
 from yewrill.persistence.persistent_state import PersistentState
--- a/yewrill/persistence/attempts.py
+++ b/yewrill/persistence/attempts.py
@@ -1,44 +1,48 @@
-"""Records of attempts, and what a later run believes of them. No I/O, no clock.
+"""Records of attempts, and what a later run may conclude from them. No I/O, no clock.
 
-A record says: this job, under this key, was about to be sent to this worker at this time; its end was not
-seen. So it may have run. How long ago that is decides whether a rack still drops a repeat (then it must not
-come out too small) and when the record may be forgotten (then it must not come out too large). Within one
-boot both are the same, by the monotonic clock. Over a reboot only the wall clock remains, and it may have
-been set by up to `CLOCK_DOUBT_MS` meanwhile.
+A record says that a request was about to be sent to a worker at a given time, and that its end was not
+recorded, so the worker may have run it. The age of a record serves two questions. Does the worker's cell
+still drop a duplicate? Then the age must not be underestimated. May the record be deleted? Then it must not
+be overestimated. Within one boot the monotonic clock answers both exactly. Over a reboot only the wall clock
+remains, which may have been set by up to `MAX_CLOCK_ADJUSTMENT_MS` in between.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from yewrill.policy import interface as api
 
-LONG_AGO = 1e12  # milliseconds: past every window
-CLOCK_DOUBT_MS = 2 * 3_600_000.0  # by how much a wall clock may have been set, and some more
+LONG_AGO_MS = 1e12  # past every window
+MAX_CLOCK_ADJUSTMENT_MS = 2 * 3_600_000.0  # most by which a wall clock is assumed to be set
 
 
 @dataclass(frozen=True, slots=True)
 class Clocks:
-    """One reading: wall clock and monotonic clock in ms, and the boot that the latter belongs to."""
+    """One reading: wall and monotonic clock in ms, and the boot id that the latter belongs to (or "")."""
 
     wall: float
-    steady: float
+    monotonic: float
     boot: str
 
     def encode(self) -> dict[str, Any]:
-        """The reading as JSON's values."""
-        return {"wall": self.wall, "steady": self.steady, "boot": self.boot}
+        """Return the stored form; its keys are part of the store's format."""
+        return {"wall": self.wall, "steady": self.monotonic, "boot": self.boot}
 
     @staticmethod
     def decode(raw: Mapping[str, Any]) -> Clocks:
-        """Raises KeyError, TypeError or ValueError on anything else."""
+        """Read the stored form. Raises KeyError, TypeError or ValueError on anything else."""
         return Clocks(float(raw["wall"]), float(raw["steady"]), str(raw["boot"]))
 
 
-# Class, tenant and key: what a repeat of a job has in common with it.
-JobName = tuple[str, str, str]
+class RequestIdentity(NamedTuple):
+    """What all repeats of a request share. `key` is the idempotency key, else the request id."""
+
+    request_class: str
+    tenant: str
+    key: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,12 +58,12 @@
     at: Clocks
 
     @property
-    def name(self) -> JobName:
-        """What a repeat of the job has in common with it."""
-        return self.request_class, self.tenant, self.key
+    def identity(self) -> RequestIdentity:
+        """What all repeats of the request share."""
+        return RequestIdentity(self.request_class, self.tenant, self.key)
 
     def encode(self) -> dict[str, Any]:
-        """The record as JSON's values."""
+        """Return the stored form; its keys are part of the store's format."""
         return {
             "class": self.request_class,
             "tenant": self.tenant,
@@ -72,7 +76,7 @@
 
     @staticmethod
     def decode(raw: Mapping[str, Any]) -> AttemptRecord:
-        """Raises KeyError, TypeError or ValueError on anything else."""
+        """Read the stored form. Raises KeyError, TypeError or ValueError on anything else."""
         return AttemptRecord(
             str(raw["class"]),
             str(raw["tenant"]),
@@ -86,50 +90,52 @@
 
 @dataclass(frozen=True, slots=True)
 class EarlierAttempt:
-    """What the module is told: how long ago the first attempt that may have run was sent (ms), and where."""
+    """How long ago the first attempt that may have run was sent, and in which zone and cell."""
 
-    ago: float
+    age_ms: float
     zone: int
     cell: int
 
 
-def window_of(request_class: api.RequestClass, unsafe_window: float) -> float:
-    """For how long, in ms, an attempt of this class must be remembered; 0: not at all."""
+def retention_window_ms(request_class: api.RequestClass, non_idempotent_window_ms: float) -> float:
+    """Return for how long (ms) attempts of this class are kept on record; 0: not at all."""
     if request_class.idempotency == api.IDEMPOTENT_BY_KEY:
         return request_class.window
-    return unsafe_window if request_class.idempotency == api.NON_IDEMPOTENT else 0.0
+    return non_idempotent_window_ms if request_class.idempotency == api.NON_IDEMPOTENT else 0.0
 
 
-def least_age(at: Clocks, now: Clocks) -> float:
-    """How long ago that was at least, in ms."""
+def min_age_ms(at: Clocks, now: Clocks) -> float:
+    """Return a lower bound of the time since then, in ms."""
     if _same_boot(at, now):
-        return max(0.0, now.steady - at.steady)
-    by_wall = now.wall - at.wall - CLOCK_DOUBT_MS
-    since_boot = now.steady if at.boot and now.boot else 0.0
-    return max(0.0, by_wall, since_boot)
+        return max(0.0, now.monotonic - at.monotonic)
+    by_wall_clock_ms = now.wall - at.wall - MAX_CLOCK_ADJUSTMENT_MS
+    since_boot_ms = now.monotonic if at.boot and now.boot else 0.0
+    return max(0.0, by_wall_clock_ms, since_boot_ms)
 
 
-def greatest_age(at: Clocks, now: Clocks) -> float:
-    """How long ago that was at most, in ms."""
+def max_age_ms(at: Clocks, now: Clocks) -> float:
+    """Return an upper bound of the time since then, in ms."""
     if _same_boot(at, now):
-        return max(0.0, now.steady - at.steady)
+        return max(0.0, now.monotonic - at.monotonic)
     if now.wall < at.wall:
-        return LONG_AGO  # set back: nothing can be said
-    return now.wall - at.wall + CLOCK_DOUBT_MS
+        return LONG_AGO_MS  # the clock was set back: there is no upper bound
+    return now.wall - at.wall + MAX_CLOCK_ADJUSTMENT_MS
 
 
 def _same_boot(at: Clocks, now: Clocks) -> bool:
-    """Whether the monotonic clocks of both readings count from the same moment."""
+    """Whether the monotonic clocks of both readings have the same origin."""
     return bool(at.boot) and at.boot == now.boot
 
 
-def believed(records: Iterable[AttemptRecord], now: Clocks, window: float) -> EarlierAttempt | None:
-    """What all records of one job amount to; None if the last of them is surely past its window."""
-    known = [record for record in records if least_age(record.at, now) <= window]
-    if not known:
+def estimate_earlier_attempt(
+    records: Iterable[AttemptRecord], now: Clocks, window_ms: float
+) -> EarlierAttempt | None:
+    """Combine all records of one request; None if every one is certainly past its window."""
+    within_window = [record for record in records if min_age_ms(record.at, now) <= window_ms]
+    if not within_window:
         return None
-    first = max(known, key=lambda record: greatest_age(record.at, now))
-    ago = greatest_age(first.at, now)
-    if len({(record.zone, record.cell) for record in known}) > 1:
-        ago = LONG_AGO  # no single rack knows of all of them
-    return EarlierAttempt(ago, first.zone, first.cell)
+    first = max(within_window, key=lambda record: max_age_ms(record.at, now))
+    age_ms = max_age_ms(first.at, now)
+    if len({(record.zone, record.cell) for record in within_window}) > 1:
+        age_ms = LONG_AGO_MS  # no single cell can recognise all of them
+    return EarlierAttempt(age_ms, first.zone, first.cell)
--- /dev/null
+++ b/yewrill/persistence/clock.py
@@ -0,0 +1,26 @@
+"""Reading the clocks that stored records carry."""
+
+from __future__ import annotations
+
+import time
+from pathlib import Path
+
+from yewrill.persistence.attempts import Clocks
+
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
+# Windows are counted by the monotonic clock; the store's own expiry, by the wall clock, only bounds the
+# lifetime of records that no later run reads.
+EXPIRY_MARGIN_MS = 24 * 3_600_000.0
+
+
+def read_boot_id() -> str:
+    """Return the id of the machine's current boot; "" where the system has none."""
+    try:
+        return BOOT_ID_PATH.read_text().strip()
+    except OSError:
+        return ""
+
+
+def read_clocks(boot_id: str) -> Clocks:
+    """Return the clocks as they stand now, in ms."""
+    return Clocks(time.time() * 1000.0, time.monotonic() * 1000.0, boot_id)
--- a/yewrill/persistence/disk.py
+++ b/yewrill/persistence/disk.py
@@ -1,8 +1,8 @@
-"""The store that a dispatcher's state lies in: opened, written to within a limit of time, opened anew.
+"""The store below the persistent state: opening, writes with a time limit, reopening after a failed sync.
 
-A store whose sync has failed takes no write any more, since nobody knows what of its pages is on disk.
-`Disk` closes it and opens it again, which begins a new segment: nothing is synced a second time on the same
-pages. Whoever uses it then writes anew what is to be kept (`on_reopened`).
+A store whose sync has failed accepts no further write, since it is unknown which of its pages are on disk.
+`Disk` closes and reopens it, which begins a new segment: no page is synced twice. The user of the store then
+writes its whole state again (`on_reopened`).
 """
 
 from __future__ import annotations
@@ -21,11 +21,12 @@
 log = logging.getLogger("yewrill.state")
 
 SEGMENT_BYTES = 4 * 1024 * 1024
-HELD_RETRY = 0.25  # seconds before the next try for a store that another run still has
-REOPEN_FIRST, REOPEN_FACTOR, REOPEN_MOST = 0.1, 2.0, 5.0  # seconds between tries to open it anew
+LOCK_RETRY_SECONDS = 0.25  # between tries to open a store that another run has locked
+# Exponential backoff between tries to reopen a store whose sync failed.
+REOPEN_MIN_SECONDS, REOPEN_FACTOR, REOPEN_MAX_SECONDS = 0.1, 2.0, 5.0
 
 
-class NotKept(Enum):
+class WriteFailure(Enum):
     """Why a write is not known to be on disk."""
 
     NO_STORE = "no store is open"
@@ -35,29 +36,32 @@
 
 
 class Unreadable(Exception):
-    """The disk failed a read: whether there is more can't be said now, but later perhaps."""
+    """The disk failed a read, so there may be more records; a later read may succeed."""
 
 
 class Disk:
-    """One store, held by this process or by another run of it."""
+    """One store, which this process or another run of this dispatcher has open."""
 
-    def __init__(self, config: StateConfig):
+    def __init__(self, config: StateConfig, on_reopened: Callable[[], Awaitable[None]]):
+        """`on_reopened` is awaited after each reopening and must write all state again."""
         self._config = config
         self._store: Store | None = None
         self._closing = False
-        self._ailing = trio.Event()  # the store is to be opened anew
-        self._told = False  # a failure was logged, and no success since
-        self.reopened = 0  # times
-        # Awaited after it was opened anew, with all that must be written again still to be written.
-        self.on_reopened: Callable[[], Awaitable[None]] | None = None
+        self._on_reopened = on_reopened
+        self._reopen_needed = trio.Event()
+        self._failure_logged = False  # and no write has succeeded since
+        self.reopen_count = 0
 
     @property
     def store(self) -> Store | None:
-        """The store, None while there is none to write to."""
+        """The open store; None while this process has none."""
         return self._store
 
     def open(self) -> None:
-        """Blocks. Raises StoreHeld while another run has it, OSError where there can be none."""
+        """Open the store. Blocks.
+
+        Raises StoreHeld while another run has it, OSError if it can't be created.
+        """
         self._store = Store(
             self._config.path,
             mode=self._config.mode,
@@ -67,7 +71,7 @@
         )
 
     def close(self, last: Batch) -> None:
-        """Write a last batch and let the store go. Blocks."""
+        """Write a last batch and close the store. Blocks."""
         self._closing = True
         store, self._store = self._store, None
         if store is None:
@@ -77,75 +81,79 @@
                 store.write(last)
         store.close()
 
-    async def wait_until_held(self) -> None:
-        """Open the store as soon as the run that has it is gone."""
+    async def open_when_released(self) -> None:
+        """Open the store once the run that has it exits. Cancellation between two tries leaves it closed."""
         while True:
             try:
                 await trio.to_thread.run_sync(self.open)
                 return
             except (StoreHeld, OSError):
-                await trio.sleep(HELD_RETRY)
-
-    async def write(self, batch: Batch) -> NotKept | None:
-        """Write and wait for that a little: None once it is on disk, else why it isn't known to be."""
-        found, detail = await self._write(batch)
-        if found is not None and not self._told:
-            log.error("state-failed reason=%s detail=%s", found.name.lower(), detail)
-        elif found is None and self._told:
-            log.info("state-back")
-        self._told = found is not None
-        return found
-
-    async def _write(self, batch: Batch) -> tuple[NotKept | None, str]:
+                await trio.sleep(LOCK_RETRY_SECONDS)
+
+    async def write(self, batch: Batch) -> WriteFailure | None:
+        """Write, and wait at most `patience_ms`: None once it is on disk, else why that is not certain.
+
+        A write that timed out or was cancelled may still reach the disk.
+        """
+        failure, detail = await self._write(batch)
+        if failure is not None and not self._failure_logged:
+            log.error(
+                "persistent_state_write_failed reason=%s detail=%s", failure.name.lower(), detail
+            )
+        elif failure is None and self._failure_logged:
+            log.info("persistent_state_write_recovered")
+        self._failure_logged = failure is not None
+        return failure
+
+    async def _write(self, batch: Batch) -> tuple[WriteFailure | None, str]:
         store = self._store
         if store is None:
-            return NotKept.NO_STORE, NotKept.NO_STORE.value
+            return WriteFailure.NO_STORE, WriteFailure.NO_STORE.value
         with trio.move_on_after(self._config.patience_ms / 1000.0):
             try:
                 await store.awrite(batch)
                 return None, ""
             except StorePoisoned as error:
-                self._ailing.set()
-                return NotKept.POISONED, str(error)
+                self._reopen_needed.set()
+                return WriteFailure.POISONED, str(error)
             except (StoreError, OSError) as error:
-                return NotKept.FAILED, str(error)
-        return NotKept.SLOW_DISK, NotKept.SLOW_DISK.value
+                return WriteFailure.FAILED, str(error)
+        return WriteFailure.SLOW_DISK, WriteFailure.SLOW_DISK.value
 
-    async def keep_well(self) -> None:
-        """Open the store anew whenever a sync of it has failed."""
+    async def reopen_after_failed_syncs(self) -> None:
+        """Reopen the store each time a sync of it has failed. Runs until cancelled."""
         while True:
-            await self._ailing.wait()
-            self._ailing = trio.Event()  # a write may fail again while it is opened
+            await self._reopen_needed.wait()
+            self._reopen_needed = trio.Event()  # a write may fail again during the reopening
             await self._reopen()
 
     async def _reopen(self) -> None:
-        ailing, self._store = self._store, None
-        if ailing is not None:
-            await trio.to_thread.run_sync(self._let_go, ailing)
-        pause = REOPEN_FIRST
+        poisoned, self._store = self._store, None
+        if poisoned is not None:
+            await trio.to_thread.run_sync(self._close_poisoned, poisoned)
+        retry_in = REOPEN_MIN_SECONDS
         while not self._closing:
             try:
                 await trio.to_thread.run_sync(self.open)
             except (StoreError, OSError) as error:
-                log.warning("state-not-reopened pause_s=%g: %s", pause, error)
-                await trio.sleep(pause)
-                pause = min(REOPEN_MOST, pause * REOPEN_FACTOR)
+                log.warning("persistent_state_reopen_failed retry_in_s=%g: %s", retry_in, error)
+                await trio.sleep(retry_in)
+                retry_in = min(REOPEN_MAX_SECONDS, retry_in * REOPEN_FACTOR)
                 continue
-            self.reopened += 1
-            log.info("state-reopened times=%d", self.reopened)
-            if self.on_reopened is not None:
-                await self.on_reopened()
+            self.reopen_count += 1
+            log.info("persistent_state_reopened count=%d", self.reopen_count)
+            await self._on_reopened()
             return
 
     @staticmethod
-    def _let_go(store: Store) -> None:
+    def _close_poisoned(store: Store) -> None:
         with suppress(StoreError, OSError):
             store.close()
 
-    def rows(self, prefix: bytes) -> Iterator[tuple[str, dict]]:
-        """Records of one sort: what follows the prefix, and the value. Blocks.
+    def records(self, prefix: bytes) -> Iterator[tuple[str, dict]]:
+        """Yield the rest of the key and the JSON value of each record under a prefix. Blocks.
 
-        What is damaged is left out, and told. Raises Unreadable where the disk failed.
+        Damaged records are skipped and logged. Raises Unreadable where the disk failed.
         """
         if self._store is None:
             return
@@ -154,7 +162,7 @@
                 with suppress(ValueError):
                     yield key[len(prefix) :].decode(errors="replace"), ujson.loads(value)
         except StoreError as error:
-            log.error("state-unreadable records=%s: %s", prefix.decode(), error)
+            log.error("persistent_state_unreadable records=%s: %s", prefix.decode(), error)
         except OSError as error:
-            log.error("state-unreadable records=%s: %s", prefix.decode(), error)
+            log.error("persistent_state_unreadable records=%s: %s", prefix.decode(), error)
             raise Unreadable(str(error)) from error
--- a/yewrill/service/management_calls.py
+++ b/yewrill/service/management_calls.py
@@ -109,7 +109,9 @@
         if not service.endpoints.take_out(name):
             return NO_SUCH_WORKER
         log.info("detached worker=%s", name)
-        kept = service.persistent_state is None or await service.persistent_state.taken_out(name)
+        kept = service.persistent_state is None or await service.persistent_state.write_detached(
+            name
+        )
         await service.agree({"out": name})
         return _done(b"detached", kept)
 
@@ -118,14 +120,19 @@
         if not service.endpoints.put_back(name):
             return NO_SUCH_WORKER
         log.info("attached worker=%s", name)
-        kept = service.persistent_state is None or await service.persistent_state.put_back(name)
+        kept = service.persistent_state is None or await service.persistent_state.write_reattached(
+            name
+        )
         await service.agree({"back": name, "at": time.time() * 1000.0})
         return _done(b"attached", kept)
 
     async def _lame(self, on: bool, told: bytes) -> Reply:
         service = self._service
         service.set_operator_drain(on)
-        kept = service.persistent_state is None or await service.persistent_state.operator_drain(on)
+        kept = (
+            service.persistent_state is None
+            or await service.persistent_state.write_operator_drain(on)
+        )
         await service.agree({"lame": on})
         return _done(told, kept)
 
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -107,7 +107,7 @@
 
             self.persistent_state = PersistentState(config.state, self.endpoints, self.metrics)
             self.metrics.know_state()
-            self.worker_connections.record_attempt = self.persistent_state.record_attempt
+            self.worker_connections.record_attempt = self.persistent_state.attempts.record_attempt
         context = SubsystemContext(
             self.engine,
             self.endpoints,
@@ -139,8 +139,10 @@
                 alone=self._bound,
             )
             if self.persistent_state is not None:
-                self.persistent_state.keep_elsewhere = self.hot_restart.keep_elsewhere
-                self.hot_restart.keep_for_another = self.persistent_state.keep_for_another
+                self.persistent_state.attempts.record_elsewhere = self.hot_restart.keep_elsewhere
+                self.hot_restart.keep_for_another = (
+                    self.persistent_state.attempts.record_for_other_run
+                )
 
     async def run(
         self,
@@ -173,7 +175,7 @@
             if self.persistent_state is not None:
                 await self._begin_keeping(kept)
             if self.tracing_hooks is not None:
-                if self.persistent_state is not None and self.persistent_state.held:
+                if self.persistent_state is not None and self.persistent_state.store_open:
                     await trio.to_thread.run_sync(
                         self.tracing_hooks.spool_in, self.persistent_state
                     )
@@ -395,9 +397,9 @@
         except StoreHeld as error:
             if self.hot_restart is None:
                 raise OSError(f"state_dir: {error}") from None
-            log.info("state-waits %s", error)
+            log.info("persistent_state_waiting_for_store error=%s", error)
             return None
-        return await trio.to_thread.run_sync(self.persistent_state.restore)
+        return (await trio.to_thread.run_sync(self.persistent_state.restore)).as_message()
 
     async def _begin_keeping(self, kept: dict[str, Any] | None) -> None:
         if kept is None:
@@ -407,19 +409,18 @@
                 if kept["list"]:
                     self.endpoints.apply(kept["list"], cached=True)
             except ConfigError as error:  # of another version's form, say
-                log.error("state-unreadable list: %s", error)
+                log.error("persistent_state_unreadable records=list: %s", error)
             self._take_known({**kept, "list": None})
-        self.endpoints.on_applied = self.persistent_state.list_changed
+        self.endpoints.on_applied = self.persistent_state.endpoint_list_changed
         if len(self.endpoints) and not (kept and kept["list"]):
-            self.persistent_state.list_changed()  # the configuration's own
+            self.persistent_state.endpoint_list_changed()  # the configuration's own
         self.nursery.start_soon(_keep, self.persistent_state.run)
 
     async def _take_over_state(self) -> None:
         """The elder has the store, and has told all that operators said; of attempts it has not."""
-        await self.persistent_state.wait_for_store()
-        await trio.to_thread.run_sync(self.persistent_state.recall_attempts)
-        await self.persistent_state.write_all(self.operator_drain)
-        log.info("state-taken-over")
+        await self.persistent_state.take_over_store()
+        await self.persistent_state.rewrite_settings(self.operator_drain)
+        log.info("persistent_state_taken_over")
         await trio.sleep_forever()
 
     def _bound(self, sockets: int | None = None) -> None:
@@ -510,7 +511,7 @@
                     self.engine.left(request)
                 self._free_id(request.id)
                 if self.persistent_state is not None:
-                    self.persistent_state.closed(request)
+                    self.persistent_state.attempts.request_finished(request)
                 if self.tracing_hooks is not None:
                     self.tracing_hooks.over(request)
         close = self._closing(client)
@@ -538,13 +539,13 @@
         spec = settings.classes[request.request_class]
         tenant = settings.tenants[request.tenant].name if settings.tenants else ""
         if self.persistent_state is not None:
-            self.persistent_state.take(request, spec, tenant)
+            self.persistent_state.attempts.begin_request(request, spec, tenant)
         if self.tracing_hooks is not None:
             self.tracing_hooks.begin(request, http_request, spec, tenant, now)
 
     async def _kept_attempt(self, attempt: Attempt) -> tuple[AttemptOutcome, Any]:
         outcome, result = await self.worker_connections.run_attempt(attempt)
-        self.persistent_state.ended(attempt, outcome)
+        self.persistent_state.attempts.attempt_finished(attempt, outcome)
         return outcome, result
 
     def _closing(self, client: Client) -> bool:
