--- a/tests/store_world.py
+++ b/tests/store_world.py
@@ -9,7 +9,7 @@
 from yewrill.store.policy import Rules
 from yewrill.store.simdisk import SimulatedDisk
 
-RULES = Rules(least_garbage=256, smallest=2048, fan_in=3, most_output=1 << 20)
+RULES = Rules(min_garbage_bytes=256, min_tier_bytes=2048, fan_in=3, max_output_bytes=1 << 20)
 
 
 def engine(disk, seed=0, **more) -> Engine:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -82,7 +82,7 @@
 
 
 def test_a_full_queue_says_so_and_a_closed_store_too(monkeypatch):
-    monkeypatch.setattr(store_module, "MOST_WAITING", 4)
+    monkeypatch.setattr(store_module, "MAX_QUEUED_BATCHES", 4)
     disk, gate = SimulatedDisk(), threading.Event()
     disk.fail = lambda number, word, name: gate.wait(10) and None if word == "sync" else None
     store = Store(disk, reserve=0)
@@ -120,7 +120,7 @@
             with pytest.raises(StorePoisoned):
                 store.put(b"k", b"w")
         assert store.get(b"k") == b"v"
-    assert [record.getMessage()[:14] for record in caplog.records] == ["store-poisoned"]
+    assert [record.getMessage()[:14] for record in caplog.records] == ["store_poisoned"]
 
 
 def test_bounds_of_keys_values_and_batches():
@@ -158,7 +158,13 @@
 
 
 def test_what_is_compacted():
-    rules = Rules(garbage_share=0.5, least_garbage=100, fan_in=3, smallest=1000, most_output=5000)
+    rules = Rules(
+        min_garbage_ratio=0.5,
+        min_garbage_bytes=100,
+        fan_in=3,
+        min_tier_bytes=1000,
+        max_output_bytes=5000,
+    )
     full = [SegmentFacts(n, 900, 900) for n in (1, 2)]
     assert choose(full, rules) == []
     assert choose([*full, SegmentFacts(3, 900, 900)], rules) == [1, 2, 3]
--- a/tests/test_store_crash.py
+++ b/tests/test_store_crash.py
@@ -267,7 +267,7 @@
 
 
 def test_a_full_disk_refuses_whole_batches_deletes_and_compacts_in_the_room_aside():
-    disk = SimulatedDisk(room=50_000)
+    disk = SimulatedDisk(capacity=50_000)
     e = engine(disk, reserve=16_000)
     model, full = Model(), 0
     for i in range(2000):
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -79,7 +79,7 @@
         before = {key for key in self.model.data if key not in self.seen()}
         compacted(self.engine, self.now, everything, self.rng if some else None)
         for key in before:
-            if self.engine._index.get(key) is None:
+            if self.engine.directory.index.get(key) is None:
                 self.gone.add(key)
         while (
             everything and len(self.engine.sealed()) > 1 and compacted(self.engine, self.now, True)
@@ -115,7 +115,7 @@
         snapshot, held = self.snapshots.pop(which % len(self.snapshots))
         self.check(snapshot, held)
         snapshot.close()
-        assert self.snapshots or not self.engine._history
+        assert self.snapshots or not self.engine.directory.history
 
     @staticmethod
     def check(snapshot, held):
--- a/yewrill/store/__init__.py
+++ b/yewrill/store/__init__.py
@@ -6,9 +6,11 @@
 
 How the parts work together: `Store` (store.py) queues batches for one committing thread and runs compaction
 beside it; both call `Engine` (engine.py), which has no thread and no clock and writes frames (format.py) to
-segments through a small protocol of files (files.py; simdisk.py crashes). `recovery.py` turns a directory
-into an engine's state, `policy.py` chooses what to compact. `docs/store-format.md` has the bytes,
-`docs/store.md` is for operators.
+segments through a small protocol of files (files.py; simdisk.py crashes). The engine joins `KeyDirectory`
+(index, segments, snapshots' history), `Reader`, `Catalog` (manifest, numbers, whether writes are accepted),
+`SpaceReserve` and `Compactor`, each in a module of its own. `recovery.py` turns a directory into an engine's
+state, `policy.py` chooses what to compact, `findings.py` has what was damaged. `docs/store-format.md` has the
+bytes, `docs/store.md` is for operators.
 """
 
 from yewrill.store.errors import (
--- a/yewrill/store/commands.py
+++ b/yewrill/store/commands.py
@@ -21,7 +21,8 @@
 from yewrill.store import Batch, DamagedValue, Store, StoreError, StoreReadOnly
 from yewrill.store import format as fmt
 from yewrill.store.files import LOCK, QUARANTINE, Files, Handle, RealFiles, read_file
-from yewrill.store.recovery import MANIFEST, Finding, Frame, open_directory, read_frames
+from yewrill.store.recovery import open_directory
+from yewrill.store.verification import Verification
 
 LOAD_BATCH = 256  # lines written together by `load`
 
@@ -43,19 +44,23 @@
         self._shown = sys.stderr.isatty()
 
     def __call__(self, size: int) -> None:
+        """Count bytes, and show the total from time to time."""
         self._done += size
         if self._shown and time.monotonic() - self._at > 0.1:
             self._at = time.monotonic()
-            share = f" {100 * self._done // self._whole}%" if self._whole else ""
-            click.echo(f"\r{self._what}: {self._done / 2**20:.1f} MiB{share} ", nl=False, err=True)
+            percent = f" {100 * self._done // self._whole}%" if self._whole else ""
+            click.echo(
+                f"\r{self._what}: {self._done / 2**20:.1f} MiB{percent} ", nl=False, err=True
+            )
 
     def end(self) -> None:
+        """End the line that was shown."""
         if self._shown and self._at:
             click.echo("", err=True)
 
 
 @contextmanager
-def _refusals() -> Iterator[None]:
+def _exit_on_error() -> Iterator[None]:
     """One line on standard error, and status 2."""
     try:
         yield
@@ -64,7 +69,7 @@
         sys.exit(2)
 
 
-class _LookOnly:
+class _ReadOnlyFiles:
     """A directory seen without a lock and without a way to change it."""
 
     def __init__(self, path: str):
@@ -91,7 +96,7 @@
 
 @contextmanager
 def _opened(path: str) -> Iterator[Store]:
-    with _refusals(), Store(path, maintain=False, reserve=0) as opened:
+    with _exit_on_error(), Store(path, maintain=False, reserve=0) as opened:
         yield opened
 
 
@@ -130,7 +135,7 @@
 def stat(directory: str, as_json: bool) -> None:
     """How a store stands: keys, sizes, findings, quarantine. Changes nothing; works beside a running
     program."""
-    with _refusals():
+    with _exit_on_error():
         figures = _stat_of(directory)
     if as_json:
         click.echo(ujson.dumps(figures, escape_forward_slashes=False))
@@ -142,19 +147,19 @@
         for file in figures[name]:
             click.echo(f"{name:<14} {file}")
     for finding in figures["findings"]:
-        click.echo(f"{'finding':<14} {_told(finding)}")
+        click.echo(f"{'finding':<14} {_finding_line(finding)}")
 
 
-def _told(finding: dict[str, Any]) -> str:
-    span = f" bytes {finding['start']} to {finding['end']}" if finding["end"] else ""
+def _finding_line(finding: dict[str, Any]) -> str:
+    offsets = f" bytes {finding['start']} to {finding['end']}" if finding["end"] else ""
     lost = "" if finding["records"] is None else f", records lost: {finding['records']}"
     note = f" {finding['note']}" if finding["note"] else ""
-    return f"{finding['what']}: {finding['file']}{span}{lost}{note}"
+    return f"{finding['what']}: {finding['file']}{offsets}{lost}{note}"
 
 
 def _stat_of(directory: str) -> dict[str, Any]:
-    files = _LookOnly(directory)
-    state = open_directory(files, mend=False)
+    files = _ReadOnlyFiles(directory)
+    state = open_directory(files, repair=False)
     now = int(time.time() * 1000)
     facts = [segment.facts(now) for segment in state.segments.values()]
     holder = read_file(files, LOCK).decode(errors="replace").strip() if LOCK in files.list() else ""
@@ -167,7 +172,7 @@
         "garbage": sum(f.garbage for f in facts),
         "last_version": state.next_seq - 1,
         "holder": holder,
-        "later_format": state.foreign,
+        "later_format": state.later_format,
         "quarantine": [name for name in files.list() if name.startswith(QUARANTINE)],
         "findings": [finding.as_dict() for finding in state.findings],
     }
@@ -219,71 +224,24 @@
 @_json
 def verify(directory: str, as_json: bool) -> None:
     """Read every byte and check every checksum. Changes nothing; status 1 if anything is damaged."""
-    with _refusals():
-        findings, read = check_all(_LookOnly(directory), Progress("verify"))
+    with _exit_on_error():
+        findings, read = check_all(_ReadOnlyFiles(directory), Progress("verify"))
     if as_json:
         click.echo(ujson.dumps({"read": read, "findings": findings}, escape_forward_slashes=False))
     else:
         for finding in findings:
-            click.echo(_told(finding))
+            click.echo(_finding_line(finding))
         click.echo(f"{read} bytes read, {len(findings)} findings")
     sys.exit(1 if findings else 0)
 
 
 def check_all(
     files: Files, progress: Callable[[int], None] = lambda size: None
-) -> tuple[list[dict], int]:
-    """Everything that is wrong with a directory, hints and manifest included, and the bytes read."""
-    findings: list[dict[str, Any]] = []
-    read = 0
-
-    def tell(what: str, file: str, start: int = 0, end: int = 0, note: str = "") -> None:
-        findings.append(Finding(what, file, start, end, None, note).as_dict())
-
-    present = files.list()
-    for file in present:
-        name = fmt.segment_name(file)
-        if name is None:
-            continue
-        handle = files.open(file)
-        size = handle.size()
-        read += size
-        try:
-            if file.endswith(".hint"):
-                segment = files.open(name.file).size() if name.file in present else -1
-                for _ in fmt.decode_hint(read_file(files, file), segment):
-                    pass
-                continue
-            _, start = fmt.decode_header(handle.read(min(size, 1 << 20), 0), name)
-        except fmt.LaterFormat as error:
-            tell("later-format", file, note=str(error))
-            continue
-        except fmt.Malformed as error:
-            tell("hint" if file.endswith(".hint") else "header", file, 0, 0, str(error))
-            if file.endswith(".hint"):
-                continue
-            start = 0
-        for found in read_frames(handle, start, size, name.salt):
-            if isinstance(found, Frame):
-                progress(found.end - found.offset)
-            elif start or found.start:  # else the header, told above
-                tell(
-                    "torn" if found.tail and found.explained else "damage",
-                    file,
-                    found.start,
-                    found.end,
-                )
-    if MANIFEST in present:
-        try:
-            named = fmt.decode_manifest(read_file(files, MANIFEST)).segments
-            for name in named:
-                if name.file not in present:
-                    tell("missing", name.file, note="named in the manifest")
-        except StoreError as error:
-            tell("manifest", MANIFEST, note=str(error))
-    elif any(file.endswith(".seg") for file in present):
-        tell("manifest", MANIFEST, note="missing")
-    return findings, read
+) -> tuple[list[dict[str, Any]], int]:
+    """Return what is wrong with a directory, as `verify --json` prints it, and the bytes read."""
+    verification = Verification(files, progress)
+    verification.run()
+    return [finding.as_dict() for finding in verification.findings], verification.bytes_read
 
 
 # --------------------------------------------------------------------------------------------------- changing
@@ -323,7 +281,7 @@
 @_directory_new
 def restore(source: str, directory: str) -> None:
     """Make a store anew from a backup: the directory must be absent or empty."""
-    with _refusals():
+    with _exit_on_error():
         if os.path.isdir(directory) and os.listdir(directory):
             raise StoreError(f"{directory}: not empty; move what is there away first")
         _verified(source)
@@ -335,9 +293,9 @@
 
 
 def _verified(path: str) -> None:
-    findings, read = check_all(_LookOnly(path))
+    findings, read = check_all(_ReadOnlyFiles(path))
     if findings:
-        click.echo(f"yewrill store: {path}: {_told(findings[0])}", err=True)
+        click.echo(f"yewrill store: {path}: {_finding_line(findings[0])}", err=True)
         sys.exit(1)
     click.echo(f"{path}: {read} bytes, all sound")
 
@@ -366,7 +324,7 @@
 @click.argument("lines", type=click.File("rb"), default="-")
 def load(directory: str, lines: Any) -> None:
     """Put the records that `dump` printed; a bad line is named, and nothing after it is loaded."""
-    with _refusals(), Store(directory, maintain=False, reserve=0) as opened:
+    with _exit_on_error(), Store(directory, maintain=False, reserve=0) as opened:
         batch, count = Batch(), 0
         for number, line in enumerate(lines, 1):
             try:
--- /dev/null
+++ b/yewrill/store/compaction.py
@@ -0,0 +1,248 @@
+"""Compaction: the live records of some sealed segments are copied to one new segment; hint files.
+
+Order: the output is written and synced as `.new`, renamed, names are synced, the manifest is switched, index
+entries are moved, inputs are removed. Before the manifest is switched the inputs count, after it the output.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Generator, Iterator, Sequence
+from contextlib import suppress
+from dataclasses import dataclass, field
+
+from yewrill.store import format as fmt
+from yewrill.store import policy
+from yewrill.store.catalog import Catalog
+from yewrill.store.files import write_all, write_file
+from yewrill.store.findings import Finding, Findings
+from yewrill.store.frames import Frame, Gap, read_frames
+from yewrill.store.key_directory import KeyDirectory
+from yewrill.store.reader import is_expired
+from yewrill.store.recovery import NEW, quarantine
+from yewrill.store.reserve import SpaceReserve
+from yewrill.store.segment import ENTRY, Segment
+
+OUTPUT_FRAME_BYTES = 128 * 1024  # gathered into one frame of the output
+
+
+@dataclass(slots=True)
+class _Output:
+    """A compaction's output while it is written."""
+
+    segment: Segment
+    time: int  # of the compaction, ms
+    hint_parts: list[tuple[bytes, int]] = field(default_factory=list)  # bytes, number of entries
+    gathered: list[fmt.Op] = field(default_factory=list)
+    gathered_bytes: int = 0
+
+    def add(self, op: fmt.Op) -> None:
+        """Gather an operation for the next frame."""
+        size = fmt.op_size(op.key, len(op.value))
+        self.gathered.append(op)
+        self.gathered_bytes += size
+        self.segment.lowest = min(self.segment.lowest, op.seq)
+        if op.kind == fmt.DELETE:
+            self.segment.deletions += size
+
+    def flush(self, reserve: SpaceReserve) -> int:
+        """Write what was gathered as a frame; return the frame's bytes. Raises OSError."""
+        if not self.gathered:
+            return 0
+        segment = self.segment
+        frame = fmt.encode_frame(self.gathered, segment.salt, self.time)
+        reserve.write(lambda: write_all(segment.handle, frame, segment.size))
+        offset, rows = segment.size + fmt.FRAME_HEAD, []
+        for op in self.gathered:
+            rows.append((op.kind, op.key, len(op.value), offset, op.seq, op.expires))
+            offset += fmt.op_size(op.key, len(op.value))
+        self.hint_parts.append((fmt.hint_entries(rows), len(rows)))
+        segment.size += len(frame)
+        self.gathered.clear()
+        self.gathered_bytes = 0
+        return len(frame)
+
+    def hint(self) -> bytes:
+        """Return the hint file. Its head holds the segment's size, so the segment must be whole."""
+        writer = fmt.HintWriter(self.segment.size)
+        entries = [writer.add(piece, count) for piece, count in self.hint_parts]
+        return b"".join([writer.head, *entries, writer.end()])
+
+
+class Compactor:
+    """Compacts sealed segments and writes their hints; one call at a time, beside commits and readers."""
+
+    def __init__(
+        self,
+        catalog: Catalog,
+        directory: KeyDirectory,
+        reserve: SpaceReserve,
+        findings: Findings,
+    ):
+        self._catalog = catalog
+        self._files = catalog.files
+        self._directory = directory
+        self._reserve = reserve
+        self._findings = findings
+        self.count = 0  # compactions that were finished
+
+    def compact(self, inputs: list[Segment], now: int) -> Iterator[int]:
+        """Compact some sealed segments into one, or none if nothing lives.
+
+        Yields bytes read or written, piece by piece, so that the caller can pace it; a caller that stops
+        before the manifest is switched leaves all as it was. Raises OSError.
+        """
+        if not inputs or not self._catalog.writable:
+            return
+        name = self._catalog.new_name()
+        output: Segment | None = None
+        try:
+            output = yield from self._write_output(name, inputs, now)
+            self._switch(inputs, output)
+        except BaseException:  # a stop in the middle is one too
+            if self._catalog.poison is None:  # else the manifest on disk may name the output
+                for file in (name.file + NEW, name.file, name.hint):
+                    with suppress(OSError):
+                        self._files.remove(file)
+            raise
+        if output is not None:
+            yield from self._move_entries(output)
+        self._remove_inputs(inputs)
+        self.count += 1
+
+    def _write_output(
+        self, name: fmt.SegmentName, inputs: list[Segment], now: int
+    ) -> Generator[int, None, Segment | None]:
+        """Write and sync the output, its hint and their names; return it, None if nothing lives."""
+        with self._directory.lock:
+            others = [s.lowest for s in self._directory.segments.values() if s not in inputs]
+        if self._catalog.later_format or self._findings.mentions("missing"):
+            others.append(0)  # these may hold records of any number
+        output = self._create_output(name, inputs, now)
+        for source in inputs:
+            yield from self._copy(source, output, others, now)
+        yield output.flush(self._reserve)
+        segment = output.segment
+        if segment.size == segment.start:
+            self._files.remove(name.file + NEW)
+            return None
+        segment.handle.sync()
+        hint = output.hint()
+        segment.hinted = True
+        if not self._reserve.low:
+            self._reserve.write(lambda: write_file(self._files, name.hint, hint))
+        self._files.rename(name.file + NEW, name.file)
+        self._catalog.sync_names()
+        return segment
+
+    def _create_output(self, name: fmt.SegmentName, inputs: list[Segment], now: int) -> _Output:
+        handle = self._files.open(name.file + NEW, write=True, create=True)
+        segment = Segment(name, handle, self._directory.take_slot())
+        segment.output = True
+        header = fmt.encode_header(name, tuple(s.name.number for s in inputs))
+        self._reserve.write(lambda: write_all(handle, header, 0))
+        segment.size = segment.start = len(header)
+        return _Output(segment, now)
+
+    def _copy(self, source: Segment, output: _Output, others: list[int], now: int) -> Iterator[int]:
+        for found in read_frames(source.handle, source.start, source.size, source.salt):
+            if isinstance(found, Gap):
+                self._record_gap(source, found)
+                continue
+            for op in found.ops:
+                surviving = self._surviving(source, op, others, now)
+                if surviving is None:
+                    continue
+                output.add(surviving)
+                if output.gathered_bytes >= OUTPUT_FRAME_BYTES:
+                    yield output.flush(self._reserve)
+            yield found.end - found.offset
+
+    def _surviving(
+        self, source: Segment, op: fmt.Op, others: Sequence[int], now: int
+    ) -> fmt.Op | None:
+        """Return what the output gets in place of an operation; None: nothing."""
+        with self._directory.lock:
+            entry = self._directory.index.get(op.key)
+            if op.kind == fmt.PUT:
+                if entry is None:
+                    return None
+                slot, offset, *_ = ENTRY.unpack(entry)
+                if slot != source.slot or offset != op.offset:
+                    return None
+                if not is_expired(op.expires, now):
+                    return op
+                self._directory.remove_expired(op.key)
+            elif entry is not None and ENTRY.unpack(entry)[3] > op.seq:
+                return None
+        # An expired value is as good as deleted: an older record of its key must not come back.
+        if policy.may_drop_deletion(op.seq, others):
+            return None
+        return fmt.Op(fmt.DELETE, op.key, b"", op.seq)
+
+    def _switch(self, inputs: list[Segment], output: Segment | None) -> None:
+        directory = self._directory
+        with self._catalog.lock:
+            with directory.lock:
+                staying = [s for s in directory.segments.values() if s not in inputs]
+                if output is not None:
+                    staying.append(output)
+            self._catalog.write_manifest([s.name for s in staying], directory.next_seq)
+            if output is not None:
+                with directory.lock:
+                    directory.segments[output.slot] = output
+
+    def _move_entries(self, output: Segment) -> Iterator[int]:
+        """Have index entries refer to the output, a frame at a time."""
+        for found in read_frames(output.handle, output.start, output.size, output.salt):
+            if not isinstance(found, Frame):
+                continue
+            with self._directory.lock:
+                for op in found.ops:
+                    self._directory.move(op, output)
+            yield found.end - found.offset
+
+    def _remove_inputs(self, inputs: list[Segment]) -> None:
+        lost = self._directory.remove_segments(inputs)
+        if lost:
+            note = "values that could not be read are gone from the index"
+            self._findings.append(Finding("damage", inputs[0].name.file, records=lost, note=note))
+        for segment in inputs:
+            for file in (segment.name.file, segment.name.hint):
+                with suppress(OSError):  # what remains is removed by the next opening
+                    self._files.remove(file)
+
+    def _record_gap(self, segment: Segment, gap: Gap) -> None:
+        with suppress(OSError):
+            quarantine(self._files, segment, gap.start, gap.end)
+        self._findings.add_damage(
+            segment,
+            Finding("damage", segment.name.file, gap.start, gap.end, note="met by compaction"),
+        )
+
+    # -- hints
+
+    def write_hints(self, segments: list[Segment]) -> Iterator[int]:
+        """Write the hint files that sealed segments lack. Yields bytes read. Raises OSError."""
+        for segment in segments:
+            if segment.hinted or segment.damaged or not self._catalog.writable:
+                continue
+            yield from self._write_hint(segment)
+
+    def _write_hint(self, segment: Segment) -> Iterator[int]:
+        writer = fmt.HintWriter(segment.size)
+        parts = [writer.head]
+        for found in read_frames(segment.handle, segment.start, segment.size, segment.salt):
+            if isinstance(found, Gap):
+                self._record_gap(segment, found)
+                return
+            rows = [
+                (op.kind, op.key, len(op.value), op.offset, op.seq, op.expires) for op in found.ops
+            ]
+            parts.append(writer.add(fmt.hint_entries(rows), len(rows)))
+            yield found.end - found.offset
+        parts.append(writer.end())
+        with self._directory.lock:
+            if segment.slot not in self._directory.segments:
+                return
+        write_file(self._files, segment.name.hint, b"".join(parts))
+        segment.hinted = True
--- a/yewrill/store/errors.py
+++ b/yewrill/store/errors.py
@@ -1,14 +1,14 @@
-"""What a store can answer instead of doing what it was asked."""
+"""The errors of a store."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """Anything that a store could not do."""
+    """Base of all errors of a store."""
 
 
 class StoreHeld(StoreError):
-    """Another process has the directory; the text names it."""
+    """Another process has locked the directory; the text names it."""
 
 
 class StoreFull(StoreError):
@@ -16,15 +16,15 @@
 
 
 class StorePoisoned(StoreError):
-    """A sync failed, so nobody knows what is on disk: no write is taken any more. Reads go on."""
+    """A sync failed, so it is unknown what is on disk: no further write is accepted. Reads work."""
 
 
 class StoreReadOnly(StoreError):
-    """The directory can't be written. Reads go on."""
+    """The directory can't be written. Reads work."""
 
 
 class StoreBusy(StoreError):
-    """More waits to be written than is taken."""
+    """The queue of batches is full."""
 
 
 class StoreClosed(StoreError):
--- a/yewrill/store/files.py
+++ b/yewrill/store/files.py
@@ -24,31 +24,45 @@
 class Handle(Protocol):
     """An open file. It closes when nobody refers to it any more, so a reader never sees it close."""
 
-    def read(self, size: int, offset: int) -> bytes: ...
+    def read(self, size: int, offset: int) -> bytes:
+        """Return up to `size` bytes from an offset, fewer only at the end of the file."""
+        ...
 
     def write(self, data: bytes, offset: int) -> int:
         """The number of bytes written, which may be fewer than asked."""
         ...
 
-    def truncate(self, size: int) -> None: ...
+    def truncate(self, size: int) -> None:
+        """Set the file's size."""
+        ...
 
     def sync(self) -> None:
         """All that was written to the file is on disk, its size included; its name need not be."""
         ...
 
-    def size(self) -> int: ...
+    def size(self) -> int:
+        """Return the file's size in bytes."""
+        ...
 
 
 class Files(Protocol):
     """One directory."""
 
-    def list(self) -> list[str]: ...
+    def list(self) -> list[str]:
+        """Return the names of all files, sorted."""
+        ...
 
-    def open(self, name: str, *, write: bool = False, create: bool = False) -> Handle: ...
+    def open(self, name: str, *, write: bool = False, create: bool = False) -> Handle:
+        """Open a file; `create` makes it if it is absent. Raises OSError."""
+        ...
 
-    def rename(self, old: str, new: str) -> None: ...
+    def rename(self, old: str, new: str) -> None:
+        """Rename a file, over any of the new name."""
+        ...
 
-    def remove(self, name: str) -> None: ...
+    def remove(self, name: str) -> None:
+        """Remove a file. Raises FileNotFoundError."""
+        ...
 
     def sync_names(self) -> None:
         """Names made, changed and removed so far are on disk."""
@@ -62,7 +76,9 @@
         """Take the directory for this process. Raises StoreHeld."""
         ...
 
-    def unlock(self) -> None: ...
+    def unlock(self) -> None:
+        """Release the directory."""
+        ...
 
 
 def write_all(handle: Handle, data: bytes, offset: int) -> None:
@@ -77,6 +93,7 @@
 
 
 def read_file(files: Files, name: str) -> bytes:
+    """Return a whole file. Raises OSError."""
     handle = files.open(name)
     return handle.read(handle.size(), 0)
 
@@ -90,6 +107,8 @@
 
 
 class RealHandle:
+    """An open file of the operating system."""
+
     __slots__ = ("_fd",)
 
     def __init__(self, path: Path, flags: int):
@@ -97,6 +116,7 @@
         self._fd = os.open(path, flags | os.O_CLOEXEC, 0o600)
 
     def read(self, size: int, offset: int) -> bytes:
+        """Return up to `size` bytes from an offset, fewer only at the end of the file."""
         data = os.pread(self._fd, size, offset)
         while len(data) < size and (
             more := os.pread(self._fd, size - len(data), offset + len(data))
@@ -105,15 +125,19 @@
         return data
 
     def write(self, data: bytes, offset: int) -> int:
+        """Write a part of the data; return how many bytes."""
         return os.pwrite(self._fd, data, offset)
 
     def truncate(self, size: int) -> None:
+        """Set the file's size."""
         os.ftruncate(self._fd, size)
 
     def sync(self) -> None:
+        """Bring the file's data and size to disk."""
         os.fdatasync(self._fd)  # a file's size is part of what it syncs
 
     def size(self) -> int:
+        """Return the file's size in bytes."""
         return os.fstat(self._fd).st_size
 
     def __del__(self) -> None:
@@ -132,12 +156,14 @@
             self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def list(self) -> list[str]:
+        """Return the names of all files, sorted."""
         names = [entry.name for entry in os.scandir(self.path) if entry.is_file()]
         with suppress(FileNotFoundError):
             names += [QUARANTINE + entry.name for entry in os.scandir(self.path / QUARANTINE)]
         return sorted(names)
 
     def open(self, name: str, *, write: bool = False, create: bool = False) -> RealHandle:
+        """Open a file; `create` makes it if it is absent. Raises OSError."""
         path = self.path / name
         if create and name.startswith(QUARANTINE):
             path.parent.mkdir(mode=0o700, exist_ok=True)
@@ -146,14 +172,17 @@
         )
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file, over any of the new name."""
         if new.startswith(QUARANTINE):
             (self.path / QUARANTINE).mkdir(mode=0o700, exist_ok=True)
         os.rename(self.path / old, self.path / new)
 
     def remove(self, name: str) -> None:
+        """Remove a file. Raises FileNotFoundError."""
         os.unlink(self.path / name)
 
     def sync_names(self) -> None:
+        """Bring the directory's names to disk."""
         for path in (self.path / QUARANTINE, self.path):
             try:
                 fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
@@ -165,6 +194,7 @@
                 os.close(fd)
 
     def reserve(self, name: str, size: int) -> None:
+        """Make a file of this size whose blocks are allocated. Raises OSError."""
         fd = os.open(self.path / name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             os.posix_fallocate(fd, 0, size)
@@ -175,6 +205,7 @@
             os.close(fd)
 
     def lock(self) -> None:
+        """Lock the directory for this process. Raises StoreHeld."""
         path = self.path / LOCK
         try:
             fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -200,6 +231,7 @@
             )
 
     def unlock(self) -> None:
+        """Release the directory."""
         if self._lock >= 0:
             with suppress(OSError):
                 os.ftruncate(self._lock, 0)  # nobody has it: no name either
--- a/yewrill/store/format.py
+++ b/yewrill/store/format.py
@@ -20,9 +20,9 @@
 from yewrill.store.errors import StoreError
 
 FORMAT = 1
-MOST_KEY = 4 * 1024
-MOST_VALUE = 16 * 1024 * 1024
-MOST_BODY = 64 * 1024 * 1024  # of a batch, its operations' heads included
+MAX_KEY_BYTES = 4 * 1024
+MAX_VALUE_BYTES = 16 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024  # of a batch, its operations' heads included
 
 SEGMENT_MAGIC = b"YEWRSEG\n"
 HINT_MAGIC = b"YEWRHNT\n"
@@ -89,8 +89,8 @@
 
     def put(self, key: bytes, value: bytes, expires: int = 0) -> Batch:
         """Set a key. `expires` is when it ends, in ms of the store's clock (0: never)."""
-        if len(value) > MOST_VALUE:
-            raise StoreError(f"value: {len(value)} bytes, at most {MOST_VALUE}")
+        if len(value) > MAX_VALUE_BYTES:
+            raise StoreError(f"value: {len(value)} bytes, at most {MAX_VALUE_BYTES}")
         if not -(2**63) <= expires < 2**63:
             raise StoreError(f"expires: {expires} is no time in milliseconds")
         return self._add(Op(PUT, _key(key), bytes(value), 0, int(expires)))
@@ -106,20 +106,21 @@
 
     def _add(self, op: Op) -> Batch:
         size = self.size + op_size(op.key, len(op.value))
-        if size > MOST_BODY:
-            raise StoreError(f"batch: over {MOST_BODY} bytes")
+        if size > MAX_BODY_BYTES:
+            raise StoreError(f"batch: over {MAX_BODY_BYTES} bytes")
         self.ops.append(op)
         self.size = size
         return self
 
 
 def _key(key: bytes) -> bytes:
-    if not 1 <= len(key) <= MOST_KEY:
-        raise StoreError(f"key: {len(key)} bytes, 1 to {MOST_KEY} are possible")
+    if not 1 <= len(key) <= MAX_KEY_BYTES:
+        raise StoreError(f"key: {len(key)} bytes, 1 to {MAX_KEY_BYTES} are possible")
     return bytes(key)
 
 
 def op_size(key: bytes, value_size: int) -> int:
+    """Return the bytes that an operation takes in a frame's body."""
     return OP_HEAD + len(key) + value_size
 
 
@@ -127,15 +128,19 @@
 
 
 class SegmentName(NamedTuple):
+    """A segment's number and salt, which its file's name holds."""
+
     number: int
     salt: int
 
     @property
     def file(self) -> str:
+        """The name of the segment's file."""
         return f"{self.number:016x}-{self.salt:08x}.seg"
 
     @property
     def hint(self) -> str:
+        """The name of its hint file."""
         return f"{self.number:016x}-{self.salt:08x}.hint"
 
 
@@ -149,12 +154,14 @@
 
 
 def encode_header(name: SegmentName, replaces: tuple[int, ...] = ()) -> bytes:
+    """Return a segment's header; `replaces` are the numbers of a compaction's inputs."""
     head = _SEGMENT.pack(SEGMENT_MAGIC, FORMAT, 0, name.salt, name.number, len(replaces))
     head += b"".join(struct.pack("<Q", number) for number in replaces)
     return head + _CRC.pack(crc32c(head))
 
 
 def header_size(replaced: int) -> int:
+    """Return the bytes of a header that names this many replaced segments."""
     return _SEGMENT.size + 8 * replaced + _CRC.size
 
 
@@ -190,6 +197,8 @@
 
 
 class Head(NamedTuple):
+    """A frame's head: length and checksum of its body, and when it was written (ms)."""
+
     length: int
     time: int
     crc: int
@@ -203,7 +212,7 @@
     if _CRC.unpack_from(data, end)[0] != extend(salt, data[at:end]):
         return None
     _, length, time, crc = _FRAME.unpack_from(data, at)
-    return Head(length, time, crc) if length <= MOST_BODY else None
+    return Head(length, time, crc) if length <= MAX_BODY_BYTES else None
 
 
 def decode_body(body: bytes, head: Head, salt: int, base: int) -> list[Op]:
@@ -270,11 +279,13 @@
         return entries
 
     def end(self) -> bytes:
+        """Return the end of the file: the number of entries and a checksum."""
         count = struct.pack("<Q", self._count)
         return count + _CRC.pack(extend(self._crc, count))
 
 
 def hint_entries(ops: Iterable[HintEntry]) -> bytes:
+    """Return entries as they stand in a hint file."""
     pack = _HINT_ENTRY.pack
     parts = []
     for kind, key, value_size, offset, seq, expires in ops:
@@ -319,6 +330,7 @@
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
+    """Return the manifest file."""
     text = json.dumps(
         {
             "segments": [name.file for name in manifest.segments],
--- a/yewrill/store/recovery.py
+++ b/yewrill/store/recovery.py
@@ -1,13 +1,13 @@
-"""From whatever lies in a directory to the state of an engine. It never refuses.
+"""Recovery: from whatever lies in a directory to the state of an engine. It never fails for what it finds.
 
 The order of steps, and why a crash at any of them does no harm:
 
 1. *Manifest.* If it can be read, it says which segments are in force. If not, it is moved to quarantine and
-   made up from the segments: all of them are, but those that another whole segment's header replaces.
+   rebuilt from the segments: all of them are, but those that another whole segment's header replaces.
 2. *Leftovers.* A `.new` file is work that never came into force: removed. A segment that isn't in the
    manifest is removed too if its number is lower than the manifest's next one (it was left out on purpose),
    if it is empty (a crash between making and naming it), or if it is an output whose inputs are still in
-   force. Anything else holds records and can't be explained: taken in, and told.
+   force. Anything else holds records and has no explanation: adopted, and reported.
 3. *Segments.* One with a sound hint is taken from that. Else its frames are read: a tail that never was
    whole is cut off; what is damaged before whole frames is copied to quarantine and skipped. Of each key
    the highest sequence number counts.
@@ -25,144 +25,28 @@
 from sortedcontainers import SortedDict
 
 from yewrill.store import format as fmt
-from yewrill.store.files import QUARANTINE, Files, Handle, read_file, write_file
-from yewrill.store.segment import ENTRY, TOMB, Segment
+from yewrill.store.files import QUARANTINE, Files, read_file, write_file
+from yewrill.store.findings import Finding
+from yewrill.store.frames import Frame, Gap, read_frames
+from yewrill.store.segment import ENTRY, TOMBSTONE, Segment
 
 MANIFEST, NEW = "MANIFEST", ".new"
-RESERVE = "RESERVE"
-CHUNK = 1 << 20  # bytes read at a time
-
-
-@dataclass(frozen=True, slots=True)
-class Finding:
-    """Something that an opening, a verification or a compaction met and did not expect."""
-
-    what: (
-        str  # damage, torn, header, manifest, leftover, adopted, missing, later-format, unwritable
-    )
-    file: str
-    start: int = 0
-    end: int = 0
-    records: int | None = None  # lost there; None: can't be told
-    note: str = ""
-
-    def __str__(self) -> str:
-        lost = "" if self.records is None else f" records={self.records}"
-        span = f" bytes={self.start}-{self.end}" if self.end else ""
-        return f"{self.what} file={self.file}{span}{lost}{' ' + self.note if self.note else ''}"
-
-    def as_dict(self) -> dict:
-        return {
-            "what": self.what,
-            "file": self.file,
-            "start": self.start,
-            "end": self.end,
-            "records": self.records,
-            "note": self.note,
-        }
+MAX_HEADER_READ_BYTES = 1 << 20
 
 
 @dataclass(slots=True)
 class State:
-    """What an engine begins with."""
+    """What an engine starts from."""
 
     index: SortedDict
     segments: dict[int, Segment]  # by slot
     next_segment: int
     next_seq: int
     findings: list[Finding]
-    foreign: list[str]  # files of a later format, left alone
+    later_format: list[str]  # names of files of a later format, which are left alone
     read_only: bool = False
 
 
-# ------------------------------------------------------------------------------------------- reading frames
-
-
-@dataclass(slots=True)
-class Frame:
-    offset: int
-    end: int
-    time: int
-    ops: list[fmt.Op]
-
-
-@dataclass(slots=True)
-class Gap:
-    """Bytes that are no frame: in the middle, or up to the end of the file."""
-
-    start: int
-    end: int
-    tail: bool = False
-    explained: bool = False  # a tail that a write cut short leaves behind
-
-
-def read_frames(handle: Handle, start: int, size: int, salt: int) -> Iterator[Frame | Gap]:
-    """All of a segment from `start` to `size`, in order, in memory bounded by the largest frame."""
-    window, base = b"", start  # bytes read ahead, and where they begin
-
-    def take(at: int, count: int) -> bytes:
-        nonlocal window, base
-        if not base <= at or at + count > base + len(window):
-            window, base = handle.read(min(max(count, CHUNK), size - at), at), at
-        return window[at - base : at - base + count]
-
-    at = start
-    while at < size:
-        frame = _frame_at(take, at, size, salt)
-        if isinstance(frame, Frame):
-            yield frame
-            at = frame.end
-            continue
-        if isinstance(frame, int):  # a head that can be believed, with a body that can't
-            yield Gap(at, frame, tail=frame >= size)
-            at = frame
-            continue
-        found = _next_frame(take, at + 1, size, salt) if frame is None else size
-        rest = take(at, min(size - at, CHUNK)) if found >= size else b""
-        yield Gap(
-            at,
-            found,
-            tail=found >= size,
-            explained=found >= size
-            and (frame is not None or size - at < fmt.FRAME_HEAD or not any(rest)),
-        )
-        at = found
-
-
-def _frame_at(
-    take: Callable[[int, int], bytes], at: int, size: int, salt: int
-) -> Frame | int | str | None:
-    """The frame; where the next one begins if only the body is bad; "short" if the body never was
-    whole; None if nothing can be said."""
-    head = fmt.decode_head(take(at, min(fmt.FRAME_HEAD, size - at)), 0, salt)
-    if head is None:
-        return None
-    begin = at + fmt.FRAME_HEAD
-    if begin + head.length > size:
-        return "short"
-    try:
-        ops = fmt.decode_body(take(begin, head.length), head, salt, begin)
-    except fmt.Malformed:
-        return begin + head.length
-    return Frame(at, begin + head.length, head.time, ops)
-
-
-def _next_frame(take: Callable[[int, int], bytes], at: int, size: int, salt: int) -> int:
-    """Where the next whole frame begins; the end of the file if there is none."""
-    while at < size:
-        chunk = take(at, min(CHUNK // 2, size - at))
-        hit = chunk.find(fmt.FRAME_MAGIC)
-        if hit < 0:
-            # The magic may lie across two chunks.
-            at += max(1, len(chunk) - len(fmt.FRAME_MAGIC) + 1)
-            continue
-        at += hit
-        if isinstance(_frame_at(take, at, size, salt), Frame):
-            return at
-        at += 1
-    return size
-
-
 # ----------------------------------------------------------------------------------------------- one opening
 
 
@@ -174,7 +58,7 @@
     read_only: bool = False
     highest: int = 0  # sequence number met
 
-    def tell(self, what: str, file: str, *args, **more) -> None:
+    def add_finding(self, what: str, file: str, *args, **more) -> None:
         self.findings.append(Finding(what, file, *args, **more))
 
     def try_write(self, act: Callable[[], None], what: str) -> bool:
@@ -190,12 +74,12 @@
                 errno.EACCES,
                 errno.EPERM,
             )
-            self.tell("unwritable", what, note=f"{error.strerror or error}")
+            self.add_finding("unwritable", what, note=f"{error.strerror or error}")
             return False
 
 
-def open_directory(files: Files, mend: bool = True) -> State:
-    """The state of a directory. Without `mend`, nothing in it is changed."""
+def open_directory(files: Files, repair: bool = True) -> State:
+    """The state of a directory. Without `repair`, nothing in it is changed."""
     opening = _Opening(files)
     present = files.list()
     names: dict[int, fmt.SegmentName] = {}
@@ -203,9 +87,9 @@
         if file.endswith(".seg") and (name := fmt.segment_name(file)) is not None:
             names[name.number] = name
     numbers = [0, *names]
-    headers, foreign = _headers(opening, names)
-    manifest = _manifest(opening, present, mend)
-    chosen, leftovers = _in_force(opening, manifest, names, headers)
+    headers, later_format = _headers(opening, names)
+    manifest = _manifest(opening, present, repair)
+    chosen, leftovers = _segments_in_force(opening, manifest, names, headers)
     segments: dict[int, Segment] = {}
     for slot, name in enumerate(chosen):
         segment = Segment(name, files.open(name.file), slot)
@@ -214,9 +98,9 @@
         segment.start = header[1] if header else _first_frame(segment)
         segment.output = bool(header and header[0])
         segment.damaged = header is None
-        _load(opening, segment, name.hint in present, mend)
+        _load(opening, segment, name.hint in present, repair)
         segments[slot] = segment
-    if mend:
+    if repair:
         leftovers += [file for file in present if file.endswith(NEW)]
         hints = {name.hint for name in names.values()}
         leftovers += [file for file in present if file.endswith(".hint") and file not in hints]
@@ -230,7 +114,7 @@
         max(max(numbers) + 1, manifest.next_segment if manifest else 1),
         max(opening.highest + 1, manifest.next_seq if manifest else 1),
         opening.findings,
-        foreign,
+        later_format,
         opening.read_only,
     )
 
@@ -239,31 +123,33 @@
     opening: _Opening, names: dict[int, fmt.SegmentName]
 ) -> tuple[dict[int, tuple[tuple[int, ...], int]], list[str]]:
     """Each segment's header: what it replaces and where its frames begin. Later formats leave `names`."""
-    headers, foreign = {}, []
+    headers, later_format = {}, []
     for number, name in list(names.items()):
         handle = opening.files.open(name.file)
         try:
-            headers[number] = fmt.decode_header(handle.read(min(handle.size(), CHUNK), 0), name)
+            headers[number] = fmt.decode_header(
+                handle.read(min(handle.size(), MAX_HEADER_READ_BYTES), 0), name
+            )
         except fmt.LaterFormat as error:
-            opening.tell("later-format", name.file, note=f"{error}: left alone")
-            foreign.append(name.file)
+            opening.add_finding("later-format", name.file, note=f"{error}: left alone")
+            later_format.append(name.file)
             del names[number]
         except fmt.Malformed as error:
             if handle.size() >= fmt.header_size(0):  # else it never held a record
-                opening.tell("header", name.file, 0, fmt.header_size(0), 0, note=str(error))
-    return headers, foreign
+                opening.add_finding("header", name.file, 0, fmt.header_size(0), 0, note=str(error))
+    return headers, later_format
 
 
-def _manifest(opening: _Opening, present: list[str], mend: bool) -> fmt.Manifest | None:
+def _manifest(opening: _Opening, present: list[str], repair: bool) -> fmt.Manifest | None:
     if MANIFEST not in present:
         if any(file.endswith(".seg") for file in present):
-            opening.tell("manifest", MANIFEST, note="missing: made up from the segments")
+            opening.add_finding("manifest", MANIFEST, note="missing: made up from the segments")
         return None
     try:
         return fmt.decode_manifest(read_file(opening.files, MANIFEST))
     except (fmt.Malformed, fmt.LaterFormat) as error:
-        opening.tell("manifest", MANIFEST, note=f"{error}: made up from the segments")
-    if mend:
+        opening.add_finding("manifest", MANIFEST, note=f"{error}: made up from the segments")
+    if repair:
         aside = next(
             name for i in range(10**6) if (name := f"{QUARANTINE}{MANIFEST}.{i}") not in present
         )
@@ -271,47 +157,61 @@
     return None
 
 
-def _in_force(
+def _segments_in_force(
     opening: _Opening,
     manifest: fmt.Manifest | None,
     names: dict[int, fmt.SegmentName],
     headers: dict[int, tuple[tuple[int, ...], int]],
 ) -> tuple[list[fmt.SegmentName], list[str]]:
-    """The segments to serve, oldest first, and the files of those that are not in force any more, or not
-    yet."""
-    replaced: set[int] = set()
+    """Return the segments to serve, oldest first, and the files of those that are not in force."""
     if manifest is None:
-        for before, _ in headers.values():
-            replaced.update(before)
-        chosen = {number for number in names if number not in replaced}
+        replaced = {number for before, _ in headers.values() for number in before}
+        chosen = names.keys() - replaced
     else:
-        listed = {name.number for name in manifest.segments}
-        for name in manifest.segments:
-            if name.number not in names and name.file not in (
-                f.file for f in opening.findings if f.what == "later-format"
-            ):
-                opening.tell("missing", name.file, note="named in the manifest")
-        chosen = listed & names.keys()
-        for number in chosen:
-            replaced.update(headers.get(number, ((), 0))[0])
-        for number in names.keys() - listed:
-            output_of = set(headers.get(number, ((), 0))[0])
-            if number in replaced or output_of & listed:
-                continue
-            if (
-                number < manifest.next_segment
-            ):  # whoever wrote the manifest knew it, and left it out
-                continue
-            if _empty(opening, names[number], headers.get(number)):
-                continue
-            opening.tell("adopted", names[number].file, note="holds records, not in the manifest")
-            chosen.add(number)
+        chosen = _listed_segments(opening, manifest, names)
+        chosen |= _adopted_segments(opening, manifest, names, headers, chosen)
     leftovers = []
     for number in sorted(names.keys() - chosen):
         leftovers += [names[number].file, names[number].hint]
     return [names[number] for number in sorted(chosen)], leftovers
 
 
+def _listed_segments(
+    opening: _Opening, manifest: fmt.Manifest, names: dict[int, fmt.SegmentName]
+) -> set[int]:
+    """Return the numbers of the manifest's segments that are there, and report the others."""
+    later_format = {f.file for f in opening.findings if f.what == "later-format"}
+    for name in manifest.segments:
+        if name.number not in names and name.file not in later_format:
+            opening.add_finding("missing", name.file, note="named in the manifest")
+    return {name.number for name in manifest.segments} & names.keys()
+
+
+def _adopted_segments(
+    opening: _Opening,
+    manifest: fmt.Manifest,
+    names: dict[int, fmt.SegmentName],
+    headers: dict[int, tuple[tuple[int, ...], int]],
+    in_force: set[int],
+) -> set[int]:
+    """Return the numbers of segments with records that the manifest's writer did not know of."""
+    listed = {name.number for name in manifest.segments}
+    replaced = {old for number in in_force for old in headers.get(number, ((), 0))[0]}
+    adopted = set()
+    for number in names.keys() - listed:
+        output_of = set(headers.get(number, ((), 0))[0])
+        if number in replaced or output_of & listed:
+            continue
+        if number < manifest.next_segment:  # the manifest's writer left it out on purpose
+            continue
+        if _empty(opening, names[number], headers.get(number)):
+            continue
+        note = "holds records, not in the manifest"
+        opening.add_finding("adopted", names[number].file, note=note)
+        adopted.add(number)
+    return adopted
+
+
 def _empty(
     opening: _Opening, name: fmt.SegmentName, header: tuple[tuple[int, ...], int] | None
 ) -> bool:
@@ -331,26 +231,28 @@
     return segment.size
 
 
-def _load(opening: _Opening, segment: Segment, hinted: bool, mend: bool) -> None:
+def _load(opening: _Opening, segment: Segment, hinted: bool, repair: bool) -> None:
     if hinted:
         try:
             data = read_file(opening.files, segment.name.hint)
-            _take(opening, segment, fmt.decode_hint(data, segment.size))
+            _apply_entries(opening, segment, fmt.decode_hint(data, segment.size))
             segment.hinted = True
             return
         except (fmt.Malformed, OSError) as error:
-            opening.tell("hint", segment.name.hint, note=f"{error}: not used")
-    _take(opening, segment, _scanned(opening, segment, mend))
+            opening.add_finding("hint", segment.name.hint, note=f"{error}: not used")
+    _apply_entries(opening, segment, _scan_segment(opening, segment, repair))
 
 
-def _scanned(opening: _Opening, segment: Segment, mend: bool) -> Iterator[fmt.HintEntry]:
+def _scan_segment(opening: _Opening, segment: Segment, repair: bool) -> Iterator[fmt.HintEntry]:
     last: int | None = None
     gap: Gap | None = None
     cut = 0
     for found in read_frames(segment.handle, segment.start, segment.size, segment.name.salt):
         if isinstance(found, Frame):
             if gap is not None:
-                _set_aside(opening, segment, gap, _lost(segment, last, found), mend)
+                _quarantine_file(
+                    opening, segment, gap, _lost_operations(segment, last, found), repair
+                )
                 gap = None
             for op in found.ops:
                 yield op.kind, op.key, len(op.value), op.offset, op.seq, op.expires
@@ -358,54 +260,54 @@
         elif found.tail:
             cut = found.start
             if found.explained:
-                opening.tell("torn", segment.name.file, found.start, found.end, 0)
+                opening.add_finding("torn", segment.name.file, found.start, found.end, 0)
             else:
-                _set_aside(opening, segment, found, None, mend)
+                _quarantine_file(opening, segment, found, None, repair)
         else:
             gap = found if gap is None else Gap(gap.start, found.end)
     if cut and gap is not None:
-        _set_aside(opening, segment, gap, None, mend)
+        _quarantine_file(opening, segment, gap, None, repair)
     if cut:
-        if mend:
+        if repair:
+            opening.try_write(lambda: _truncate(opening.files, segment, cut), segment.name.file)
+        segment.size = cut
 
-            def shorten() -> None:
-                handle = opening.files.open(segment.name.file, write=True)
-                handle.truncate(cut)
-                handle.sync()
 
-            opening.try_write(shorten, segment.name.file)
-        segment.size = cut
+def _truncate(files: Files, segment: Segment, size: int) -> None:
+    handle = files.open(segment.name.file, write=True)
+    handle.truncate(size)
+    handle.sync()
 
 
-def _lost(segment: Segment, last: int | None, frame: Frame) -> int | None:
-    """How many operations a gap swallowed: numbers run without holes where nothing was compacted."""
+def _lost_operations(segment: Segment, last: int | None, frame: Frame) -> int | None:
+    """Return how many operations a gap has lost: numbers are contiguous where nothing was compacted."""
     if last is None or segment.output or not frame.ops:
         return None
     return max(0, frame.ops[0].seq - last - 1)
 
 
-def _set_aside(
-    opening: _Opening, segment: Segment, gap: Gap, records: int | None, mend: bool
+def _quarantine_file(
+    opening: _Opening, segment: Segment, gap: Gap, records: int | None, repair: bool
 ) -> None:
     segment.damaged = segment.damaged or not gap.tail
-    opening.tell("damage", segment.name.file, gap.start, gap.end, records)
-    if mend:
+    opening.add_finding("damage", segment.name.file, gap.start, gap.end, records)
+    if repair:
         opening.try_write(
             lambda: quarantine(opening.files, segment, gap.start, gap.end), segment.name.file
         )
 
 
 def quarantine(files: Files, segment: Segment, start: int, end: int) -> None:
-    """Copy bytes aside, once."""
+    """Copy bytes to the quarantine, once."""
     name = f"{QUARANTINE}{segment.name.file}.{start}-{end}"
     if name in files.list():
         return
-    write_file(files, name, segment.handle.read(min(end - start, 4 * fmt.MOST_VALUE), start))
+    write_file(files, name, segment.handle.read(min(end - start, 4 * fmt.MAX_VALUE_BYTES), start))
     files.sync_names()
 
 
-def _take(opening: _Opening, segment: Segment, ops: Iterator[fmt.HintEntry]) -> None:
-    """Enter a segment's operations, each unless a later one of its key is known."""
+def _apply_entries(opening: _Opening, segment: Segment, ops: Iterator[fmt.HintEntry]) -> None:
+    """Apply a segment's operations, each unless a later one of its key was seen."""
     table, pack, unpack, slot = opening.table, ENTRY.pack, ENTRY.unpack, segment.slot
     get = table.get
     highest, lowest = opening.highest, segment.lowest
@@ -415,25 +317,25 @@
         old = get(key)
         if old is not None and unpack(old)[3] >= seq:
             continue
-        table[key] = pack(slot, offset, size if kind == fmt.PUT else TOMB, seq, expires)
+        table[key] = pack(slot, offset, size if kind == fmt.PUT else TOMBSTONE, seq, expires)
     opening.highest, segment.lowest = highest, lowest
 
 
 def _index(table: dict[bytes, bytes], segments: dict[int, Segment]) -> SortedDict:
-    """The ordered index, without deletions; what is live of each segment is counted."""
+    """Return the ordered index, without tombstones, and count the live bytes of each segment."""
     unpack, head = ENTRY.unpack, fmt.OP_HEAD
-    gone = []
+    deleted_keys = []
     live = dict.fromkeys(segments, 0)
     for key, entry in table.items():
         slot, _, size, _, expires = unpack(entry)
-        if size == TOMB:
-            gone.append(key)
+        if size == TOMBSTONE:
+            deleted_keys.append(key)
             segments[slot].deletions += head + len(key)
         else:
             live[slot] += head + len(key) + size
             if expires:
                 segments[slot].note_expiry(expires, head + len(key) + size)
-    for key in gone:
+    for key in deleted_keys:
         del table[key]
     for slot, size in live.items():
         segments[slot].live = size
--- a/yewrill/store/segment.py
+++ b/yewrill/store/segment.py
@@ -1,4 +1,4 @@
-"""A segment as an engine knows it, and the form of an index entry."""
+"""An open segment, and the form of an index entry."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 # since a tuple of five numbers takes four times the memory.
 ENTRY = struct.Struct("<IIIQq")
 SLOT = struct.Struct("<I")  # its beginning
-TOMB = 0xFFFFFFFF  # as a value's size: a deletion, while a directory is read
-BUCKET = 60_000  # milliseconds of expiries that are counted together
+TOMBSTONE = 0xFFFFFFFF  # as a value's size: the key was deleted; only while a directory is read
+EXPIRY_BUCKET_MS = 60_000  # expiries within it are counted together
 
 
 class Segment:
-    """One file of frames. Only the newest is written to; a segment's file closes with its last reader."""
+    """One file of frames. Only the newest is written to; the file is closed with its last reader."""
 
     __slots__ = (
         "name",
@@ -51,7 +51,8 @@
         self.expiring: dict[int, int] = {}  # bytes of live records by the time of their expiry
 
     def note_expiry(self, expires: int, size: int) -> None:
-        bucket = expires // BUCKET
+        """Add to (or, if negative, take from) the live bytes that expire at a time."""
+        bucket = expires // EXPIRY_BUCKET_MS
         left = self.expiring.get(bucket, 0) + size
         if left:
             self.expiring[bucket] = left
@@ -59,8 +60,9 @@
             del self.expiring[bucket]
 
     def facts(self, now: int) -> SegmentFacts:
+        """Return what the compaction policy needs to know; what has expired is not live."""
         expired = sum(
-            size for bucket, size in self.expiring.items() if (bucket + 1) * BUCKET <= now
+            size for bucket, size in self.expiring.items() if (bucket + 1) * EXPIRY_BUCKET_MS <= now
         )
         return SegmentFacts(
             self.name.number, self.size, max(0, self.live - expired), self.deletions, self.damaged
--- a/yewrill/store/simdisk.py
+++ b/yewrill/store/simdisk.py
@@ -22,7 +22,7 @@
 SHORT = -1
 SECTOR = 512  # a torn write is kept to a multiple of this, in the disk's own order
 
-Fault = Callable[[int, str, str], int | None]  # number of the call, its word, the file's name
+Fault = Callable[[int, str, str], int | None]  # number of the call, its name, the file's name
 
 
 class Crashed(BaseException):
@@ -79,8 +79,8 @@
             data = data[: max(1, len(data) // 2)]
         node = self._node
         grown = max(0, offset + len(data) - len(node.data))
-        if self._disk.room is not None:
-            fits = max(0, self._disk.room - self._disk.used())
+        if self._disk.capacity is not None:
+            fits = max(0, self._disk.capacity - self._disk.used())
             if grown > fits:
                 data = data[: len(data) - grown + fits]
                 if not data:
@@ -109,44 +109,49 @@
 
 
 class SimulatedDisk:
-    def __init__(self, fail: Fault | None = None, crash_at: int = 0, room: int | None = None):
+    """A directory on the simulated disk. `capacity` in bytes; None: unlimited."""
+
+    def __init__(self, fail: Fault | None = None, crash_at: int = 0, capacity: int | None = None):
         self.calls = 0
         self.fail = fail
         self.crash_at = crash_at
-        self.room = room  # bytes that the disk has in all, None: no bound
-        self.dead = False
+        self.capacity = capacity  # bytes that the disk has in all, None: no bound
+        self.crashed = False
         self.read_only = False
         self.synced_names = True  # False: syncing names is forgotten, to see that it matters
         self._names: dict[str, _Node] = {}
         self._durable: dict[str, _Node] = {}
         self._changes: list[dict[str, _Node | None]] = []  # of names, not yet on disk
-        self._held = False
+        self._locked = False
 
-    def call(self, word: str, name: str) -> int | None:
+    def call(self, operation: str, name: str) -> int | None:
         """Count a call; die, fail or shorten it as planned."""
-        if self.dead:
+        if self.crashed:
             raise Crashed
         self.calls += 1
         if self.calls == self.crash_at:
-            self.dead = True
+            self.crashed = True
             raise Crashed
-        fault = self.fail(self.calls, word, name) if self.fail is not None else None
-        if self.read_only and word not in ("read", "open", "list"):
+        fault = self.fail(self.calls, operation, name) if self.fail is not None else None
+        if self.read_only and operation not in ("read", "open", "list"):
             fault = errno.EROFS
         if fault is not None and fault != SHORT:
             raise OSError(fault, os.strerror(fault))
         return fault
 
     def used(self) -> int:
+        """Return the bytes of all files."""
         return sum(len(node.data) for node in self._names.values())
 
     # -- the calls of a directory
 
     def list(self) -> list[str]:
+        """Return the names of all files, sorted."""
         self.call("list", "")
         return sorted(self._names)
 
     def open(self, name: str, *, write: bool = False, create: bool = False) -> _Handle:
+        """Open a file; `create` makes it if it is absent. Raises OSError."""
         made = create and name not in self._names
         self.call("create" if made else "open", name)
         if made:
@@ -156,35 +161,41 @@
         return _Handle(self, name, self._names[name], write)
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file, over any of the new name."""
         self.call("rename", new)
         self._change({new: self._names[old], old: None})
 
     def remove(self, name: str) -> None:
+        """Remove a file. Raises FileNotFoundError."""
         self.call("remove", name)
         if name not in self._names:
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT), name)
         self._change({name: None})
 
     def sync_names(self) -> None:
+        """Bring the directory's names to disk."""
         self.call("sync_names", "")
         if self.synced_names:
             self._durable = dict(self._names)
             self._changes.clear()
 
     def reserve(self, name: str, size: int) -> None:
+        """Make a file of this size whose blocks are allocated. Raises OSError."""
         self.call("reserve", name)
         held = len(self._names[name].data) if name in self._names else 0
-        if self.room is not None and size - held > self.room - self.used():
+        if self.capacity is not None and size - held > self.capacity - self.used():
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         self._change({name: _Node(bytes(size))})
 
     def lock(self) -> None:
-        if self._held:
+        """Lock the directory for this process. Raises StoreHeld."""
+        if self._locked:
             raise StoreHeld("held by another")
-        self._held = True
+        self._locked = True
 
     def unlock(self) -> None:
-        self._held = False
+        """Release the directory."""
+        self._locked = False
 
     def _change(self, change: dict[str, _Node | None]) -> None:
         _apply(self._names, change)
@@ -215,10 +226,12 @@
     # -- files as bytes, for tests and tools
 
     def dump(self) -> dict[str, bytes]:
+        """Return all files, as readers see them."""
         return {name: bytes(node.data) for name, node in self._names.items()}
 
     @classmethod
     def of(cls, contents: dict[str, bytes]) -> SimulatedDisk:
+        """Return a disk with these files, all synced."""
         disk = cls()
         disk._names = {name: _Node(data) for name, data in contents.items()}
         disk._durable = dict(disk._names)
--- a/yewrill/store/store.py
+++ b/yewrill/store/store.py
@@ -1,10 +1,10 @@
-"""A store as the rest of a program uses it: group commit in one thread, compaction in another, a blocking
-and a trio face.
+"""A store as the rest of a program uses it: group commit in one thread, compaction in another, with a
+blocking and a trio interface.
 
-The committing thread takes all batches that wait, has the engine write and sync them as one, and tells each
-its result. In mode `always` that is after the sync. In `interval` a batch is acknowledged when the system
-has it, and synced within the interval; in `never`, whenever the system likes. The maintaining thread
-compacts, no faster than it may, and writes hints.
+The committing thread takes all queued batches, has the engine write and sync them as one, and notifies each
+waiter of its result. In mode `always` that is after the sync. In `interval` a batch is acknowledged when the
+system has it, and synced within the interval; in `never`, whenever the system likes. The maintaining thread
+compacts, no faster than its rate allows, and writes hints.
 """
 
 from __future__ import annotations
@@ -22,20 +22,21 @@
 import trio
 
 from yewrill.store import policy
-from yewrill.store.engine import Engine, Found, Snapshot
+from yewrill.store.engine import Engine
 from yewrill.store.errors import StoreBusy, StoreClosed, StoreError, StorePoisoned
 from yewrill.store.files import Files, RealFiles
 from yewrill.store.format import Batch
+from yewrill.store.reader import Found, Snapshot
 
 log = logging.getLogger("yewrill.store")
 
 MODES = ("always", "interval", "never")
-MOST_WAITING = 8192  # batches
-MOST_WAITING_BYTES = 128 * 1024 * 1024
-MOST_GROUP = 1024  # batches in one commit
-MOST_GROUP_BYTES = 16 * 1024 * 1024
-LOOK_EVERY = 5.0  # seconds between looks for something to compact
-AFTER_TROUBLE = 30.0  # seconds before maintenance tries again
+MAX_QUEUED_BATCHES = 8192  # batches
+MAX_QUEUED_BYTES = 128 * 1024 * 1024
+MAX_GROUP_BATCHES = 1024  # batches in one commit
+MAX_GROUP_BYTES = 16 * 1024 * 1024
+MAINTENANCE_INTERVAL_SECONDS = 5.0  # seconds between looks for something to compact
+MAINTENANCE_RETRY_SECONDS = 30.0  # seconds before maintenance tries again
 
 Done = Callable[[int | StoreError], None]
 
@@ -46,7 +47,7 @@
 
 
 class _Waiter:
-    """One thread that waits for its batch; lighter than a future."""
+    """A thread that waits for its batch; lighter than a future."""
 
     __slots__ = ("_lock", "_result")
 
@@ -67,7 +68,7 @@
 
 
 class _TaskWaiter:
-    """One trio task that waits for its batch."""
+    """A trio task that waits for its batch."""
 
     __slots__ = ("token", "event", "value")
 
@@ -80,13 +81,13 @@
         self.value = result
 
 
-def _wake(waiters: list[_TaskWaiter]) -> None:
+def _wake_tasks(waiters: list[_TaskWaiter]) -> None:
     for waiter in waiters:
         waiter.event.set()
 
 
 class Store:
-    """Opens a directory and holds it until `close`. Every method may be called from any thread."""
+    """Opens a directory and locks it until `close`. Every method may be called from any thread."""
 
     def __init__(
         self,
@@ -118,15 +119,15 @@
             reserve=reserve,
         )
         for finding in self.engine.findings:
-            log.warning("store-finding %s", finding)
-        self._waiting: deque[tuple[Batch, Done]] = deque()
-        self._waiting_bytes = 0
-        self._changed = threading.Condition()
+            log.warning("store_finding %s", finding)
+        self._queue: deque[tuple[Batch, Done]] = deque()
+        self._queued_bytes = 0
+        self._queue_changed = threading.Condition()
         self._committing = threading.Lock()
         self._closing = False
         self._dirty_since = 0.0
         self._stop = threading.Event()
-        self._look = threading.Event()
+        self._maintenance_due = threading.Event()
         self._maintaining = threading.Lock()  # one compaction at a time
         self._threads = [
             threading.Thread(target=self._commit_loop, name="store-commit", daemon=True)
@@ -143,45 +144,45 @@
     def submit(self, batch: Batch, done: Done) -> None:
         """Queue a batch; `done` is called in another thread with its version, or with what went wrong.
         Raises StoreBusy when too much waits."""
-        self._queue(batch, done, wake=True)
+        self._enqueue(batch, done, wake=True)
 
-    def _queue(self, batch: Batch, done: Done, wake: bool) -> None:
-        with self._changed:
+    def _enqueue(self, batch: Batch, done: Done, wake: bool) -> None:
+        with self._queue_changed:
             if self._closing:
                 raise StoreClosed("the store is closed")
-            if len(self._waiting) >= MOST_WAITING or (
-                self._waiting and self._waiting_bytes + batch.size > MOST_WAITING_BYTES
+            if len(self._queue) >= MAX_QUEUED_BATCHES or (
+                self._queue and self._queued_bytes + batch.size > MAX_QUEUED_BYTES
             ):
-                raise StoreBusy(f"{len(self._waiting)} batches wait already")
-            self._waiting.append((batch, done))
-            self._waiting_bytes += batch.size
+                raise StoreBusy(f"{len(self._queue)} batches wait already")
+            self._queue.append((batch, done))
+            self._queued_bytes += batch.size
             if wake:
-                self._changed.notify_all()
+                self._queue_changed.notify_all()
 
     def write(self, batch: Batch) -> int:
         """Write a batch and wait for its acknowledgement: its first operation's version; or StoreError."""
         waiter = _Waiter()
         while True:
             try:
-                self._queue(batch, waiter.done, wake=False)
+                self._enqueue(batch, waiter.done, wake=False)
                 break
             except StoreBusy:
-                with self._changed:
-                    self._changed.wait(0.1)
-        # Whoever finds nobody committing does it here, and spares two changes of threads. Who commits lets
-        # go first and looks then for what came meanwhile, so nothing is left lying.
+                with self._queue_changed:
+                    self._queue_changed.wait(0.1)
+        # If no thread is committing, this one does, which spares two changes of threads. The lock is released
+        # before the queue is checked for batches that came meanwhile, so that none stays unnoticed.
         if self._committing.acquire(blocking=False):
             try:
                 self._commit_waiting()
             finally:
                 self._committing.release()
-            with self._changed:
-                if self._waiting or (self.engine.dirty and self.mode == "interval"):
-                    self._changed.notify_all()
+            with self._queue_changed:
+                if self._queue or (self.engine.dirty and self.mode == "interval"):
+                    self._queue_changed.notify_all()
         return waiter.result()
 
     async def awrite(self, batch: Batch) -> int:
-        """As `write`, without blocking trio's event loop. A cancelled wait takes nothing back."""
+        """As `write`, without blocking trio's event loop. Cancellation ends the wait, not the write."""
         waiter = _TaskWaiter(trio.lowlevel.current_trio_token())
         self.submit(batch, waiter)
         await waiter.event.wait()
@@ -190,6 +191,7 @@
         return waiter.value
 
     def put(self, key: bytes, value: bytes, expires: int = 0) -> int:
+        """Put one value; return its version. Raises StoreError."""
         return self.write(Batch().put(key, value, expires))
 
     def put_if(self, key: bytes, value: bytes, version: int, expires: int = 0) -> int:
@@ -197,6 +199,7 @@
         return self.write(Batch().require(key, version).put(key, value, expires))
 
     def delete(self, key: bytes) -> int:
+        """Delete one key; return the deletion's version. Raises StoreError."""
         return self.write(Batch().delete(key))
 
     # ----------------------------------------------------------------------------------------------- reading
@@ -223,10 +226,12 @@
             yield key, value
 
     def snapshot(self) -> Snapshot:
+        """Return the store as it is at this moment, for as long as the snapshot is open."""
         return self.engine.snapshot(self.clock())
 
     def stat(self) -> dict:
-        return {**self.engine.stat(self.clock()), "mode": self.mode, "waiting": len(self._waiting)}
+        """Return the store's state as `yewrill store stat` prints it; sizes in bytes."""
+        return {**self.engine.stat(self.clock()), "mode": self.mode, "waiting": len(self._queue)}
 
     # ------------------------------------------------------------------------------------------- maintenance
 
@@ -252,12 +257,12 @@
             on_progress(size)
 
     def close(self) -> None:
-        """Write what waits, sync, and let the directory go."""
-        with self._changed:
+        """Write what is queued, sync, and unlock the directory."""
+        with self._queue_changed:
             self._closing = True
-            self._changed.notify_all()
+            self._queue_changed.notify_all()
         self._stop.set()
-        self._look.set()
+        self._maintenance_due.set()
         for thread in self._threads:
             thread.join()
         self.engine.close()
@@ -272,13 +277,13 @@
 
     def _commit_loop(self) -> None:
         while True:
-            with self._changed:
-                while not self._waiting and not self._closing:
+            with self._queue_changed:
+                while not self._queue and not self._closing:
                     due = self._sync_due()
                     if due is not None and due <= 0:
                         break
-                    self._changed.wait(due)
-                if not self._waiting and self._closing:
+                    self._queue_changed.wait(due)
+                if not self._queue and self._closing:
                     return
             with self._committing:
                 self._commit_waiting()
@@ -287,7 +292,7 @@
                 try:
                     self.engine.sync()
                 except StorePoisoned as error:
-                    log.error("store-poisoned %s", error)
+                    log.error("store_poisoned %s", error)
 
     def _sync_due(self) -> float | None:
         dirty = self.engine.dirty and self.engine.poison is None
@@ -296,22 +301,22 @@
         )
 
     def _commit_waiting(self) -> None:
-        with self._changed:
+        with self._queue_changed:
             group = self._take_group()
         if group:
             self._commit(group)
 
     def _take_group(self) -> list[tuple[Batch, Done]]:
         group, size = [], 0
-        while self._waiting and len(group) < MOST_GROUP:
-            batch = self._waiting[0][0]
-            if group and size + batch.size > MOST_GROUP_BYTES:
+        while self._queue and len(group) < MAX_GROUP_BATCHES:
+            batch = self._queue[0][0]
+            if group and size + batch.size > MAX_GROUP_BYTES:
                 break
             size += batch.size
-            group.append(self._waiting.popleft())
-        if len(self._waiting) + len(group) >= MOST_WAITING or size > MOST_GROUP_BYTES // 2:
-            self._changed.notify_all()
-        self._waiting_bytes -= size
+            group.append(self._queue.popleft())
+        if len(self._queue) + len(group) >= MAX_QUEUED_BATCHES or size > MAX_GROUP_BYTES // 2:
+            self._queue_changed.notify_all()
+        self._queued_bytes -= size
         return group
 
     def _commit(self, group: list[tuple[Batch, Done]]) -> None:
@@ -321,13 +326,13 @@
             results = self.engine.commit(
                 [batch for batch, _ in group], self.clock(), self.mode == "always"
             )
-        except Exception as error:  # a bug of ours: those who wait must hear of it
-            log.exception("store-fault")
+        except Exception as error:  # an internal fault: those who wait must be notified
+            log.exception("store_commit_fault")
             results = [StoreError(f"internal fault: {error!r}")] * len(group)
         if clean and self.engine.dirty:
             self._dirty_since = time.monotonic()
         if self.engine.poison is not None and not poisoned:
-            log.error("store-poisoned %s", self.engine.poison)
+            log.error("store_poisoned %s", self.engine.poison)
         tasks: dict[trio.lowlevel.TrioToken, list[_TaskWaiter]] = {}
         for (_, done), result in zip(group, results, strict=True):
             done(result)
@@ -338,15 +343,15 @@
             waiters,
         ) in tasks.items():  # one call into each loop, however many of its tasks wait
             with suppress(trio.RunFinishedError):  # nobody waits there any more
-                token.run_sync_soon(_wake, waiters)
+                token.run_sync_soon(_wake_tasks, waiters)
         if self.engine.sealed_count != segments or self.engine.short:
-            self._look.set()
+            self._maintenance_due.set()
 
     def _maintain_loop(self) -> None:
         pause = 0.0
         while not self._stop.is_set():
-            self._look.wait(LOOK_EVERY)
-            self._look.clear()
+            self._maintenance_due.wait(MAINTENANCE_INTERVAL_SECONDS)
+            self._maintenance_due.clear()
             if self._stop.wait(pause):
                 return
             pause = 0.0
@@ -355,10 +360,12 @@
                     self._maintain()
             except Exception as error:
                 if isinstance(error, OSError) and error.errno == errno.ENOSPC:
-                    log.warning("store-short: no room to compact")
+                    log.warning(
+                        "store_compaction_lacks_space retry_in_s=%g", MAINTENANCE_RETRY_SECONDS
+                    )
                 else:
-                    log.exception("store-maintenance-fault")
-                pause = AFTER_TROUBLE
+                    log.exception("store_maintenance_fault")
+                pause = MAINTENANCE_RETRY_SECONDS
 
     def _maintain(self) -> None:
         engine = self.engine
@@ -380,7 +387,7 @@
                 return
             if engine.compactions == before:
                 break
-            log.info("store-compacted segments=%d", len(numbers))
+            log.info("store_compacted segments=%d", len(numbers))
         if engine.short and (numbers := engine.choose(self.clock())):
             paced(engine.compact(numbers, self.clock()))
         paced(engine.write_hints())
--- /dev/null
+++ b/yewrill/store/verification.py
@@ -0,0 +1,85 @@
+"""A check of every byte of a store's directory, which changes nothing."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from yewrill.store import format as fmt
+from yewrill.store.errors import StoreError
+from yewrill.store.files import Files, Handle, read_file
+from yewrill.store.findings import Finding
+from yewrill.store.frames import Frame, read_frames
+from yewrill.store.recovery import MANIFEST, MAX_HEADER_READ_BYTES
+
+
+class Verification:
+    """One check of a directory. Its methods raise OSError where a file can't be read."""
+
+    def __init__(self, files: Files, progress: Callable[[int], None] = lambda size: None):
+        """`progress` is called with bytes as they are checked."""
+        self._files = files
+        self._progress = progress
+        self.findings: list[Finding] = []
+        self.bytes_read = 0
+
+    def run(self) -> None:
+        """Check segments, hints and manifest."""
+        present = self._files.list()
+        for file in present:
+            if (name := fmt.segment_name(file)) is None:
+                continue
+            self.bytes_read += self._files.open(file).size()
+            if file.endswith(".hint"):
+                self._check_hint(file, name, present)
+            else:
+                self._check_segment(file, name)
+        self._check_manifest(present)
+
+    def _add(self, what: str, file: str, start: int = 0, end: int = 0, note: str = "") -> None:
+        self.findings.append(Finding(what, file, start, end, None, note))
+
+    def _check_hint(self, file: str, name: fmt.SegmentName, present: list[str]) -> None:
+        try:
+            size = self._files.open(name.file).size() if name.file in present else -1
+            for _ in fmt.decode_hint(read_file(self._files, file), size):
+                pass
+        except fmt.LaterFormat as error:
+            self._add("later-format", file, note=str(error))
+        except fmt.Malformed as error:
+            self._add("hint", file, note=str(error))
+
+    def _check_segment(self, file: str, name: fmt.SegmentName) -> None:
+        handle = self._files.open(file)
+        size = handle.size()
+        try:
+            header = handle.read(min(size, MAX_HEADER_READ_BYTES), 0)
+            _, start = fmt.decode_header(header, name)
+        except fmt.LaterFormat as error:
+            self._add("later-format", file, note=str(error))
+            return
+        except fmt.Malformed as error:
+            self._add("header", file, note=str(error))
+            start = 0
+        self._check_frames(file, handle, start, size, name.salt)
+
+    def _check_frames(self, file: str, handle: Handle, start: int, size: int, salt: int) -> None:
+        for found in read_frames(handle, start, size, salt):
+            if isinstance(found, Frame):
+                self._progress(found.end - found.offset)
+            elif start or found.start:  # else it is the header, which is reported already
+                what = "torn" if found.tail and found.explained else "damage"
+                self._add(what, file, found.start, found.end)
+
+    def _check_manifest(self, present: list[str]) -> None:
+        if MANIFEST not in present:
+            if any(file.endswith(".seg") for file in present):
+                self._add("manifest", MANIFEST, note="missing")
+            return
+        try:
+            segments = fmt.decode_manifest(read_file(self._files, MANIFEST)).segments
+        except StoreError as error:
+            self._add("manifest", MANIFEST, note=str(error))
+            return
+        for name in segments:
+            if name.file not in present:
+                self._add("missing", name.file, note="named in the manifest")
