--- a/yewrill/service/management_calls.py
+++ b/yewrill/service/management_calls.py
@@ -101,7 +101,7 @@
             return NO_SUCH_WORKER
         log.info("detached worker=%s", name)
         state = self._persistent_state
-        stored = state is None or await state.taken_out(name)
+        stored = state is None or await state.write_detached(name)
         await self._tell_other_process({"out": name})
         return _done(b"detached", stored)
 
@@ -110,14 +110,14 @@
             return NO_SUCH_WORKER
         log.info("attached worker=%s", name)
         state = self._persistent_state
-        stored = state is None or await state.put_back(name)
+        stored = state is None or await state.write_reattached(name)
         await self._tell_other_process({"back": name, "at": time.time() * 1000.0})
         return _done(b"attached", stored)
 
     async def _drain(self, on: bool, answer: bytes) -> Reply:
         self._operator_drain.set(on)
         state = self._persistent_state
-        stored = state is None or await state.operator_drain(on)
+        stored = state is None or await state.write_operator_drain(on)
         await self._tell_other_process({"lame": on})
         return _done(answer, stored)
 
--- a/yewrill/service/request_handler.py
+++ b/yewrill/service/request_handler.py
@@ -112,7 +112,7 @@
             self._engine.left(request)
         self._open_requests.discard(request.id)
         if self._persistent_state is not None:
-            self._persistent_state.closed(request)
+            self._persistent_state.attempts.request_finished(request)
         if self._tracing_hooks is not None:
             self._tracing_hooks.over(request)
 
@@ -134,7 +134,7 @@
         spec = settings.classes[request.request_class]
         tenant = settings.tenants[request.tenant].name if settings.tenants else ""
         if self._persistent_state is not None:
-            self._persistent_state.take(request, spec, tenant)
+            self._persistent_state.attempts.begin_request(request, spec, tenant)
         if self._tracing_hooks is not None:
             self._tracing_hooks.begin(request, http_request, spec, tenant, now)
 
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -82,7 +82,7 @@
         self.persistent_state = self._persistent_state(config)
         self.hot_restart = _hot_restart(config, self.persistent_state)
         if self.persistent_state is not None and self.hot_restart is not None:
-            self.persistent_state.keep_elsewhere = self.hot_restart.keep_elsewhere
+            self.persistent_state.attempts.record_elsewhere = self.hot_restart.keep_elsewhere
         self.open_requests = OpenRequests(self.hot_restart)
         self.worker_connections = WorkerConnectionPool(
             self.endpoints,
@@ -98,7 +98,7 @@
             on_written=self.metrics.dispatched,
             record_attempt=None
             if self.persistent_state is None
-            else self.persistent_state.record_attempt,
+            else self.persistent_state.attempts.record_attempt,
         )
         run_attempt: AttemptRunner = self.worker_client.run_attempt
         if self.persistent_state is not None:
@@ -263,7 +263,7 @@
         if self.state_startup is not None:
             self.state_startup.begin(restored)
         if self.tracing_hooks is not None:
-            if self.persistent_state is not None and self.persistent_state.held:
+            if self.persistent_state is not None and self.persistent_state.store_open:
                 await trio.to_thread.run_sync(self.tracing_hooks.spool_in, self.persistent_state)
             self.tasks.start_supervised(self.tracing_hooks.exporter.run)
         self.tasks.start_supervised(self.engine.run, self.worker_client.probe)
@@ -370,7 +370,7 @@
 
     return HotRestart(
         link_path(config.link_dir, config.name, config.listen),
-        None if persistent_state is None else persistent_state.keep_for_another,
+        None if persistent_state is None else persistent_state.attempts.record_for_other_run,
     )
 
 
@@ -381,7 +381,7 @@
 
     async def run_attempt(attempt: Attempt) -> tuple[AttemptOutcome, Any]:
         outcome, result = await worker_client.run_attempt(attempt)
-        persistent_state.ended(attempt, outcome)
+        persistent_state.attempts.attempt_finished(attempt, outcome)
         return outcome, result
 
     return run_attempt
--- a/yewrill/service/state_startup.py
+++ b/yewrill/service/state_startup.py
@@ -48,9 +48,9 @@
         except StoreHeld as error:
             if not self._may_wait:
                 raise OSError(f"state_dir: {error}") from None
-            log.info("state-waits %s", error)
+            log.info("persistent_state_waiting_for_store error=%s", error)
             return None
-        return await trio.to_thread.run_sync(self._persistent_state.restore)
+        return (await trio.to_thread.run_sync(self._persistent_state.restore)).as_message()
 
     def begin(self, restored: dict[str, Any] | None) -> None:
         """Apply what was restored, and write every change from here on."""
@@ -61,17 +61,16 @@
                 if restored["list"]:
                     self._endpoints.apply(restored["list"], cached=True)
             except ConfigError as error:  # of another version's form, say
-                log.error("state-unreadable list: %s", error)
+                log.error("persistent_state_unreadable records=list: %s", error)
             self._state_exchange.apply({**restored, "list": None})
-        self._endpoints.on_applied = self._persistent_state.list_changed
+        self._endpoints.on_applied = self._persistent_state.endpoint_list_changed
         if len(self._endpoints) and not (restored and restored["list"]):
-            self._persistent_state.list_changed()  # the configuration's own
+            self._persistent_state.endpoint_list_changed()  # the configuration's own
         self._tasks.start_supervised(self._persistent_state.run)
 
     async def _take_over_store(self) -> None:
         """Wait for the store. The old process has told the operators' orders; attempts it has not."""
-        await self._persistent_state.wait_for_store()
-        await trio.to_thread.run_sync(self._persistent_state.recall_attempts)
-        await self._persistent_state.write_all(self._operator_drain.active)
-        log.info("state-taken-over")
+        await self._persistent_state.take_over_store()
+        await self._persistent_state.rewrite_settings(self._operator_drain.active)
+        log.info("persistent_state_taken_over")
         await trio.sleep_forever()
