--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -31,7 +31,7 @@
 from yewrill.lab.ownnet import OwnNet, trouble
 from yewrill.lab.raftcheck import Bounds, Broken, Checker
 from yewrill.leases import disk as on_disk
-from yewrill.leases.raft import ORDER, Disk, Raft, Snapshot
+from yewrill.leases.raft import COMMAND, PersistentRaftState, Raft, Snapshot
 from yewrill.store import Store
 
 SPAN = OwnershipConfig.__dataclass_fields__["span"].default  # seconds of a grant
@@ -70,10 +70,10 @@
     """Orders a second, so many proposed together."""
     names = tuple(f"v{i}" for i in range(voters))
     with tempfile.TemporaryDirectory() as base:
-        start = Disk(snapshot=Snapshot(0, 0, names))
+        start = PersistentRaftState(snapshot=Snapshot(0, 0, names))
         nodes = {name: Raft(name, 1, start, trust_disk=True) for name in names}
         stores = {name: Store(Path(base) / name) for name in names}
-        disks: dict[str, Disk | None] = dict.fromkeys(names)
+        disks: dict[str, PersistentRaftState | None] = dict.fromkeys(names)
 
         def settle() -> int:
             committed, busy = 0, True
@@ -88,7 +88,7 @@
                         busy = True
                         nodes[message.to].receive(message)
                     if name == "v0":
-                        committed += sum(entry.kind == ORDER for _, entry in out.committed)
+                        committed += sum(entry.kind == COMMAND for _, entry in out.committed)
             return committed
 
         nodes["v0"].campaign()
@@ -96,13 +96,13 @@
         done, began = 0, time.perf_counter()
         while time.perf_counter() - began < seconds:
             for i in range(at_once):
-                nodes["v0"].propose(ORDER, b"%d" % i)
+                nodes["v0"].propose(COMMAND, b"%d" % i)
             done += settle()
             nodes["v0"].beat()
             settle()
             for raft in nodes.values():
-                if raft.commit - raft.snapshot.index > 256:
-                    raft.compact(raft.commit, b"")
+                if raft.commit_index - raft.snapshot.index > 256:
+                    raft.compact(raft.commit_index, b"")
         took = time.perf_counter() - began
         for store in stores.values():
             store.close()
--- a/tests/fixture_conversation.py
+++ b/tests/fixture_conversation.py
@@ -10,7 +10,7 @@
 from yewrill.leases import raft
 from yewrill.leases.format import pack as pack_ownership
 from yewrill.leases.format import unpack as unpack_ownership
-from yewrill.leases.node import Node
+from yewrill.leases.node import LeaseNode
 from yewrill.membership.format import Codec, Stranger
 from yewrill.membership.machine import Claim
 from yewrill.membership.machine import Machine as Membership
@@ -104,8 +104,8 @@
     """A leader is elected, and all want one duty."""
     nodes = {}
     for at, name in enumerate(VOTERS):
-        disk = raft.Disk(snapshot=raft.Snapshot(0, 0, VOTERS))
-        nodes[name] = Node(name, VOTERS, disk, 100 + at, random.Random(at), 0.0, span=1.0)
+        disk = raft.PersistentRaftState(snapshot=raft.Snapshot(0, 0, VOTERS))
+        nodes[name] = LeaseNode(name, VOTERS, disk, 100 + at, random.Random(at), 0.0, span=1.0)
         nodes[name].want("zones")
     said: list[str] = []
     for step in range(STEPS):
--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -213,36 +213,49 @@
 # -- ownership
 
 VOTERS = ("d00", "d01", "d02")
-COMMAND = duties.Command(duties.CLAIM, "zones", "d01", 12, 0, 2000)
+COMMAND = duties.LeaseCommand(duties.CLAIM, "zones", "d01", 12, 0, 2000)
 LOG_ENTRIES = (
-    raft.Entry(1, raft.NOTHING),
-    raft.Entry(2, raft.ORDER, duties.pack_command(5000, COMMAND)),
-    raft.Entry(2, raft.VOTERS, b"", VOTERS),
-    raft.Entry(3, states.STATE, states.pack_entry(6000, "calendar", b"for the machine")),
+    raft.LogEntry(1, raft.NO_OP),
+    raft.LogEntry(2, raft.COMMAND, duties.pack_command(5000, COMMAND)),
+    raft.LogEntry(2, raft.VOTERS, b"", VOTERS),
+    raft.LogEntry(3, states.STATE, states.pack_entry(6000, "calendar", b"for the machine")),
 )
 SNAPSHOT = raft.Snapshot(40, 3, VOTERS, b"state of the duties")
 RAFT_MESSAGES = tuple(
     (f"log: {message.kind}", message)
     for message in (
-        raft.Message("ask", "d00", "d01", 2**42, number=2**42),
-        raft.Message("remember", "d01", "d00", 7, 3, number=2**42, index=9, of=2, yes=True),
-        raft.Message("prevote", "d00", "d01", 8, 4, number=1, index=9, of=3),
-        raft.Message("vote", "d00", "d01", 8, 4, index=9, of=3),
-        raft.Message("voted", "d01", "d00", 7, 4, yes=True),
-        raft.Message(
-            "append", "d00", "d02", 8, 4, number=3, index=9, of=3, commit=8, entries=LOG_ENTRIES
+        raft.RaftMessage("ask", "d00", "d01", 2**42, number=2**42),
+        raft.RaftMessage(
+            "remember", "d01", "d00", 7, 3, number=2**42, index=9, entry_term=2, accepted=True
         ),
-        raft.Message("appended", "d02", "d00", 9, 4, number=3, index=13, yes=True, counts=False),
-        raft.Message("snapshot", "d00", "d02", 8, 4, index=40, snapshot=SNAPSHOT),
-        raft.Message("confirm", "d00", "d02", 8, 4, commit=13),
+        raft.RaftMessage("prevote", "d00", "d01", 8, 4, number=1, index=9, entry_term=3),
+        raft.RaftMessage("vote", "d00", "d01", 8, 4, index=9, entry_term=3),
+        raft.RaftMessage("voted", "d01", "d00", 7, 4, accepted=True),
+        raft.RaftMessage(
+            "append",
+            "d00",
+            "d02",
+            8,
+            4,
+            number=3,
+            index=9,
+            entry_term=3,
+            commit_index=8,
+            entries=LOG_ENTRIES,
+        ),
+        raft.RaftMessage(
+            "appended", "d02", "d00", 9, 4, number=3, index=13, accepted=True, is_voting=False
+        ),
+        raft.RaftMessage("snapshot", "d00", "d02", 8, 4, index=40, snapshot=SNAPSHOT),
+        raft.RaftMessage("confirm", "d00", "d02", 8, 4, commit_index=13),
     )
 )
 REQUESTS = (
     ("claim", ownership.Request(COMMAND)),
-    ("renew", ownership.Request(duties.Command(duties.RENEW, "zones", "d01", 13, 4, 2000))),
-    ("give up", ownership.Request(duties.Command(duties.GIVE_UP, "zones", "d01", 14, 4))),
-    ("reply", ownership.Reply(12, True, duties.Result(True, 4, "d01", 1999), "")),
-    ("reply of another", ownership.Reply(13, False, duties.Result(False), "d02")),
+    ("renew", ownership.Request(duties.LeaseCommand(duties.RENEW, "zones", "d01", 13, 4, 2000))),
+    ("give up", ownership.Request(duties.LeaseCommand(duties.GIVE_UP, "zones", "d01", 14, 4))),
+    ("reply", ownership.Reply(12, True, duties.LeaseResult(True, 4, "d01", 1999), "")),
+    ("reply of another", ownership.Reply(13, False, duties.LeaseResult(False), "d02")),
     ("submit", ownership.Submit("calendar", 99, b"entry")),
     ("submitted", ownership.Submitted(99, True, True, b"result", "d00")),
     ("submitted in vain", ownership.Submitted(100, True, False)),
@@ -267,14 +280,14 @@
         self.data = data
 
 
-def applied_duties() -> duties.Duties:
+def applied_duties() -> duties.LeaseTable:
     """Duties after a claim, a renewal, one given up, and one refused."""
-    state = duties.Duties()
+    state = duties.LeaseTable()
     state.apply(5000, COMMAND)
-    state.apply(5500, duties.Command(duties.RENEW, "zones", "d01", 13, 1, 2000))
-    state.apply(5600, duties.Command(duties.CLAIM, "calendar", "d02", 1, 0, 1000))
-    state.apply(5700, duties.Command(duties.GIVE_UP, "calendar", "d02", 2, 1))
-    state.apply(5800, duties.Command(duties.CLAIM, "zones", "d00", 5, 0, 1000))
+    state.apply(5500, duties.LeaseCommand(duties.RENEW, "zones", "d01", 13, 1, 2000))
+    state.apply(5600, duties.LeaseCommand(duties.CLAIM, "calendar", "d02", 1, 0, 1000))
+    state.apply(5700, duties.LeaseCommand(duties.GIVE_UP, "calendar", "d02", 2, 1))
+    state.apply(5800, duties.LeaseCommand(duties.CLAIM, "zones", "d00", 5, 0, 1000))
     return state
 
 
--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -180,20 +180,20 @@
 
 # -- a voter's log
 
-DISK_BEFORE = raft.Disk(
+DISK_BEFORE = raft.PersistentRaftState(
     3,
     "d00",
-    tuple(raft.Entry(2, raft.ORDER, b"order %d" % at) for at in range(4)),
+    tuple(raft.LogEntry(2, raft.COMMAND, b"order %d" % at) for at in range(4)),
     raft.Snapshot(0, 0, VOTERS),
 )
-DISK = raft.Disk(
+DISK = raft.PersistentRaftState(
     4,
     "d01",
     (
-        raft.Entry(3, raft.NOTHING),
-        raft.Entry(4, raft.ORDER, b"order"),
-        raft.Entry(4, raft.VOTERS, b"", (*VOTERS, "d03")),
-        raft.Entry(4, "state", b"for a machine"),
+        raft.LogEntry(3, raft.NO_OP),
+        raft.LogEntry(4, raft.COMMAND, b"order"),
+        raft.LogEntry(4, raft.VOTERS, b"", (*VOTERS, "d03")),
+        raft.LogEntry(4, "state", b"for a machine"),
     ),
     raft.Snapshot(3, 2, VOTERS, applied_duties().pack()),
 )
@@ -209,7 +209,7 @@
             store.write(voters_disk.fence(duty, number))
 
 
-def recover_voter(path: Path) -> tuple[raft.Disk, int, dict[str, int]]:
+def recover_voter(path: Path) -> tuple[raft.PersistentRaftState, int, dict[str, int]]:
     with Store(path) as store:
         return *voters_disk.read(store, ("of", "the", "file")), voters_disk.read_fences(store)
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -140,15 +140,21 @@
 
 def test_a_voter_on_probation_acts_on_the_stored_snapshot_and_on_a_confirmation():
     stored = read_encoded("ownership")
-    voter = raft.Raft("d02", 500, raft.Disk(snapshot=raft.Snapshot(0, 0, messages.VOTERS)))
+    voter = raft.Raft(
+        "d02", 500, raft.PersistentRaftState(snapshot=raft.Snapshot(0, 0, messages.VOTERS))
+    )
     for name in ("d00", "d01"):  # both remember more than it has: its disk lost its tail
-        voter.receive(raft.Message("remember", name, "d02", 8, 4, number=500, index=40, of=3))
+        voter.receive(
+            raft.RaftMessage("remember", name, "d02", 8, 4, number=500, index=40, entry_term=3)
+        )
     voter.receive(read_ownership(stored["log: snapshot"][0]))
     out = voter.take()
     assert out.installed == messages.SNAPSHOT and out.messages[-1].kind == "appended"
-    assert voter.lost and not voter.counts
-    voter.receive(raft.Message("confirm", "d00", "d02", 8, 4, number=500, index=40, of=3))
-    assert voter.counts
+    assert voter.lost_tail and not voter.is_voting
+    voter.receive(
+        raft.RaftMessage("confirm", "d00", "d02", 8, 4, number=500, index=40, entry_term=3)
+    )
+    assert voter.is_voting
 
 
 def test_entries_and_snapshots_of_the_log_have_the_same_bytes_and_are_read():
@@ -157,7 +163,7 @@
     assert duties.unpack_command(stored["command"][0]) == (5000, messages.COMMAND)
     entry = stored["entry of a state machine"][0]
     assert states.unpack_entry(entry) == (6000, "calendar", b"entry")
-    assert duties.Duties.unpack(stored["duties"][0]) == messages.applied_duties()
+    assert duties.LeaseTable.unpack(stored["duties"][0]) == messages.applied_duties()
     found, missing = states.restore_all(stored["snapshot without machines"][0], {})
     assert (found, missing) == (messages.applied_duties(), "")
     machine = messages.Keeper()
--- a/tests/test_log_states.py
+++ b/tests/test_log_states.py
@@ -5,9 +5,9 @@
 
 from yewrill.lab.netsim import Path
 from yewrill.lab.ownnet import OwnNet
-from yewrill.leases.duties import Duties
+from yewrill.leases.duties import LeaseTable
 from yewrill.leases.format import pack, unpack
-from yewrill.leases.node import KEPT, MOST_SUBMITTED, Submit, Submitted
+from yewrill.leases.node import MAX_PENDING_SUBMISSIONS, SNAPSHOT_AFTER_ENTRIES, Submit, Submitted
 from yewrill.leases.raft import LEADER
 from yewrill.leases.states import pack_all, restore_all
 
@@ -97,7 +97,7 @@
 def test_a_snapshot_has_all_machines_and_a_voter_comes_back_by_it():
     net = net_of(2)
     net.kill("m2")
-    for i in range(KEPT + 40):
+    for i in range(SNAPSHOT_AFTER_ENTRIES + 40):
         submit(net, "m4", b"%d" % i)
         net.run(0.02)
     net.run(3.0)
@@ -106,7 +106,7 @@
     net.restart("m2")
     net.run(20.0)
     held = ledgers(net)
-    assert held["m2"] == held["m0"] == held["m1"] and len(held["m2"]) == KEPT + 40
+    assert held["m2"] == held["m0"] == held["m1"] and len(held["m2"]) == SNAPSHOT_AFTER_ENTRIES + 40
 
 
 def test_a_voter_that_lacks_a_machine_stops_and_skips_nothing():
@@ -130,14 +130,14 @@
     assert answered(net, "m5", number) is None
     for name in net.voters:
         net.kill(name)
-    numbers = [node.submit("ledger", b"", net.now) for _ in range(MOST_SUBMITTED)]
+    numbers = [node.submit("ledger", b"", net.now) for _ in range(MAX_PENDING_SUBMISSIONS)]
     assert all(numbers) and node.submit("ledger", b"", net.now) == 0
     node.withdraw(numbers[0])
     assert node.submit("ledger", b"", net.now) > 0
 
 
 def test_snapshots_of_duties_alone_are_as_they_were():
-    duties = Duties(clock=7, numbers={"zones": 3})
+    duties = LeaseTable(clock=7, numbers={"zones": 3})
     assert pack_all(duties, {}) == duties.pack()
     ledger = Ledger()
     ledger.apply(1, b"x")
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -10,14 +10,29 @@
 from yewrill.lab.raftcheck import Broken
 from yewrill.leases import disk as on_disk
 from yewrill.leases import duties as duties_module
-from yewrill.leases.duties import CLAIM, GIVE_UP, RENEW, Command, Duties, Fence, Result
+from yewrill.leases.duties import (
+    CLAIM,
+    GIVE_UP,
+    RENEW,
+    Fence,
+    LeaseCommand,
+    LeaseResult,
+    LeaseTable,
+)
 from yewrill.leases.format import Reply, Request, pack, unpack
-from yewrill.leases.raft import ORDER, VOTERS, Disk, Entry, Message, Snapshot
+from yewrill.leases.raft import (
+    COMMAND,
+    VOTERS,
+    LogEntry,
+    PersistentRaftState,
+    RaftMessage,
+    Snapshot,
+)
 from yewrill.membership.parts import Joiner, Malformed, cut
 from yewrill.store import Store
 
-COMMAND = st.builds(
-    Command,
+LEASE_COMMANDS = st.builds(
+    LeaseCommand,
     st.sampled_from((CLAIM, RENEW, GIVE_UP)),
     st.sampled_from("xy"),
     st.sampled_from("abc"),
@@ -26,20 +41,20 @@
     st.integers(0, 900),
 )
 ENTRY = st.builds(
-    Entry,
+    LogEntry,
     st.integers(0, 9),
-    st.sampled_from((ORDER, VOTERS)),
+    st.sampled_from((COMMAND, VOTERS)),
     st.binary(max_size=400),
     st.just(("a", "b")),
 )
 
 
-@given(st.lists(st.tuples(st.integers(0, 500), COMMAND), max_size=60))
+@given(st.lists(st.tuples(st.integers(0, 500), LEASE_COMMANDS), max_size=60))
 def test_a_duty_has_one_owner_its_numbers_only_grow_and_a_request_counts_once(entries):
-    state, clock, highest = Duties(), 0, {}
+    state, clock, highest = LeaseTable(), 0, {}
     for i, (wait, wish) in enumerate(entries, 1):
         clock, command = clock + wait, replace(wish, id=i)
-        before = Duties.unpack(state.pack())
+        before = LeaseTable.unpack(state.pack())
         result = state.apply(clock, command)
         assert before.apply(clock, command) == result and before == state  # all who apply it agree
         held = state.view(command.duty, state.clock)
@@ -63,10 +78,10 @@
     Snapshot, st.integers(0, 9), st.integers(0, 9), st.just(("a",)), st.binary(max_size=3000)
 )
 SAID = st.one_of(
-    st.builds(Request, COMMAND),
-    st.builds(Reply, st.integers(0, 9), st.booleans(), st.just(Result(True, 1, "a", 5))),
+    st.builds(Request, LEASE_COMMANDS),
+    st.builds(Reply, st.integers(0, 9), st.booleans(), st.just(LeaseResult(True, 1, "a", 5))),
     st.builds(
-        Message,
+        RaftMessage,
         st.just("append"),
         st.just("a"),
         st.just("b"),
@@ -89,7 +104,7 @@
 
 
 DISK = st.builds(
-    Disk,
+    PersistentRaftState,
     st.integers(0, 9),
     st.sampled_from(("", "a", "~")),
     st.lists(ENTRY, max_size=6).map(tuple),
@@ -130,7 +145,7 @@
 
 
 def test_a_grant_that_outlasts_what_was_granted_is_found(monkeypatch):
-    monkeypatch.setattr(duties_module, "DRIFT", -4.0)
+    monkeypatch.setattr(duties_module, "MAX_CLOCK_DRIFT", -4.0)
     assert "act at once" in (found := broken(range(12))) or "owns with" in found
 
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -10,7 +10,7 @@
 from yewrill.lab.raftcheck import Bounds, Broken, Checker, World
 from yewrill.lab.raftnet import RaftNet
 from yewrill.leases import raft as raft_module
-from yewrill.leases.raft import ORDER, VOTERS, Disk, Entry, Raft, Snapshot
+from yewrill.leases.raft import COMMAND, VOTERS, LogEntry, PersistentRaftState, Raft, Snapshot
 
 # ------------------------------------------------------------------------------------- mutants of the machine
 
@@ -18,11 +18,11 @@
 class VoteNotKept(Raft):
     def _on_vote(self, m):
         super()._on_vote(m)
-        self.out.save = None
+        self.ready.save = None
 
 
 class VotesForOlderLogs(Raft):
-    def _newer(self, m):
+    def _is_up_to_date(self, m):
         return True
 
 
@@ -34,9 +34,9 @@
 
 class CommitsAnEarlierTerm(Raft):
     def _advance(self):
-        for index in range(self.last, self.commit, -1):
+        for index in range(self.last_index, self.commit_index, -1):
             if self._majority(
-                {self.me} | {name for name, upto in self.match.items() if upto >= index}
+                {self.me} | {name for name, upto in self.match_index.items() if upto >= index}
             ):
                 self._commit_to(index)
                 return
@@ -44,12 +44,14 @@
 
 class TakesWhatDoesNotFit(Raft):
     def _on_append(self, m):
-        super()._on_append(replace(m, of=self.term_at(m.index)) if m.index <= self.last else m)
+        super()._on_append(
+            replace(m, entry_term=self.term_at(m.index)) if m.index <= self.last_index else m
+        )
 
 
 class HearsEarlierIncarnations(Raft):
     def receive(self, m):
-        self.known[m.sender] = min(self.known.get(m.sender, 0), m.incarnation)
+        self.incarnations[m.sender] = min(self.incarnations.get(m.sender, 0), m.incarnation)
         super().receive(m)
 
 
@@ -62,12 +64,14 @@
     def start(self) -> World:
         world = super().start()
         for name, term, log in (("a", 3, (1, 2)), ("b", 2, (1,)), ("c", 3, (1, 3))):
-            entries = tuple(Entry(t) for t in log)
-            disk = Disk(term, "c" if term == 3 else "", entries, Snapshot(0, 0, self.names))
+            entries = tuple(LogEntry(t) for t in log)
+            disk = PersistentRaftState(
+                term, "c" if term == 3 else "", entries, Snapshot(0, 0, self.names)
+            )
             raft = self.make(name, 1, disk)
-            raft.counts, raft.commit = True, 1
+            raft.is_voting, raft.commit_index = True, 1
             world.nodes[name], world.past[name] = raft, (disk,)
-        world.committed = (Entry(1),)
+        world.committed = (LogEntry(1),)
         return world
 
 
@@ -91,7 +95,9 @@
 def test_no_order_of_events_within_the_bounds_breaks_an_invariant(
     checker, bounds, whole, monkeypatch
 ):
-    monkeypatch.setattr(raft_module, "BATCH", 1)  # so that parts of what is sent may arrive
+    monkeypatch.setattr(
+        raft_module, "MAX_ENTRIES_PER_MESSAGE", 1
+    )  # so that parts of what is sent may arrive
     found = checker(bounds).run()
     assert not found.broken, (found.broken, found.path)
     assert found.whole or not whole
@@ -110,7 +116,7 @@
 def test_the_checker_finds_a_machine_that_is_a_little_wrong(
     mutant, checker, bounds, trust, monkeypatch
 ):
-    monkeypatch.setattr(raft_module, "BATCH", 1)
+    monkeypatch.setattr(raft_module, "MAX_ENTRIES_PER_MESSAGE", 1)
     found = checker(bounds, mutant, trust_disk=trust).run()
     assert found.broken and found.path
 
@@ -153,7 +159,7 @@
     assert net.until(lambda: net.leader() is not None and net.propose(b"end"), 20) is not None
     net.run(4)
     net.check()
-    assert all(voter.raft.commit == len(net.committed) for voter in net.voters.values())
+    assert all(voter.raft.commit_index == len(net.committed) for voter in net.voters.values())
     return net
 
 
@@ -178,7 +184,7 @@
 
 def test_who_lost_its_tail_votes_for_nobody_until_a_leader_has_brought_it_back():
     names = ("a", "b", "c")
-    disk = Disk(snapshot=Snapshot(0, 0, names))
+    disk = PersistentRaftState(snapshot=Snapshot(0, 0, names))
     nodes = {name: Raft(name, 1, disk, trust_disk=True) for name in names}
 
     def run(*cut):
@@ -192,32 +198,33 @@
 
     nodes["a"].campaign()
     run("c")
-    assert nodes["a"].propose(ORDER, b"x")
+    assert nodes["a"].propose(COMMAND, b"x")
     run("c")
     nodes["a"].beat()
     run("c")
-    assert nodes["b"].commit == 2
+    assert nodes["b"].commit_index == 2
     nodes["b"] = Raft("b", 2, disk)  # nothing of it was on disk
     nodes["b"].beat()
     run("a")
     nodes["c"].campaign()
     run("a")
-    assert nodes["c"].role != "leader" and not nodes["b"].counts
+    assert nodes["c"].role != "leader" and not nodes["b"].is_voting
     nodes["b"].beat()
     run()
-    assert nodes["b"].lost and not nodes["b"].counts
+    assert nodes["b"].lost_tail and not nodes["b"].is_voting
     nodes["a"].beat()
     run()
     nodes["a"].beat()
     run()
-    assert nodes["b"].counts and nodes["b"].commit == nodes["a"].commit == 2
+    assert nodes["b"].is_voting and nodes["b"].commit_index == nodes["a"].commit_index == 2
 
 
 def test_voters_change_one_at_a_time_and_a_read_needs_a_majority():
     names = ("a", "b", "c")
-    leader = Raft("a", 1, Disk(snapshot=Snapshot(0, 0, names)), trust_disk=True)
+    leader = Raft("a", 1, PersistentRaftState(snapshot=Snapshot(0, 0, names)), trust_disk=True)
     peers = {
-        name: Raft(name, 1, Disk(snapshot=Snapshot(0, 0, names)), trust_disk=True) for name in "bcd"
+        name: Raft(name, 1, PersistentRaftState(snapshot=Snapshot(0, 0, names)), trust_disk=True)
+        for name in "bcd"
     }
 
     def run(cut=()):
@@ -241,7 +248,7 @@
     assert leader.propose(VOTERS, voters=("a", "b", "c", "d"))
     assert not leader.propose(VOTERS, voters=("a", "b", "c"))  # one at a time
     run()
-    assert leader.commit == leader.last and peers["d"].voters() == ("a", "b", "c", "d")
+    assert leader.commit_index == leader.last_index and peers["d"].voters() == ("a", "b", "c", "d")
     assert leader.propose(VOTERS, voters=("b", "c", "d"))
     run()
     assert leader.role != "leader"  # it has left
--- a/yewrill/lab/ownnet.py
+++ b/yewrill/lab/ownnet.py
@@ -15,8 +15,8 @@
 from yewrill.lab.raftcheck import Broken
 from yewrill.leases.duties import Fence
 from yewrill.leases.format import pack, unpack
-from yewrill.leases.node import Node, Step
-from yewrill.leases.raft import Disk, Snapshot
+from yewrill.leases.node import LeaseNode, NodeOutput
+from yewrill.leases.raft import PersistentRaftState, Snapshot
 from yewrill.leases.states import StateMachine
 from yewrill.membership.parts import Joiner, cut
 
@@ -24,9 +24,9 @@
 @dataclass(eq=False)
 class Member:
     name: str
-    node: Node
-    disk: Disk
-    past: list[Disk] = field(default_factory=list)
+    node: LeaseNode
+    disk: PersistentRaftState
+    past: list[PersistentRaftState] = field(default_factory=list)
     incarnation: int = 1
     up: bool = True
     paused_until: float = -1.0
@@ -56,7 +56,7 @@
         self.owned: list[tuple[float, str, int]] = []  # when, who began to own, with which number
         self.obeyed: list[tuple[float, str, int]] = []  # when, at whom, which number
         self.wanting, self.machines = wanting, machines
-        disk = Disk(snapshot=Snapshot(0, 0, self.voters))
+        disk = PersistentRaftState(snapshot=Snapshot(0, 0, self.voters))
         for i in range(members):
             member = Member(f"m{i}", None, disk, [disk])  # type: ignore[arg-type]
             member.rate = 1.0 + drift * self.rng.uniform(-1.0, 1.0)
@@ -64,7 +64,7 @@
             self._begin(member)
 
     def _begin(self, member: Member) -> None:
-        member.node = Node(
+        member.node = LeaseNode(
             member.name,
             self.voters,
             member.disk,
@@ -79,7 +79,7 @@
             member.node.want(self.duty)
         self._arm(member, member.node)
 
-    def _arm(self, member: Member, node: Node) -> None:
+    def _arm(self, member: Member, node: LeaseNode) -> None:
         def step() -> None:
             if member.node is not node or not member.up:
                 return
@@ -115,7 +115,7 @@
 
     # -- messages
 
-    def _carry_out(self, member: Member, step: Step) -> None:
+    def _carry_out(self, member: Member, step: NodeOutput) -> None:
         if step.save is not None:
             member.disk = step.save
             member.past = [*member.past, step.save][-5:]
--- a/yewrill/lab/raftcheck.py
+++ b/yewrill/lab/raftcheck.py
@@ -17,7 +17,16 @@
 from functools import partial
 from itertools import chain, permutations, product
 
-from yewrill.leases.raft import LEADER, ORDER, Disk, Entry, Message, Out, Raft, Snapshot
+from yewrill.leases.raft import (
+    COMMAND,
+    LEADER,
+    LogEntry,
+    PersistentRaftState,
+    Raft,
+    RaftMessage,
+    Ready,
+    Snapshot,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,14 +44,16 @@
 @dataclass(slots=True)
 class World:
     nodes: dict[str, Raft]
-    past: dict[str, tuple[Disk, ...]]  # what each disk held since its process began, oldest first
-    wire: tuple[Message, ...] = ()
+    past: dict[
+        str, tuple[PersistentRaftState, ...]
+    ]  # what each disk held since its process began, oldest first
+    wire: tuple[RaftMessage, ...] = ()
     crashes: int = 0
     tails: int = 0
     restarted: frozenset[str] = frozenset()
     orders: int = 0
     leaders: tuple[tuple[int, str], ...] = ()
-    committed: tuple[Entry, ...] = ()
+    committed: tuple[LogEntry, ...] = ()
 
 
 @dataclass(slots=True)
@@ -66,10 +77,10 @@
         self.names = tuple("abcdefg"[: bounds.voters])
 
     def start(self) -> World:
-        disk = Disk(snapshot=Snapshot(0, 0, self.names))
+        disk = PersistentRaftState(snapshot=Snapshot(0, 0, self.names))
         nodes = {name: self.make(name, 1, disk, trust_disk=self.trust_disk) for name in self.names}
         for raft in nodes.values():  # the first start of all: nobody has given any word
-            raft.counts = True
+            raft.is_voting = True
         return World(nodes, dict.fromkeys(self.names, (disk,)))
 
     # -- all that may happen next
@@ -79,9 +90,13 @@
         for name, raft in world.nodes.items():
             if raft.role != LEADER and raft.term < bounds.term:
                 yield f"{name} stands", partial(self._after, world, name, _stands)
-            if raft.role == LEADER or not raft.counts:
+            if raft.role == LEADER or not raft.is_voting:
                 yield f"{name} speaks", partial(self._after, world, name, lambda r: r.beat())
-            if raft.role == LEADER and world.orders < bounds.orders and raft.last < bounds.log:
+            if (
+                raft.role == LEADER
+                and world.orders < bounds.orders
+                and raft.last_index < bounds.log
+            ):
                 order = b"%d" % world.orders
                 yield (
                     f"{name} is given an order",
@@ -89,7 +104,7 @@
                         self._after,
                         replace(world, orders=world.orders + 1),
                         name,
-                        lambda r, order=order: r.propose(ORDER, order),
+                        lambda r, order=order: r.propose(COMMAND, order),
                     ),
                 )
             if world.crashes < bounds.crashes:
@@ -115,7 +130,7 @@
                 ),
             )
 
-    def _restart(self, world: World, name: str, disk: Disk, lost: bool) -> World:
+    def _restart(self, world: World, name: str, disk: PersistentRaftState, lost: bool) -> World:
         raft = self.make(name, world.nodes[name].incarnation + 1, disk, trust_disk=self.trust_disk)
         raft.take()
         return replace(
@@ -130,7 +145,7 @@
     def _after(self, world: World, name: str, act: Callable[[Raft], object]) -> World:
         raft = clone(world.nodes[name])
         act(raft)
-        raft.round = 0
+        raft.heartbeat_round = 0
         out = raft.take()
         after = replace(world, nodes={**world.nodes, name: raft})
         if out.save is not None and out.save != after.past[name][-1]:
@@ -165,10 +180,10 @@
                 r.term,
                 r.role,
                 len(r.log),
-                r.commit,
+                r.commit_index,
                 r.incarnation,
-                r.counts,
-                r.before,
+                r.is_voting,
+                r.pre_voting,
                 len(r.votes),
                 r.vote == name,
                 sum(m.to == name for m in world.wire),
@@ -192,18 +207,18 @@
                 tuple((e.term, e.data) for e in r.log),
                 r.role,
                 other(r.leader),
-                r.commit,
-                r.counts,
-                r.lost,
-                r.before,
+                r.commit_index,
+                r.is_voting,
+                r.lost_tail,
+                r.pre_voting,
                 r.incarnation,
-                (r.began[0], other(r.began[1]), r.began[2]),
+                (r.state_at_start[0], other(r.state_at_start[1]), r.state_at_start[2]),
                 tuple(sorted(map(other, r.votes))),
-                tuple(sorted(map(other, r.answered))),
-                tuple(sorted((other(k), v) for k, v in r.match.items())),
-                tuple(sorted((other(k), v) for k, v in r.next.items())),
-                tuple(sorted((other(k), v) for k, v in r.known.items())),
-                tuple(sorted((other(k), v) for k, v in r.memory.items())),
+                tuple(sorted(map(other, r.answered_by))),
+                tuple(sorted((other(k), v) for k, v in r.match_index.items())),
+                tuple(sorted((other(k), v) for k, v in r.next_index.items())),
+                tuple(sorted((other(k), v) for k, v in r.incarnations.items())),
+                tuple(sorted((other(k), v) for k, v in r.acknowledged.items())),
             )
         wire = tuple(
             (
@@ -214,10 +229,10 @@
                 m.term,
                 m.number,
                 m.index,
-                m.of,
-                m.yes,
-                m.counts,
-                m.commit,
+                m.entry_term,
+                m.accepted,
+                m.is_voting,
+                m.commit_index,
                 tuple((e.term, e.data) for e in m.entries),
             )
             for m in world.wire
@@ -277,9 +292,9 @@
     """Its election's time is up, and whoever it asked before would vote for it: pre-votes promise nothing, so
     standing without them is the more that may happen."""
     raft.campaign()
-    if raft.before:
+    if raft.pre_voting:
         raft.take()
-        raft._stand()
+        raft._start_election()
 
 
 def unrolled(path: tuple) -> list[str]:
@@ -294,9 +309,17 @@
 def clone(raft: Raft) -> Raft:
     """A copy that shares what never changes."""
     other = copy.copy(raft)
-    other.out = Out()
+    other.ready = Ready()
     other.log = list(raft.log)
-    other.answered, other.votes, other.heard = set(raft.answered), set(raft.votes), set(raft.heard)
-    other.known, other.memory = dict(raft.known), dict(raft.memory)
-    other.match, other.next, other.reads = dict(raft.match), dict(raft.next), list(raft.reads)
+    other.answered_by, other.votes, other.active_followers = (
+        set(raft.answered_by),
+        set(raft.votes),
+        set(raft.active_followers),
+    )
+    other.incarnations, other.acknowledged = dict(raft.incarnations), dict(raft.acknowledged)
+    other.match_index, other.next_index, other.pending_reads = (
+        dict(raft.match_index),
+        dict(raft.next_index),
+        list(raft.pending_reads),
+    )
     return other
--- a/yewrill/lab/raftnet.py
+++ b/yewrill/lab/raftnet.py
@@ -13,7 +13,16 @@
 
 from yewrill.lab.netsim import Path, Wires
 from yewrill.lab.raftcheck import Broken
-from yewrill.leases.raft import LEADER, ORDER, Disk, Entry, Message, Out, Raft, Snapshot
+from yewrill.leases.raft import (
+    COMMAND,
+    LEADER,
+    LogEntry,
+    PersistentRaftState,
+    Raft,
+    RaftMessage,
+    Ready,
+    Snapshot,
+)
 from yewrill.leases.timing import Driver, Times
 
 
@@ -21,8 +30,8 @@
 class Voter:
     name: str
     driver: Driver
-    disk: Disk
-    past: list[Disk] = field(default_factory=list)
+    disk: PersistentRaftState
+    past: list[PersistentRaftState] = field(default_factory=list)
     incarnation: int = 1
     up: bool = True
     paused_until: float = -1.0
@@ -46,12 +55,12 @@
         super().__init__(seed, path or Path(delay=0.005, jitter=0.005))
         self.times, self.make = times or Times(), make
         self.names = tuple(f"v{i}" for i in range(voters))
-        self.committed: list[Entry] = []
+        self.committed: list[LogEntry] = []
         self.leaders: dict[int, str] = {}
         self.acknowledged: set[bytes] = set()
         self.elections = 0
         self.voters: dict[str, Voter] = {}
-        disk = Disk(snapshot=Snapshot(0, 0, self.names))
+        disk = PersistentRaftState(snapshot=Snapshot(0, 0, self.names))
         for name in self.names:
             raft = self.make(name, 1, disk)
             self.voters[name] = Voter(name, self._driver(raft), disk, [disk])
@@ -96,7 +105,7 @@
 
         self.at(max(self.now, driver.due / voter.rate), step)
 
-    def _out(self, voter: Voter, out: Out) -> None:
+    def _out(self, voter: Voter, out: Ready) -> None:
         if out.save is not None:
             voter.disk = out.save
             voter.past = [*voter.past, out.save][-6:]
@@ -111,7 +120,7 @@
             else:
                 self.committed.append(entry)
             voter.applied = index
-            if entry.kind == ORDER and voter.raft.role == LEADER:
+            if entry.kind == COMMAND and voter.raft.role == LEADER:
                 self.acknowledged.add(entry.data)
         raft = voter.raft
         if raft.role == LEADER and self.leaders.get(raft.term) != voter.name:
@@ -119,10 +128,10 @@
                 raise Broken(f"two leaders in term {raft.term}")
             self.leaders[raft.term] = voter.name
             self.elections += 1
-            if raft.last < len(self.committed):
+            if raft.last_index < len(self.committed):
                 raise Broken(f"{voter.name} leads in term {raft.term} without what was committed")
 
-    def _arrive(self, message: Message) -> None:
+    def _arrive(self, message: RaftMessage) -> None:
         voter = self.voters[message.to]
         if not voter.up:
             return
@@ -142,12 +151,12 @@
         voter = self.leader()
         if voter is None or self.now < voter.paused_until:
             return False
-        index = voter.raft.propose(ORDER, data)
+        index = voter.raft.propose(COMMAND, data)
         self._out(voter, voter.raft.take())
         return bool(index)
 
     def check(self) -> None:
         """All that was acknowledged is there, once each."""
-        there = [e.data for e in self.committed if e.kind == ORDER]
+        there = [e.data for e in self.committed if e.kind == COMMAND]
         if not self.acknowledged <= set(there) or len(there) != len(set(there)):
             raise Broken("an acknowledged order is gone, or there twice")
--- a/yewrill/leases/disk.py
+++ b/yewrill/leases/disk.py
@@ -4,7 +4,7 @@
 
 import msgpack
 
-from yewrill.leases.raft import Disk, Entry, Snapshot
+from yewrill.leases.raft import LogEntry, PersistentRaftState, Snapshot
 from yewrill.store import Batch, Store
 
 META, SNAPSHOT, ENTRY, FENCE = b"raft/meta", b"raft/snapshot", b"raft/log/", b"fence/"
@@ -14,28 +14,30 @@
     return ENTRY + b"%020d" % index
 
 
-def read(store: Store, voters: tuple[str, ...]) -> tuple[Disk, int]:
+def read(store: Store, voters: tuple[str, ...]) -> tuple[PersistentRaftState, int]:
     """What is there, and the incarnation that was kept last. With nothing there, these are the voters."""
     meta = store.get(META)
     if meta is None:
-        return Disk(snapshot=Snapshot(0, 0, voters)), 0
+        return PersistentRaftState(snapshot=Snapshot(0, 0, voters)), 0
     term, vote, incarnation = msgpack.unpackb(meta)
     found = store.get(SNAPSHOT)
     snapshot = Snapshot(0, 0, voters)
     if found is not None:
-        index, of, names, data = msgpack.unpackb(found)
-        snapshot = Snapshot(index, of, tuple(names), data)
+        index, entry_term, names, data = msgpack.unpackb(found)
+        snapshot = Snapshot(index, entry_term, tuple(names), data)
     log = []
     for key, value in store.scan(prefix=ENTRY):
         if (
             int(key[len(ENTRY) :]) == snapshot.index + len(log) + 1
         ):  # what comes after a gap is no log
-            of, kind, data, names = msgpack.unpackb(value)
-            log.append(Entry(of, kind, data, tuple(names)))
-    return Disk(term, vote, tuple(log), snapshot), incarnation
+            entry_term, kind, data, names = msgpack.unpackb(value)
+            log.append(LogEntry(entry_term, kind, data, tuple(names)))
+    return PersistentRaftState(term, vote, tuple(log), snapshot), incarnation
 
 
-def changes(before: Disk | None, now: Disk, incarnation: int) -> Batch:
+def changes(
+    before: PersistentRaftState | None, now: PersistentRaftState, incarnation: int
+) -> Batch:
     """What makes the disk hold `now` where it held `before`."""
     batch = Batch().put(META, msgpack.packb([now.term, now.vote, incarnation]))
     if before is None or before.snapshot != now.snapshot:
--- a/yewrill/leases/duties.py
+++ b/yewrill/leases/duties.py
@@ -12,15 +12,15 @@
 
 import msgpack
 
-MOST_DUTIES = 64
-MOST_CLIENTS = 4096  # whose last request is remembered
-DRIFT = 0.1  # part by which a member's clock may be slow while it owns something
+MAX_ROLES = 64
+MAX_CLIENTS = 4096  # whose last request is remembered
+MAX_CLOCK_DRIFT = 0.1  # part by which a member's clock may be slow while it owns something
 
 CLAIM, RENEW, GIVE_UP = "claim", "renew", "give up"
 
 
 @dataclass(frozen=True, slots=True)
-class Command:
+class LeaseCommand:
     """One wish about a duty. `span` in milliseconds; `number`: of the grant it is about; `id` counts a
     member's requests, so that one that comes twice takes effect once."""
 
@@ -33,14 +33,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holding:
+class Lease:
     owner: str
     number: int
     until: int  # by the log's time
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class LeaseResult:
     """What came of a command: `ok`, the number of the grant that holds now, its owner, how long it lasts."""
 
     ok: bool
@@ -50,41 +50,43 @@
 
 
 @dataclass
-class Duties:
+class LeaseTable:
     clock: int = 0
     numbers: dict[str, int] = field(
         default_factory=dict
     )  # the highest of each duty; they only grow
-    held: dict[str, Holding] = field(default_factory=dict)
-    done: dict[str, tuple[int, Result]] = field(default_factory=dict)  # each member's last request
+    held: dict[str, Lease] = field(default_factory=dict)
+    done: dict[str, tuple[int, LeaseResult]] = field(
+        default_factory=dict
+    )  # each member's last request
 
-    def view(self, duty: str, at: int) -> Result:
+    def view(self, duty: str, at: int) -> LeaseResult:
         """Who has a duty at a moment of the log's time."""
         held = self.held.get(duty)
         if held is None or held.until <= at:
-            return Result(False, self.numbers.get(duty, 0))
-        return Result(False, held.number, held.owner, held.until - at)
+            return LeaseResult(False, self.numbers.get(duty, 0))
+        return LeaseResult(False, held.number, held.owner, held.until - at)
 
-    def apply(self, at: int, command: Command) -> Result:
+    def apply(self, at: int, command: LeaseCommand) -> LeaseResult:
         """Take one entry of the log."""
         self.clock = max(self.clock, at)
         last = self.done.get(command.owner)
         if last is not None and command.id <= last[0]:
-            return last[1] if command.id == last[0] else Result(False)
+            return last[1] if command.id == last[0] else LeaseResult(False)
         result = self._apply(command)
         self.done.pop(command.owner, None)
         self.done[command.owner] = command.id, result
-        if len(self.done) > MOST_CLIENTS:
+        if len(self.done) > MAX_CLIENTS:
             del self.done[next(iter(self.done))]
         return result
 
-    def _apply(self, c: Command) -> Result:
+    def _apply(self, c: LeaseCommand) -> LeaseResult:
         now = self.view(c.duty, self.clock)
         mine = now.owner == c.owner and now.number == c.number
         if (
             c.what == CLAIM
             and not now.owner
-            and (c.duty in self.numbers or len(self.numbers) < MOST_DUTIES)
+            and (c.duty in self.numbers or len(self.numbers) < MAX_ROLES)
         ):
             number = self.numbers.get(c.duty, 0) + 1
             self.numbers[c.duty] = number
@@ -92,11 +94,11 @@
             number = c.number
         elif c.what == GIVE_UP and mine:
             del self.held[c.duty]
-            return Result(True, c.number)
+            return LeaseResult(True, c.number)
         else:
             return now
-        self.held[c.duty] = Holding(c.owner, number, self.clock + c.span)
-        return Result(True, number, c.owner, c.span)
+        self.held[c.duty] = Lease(c.owner, number, self.clock + c.span)
+        return LeaseResult(True, number, c.owner, c.span)
 
     # -- as bytes
 
@@ -106,30 +108,30 @@
         return msgpack.packb([self.clock, self.numbers, held, done])
 
     @classmethod
-    def unpack(cls, data: bytes) -> Duties:
+    def unpack(cls, data: bytes) -> LeaseTable:
         if not data:
             return cls()
         clock, numbers, held, done = msgpack.unpackb(data)
         return cls(
             clock,
             numbers,
-            {duty: Holding(*h) for duty, h in held.items()},
-            {who: (id, Result(*r)) for who, (id, *r) in done.items()},
+            {duty: Lease(*h) for duty, h in held.items()},
+            {who: (id, LeaseResult(*r)) for who, (id, *r) in done.items()},
         )
 
 
-def pack_command(at: int, command: Command) -> bytes:
+def pack_command(at: int, command: LeaseCommand) -> bytes:
     c = command
     return msgpack.packb([at, c.what, c.duty, c.owner, c.id, c.number, c.span])
 
 
-def unpack_command(data: bytes) -> tuple[int, Command]:
+def unpack_command(data: bytes) -> tuple[int, LeaseCommand]:
     at, *rest = msgpack.unpackb(data)
-    return at, Command(*rest)
+    return at, LeaseCommand(*rest)
 
 
 @dataclass
-class Grant:
+class HeldLease:
     """An owner's own view of what it holds, by its own steady clock, in seconds."""
 
     duty: str
@@ -137,9 +139,11 @@
     until: float
 
     @classmethod
-    def of(cls, command: Command, result: Result, asked_at: float) -> Grant:
+    def of(cls, command: LeaseCommand, result: LeaseResult, asked_at: float) -> HeldLease:
         """What was granted counts from before it was asked for, by a clock that may be slow."""
-        return cls(command.duty, result.number, asked_at + command.span / 1000.0 * (1.0 - DRIFT))
+        return cls(
+            command.duty, result.number, asked_at + command.span / 1000.0 * (1.0 - MAX_CLOCK_DRIFT)
+        )
 
     def holds(self, now: float) -> bool:
         return now < self.until
@@ -157,6 +161,6 @@
         if number < self.highest.get(duty, 0):
             self.refused += 1
             return False
-        if duty in self.highest or len(self.highest) < MOST_DUTIES:
+        if duty in self.highest or len(self.highest) < MAX_ROLES:
             self.highest[duty] = number
         return True
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -12,8 +12,8 @@
 
 from yewrill.leases import disk as on_disk
 from yewrill.leases.format import pack, unpack
-from yewrill.leases.node import Node, Step
-from yewrill.leases.raft import Disk
+from yewrill.leases.node import LeaseNode, NodeOutput
+from yewrill.leases.raft import PersistentRaftState
 from yewrill.leases.states import StateMachine
 from yewrill.membership import Members
 from yewrill.membership.link import OWNERSHIP, Link
@@ -23,7 +23,7 @@
 
 log = logging.getLogger("yewrill.ownership")
 
-MOST_QUEUED = 512  # messages that wait for the disk; more are lost, as on any network
+MAX_QUEUED_MESSAGES = 512  # messages that wait for the disk; more are lost, as on any network
 
 
 class Unanswered(Exception):
@@ -46,9 +46,9 @@
 
     def __init__(self, config: OwnershipConfig):
         self._config = config
-        self._node: Node | None = None
+        self._node: LeaseNode | None = None
         self._store: Store | None = None
-        self._disk: Disk | None = None
+        self._disk: PersistentRaftState | None = None
         self._incarnation = 0
         self._queue: list[tuple[Any, str]] = []
         self._woken = trio.Event()
@@ -169,7 +169,7 @@
         self._incarnation = max(before + 1, time.time_ns() // 1_000_000)
         await store.awrite(on_disk.changes(None, self._disk, self._incarnation))
         rng = random.Random(random.SystemRandom().getrandbits(64))
-        node = Node(
+        node = LeaseNode(
             me,
             voters,
             self._disk,
@@ -192,7 +192,7 @@
         )
 
     def _receive(self, data: bytes, sender: str, address: tuple[str, int]) -> list:
-        if len(self._queue) < MOST_QUEUED:
+        if len(self._queue) < MAX_QUEUED_MESSAGES:
             self._queue.append((data, sender))
             self._woken.set()
         else:
@@ -233,7 +233,7 @@
                         "is ours" if number else "is not ours any more",
                     )
 
-    def _heed_views(self, node: Node, now: float) -> None:
+    def _heed_views(self, node: LeaseNode, now: float) -> None:
         """Out of the agreed views, let others have our duties; back in one, want them again."""
         if not self._outside():
             for duty in self._wanted - node.wanted:
@@ -242,7 +242,7 @@
             for duty in sorted(node.wanted):
                 node.give_up(duty, now)
 
-    async def _carry_out(self, link: Link, step: Step) -> None:
+    async def _carry_out(self, link: Link, step: NodeOutput) -> None:
         """First to disk, then out: what is said rests on what is kept."""
         node = self._node
         assert node is not None and self._store is not None
@@ -294,14 +294,14 @@
         }
         if node.driver is not None:
             raft = node.driver.raft
-            missing = set() if raft.counts else set(raft.voters()) - raft.answered - {raft.me}
+            missing = set() if raft.is_voting else set(raft.voters()) - raft.answered_by - {raft.me}
             found["voter"] = {
                 "role": raft.role,
                 "leader": raft.leader,
                 "term": raft.term,
-                "commit": raft.commit,
-                "entries": raft.last,
-                "counts": raft.counts,
+                "commit": raft.commit_index,
+                "entries": raft.last_index,
+                "counts": raft.is_voting,
                 "failed": node.failed,
                 "unanswered": sorted(missing),
             }
--- a/yewrill/leases/format.py
+++ b/yewrill/leases/format.py
@@ -9,18 +9,18 @@
 
 import msgpack
 
-from yewrill.leases.duties import Command, Result
-from yewrill.leases.raft import Entry, Message, Snapshot
+from yewrill.leases.duties import LeaseCommand, LeaseResult
+from yewrill.leases.raft import LogEntry, RaftMessage, Snapshot
 from yewrill.membership.format import text, whole
 from yewrill.membership.parts import MOST_PART, MOST_PARTS, Malformed
 
 LOG, REQUEST, REPLY, SUBMIT, SUBMITTED = 0, 1, 2, 3, 4
-MOST_DATA = 60_000  # bytes that a state machine is given, or gives back
+MAX_DATA_BYTES = 60_000  # bytes that a state machine is given, or gives back
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    command: Command
+    command: LeaseCommand
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
     id: int
     final: bool
-    result: Result
+    result: LeaseResult
     leader: str = ""
 
 
@@ -53,10 +53,10 @@
     leader: str = ""
 
 
-Said = Message | Request | Reply | Submit | Submitted
+LeaseMessage = RaftMessage | Request | Reply | Submit | Submitted
 
 
-def pack(what: Said) -> bytes:
+def pack(what: LeaseMessage) -> bytes:
     if isinstance(what, Submit):
         return msgpack.packb([SUBMIT, what.machine, what.id, what.data])
     if isinstance(what, Submitted):
@@ -80,32 +80,32 @@
             m.term,
             m.number,
             m.index,
-            m.of,
-            m.yes,
-            m.counts,
-            m.commit,
+            m.entry_term,
+            m.accepted,
+            m.is_voting,
+            m.commit_index,
             [[e.term, e.kind, e.data, e.voters] for e in m.entries],
             None if s is None else [s.index, s.term, s.voters, s.data],
         ]
     )
 
 
-def unpack(data: bytes) -> Said:
+def unpack(data: bytes) -> LeaseMessage:
     """Raises Malformed."""
     try:
         kind, *rest = msgpack.unpackb(data)
         if kind == SUBMIT:
             machine, id, body = rest
-            return Submit(_text(machine), _whole(id), _bytes(body, MOST_DATA))
+            return Submit(_text(machine), _whole(id), _bytes(body, MAX_DATA_BYTES))
         if kind == SUBMITTED:
             id, final, ok, body, leader = rest
             return Submitted(
-                _whole(id), _truth(final), _truth(ok), _bytes(body, MOST_DATA), _text(leader)
+                _whole(id), _truth(final), _truth(ok), _bytes(body, MAX_DATA_BYTES), _text(leader)
             )
         if kind == REQUEST:
             what, duty, owner, id, number, span = rest
             return Request(
-                Command(
+                LeaseCommand(
                     _text(what), _text(duty), _text(owner), _whole(id), _whole(number), _whole(span)
                 )
             )
@@ -114,7 +114,7 @@
             return Reply(
                 _whole(id),
                 _truth(final),
-                Result(_truth(ok), _whole(number), _text(owner), _whole(left)),
+                LeaseResult(_truth(ok), _whole(number), _text(owner), _whole(left)),
                 _text(leader),
             )
         if kind == LOG:
@@ -126,14 +126,14 @@
                 term,
                 number,
                 index,
-                of,
+                entry_term,
                 yes,
                 counts,
                 commit,
                 entries,
                 snapshot,
             ) = rest
-            return Message(
+            return RaftMessage(
                 _text(name),
                 _text(sender),
                 _text(to),
@@ -141,11 +141,13 @@
                 _whole(term),
                 _whole(number),
                 _whole(index),
-                _whole(of),
+                _whole(entry_term),
                 _truth(yes),
                 _truth(counts),
                 _whole(commit),
-                tuple(Entry(_whole(t), _text(k), _bytes(d), _names(v)) for t, k, d, v in entries),
+                tuple(
+                    LogEntry(_whole(t), _text(k), _bytes(d), _names(v)) for t, k, d, v in entries
+                ),
                 None if snapshot is None else _snapshot(*snapshot),
             )
     except (ValueError, TypeError, msgpack.exceptions.UnpackException, RecursionError) as error:
--- a/yewrill/leases/node.py
+++ b/yewrill/leases/node.py
@@ -13,16 +13,16 @@
     CLAIM,
     GIVE_UP,
     RENEW,
-    Command,
-    Duties,
     Fence,
-    Grant,
-    Result,
+    HeldLease,
+    LeaseCommand,
+    LeaseResult,
+    LeaseTable,
     pack_command,
     unpack_command,
 )
-from yewrill.leases.format import Reply, Request, Said, Submit, Submitted
-from yewrill.leases.raft import LEADER, ORDER, Disk, Message, Out, Raft
+from yewrill.leases.format import LeaseMessage, Reply, Request, Submit, Submitted
+from yewrill.leases.raft import COMMAND, LEADER, PersistentRaftState, Raft, RaftMessage, Ready
 from yewrill.leases.states import (
     STATE,
     StateMachine,
@@ -33,21 +33,21 @@
 )
 from yewrill.leases.timing import Driver, Times
 
-KEPT = 256  # entries of the log behind which it is made into a snapshot
-PATIENCE = 0.4  # seconds for an answer before another voter is asked
-MOST_WAITING = 1024  # requests that wait for their entries
-MOST_SUBMITTED = 256  # of ours that have no answer yet
+SNAPSHOT_AFTER_ENTRIES = 256  # entries of the log behind which it is made into a snapshot
+REPLY_TIMEOUT_SECONDS = 0.4  # seconds for an answer before another voter is asked
+MAX_PENDING_PROPOSALS = 1024  # requests that wait for their entries
+MAX_PENDING_SUBMISSIONS = 256  # of ours that have no answer yet
 
 
 @dataclass(slots=True)
-class Step:
-    save: Disk | None = None
-    messages: list[tuple[str, Said]] = field(default_factory=list)
+class NodeOutput:
+    save: PersistentRaftState | None = None
+    messages: list[tuple[str, LeaseMessage]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class _Asked:
-    command: Command
+    command: LeaseCommand
     first: float  # when it was sent first: a grant counts from there
     again: float
     target: str
@@ -60,12 +60,12 @@
     target: str
 
 
-class Node:
+class LeaseNode:
     def __init__(
         self,
         me: str,
         voters: Iterable[str],
-        disk: Disk,
+        disk: PersistentRaftState,
         incarnation: int,
         rng: random.Random,
         now: float,
@@ -84,10 +84,10 @@
             if me in self.voters
             else None
         )
-        self.duties = Duties()
+        self.duties = LeaseTable()
         self.fence = Fence()
         self.wanted: set[str] = set()
-        self.grants: dict[str, Grant] = {}
+        self.grants: dict[str, HeldLease] = {}
         self.known: dict[str, tuple[str, int, float]] = {}  # owner, number, and when that was heard
         self.elected = 0  # times that this member came to lead the log
         self.failed = ""  # why its disk is of no use any more
@@ -101,7 +101,7 @@
             int, tuple[int, str, int]
         ] = {}  # of an entry: its term, who asked, which request
         if self.driver is not None:
-            self._apply(self.driver.raft.take(), Step(), now)
+            self._apply(self.driver.raft.take(), NodeOutput(), now)
 
     # -- what others use
 
@@ -119,7 +119,7 @@
         self._at[duty] = now + self.span  # should we want it again, others come first
         grant = self.grants.pop(duty, None)
         if grant is not None:
-            self._ask(Command(GIVE_UP, duty, self.me, self._next_id(), grant.number), now)
+            self._ask(LeaseCommand(GIVE_UP, duty, self.me, self._next_id(), grant.number), now)
 
     @property
     def due(self) -> float:
@@ -135,8 +135,8 @@
 
     # -- events
 
-    def tick(self, now: float) -> Step:
-        step = Step()
+    def tick(self, now: float) -> NodeOutput:
+        step = NodeOutput()
         driver = self.driver
         if driver is not None and not self.failed and now >= driver.due:
             self._apply(driver.tick(now), step, now)
@@ -149,24 +149,24 @@
                     grant = self.grants.get(duty)
                     what, number = (CLAIM, 0) if grant is None else (RENEW, grant.number)
                     span = int(1000 * self.span)
-                    self._ask(Command(what, duty, self.me, self._next_id(), number, span), now)
+                    self._ask(LeaseCommand(what, duty, self.me, self._next_id(), number, span), now)
                     break
         if self._asked is not None and now >= self._asked.again:
             asked = self._asked
             asked.target = self._leader or self._rng.choice(self.voters)
             self._leader = ""  # should it not answer, another is asked
-            asked.again = now + PATIENCE
+            asked.again = now + REPLY_TIMEOUT_SECONDS
             self._to(step, asked.target, Request(asked.command), now)
         for one in [one for one in self._submitted.values() if now >= one.again]:
             one.target = self._leader or self._rng.choice(self.voters)
-            one.again = now + PATIENCE
+            one.again = now + REPLY_TIMEOUT_SECONDS
             self._to(step, one.target, one.what, now)
         return step
 
     def submit(self, machine: str, data: bytes, now: float) -> int:
         """Have a state machine of the log take something; the answer comes under this number in `results`.
         It is said until it is answered or withdrawn, so the machine may get it twice. 0: too much waits."""
-        if len(self._submitted) >= MOST_SUBMITTED:
+        if len(self._submitted) >= MAX_PENDING_SUBMISSIONS:
             return 0
         what = Submit(machine, self._next_id(), data)
         self._submitted[what.id] = _Submitted(what, now, "")
@@ -177,10 +177,10 @@
         self._submitted.pop(id, None)
         self.results.pop(id, None)
 
-    def receive(self, now: float, what: Said, sender: str) -> Step:
+    def receive(self, now: float, what: LeaseMessage, sender: str) -> NodeOutput:
         """One message of an authenticated member."""
-        step = Step()
-        if isinstance(what, Message):
+        step = NodeOutput()
+        if isinstance(what, RaftMessage):
             if self.driver is not None and not self.failed and what.sender == sender:
                 self._apply(self.driver.receive(now, what), step, now)
         elif isinstance(what, Request):
@@ -207,7 +207,7 @@
         self._id += 1
         return self._id
 
-    def _ask(self, command: Command, now: float) -> None:
+    def _ask(self, command: LeaseCommand, now: float) -> None:
         self._asked = _Asked(command, now, now, "")
 
     def _replied(self, reply: Reply, sender: str, now: float) -> None:
@@ -227,7 +227,7 @@
         if command.what == GIVE_UP:
             return
         if result.ok and duty in self.wanted:
-            self.grants[duty] = Grant.of(command, result, asked.first)
+            self.grants[duty] = HeldLease.of(command, result, asked.first)
             self._at[duty] = asked.first + self.span / 3.0
         else:
             self.grants.pop(duty, None)
@@ -249,7 +249,7 @@
 
     # -- a voter
 
-    def _take_submit(self, what: Submit, sender: str, step: Step, now: float) -> None:
+    def _take_submit(self, what: Submit, sender: str, step: NodeOutput, now: float) -> None:
         raft = None if self.driver is None or self.failed else self.driver.raft
         if raft is None or raft.role != LEADER:
             hint = "" if raft is None else raft.leader
@@ -259,7 +259,7 @@
             self._to(step, sender, Submitted(what.id, True, False), now)
             return
         index = 0
-        if len(self._waiting) < MOST_WAITING:
+        if len(self._waiting) < MAX_PENDING_PROPOSALS:
             index = raft.propose(STATE, pack_entry(self._log_time(now), what.machine, what.data))
         if index:
             self._waiting[index] = raft.term, sender, what.id
@@ -275,11 +275,11 @@
             self._led = term, now, at
         return at
 
-    def _requested(self, command: Command, step: Step, now: float) -> None:
+    def _requested(self, command: LeaseCommand, step: NodeOutput, now: float) -> None:
         raft = None if self.driver is None or self.failed else self.driver.raft
         if raft is None or raft.role != LEADER:
             hint = "" if raft is None else raft.leader
-            self._to(step, command.owner, Reply(command.id, False, Result(False), hint), now)
+            self._to(step, command.owner, Reply(command.id, False, LeaseResult(False), hint), now)
             return
         at = self._log_time(now)
         view = self.duties.view(command.duty, at)
@@ -287,15 +287,15 @@
             self._to(step, command.owner, Reply(command.id, True, view), now)
             return
         index = (
-            raft.propose(ORDER, pack_command(at, command))
-            if len(self._waiting) < MOST_WAITING
+            raft.propose(COMMAND, pack_command(at, command))
+            if len(self._waiting) < MAX_PENDING_PROPOSALS
             else 0
         )
         if index:
             self._waiting[index] = raft.term, command.owner, command.id
         self._apply(raft.take(), step, now)
 
-    def _apply(self, out: Out, step: Step, now: float) -> None:
+    def _apply(self, out: Ready, step: NodeOutput, now: float) -> None:
         assert self.driver is not None
         raft = self.driver.raft
         if out.installed is not None:
@@ -324,18 +324,18 @@
                 term, asker, id = self._waiting.pop(index, (0, "", 0))
                 if asker and term == entry.term:
                     self._to(step, asker, Submitted(id, True, True, said), now)
-            if entry.kind != ORDER:
+            if entry.kind != COMMAND:
                 continue
             at, command = unpack_command(entry.data)
             result = self.duties.apply(at, command)
             term, asker, id = self._waiting.pop(index, (0, "", 0))
             if asker and term == entry.term and id == command.id:
                 self._to(step, asker, Reply(id, True, result), now)
-        if raft.commit - raft.snapshot.index > KEPT:
-            raft.compact(raft.commit, pack_all(self.duties, self.machines))
+        if raft.commit_index - raft.snapshot.index > SNAPSHOT_AFTER_ENTRIES:
+            raft.compact(raft.commit_index, pack_all(self.duties, self.machines))
             step.save = raft.take().save or step.save
 
-    def _to(self, step: Step, name: str, what: Said, now: float) -> None:
+    def _to(self, step: NodeOutput, name: str, what: LeaseMessage, now: float) -> None:
         """Send, or take what is for ourselves."""
         if name == self.me:
             more = self.receive(now, what, self.me)
--- a/yewrill/leases/states.py
+++ b/yewrill/leases/states.py
@@ -13,7 +13,7 @@
 
 import msgpack
 
-from yewrill.leases.duties import Duties
+from yewrill.leases.duties import LeaseTable
 
 STATE = "state"  # the kind of such an entry
 PARTS = "parts"  # what a snapshot with more than duties begins with
@@ -39,7 +39,7 @@
     return at, machine, body
 
 
-def pack_all(duties: Duties, machines: Mapping[str, StateMachine]) -> bytes:
+def pack_all(duties: LeaseTable, machines: Mapping[str, StateMachine]) -> bytes:
     """One snapshot. Without machines it is as it was before there were any."""
     if not machines:
         return duties.pack()
@@ -48,13 +48,15 @@
     )
 
 
-def restore_all(data: bytes, machines: Mapping[str, StateMachine]) -> tuple[Duties, str]:
+def restore_all(data: bytes, machines: Mapping[str, StateMachine]) -> tuple[LeaseTable, str]:
     """The duties, with all machines put back; and which machine of the snapshot is not here, if any."""
     parts = msgpack.unpackb(data) if data else None
     if parts is None or parts[0] != PARTS:
         for one in machines.values():
             one.restore(b"")
-        return Duties.unpack(data), ""
+        return LeaseTable.unpack(data), ""
     for name, one in machines.items():
         one.restore(parts[2].get(name, b""))
-    return Duties.unpack(parts[1]), next((name for name in parts[2] if name not in machines), "")
+    return LeaseTable.unpack(parts[1]), next(
+        (name for name in parts[2] if name not in machines), ""
+    )
--- a/yewrill/leases/timing.py
+++ b/yewrill/leases/timing.py
@@ -8,7 +8,7 @@
 import random
 from dataclasses import dataclass
 
-from yewrill.leases.raft import LEADER, Message, Out, Raft
+from yewrill.leases.raft import LEADER, Raft, RaftMessage, Ready
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     def due(self) -> float:
         return min(self._beat, self._check if self.raft.role == LEADER else self._election)
 
-    def tick(self, now: float) -> Out:
+    def tick(self, now: float) -> Ready:
         """Whatever is due."""
         raft = self.raft
         if now >= self._beat:
@@ -49,7 +49,7 @@
             self._check = now + 2 * self._times.election
         return raft.take()
 
-    def receive(self, now: float, message: Message) -> Out:
+    def receive(self, now: float, message: RaftMessage) -> Ready:
         """One message; a leader's word, or a vote given, puts off our own standing."""
         raft = self.raft
         vote = raft.vote
