--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -31,7 +31,12 @@
 from yewrill.lab.ownnet import OwnNet, trouble
 from yewrill.lab.raftcheck import Bounds, Broken, Checker
 from yewrill.leases import disk as on_disk
-from yewrill.leases.raft import COMMAND, PersistentRaftState, Raft, Snapshot
+from yewrill.leases.raft import Raft
+from yewrill.leases.raft_types import (
+    COMMAND,
+    PersistentRaftState,
+    Snapshot,
+)
 from yewrill.store import Store
 
 SPAN = OwnershipConfig.__dataclass_fields__["span"].default  # seconds of a grant
--- a/tests/fixture_conversation.py
+++ b/tests/fixture_conversation.py
@@ -7,7 +7,7 @@
 
 from fixture_messages import VOTERS
 
-from yewrill.leases import raft
+from yewrill.leases import raft_types
 from yewrill.leases.format import pack as pack_ownership
 from yewrill.leases.format import unpack as unpack_ownership
 from yewrill.leases.node import LeaseNode
@@ -104,7 +104,7 @@
     """A leader is elected, and all want one duty."""
     nodes = {}
     for at, name in enumerate(VOTERS):
-        disk = raft.PersistentRaftState(snapshot=raft.Snapshot(0, 0, VOTERS))
+        disk = raft_types.PersistentRaftState(snapshot=raft_types.Snapshot(0, 0, VOTERS))
         nodes[name] = LeaseNode(name, VOTERS, disk, 100 + at, random.Random(at), 0.0, span=1.0)
         nodes[name].want("zones")
     said: list[str] = []
--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -8,7 +8,7 @@
 import msgspec
 from fixture_files import Encoded
 
-from yewrill.leases import duties, raft, states
+from yewrill.leases import duties, raft_types, states
 from yewrill.leases import format as ownership
 from yewrill.membership.format import KINDS, Codec
 from yewrill.membership.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim
@@ -215,23 +215,23 @@
 VOTERS = ("d00", "d01", "d02")
 COMMAND = duties.LeaseCommand(duties.CLAIM, "zones", "d01", 12, 0, 2000)
 LOG_ENTRIES = (
-    raft.LogEntry(1, raft.NO_OP),
-    raft.LogEntry(2, raft.COMMAND, duties.pack_command(5000, COMMAND)),
-    raft.LogEntry(2, raft.VOTERS, b"", VOTERS),
-    raft.LogEntry(3, states.STATE, states.pack_entry(6000, "calendar", b"for the machine")),
+    raft_types.LogEntry(1, raft_types.NO_OP),
+    raft_types.LogEntry(2, raft_types.COMMAND, duties.pack_command(5000, COMMAND)),
+    raft_types.LogEntry(2, raft_types.VOTERS, b"", VOTERS),
+    raft_types.LogEntry(3, states.STATE, states.pack_entry(6000, "calendar", b"for the machine")),
 )
-SNAPSHOT = raft.Snapshot(40, 3, VOTERS, b"state of the duties")
+SNAPSHOT = raft_types.Snapshot(40, 3, VOTERS, b"state of the duties")
 RAFT_MESSAGES = tuple(
     (f"log: {message.kind}", message)
     for message in (
-        raft.RaftMessage("ask", "d00", "d01", 2**42, number=2**42),
-        raft.RaftMessage(
+        raft_types.RaftMessage("ask", "d00", "d01", 2**42, number=2**42),
+        raft_types.RaftMessage(
             "remember", "d01", "d00", 7, 3, number=2**42, index=9, entry_term=2, accepted=True
         ),
-        raft.RaftMessage("prevote", "d00", "d01", 8, 4, number=1, index=9, entry_term=3),
-        raft.RaftMessage("vote", "d00", "d01", 8, 4, index=9, entry_term=3),
-        raft.RaftMessage("voted", "d01", "d00", 7, 4, accepted=True),
-        raft.RaftMessage(
+        raft_types.RaftMessage("prevote", "d00", "d01", 8, 4, number=1, index=9, entry_term=3),
+        raft_types.RaftMessage("vote", "d00", "d01", 8, 4, index=9, entry_term=3),
+        raft_types.RaftMessage("voted", "d01", "d00", 7, 4, accepted=True),
+        raft_types.RaftMessage(
             "append",
             "d00",
             "d02",
@@ -243,11 +243,11 @@
             commit_index=8,
             entries=LOG_ENTRIES,
         ),
-        raft.RaftMessage(
+        raft_types.RaftMessage(
             "appended", "d02", "d00", 9, 4, number=3, index=13, accepted=True, is_voting=False
         ),
-        raft.RaftMessage("snapshot", "d00", "d02", 8, 4, index=40, snapshot=SNAPSHOT),
-        raft.RaftMessage("confirm", "d00", "d02", 8, 4, commit_index=13),
+        raft_types.RaftMessage("snapshot", "d00", "d02", 8, 4, index=40, snapshot=SNAPSHOT),
+        raft_types.RaftMessage("confirm", "d00", "d02", 8, 4, commit_index=13),
     )
 )
 REQUESTS = (
--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -21,7 +21,7 @@
 from yewrill.config.reading import StateConfig, TopologyNames, read_config
 from yewrill.dispatch.engine import Attempt, DecisionEngine, Request
 from yewrill.leases import disk as voters_disk
-from yewrill.leases import raft
+from yewrill.leases import raft_types
 from yewrill.net.discovery import EndpointList
 from yewrill.net.http import HttpRequest
 from yewrill.observability.metrics import Metrics
@@ -180,22 +180,22 @@
 
 # -- a voter's log
 
-DISK_BEFORE = raft.PersistentRaftState(
+DISK_BEFORE = raft_types.PersistentRaftState(
     3,
     "d00",
-    tuple(raft.LogEntry(2, raft.COMMAND, b"order %d" % at) for at in range(4)),
-    raft.Snapshot(0, 0, VOTERS),
+    tuple(raft_types.LogEntry(2, raft_types.COMMAND, b"order %d" % at) for at in range(4)),
+    raft_types.Snapshot(0, 0, VOTERS),
 )
-DISK = raft.PersistentRaftState(
+DISK = raft_types.PersistentRaftState(
     4,
     "d01",
     (
-        raft.LogEntry(3, raft.NO_OP),
-        raft.LogEntry(4, raft.COMMAND, b"order"),
-        raft.LogEntry(4, raft.VOTERS, b"", (*VOTERS, "d03")),
-        raft.LogEntry(4, "state", b"for a machine"),
+        raft_types.LogEntry(3, raft_types.NO_OP),
+        raft_types.LogEntry(4, raft_types.COMMAND, b"order"),
+        raft_types.LogEntry(4, raft_types.VOTERS, b"", (*VOTERS, "d03")),
+        raft_types.LogEntry(4, "state", b"for a machine"),
     ),
-    raft.Snapshot(3, 2, VOTERS, applied_duties().pack()),
+    raft_types.Snapshot(3, 2, VOTERS, applied_duties().pack()),
 )
 INCARNATION = 1_700_000_000_123
 FENCES = {"zones": 5, "calendar": 2**40}
@@ -209,7 +209,7 @@
             store.write(voters_disk.fence(duty, number))
 
 
-def recover_voter(path: Path) -> tuple[raft.PersistentRaftState, int, dict[str, int]]:
+def recover_voter(path: Path) -> tuple[raft_types.PersistentRaftState, int, dict[str, int]]:
     with Store(path) as store:
         return *voters_disk.read(store, ("of", "the", "file")), voters_disk.read_fences(store)
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -19,7 +19,7 @@
 from fixture_files import DIRECTORY, read_encoded, read_file, read_json
 from helper import story
 
-from yewrill.leases import duties, raft, states
+from yewrill.leases import duties, raft, raft_types, states
 from yewrill.leases import format as ownership
 from yewrill.leases.format import unpack as read_ownership
 from yewrill.membership.format import Refused, Stranger
@@ -141,18 +141,22 @@
 def test_a_voter_on_probation_acts_on_the_stored_snapshot_and_on_a_confirmation():
     stored = read_encoded("ownership")
     voter = raft.Raft(
-        "d02", 500, raft.PersistentRaftState(snapshot=raft.Snapshot(0, 0, messages.VOTERS))
+        "d02",
+        500,
+        raft_types.PersistentRaftState(snapshot=raft_types.Snapshot(0, 0, messages.VOTERS)),
     )
     for name in ("d00", "d01"):  # both remember more than it has: its disk lost its tail
         voter.receive(
-            raft.RaftMessage("remember", name, "d02", 8, 4, number=500, index=40, entry_term=3)
+            raft_types.RaftMessage(
+                "remember", name, "d02", 8, 4, number=500, index=40, entry_term=3
+            )
         )
     voter.receive(read_ownership(stored["log: snapshot"][0]))
     out = voter.take()
     assert out.installed == messages.SNAPSHOT and out.messages[-1].kind == "appended"
     assert voter.lost_tail and not voter.is_voting
     voter.receive(
-        raft.RaftMessage("confirm", "d00", "d02", 8, 4, number=500, index=40, entry_term=3)
+        raft_types.RaftMessage("confirm", "d00", "d02", 8, 4, number=500, index=40, entry_term=3)
     )
     assert voter.is_voting
 
--- a/tests/test_log_states.py
+++ b/tests/test_log_states.py
@@ -8,7 +8,9 @@
 from yewrill.leases.duties import LeaseTable
 from yewrill.leases.format import pack, unpack
 from yewrill.leases.node import MAX_PENDING_SUBMISSIONS, SNAPSHOT_AFTER_ENTRIES, Submit, Submitted
-from yewrill.leases.raft import LEADER
+from yewrill.leases.raft_types import (
+    LEADER,
+)
 from yewrill.leases.states import pack_all, restore_all
 
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -20,7 +20,7 @@
     LeaseTable,
 )
 from yewrill.leases.format import Reply, Request, pack, unpack
-from yewrill.leases.raft import (
+from yewrill.leases.raft_types import (
     COMMAND,
     VOTERS,
     LogEntry,
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -10,7 +10,14 @@
 from yewrill.lab.raftcheck import Bounds, Broken, Checker, World
 from yewrill.lab.raftnet import RaftNet
 from yewrill.leases import raft as raft_module
-from yewrill.leases.raft import COMMAND, VOTERS, LogEntry, PersistentRaftState, Raft, Snapshot
+from yewrill.leases.raft import Raft
+from yewrill.leases.raft_types import (
+    COMMAND,
+    VOTERS,
+    LogEntry,
+    PersistentRaftState,
+    Snapshot,
+)
 
 # ------------------------------------------------------------------------------------- mutants of the machine
 
--- a/yewrill/lab/ownnet.py
+++ b/yewrill/lab/ownnet.py
@@ -16,7 +16,10 @@
 from yewrill.leases.duties import Fence
 from yewrill.leases.format import pack, unpack
 from yewrill.leases.node import LeaseNode, NodeOutput
-from yewrill.leases.raft import PersistentRaftState, Snapshot
+from yewrill.leases.raft_types import (
+    PersistentRaftState,
+    Snapshot,
+)
 from yewrill.leases.states import StateMachine
 from yewrill.membership.parts import Joiner, cut
 
--- a/yewrill/lab/raftcheck.py
+++ b/yewrill/lab/raftcheck.py
@@ -17,12 +17,12 @@
 from functools import partial
 from itertools import chain, permutations, product
 
-from yewrill.leases.raft import (
+from yewrill.leases.raft import Raft
+from yewrill.leases.raft_types import (
     COMMAND,
     LEADER,
     LogEntry,
     PersistentRaftState,
-    Raft,
     RaftMessage,
     Ready,
     Snapshot,
--- a/yewrill/lab/raftnet.py
+++ b/yewrill/lab/raftnet.py
@@ -13,12 +13,12 @@
 
 from yewrill.lab.netsim import Path, Wires
 from yewrill.lab.raftcheck import Broken
-from yewrill.leases.raft import (
+from yewrill.leases.raft import Raft
+from yewrill.leases.raft_types import (
     COMMAND,
     LEADER,
     LogEntry,
     PersistentRaftState,
-    Raft,
     RaftMessage,
     Ready,
     Snapshot,
--- a/yewrill/leases/disk.py
+++ b/yewrill/leases/disk.py
@@ -4,7 +4,11 @@
 
 import msgpack
 
-from yewrill.leases.raft import LogEntry, PersistentRaftState, Snapshot
+from yewrill.leases.raft_types import (
+    LogEntry,
+    PersistentRaftState,
+    Snapshot,
+)
 from yewrill.store import Batch, Store
 
 META, SNAPSHOT, ENTRY, FENCE = b"raft/meta", b"raft/snapshot", b"raft/log/", b"fence/"
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -13,7 +13,9 @@
 from yewrill.leases import disk as on_disk
 from yewrill.leases.format import pack, unpack
 from yewrill.leases.node import LeaseNode, NodeOutput
-from yewrill.leases.raft import PersistentRaftState
+from yewrill.leases.raft_types import (
+    PersistentRaftState,
+)
 from yewrill.leases.states import StateMachine
 from yewrill.membership import Members
 from yewrill.membership.link import OWNERSHIP, Link
@@ -296,7 +298,7 @@
             raft = node.driver.raft
             missing = set() if raft.is_voting else set(raft.voters()) - raft.answered_by - {raft.me}
             found["voter"] = {
-                "role": raft.role,
+                "role": raft.role.value,
                 "leader": raft.leader,
                 "term": raft.term,
                 "commit": raft.commit_index,
--- a/yewrill/leases/format.py
+++ b/yewrill/leases/format.py
@@ -10,7 +10,11 @@
 import msgpack
 
 from yewrill.leases.duties import LeaseCommand, LeaseResult
-from yewrill.leases.raft import LogEntry, RaftMessage, Snapshot
+from yewrill.leases.raft_types import (
+    LogEntry,
+    RaftMessage,
+    Snapshot,
+)
 from yewrill.membership.format import text, whole
 from yewrill.membership.parts import MOST_PART, MOST_PARTS, Malformed
 
--- a/yewrill/leases/node.py
+++ b/yewrill/leases/node.py
@@ -22,7 +22,15 @@
     unpack_command,
 )
 from yewrill.leases.format import LeaseMessage, Reply, Request, Submit, Submitted
-from yewrill.leases.raft import COMMAND, LEADER, PersistentRaftState, Raft, RaftMessage, Ready
+from yewrill.leases.raft import Raft
+from yewrill.leases.raft_types import (
+    COMMAND,
+    FOLLOWER,
+    LEADER,
+    PersistentRaftState,
+    RaftMessage,
+    Ready,
+)
 from yewrill.leases.states import (
     STATE,
     StateMachine,
@@ -198,7 +206,7 @@
         """The disk can't be written: no voter any more, and no word goes out that would rest on it."""
         self.failed = why
         if self.driver is not None and self.driver.raft.role == LEADER:
-            self.driver.raft.role = "follower"
+            self.driver.raft.role = FOLLOWER
         self._waiting.clear()
 
     # -- a member that wants
--- a/yewrill/leases/raft.py
+++ b/yewrill/leases/raft.py
@@ -3,95 +3,50 @@
 
 Theory of operation. Raft (Ongaro and Ousterhout, 2014; Ongaro's thesis, 2014) with pre-vote, check-quorum,
 single-step changes of voters, reads that a quorum confirms, and snapshots sent whole. Time is not here: who
-drives the machine says when an election's time is up (`campaign`), when to speak (`beat`) and when to count
-who was heard (`check`).
-
-Beyond the published protocol, *probation*, for disks that lie. Every start of a voter is a new incarnation,
-numbered above the earlier ones. It asks all other voters what they remember of those: votes they had from it,
-how far it had acknowledged their log. Until all have answered it votes in nothing, stands for nothing and
-counts in no majority; a vote or acknowledgement of an earlier incarnation that arrives late counts nowhere
-once the newer one is known. If somebody remembers more than it had at its start, its disk lost its tail: it
-takes the highest term it was told of, and stays as it is until a leader that has committed in its own term
-has brought it past all that is committed (`confirm`). It votes in no term up to the one it was told of.
-
-Order, where it matters: what `Out.save` holds is on disk before any of `Out.messages` goes out. A machine is
-driven by one event at a time; after each, `take` gives what has come of it.
+drives the machine says when the election timeout is over (`campaign`), when a heartbeat is due (`beat`) and
+when to check the quorum (`check`).
+
+Beyond the published protocol, *recovery*, for disks that lose synced data. Every start of a voter is a new
+incarnation, numbered above the earlier ones. It asks all other voters what those acknowledged: votes given,
+how far it had matched their log. Until all have answered it is a non-voting member: it grants no vote,
+doesn't campaign and counts in no majority; a vote or acknowledgement of an earlier incarnation that arrives
+late counts nowhere once the newer one is known. If a peer holds more of its acknowledgements than it had on
+disk at its start, its disk lost its tail: it adopts the highest term that a peer reported, and remains
+non-voting until a leader that has committed in its own term has replicated to it all that is committed
+(recovery confirmed). It votes in no term up to the one that was reported.
+
+Order, where it matters: what `Ready.save` holds is on disk before any of `Ready.messages` is sent. The
+machine handles one event at a time; after each, `take` returns what it has produced.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 
-FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"
-ABSTAINED = "~"  # voted for nobody, and votes for nobody any more in this term
-NO_OP, COMMAND, VOTERS = "nothing", "order", "voters"
-MAX_ENTRIES_PER_MESSAGE = 64  # entries in one message
-
-
-@dataclass(frozen=True, slots=True)
-class LogEntry:
-    term: int
-    kind: str = NO_OP
-    data: bytes = b""
-    voters: tuple[str, ...] = ()
-
-
-@dataclass(frozen=True, slots=True)
-class Snapshot:
-    """All entries up to `index`, as the state that they made."""
-
-    index: int = 0
-    term: int = 0
-    voters: tuple[str, ...] = ()
-    data: bytes = b""
-
-
-@dataclass(frozen=True, slots=True)
-class PersistentRaftState:
-    """What outlasts the process. `log[0]` has the index after the snapshot's."""
-
-    term: int = 0
-    vote: str = ""
-    log: tuple[LogEntry, ...] = ()
-    snapshot: Snapshot = field(default_factory=Snapshot)
-
-
-@dataclass(frozen=True, slots=True)
-class RaftMessage:
-    """One message. What a field means to which kind stands beside it."""
-
-    kind: str  # ask, remember, prevote, vote, voted, append, appended, snapshot, confirm
-    sender: str
-    to: str
-    incarnation: int  # the sender's
-    term: int = 0
-    number: int = (
-        0  # ask, remember: the asker's incarnation; append, appended: the beat; prevote: 1
-    )
-    index: int = (
-        0  # prevote, vote: the last entry's; append: the one before; appended: up to here; snapshot
-    )
-    entry_term: int = 0  # that entry's term; remember: the term of what is remembered
-    accepted: bool = False  # voted, appended: granted, matched; remember: a vote
-    is_voting: bool = True  # appended: the sender's word counts in a majority
-    commit_index: int = 0
-    entries: tuple[LogEntry, ...] = ()
-    snapshot: Snapshot | None = None
-
-
-@dataclass(slots=True)
-class Ready:
-    """What has come of the events since the last `take`."""
-
-    save: PersistentRaftState | None = None
-    messages: list[RaftMessage] = field(default_factory=list)
-    committed: list[tuple[int, LogEntry]] = field(default_factory=list)
-    installed: Snapshot | None = None  # in place of all before
-    readable: list[int] = field(default_factory=list)  # read requests whose state is sure now
+from yewrill.leases.raft_types import (
+    ABSTAINED,
+    CANDIDATE,
+    FOLLOWER,
+    LEADER,
+    PRE_VOTE_NUMBER,
+    VOTERS,
+    Acknowledged,
+    LogEntry,
+    MessageKind,
+    PendingRead,
+    PersistentRaftState,
+    RaftMessage,
+    Ready,
+    Snapshot,
+    StateAtStart,
+)
+
+MAX_ENTRIES_PER_MESSAGE = 64
 
 
 class Raft:
+    """One voter. Call `take` after each event and store `Ready.save` before sending its messages."""
+
     def __init__(
         self, me: str, incarnation: int, disk: PersistentRaftState, *, trust_disk: bool = False
     ):
@@ -102,13 +57,13 @@
         self.commit_index = self.snapshot.index
         self.ready = Ready(installed=self.snapshot if self.snapshot.index else None)
         # Of this incarnation: who has answered it, whether its word counts, whether its tail was lost.
-        self.state_at_start = self.term, self.vote, self.last_index
+        self.state_at_start = StateAtStart(self.term, self.vote, self.last_index)
         self.answered_by: set[str] = set()
         self.is_voting = trust_disk or len(self.voters()) <= 1
         self.lost_tail = False
         # Of the others: their incarnations, and what each gave us as its word: term, index, a vote.
         self.incarnations: dict[str, int] = {}
-        self.acknowledged: dict[str, tuple[int, int, bool]] = {}
+        self.acknowledged: dict[str, Acknowledged] = {}
         # A candidate's and a leader's.
         self.votes: set[str] = set()
         self.pre_voting = False  # these votes are for standing at all
@@ -116,12 +71,13 @@
         self.next_index: dict[str, int] = {}
         self.active_followers: set[str] = set()
         self.heartbeat_round = 0
-        self.pending_reads: list[tuple[int, int, set[str]]] = []  # number, round, who confirmed
+        self.pending_reads: list[PendingRead] = []
 
     # -- the log
 
     @property
     def last_index(self) -> int:
+        """The index of the last entry; 0 for an empty log."""
         return self.snapshot.index + len(self.log)
 
     def term_at(self, index: int) -> int:
@@ -146,16 +102,18 @@
         return 2 * len(set(names) & set(voters)) > len(voters)
 
     def disk(self) -> PersistentRaftState:
+        """The state that must be on disk now."""
         return PersistentRaftState(self.term, self.vote, tuple(self.log), self.snapshot)
 
     def _save(self) -> None:
         self.ready.save = self.disk()
 
     def take(self) -> Ready:
+        """What the events since the last call have produced; it is handed over once."""
         out, self.ready = self.ready, Ready()
         return out
 
-    def _send(self, kind: str, to: str, **more) -> None:
+    def _send(self, kind: MessageKind, to: str, **more) -> None:
         message = RaftMessage(
             kind, self.me, to, self.incarnation, more.pop("term", self.term), **more
         )
@@ -168,7 +126,7 @@
         if not self.is_voting:
             for name in self._others():
                 if name not in self.answered_by:
-                    self._send("ask", name, number=self.incarnation)
+                    self._send(MessageKind.RECOVERY_REQUEST, name, number=self.incarnation)
         if self.role == LEADER:
             self.heartbeat_round += 1
             for name in self._others():
@@ -184,7 +142,7 @@
             return
         for name in self._others():
             self._send(
-                "prevote",
+                MessageKind.PRE_VOTE,
                 name,
                 term=self.term + 1,
                 index=self.last_index,
@@ -224,7 +182,7 @@
         """Ask that what is committed now may be read; `readable` says so once a majority has confirmed us."""
         if self.role != LEADER or self.term_at(self.commit_index) != self.term:
             return False
-        self.pending_reads.append((number, self.heartbeat_round + 1, {self.me}))
+        self.pending_reads.append(PendingRead(number, self.heartbeat_round + 1, {self.me}))
         self.beat()
         self._confirm_reads("")
         return True
@@ -241,76 +199,84 @@
 
     # -- messages
 
-    def receive(self, m: RaftMessage) -> None:
-        if m.to != self.me or m.incarnation < self.incarnations.get(m.sender, 0):
-            return  # of an earlier incarnation, which may have lost what it says
-        if m.incarnation > self.incarnations.get(m.sender, 0):
-            self.incarnations[m.sender] = m.incarnation
-            self.match_index.pop(
-                m.sender, None
-            )  # its word until now does not count any more for what is to come
-            self.votes.discard(m.sender)
-        if m.kind == "ask":
-            term, index, voted = self.acknowledged.get(m.sender, (0, 0, False))
-            self._send(
-                "remember", m.sender, number=m.number, entry_term=term, index=index, accepted=voted
-            )
-            return
-        if m.kind == "remember":
-            self._on_remember(m)
+    def receive(self, message: RaftMessage) -> None:
+        """Handle one message. Those of an earlier incarnation of their sender are ignored."""
+        if message.to != self.me or message.incarnation < self.incarnations.get(message.sender, 0):
+            return  # an earlier incarnation may have lost what it says
+        self._record_incarnation(message)
+        match message.kind:
+            case MessageKind.RECOVERY_REQUEST:
+                self._on_recovery_request(message)
+            case MessageKind.RECOVERY_REPLY:
+                self._on_recovery_reply(message)
+            case MessageKind.PRE_VOTE:
+                self._on_pre_vote(message)
+            case MessageKind.VOTE_REPLY if message.number == PRE_VOTE_NUMBER:
+                self._on_pre_vote_reply(message)
+            case _:
+                self._receive_in_term(message)
+
+    def _record_incarnation(self, message: RaftMessage) -> None:
+        if message.incarnation > self.incarnations.get(message.sender, 0):
+            self.incarnations[message.sender] = message.incarnation
+            # What the earlier incarnation acknowledged no longer counts towards a majority.
+            self.match_index.pop(message.sender, None)
+            self.votes.discard(message.sender)
+
+    def _receive_in_term(self, message: RaftMessage) -> None:
+        """The messages for which the sender's term decides: a newer one is taken up, an older one refused."""
+        if message.term > self.term:
+            self._become_follower(message.term, "")
+        elif message.term < self.term:
+            self._refuse_older_term(message)
             return
-        if m.kind == "prevote":
-            # No promise: nothing is kept. Who hears a leader, or can't vote, does not help to unseat it.
-            accepted = (
-                self.is_voting
-                and m.term > self.term
-                and self._is_up_to_date(m)
-                and (not self.leader or self.role == CANDIDATE)
-            )
-            self._send(
-                "voted",
-                m.sender,
-                term=m.term if accepted else self.term,
-                number=1,
-                accepted=accepted,
-            )
-            return
-        if m.kind == "voted" and m.number == 1:
-            if (
-                m.accepted
-                and self.role == CANDIDATE
-                and self.pre_voting
-                and m.term == self.term + 1
-            ):
-                self.votes.add(m.sender)
-                if self._majority(self.votes):
-                    self._start_election()
-            elif m.term > self.term:
-                self._become_follower(m.term, "")
-            return
-        if m.term > self.term:
-            self._become_follower(m.term, "")
-        elif m.term < self.term:
-            if m.kind in ("append", "snapshot", "vote"):
-                # So that an old leader hears of the newer term.
-                kind = "voted" if m.kind == "vote" else "appended"
-                self._send(kind, m.sender, accepted=False, is_voting=False)
-            return
-        getattr(self, "_on_" + m.kind, lambda message: None)(m)
-
-    # -- probation
+        match message.kind:
+            case MessageKind.VOTE:
+                self._on_vote(message)
+            case MessageKind.VOTE_REPLY:
+                self._on_vote_reply(message)
+            case MessageKind.APPEND:
+                self._on_append(message)
+            case MessageKind.APPEND_REPLY:
+                self._on_append_reply(message)
+            case MessageKind.SNAPSHOT:
+                self._on_snapshot(message)
+            case MessageKind.RECOVERY_CONFIRMED:
+                self._on_recovery_confirmed(message)
+
+    def _refuse_older_term(self, message: RaftMessage) -> None:
+        """Answer a leader or candidate of an older term, so that it learns of the newer one."""
+        if message.kind == MessageKind.VOTE:
+            self._send(MessageKind.VOTE_REPLY, message.sender, accepted=False, is_voting=False)
+        elif message.kind in (MessageKind.APPEND, MessageKind.SNAPSHOT):
+            self._send(MessageKind.APPEND_REPLY, message.sender, accepted=False, is_voting=False)
+
+    # -- recovery after a restart
+
+    def _on_recovery_request(self, message: RaftMessage) -> None:
+        acknowledged = self.acknowledged.get(message.sender, Acknowledged())
+        self._send(
+            MessageKind.RECOVERY_REPLY,
+            message.sender,
+            number=message.number,
+            entry_term=acknowledged.term,
+            index=acknowledged.index,
+            accepted=acknowledged.voted,
+        )
 
-    def _on_remember(self, m: RaftMessage) -> None:
-        if self.is_voting or m.number != self.incarnation or m.sender in self.answered_by:
-            return
-        self.answered_by.add(m.sender)
-        term, vote, last_index = self.state_at_start
-        if m.entry_term > term or (
-            m.entry_term == term and (m.index > last_index or (m.accepted and vote != m.sender))
+    def _on_recovery_reply(self, message: RaftMessage) -> None:
+        if (
+            self.is_voting
+            or message.number != self.incarnation
+            or message.sender in self.answered_by
         ):
+            return
+        self.answered_by.add(message.sender)
+        if self._exceeds_state_at_start(message):
             self.lost_tail = True
-        if max(m.term, m.entry_term) > self.term:
-            self._become_follower(max(m.term, m.entry_term), "")
+        highest_term = max(message.term, message.entry_term)
+        if highest_term > self.term:
+            self._become_follower(highest_term, "")
         if self._all_answered():
             if not self.lost_tail:
                 self.is_voting = True
@@ -318,22 +284,57 @@
                 self.vote = ABSTAINED
                 self._save()
 
+    def _exceeds_state_at_start(self, reply: RaftMessage) -> bool:
+        """Whether a peer has an acknowledgement from us that our disk no longer held at the start."""
+        start = self.state_at_start
+        if reply.entry_term != start.term:
+            return reply.entry_term > start.term
+        lost_vote = reply.accepted and start.vote != reply.sender
+        return reply.index > start.last_index or lost_vote
+
     def _all_answered(self) -> bool:
         return set(self._others()) <= self.answered_by
 
-    def _on_confirm(self, m: RaftMessage) -> None:
-        if (
-            m.number == self.incarnation
-            and self._all_answered()
-            and self.term_at(m.index) == m.entry_term
-        ):
+    def _on_recovery_confirmed(self, message: RaftMessage) -> None:
+        has_all_committed = self.term_at(message.index) == message.entry_term
+        if message.number == self.incarnation and self._all_answered() and has_all_committed:
             self.is_voting = True
 
+    # -- pre-votes
+
+    def _on_pre_vote(self, message: RaftMessage) -> None:
+        """Answer; no state changes. A voter that has a leader doesn't help to replace it."""
+        accepted = (
+            self.is_voting
+            and message.term > self.term
+            and self._is_up_to_date(message)
+            and (not self.leader or self.role == CANDIDATE)
+        )
+        self._send(
+            MessageKind.VOTE_REPLY,
+            message.sender,
+            term=message.term if accepted else self.term,
+            number=PRE_VOTE_NUMBER,
+            accepted=accepted,
+        )
+
+    def _on_pre_vote_reply(self, message: RaftMessage) -> None:
+        is_candidate = self.role == CANDIDATE and self.pre_voting
+        if message.accepted and is_candidate and message.term == self.term + 1:
+            self.votes.add(message.sender)
+            if self._majority(self.votes):
+                self._start_election()
+        elif message.term > self.term:
+            self._become_follower(message.term, "")
+
     # -- elections
 
-    def _is_up_to_date(self, m: RaftMessage) -> bool:
+    def _is_up_to_date(self, message: RaftMessage) -> bool:
         """Whether a candidate's log is at least as new as ours."""
-        return (m.entry_term, m.index) >= (self.term_at(self.last_index), self.last_index)
+        return (message.entry_term, message.index) >= (
+            self.term_at(self.last_index),
+            self.last_index,
+        )
 
     def _start_election(self) -> None:
         self.term += 1
@@ -344,31 +345,38 @@
             return
         for name in self._others():
             self._send(
-                "vote", name, index=self.last_index, entry_term=self.term_at(self.last_index)
+                MessageKind.VOTE,
+                name,
+                index=self.last_index,
+                entry_term=self.term_at(self.last_index),
             )
 
-    def _on_vote(self, m: RaftMessage) -> None:
-        accepted = self.is_voting and self.vote in ("", m.sender) and self._is_up_to_date(m)
-        if accepted and self.vote != m.sender:
-            self.vote = m.sender
+    def _on_vote(self, message: RaftMessage) -> None:
+        accepted = (
+            self.is_voting and self.vote in ("", message.sender) and self._is_up_to_date(message)
+        )
+        if accepted and self.vote != message.sender:
+            self.vote = message.sender
             self._save()
-        self._send("voted", m.sender, accepted=accepted)
+        self._send(MessageKind.VOTE_REPLY, message.sender, accepted=accepted)
 
-    def _on_voted(self, m: RaftMessage) -> None:
-        if m.accepted:
-            self._record_acknowledgement(m.sender, m.term, 0, True)
+    def _on_vote_reply(self, message: RaftMessage) -> None:
+        if message.accepted:
+            self._record_acknowledgement(message.sender, message.term, 0, True)
             if self.role == CANDIDATE and not self.pre_voting:
-                self.votes.add(m.sender)
+                self.votes.add(message.sender)
                 if self._majority(self.votes):
                     self._become_leader()
 
-    def _record_acknowledgement(self, name: str, term: int, index: int, vote: bool) -> None:
-        """Remember what another gave as its word: the highest term, and in it the furthest."""
-        before = self.acknowledged.get(name, (0, 0, False))
-        if term > before[0]:
-            self.acknowledged[name] = term, index, vote
-        elif term == before[0]:
-            self.acknowledged[name] = term, max(index, before[1]), vote or before[2]
+    def _record_acknowledgement(self, name: str, term: int, index: int, voted: bool) -> None:
+        """Remember the highest term that another voter acknowledged, and the furthest index in it."""
+        before = self.acknowledged.get(name, Acknowledged())
+        if term > before.term:
+            self.acknowledged[name] = Acknowledged(term, index, voted)
+        elif term == before.term:
+            self.acknowledged[name] = Acknowledged(
+                term, max(index, before.index), voted or before.voted
+            )
 
     def _become_leader(self) -> None:
         self.role, self.leader = LEADER, self.me
@@ -393,7 +401,7 @@
         before = self.next_index.get(name, self.last_index + 1) - 1
         if before < self.snapshot.index:
             self._send(
-                "snapshot",
+                MessageKind.SNAPSHOT,
                 name,
                 number=self.heartbeat_round,
                 index=self.snapshot.index,
@@ -405,7 +413,7 @@
         at = before - self.snapshot.index
         entries = tuple(self.log[at : at + MAX_ENTRIES_PER_MESSAGE])
         self._send(
-            "append",
+            MessageKind.APPEND,
             name,
             number=self.heartbeat_round,
             index=before,
@@ -414,27 +422,28 @@
             commit_index=self.commit_index,
         )
 
-    def _on_append(self, m: RaftMessage) -> None:
-        self._become_follower(m.term, m.sender)
-        if m.index > self.last_index or (
-            m.index >= self.snapshot.index and self.term_at(m.index) != m.entry_term
+    def _on_append(self, message: RaftMessage) -> None:
+        self._become_follower(message.term, message.sender)
+        if message.index > self.last_index or (
+            message.index >= self.snapshot.index
+            and self.term_at(message.index) != message.entry_term
         ):
             # Not the same up to there: the furthest that may be, the leader steps back no further.
-            back = min(self.last_index, m.index - 1)
-            while back > self.snapshot.index and self.term_at(back) > m.entry_term:
+            back = min(self.last_index, message.index - 1)
+            while back > self.snapshot.index and self.term_at(back) > message.entry_term:
                 back -= 1
             index = max(back, self.snapshot.index)
             self._send(
-                "appended",
-                m.sender,
-                number=m.number,
+                MessageKind.APPEND_REPLY,
+                message.sender,
+                number=message.number,
                 index=index,
                 accepted=False,
                 is_voting=self.is_voting,
             )
             return
         changed = False
-        for i, entry in enumerate(m.entries, m.index + 1):
+        for i, entry in enumerate(message.entries, message.index + 1):
             if i <= self.snapshot.index or self.term_at(i) == entry.term:
                 continue
             del self.log[i - self.snapshot.index - 1 :]
@@ -442,20 +451,20 @@
             changed = True
         if changed:
             self._save()
-        upto = max(m.index + len(m.entries), self.snapshot.index)
-        self._commit_to(min(m.commit_index, upto))
+        upto = max(message.index + len(message.entries), self.snapshot.index)
+        self._commit_to(min(message.commit_index, upto))
         self._send(
-            "appended",
-            m.sender,
-            number=m.number,
+            MessageKind.APPEND_REPLY,
+            message.sender,
+            number=message.number,
             index=upto,
             accepted=True,
             is_voting=self.is_voting,
         )
 
-    def _on_snapshot(self, m: RaftMessage) -> None:
-        self._become_follower(m.term, m.sender)
-        found = m.snapshot
+    def _on_snapshot(self, message: RaftMessage) -> None:
+        self._become_follower(message.term, message.sender)
+        found = message.snapshot
         if found is not None and found.index > self.commit_index:
             same = self.term_at(found.index) == found.term
             remaining_log = self.log[found.index - self.snapshot.index :] if same else []
@@ -464,35 +473,35 @@
             self._save()
         index = max(self.commit_index, self.snapshot.index)
         self._send(
-            "appended",
-            m.sender,
-            number=m.number,
+            MessageKind.APPEND_REPLY,
+            message.sender,
+            number=message.number,
             index=index,
             accepted=True,
             is_voting=self.is_voting,
         )
 
-    def _on_appended(self, m: RaftMessage) -> None:
+    def _on_append_reply(self, message: RaftMessage) -> None:
         if self.role != LEADER:
             return
-        name = m.sender
-        if m.is_voting:
+        name = message.sender
+        if message.is_voting:
             self.active_followers.add(name)
-        if not m.accepted:
-            self.next_index[name] = max(1, min(m.index + 1, self.next_index.get(name, 1) - 1))
+        if not message.accepted:
+            self.next_index[name] = max(1, min(message.index + 1, self.next_index.get(name, 1) - 1))
             self._append(name)
             return
-        self.next_index[name] = max(self.next_index.get(name, 1), m.index + 1)
-        if m.is_voting:
-            self._record_acknowledgement(name, m.term, m.index, False)
-            self.match_index[name] = max(self.match_index.get(name, 0), m.index)
+        self.next_index[name] = max(self.next_index.get(name, 1), message.index + 1)
+        if message.is_voting:
+            self._record_acknowledgement(name, message.term, message.index, False)
+            self.match_index[name] = max(self.match_index.get(name, 0), message.index)
             self._advance()
-            self._confirm_reads(name, m.number)
-        elif m.index >= self.commit_index and self.term_at(self.commit_index) == self.term:
+            self._confirm_reads(name, message.number)
+        elif message.index >= self.commit_index and self.term_at(self.commit_index) == self.term:
             self._send(
-                "confirm",
+                MessageKind.RECOVERY_CONFIRMED,
                 name,
-                number=m.incarnation,
+                number=message.incarnation,
                 index=self.commit_index,
                 entry_term=self.term_at(self.commit_index),
             )
@@ -521,10 +530,10 @@
     def _confirm_reads(self, name: str, number: int = 0) -> None:
         left = []
         for read in self.pending_reads:
-            if name and number >= read[1]:
-                read[2].add(name)
-            if self._majority(read[2]):
-                self.ready.readable.append(read[0])
+            if name and number >= read.heartbeat_round:
+                read.confirmed_by.add(name)
+            if self._majority(read.confirmed_by):
+                self.ready.readable.append(read.number)
             else:
                 left.append(read)
         self.pending_reads = left
--- /dev/null
+++ b/yewrill/leases/raft_types.py
@@ -0,0 +1,137 @@
+"""Values of the replicated log: entries, snapshots, messages, and what one event has produced. Pure.
+
+The string forms of the enums are on the wire and on disk and don't change. A kind of message or entry that
+this version doesn't know is kept as a plain string, since a newer peer may send one.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import NamedTuple
+
+
+class RaftRole(StrEnum):
+    """The role of a voter in its current term."""
+
+    FOLLOWER = "follower"
+    CANDIDATE = "candidate"
+    LEADER = "leader"
+
+
+class EntryKind(StrEnum):
+    """What the data of an entry is."""
+
+    NO_OP = "nothing"  # appended by a new leader
+    COMMAND = "order"
+    VOTERS = "voters"
+
+
+class MessageKind(StrEnum):
+    """The messages between voters, by their names on the wire."""
+
+    RECOVERY_REQUEST = "ask"
+    RECOVERY_REPLY = "remember"
+    PRE_VOTE = "prevote"
+    VOTE = "vote"
+    VOTE_REPLY = "voted"
+    APPEND = "append"
+    APPEND_REPLY = "appended"
+    SNAPSHOT = "snapshot"
+    RECOVERY_CONFIRMED = "confirm"
+
+
+FOLLOWER, CANDIDATE, LEADER = RaftRole.FOLLOWER, RaftRole.CANDIDATE, RaftRole.LEADER
+NO_OP, COMMAND, VOTERS = EntryKind.NO_OP, EntryKind.COMMAND, EntryKind.VOTERS
+
+ABSTAINED = "~"  # in place of a candidate's name: no vote is given any more in this term
+PRE_VOTE_NUMBER = 1  # `number` of a vote reply that answers a pre-vote
+
+
+@dataclass(frozen=True, slots=True)
+class LogEntry:
+    """One entry of the log; `voters` only for the kind VOTERS."""
+
+    term: int
+    kind: str = NO_OP
+    data: bytes = b""
+    voters: tuple[str, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class Snapshot:
+    """All entries up to `index`, as the state that they made."""
+
+    index: int = 0
+    term: int = 0
+    voters: tuple[str, ...] = ()
+    data: bytes = b""
+
+
+@dataclass(frozen=True, slots=True)
+class PersistentRaftState:
+    """What outlasts the process. `log[0]` has the index after the snapshot's."""
+
+    term: int = 0
+    vote: str = ""
+    log: tuple[LogEntry, ...] = ()
+    snapshot: Snapshot = field(default_factory=Snapshot)
+
+
+class Acknowledged(NamedTuple):
+    """What a voter has acknowledged to us: its highest term, the last index in it, a vote for us."""
+
+    term: int = 0
+    index: int = 0
+    voted: bool = False
+
+
+class StateAtStart(NamedTuple):
+    """What a voter's disk held when its process started."""
+
+    term: int
+    vote: str
+    last_index: int
+
+
+class PendingRead(NamedTuple):
+    """A read that waits until a majority has answered the heartbeat of `heartbeat_round`, or a later one."""
+
+    number: int
+    heartbeat_round: int
+    confirmed_by: set[str]
+
+
+@dataclass(frozen=True, slots=True)
+class RaftMessage:
+    """One message between voters.
+
+    `number`: the recovering voter's incarnation (recovery), the heartbeat's round (append and its reply), or
+    PRE_VOTE_NUMBER. `index`: the last entry of a candidate, the entry before those appended, or the last one
+    that matches. `entry_term`: the term of that entry; in a recovery reply, the term acknowledged.
+    """
+
+    kind: str  # a MessageKind, or a name that only a newer version knows
+    sender: str
+    to: str
+    incarnation: int  # the sender's
+    term: int = 0
+    number: int = 0
+    index: int = 0
+    entry_term: int = 0
+    accepted: bool = False  # vote granted, entries matched; in a recovery reply: a vote was given
+    is_voting: bool = True  # append reply: the sender counts towards a majority
+    commit_index: int = 0
+    entries: tuple[LogEntry, ...] = ()
+    snapshot: Snapshot | None = None
+
+
+@dataclass(slots=True)
+class Ready:
+    """What the events since the last `take` have produced. `save` is on disk before `messages` are sent."""
+
+    save: PersistentRaftState | None = None
+    messages: list[RaftMessage] = field(default_factory=list)
+    committed: list[tuple[int, LogEntry]] = field(default_factory=list)  # with the index of each
+    installed: Snapshot | None = None  # replaces the applied state
+    readable: list[int] = field(default_factory=list)  # numbers of reads that a majority confirmed
--- a/yewrill/leases/timing.py
+++ b/yewrill/leases/timing.py
@@ -8,7 +8,13 @@
 import random
 from dataclasses import dataclass
 
-from yewrill.leases.raft import LEADER, Raft, RaftMessage, Ready
+from yewrill.leases.raft import Raft
+from yewrill.leases.raft_types import (
+    LEADER,
+    MessageKind,
+    RaftMessage,
+    Ready,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +60,10 @@
         raft = self.raft
         vote = raft.vote
         raft.receive(message)
-        heard = message.kind in ("append", "snapshot") and raft.leader == message.sender
+        heard = (
+            message.kind in (MessageKind.APPEND, MessageKind.SNAPSHOT)
+            and raft.leader == message.sender
+        )
         if heard or (raft.vote != vote and raft.vote == message.sender):
             self._wait(now)
         return raft.take()
