--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -22,7 +22,7 @@
 from yewrill.config.schema import StateConfig, TopologyNames
 from yewrill.dispatch.engine import Attempt, DecisionEngine, Request
 from yewrill.leases import disk as voters_disk
-from yewrill.leases import raft
+from yewrill.leases import raft_types
 from yewrill.net.discovery import EndpointList
 from yewrill.net.http import HttpRequest
 from yewrill.observability.metrics import Metrics
@@ -190,22 +190,22 @@
 
 # -- a voter's log
 
-DISK_BEFORE = raft.Disk(
+DISK_BEFORE = raft_types.PersistentRaftState(
     3,
     "d00",
-    tuple(raft.Entry(2, raft.ORDER, b"order %d" % at) for at in range(4)),
-    raft.Snapshot(0, 0, VOTERS),
+    tuple(raft_types.LogEntry(2, raft_types.COMMAND, b"order %d" % at) for at in range(4)),
+    raft_types.Snapshot(0, 0, VOTERS),
 )
-DISK = raft.Disk(
+DISK = raft_types.PersistentRaftState(
     4,
     "d01",
     (
-        raft.Entry(3, raft.NOTHING),
-        raft.Entry(4, raft.ORDER, b"order"),
-        raft.Entry(4, raft.VOTERS, b"", (*VOTERS, "d03")),
-        raft.Entry(4, "state", b"for a machine"),
+        raft_types.LogEntry(3, raft_types.NO_OP),
+        raft_types.LogEntry(4, raft_types.COMMAND, b"order"),
+        raft_types.LogEntry(4, raft_types.VOTERS, b"", (*VOTERS, "d03")),
+        raft_types.LogEntry(4, "state", b"for a machine"),
     ),
-    raft.Snapshot(3, 2, VOTERS, applied_duties().pack()),
+    raft_types.Snapshot(3, 2, VOTERS, applied_duties().pack()),
 )
 INCARNATION = 1_700_000_000_123
 FENCES = {"zones": 5, "calendar": 2**40}
@@ -219,7 +219,7 @@
             store.write(voters_disk.fence(duty, number))
 
 
-def recover_voter(path: Path) -> tuple[raft.Disk, int, dict[str, int]]:
+def recover_voter(path: Path) -> tuple[raft_types.PersistentRaftState, int, dict[str, int]]:
     with Store(path) as store:
         return *voters_disk.read(store, ("of", "the", "file")), voters_disk.read_fences(store)
 
--- a/yewrill/leases/raft.py
+++ b/yewrill/leases/raft.py
@@ -3,123 +3,81 @@
 
 Theory of operation. Raft (Ongaro and Ousterhout, 2014; Ongaro's thesis, 2014) with pre-vote, check-quorum,
 single-step changes of voters, reads that a quorum confirms, and snapshots sent whole. Time is not here: who
-drives the machine says when an election's time is up (`campaign`), when to speak (`beat`) and when to count
-who was heard (`check`).
-
-Beyond the published protocol, *probation*, for disks that lie. Every start of a voter is a new incarnation,
-numbered above the earlier ones. It asks all other voters what they remember of those: votes they had from it,
-how far it had acknowledged their log. Until all have answered it votes in nothing, stands for nothing and
-counts in no majority; a vote or acknowledgement of an earlier incarnation that arrives late counts nowhere
-once the newer one is known. If somebody remembers more than it had at its start, its disk lost its tail: it
-takes the highest term it was told of, and stays as it is until a leader that has committed in its own term
-has brought it past all that is committed (`confirm`). It votes in no term up to the one it was told of.
-
-Order, where it matters: what `Out.save` holds is on disk before any of `Out.messages` goes out. A machine is
-driven by one event at a time; after each, `take` gives what has come of it.
+drives the machine says when the election timeout is over (`campaign`), when a heartbeat is due (`beat`) and
+when to check the quorum (`check`).
+
+Beyond the published protocol, *recovery*, for disks that lose synced data. Every start of a voter is a new
+incarnation, numbered above the earlier ones. It asks all other voters what those acknowledged: votes given,
+how far it had matched their log. Until all have answered it is a non-voting member: it grants no vote,
+doesn't campaign and counts in no majority; a vote or acknowledgement of an earlier incarnation that arrives
+late counts nowhere once the newer one is known. If a peer holds more of its acknowledgements than it had on
+disk at its start, its disk lost its tail: it adopts the highest term that a peer reported, and remains
+non-voting until a leader that has committed in its own term has replicated to it all that is committed
+(recovery confirmed). It votes in no term up to the one that was reported.
+
+Order, where it matters: what `Ready.save` holds is on disk before any of `Ready.messages` is sent. The
+machine handles one event at a time; after each, `take` returns what it has produced.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 
-FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"
-ABSTAINS = "~"  # voted for nobody, and votes for nobody any more in this term
-NOTHING, ORDER, VOTERS = "nothing", "order", "voters"
-BATCH = 64  # entries in one message
-
-
-@dataclass(frozen=True, slots=True)
-class Entry:
-    term: int
-    kind: str = NOTHING
-    data: bytes = b""
-    voters: tuple[str, ...] = ()
-
-
-@dataclass(frozen=True, slots=True)
-class Snapshot:
-    """All entries up to `index`, as the state that they made."""
-
-    index: int = 0
-    term: int = 0
-    voters: tuple[str, ...] = ()
-    data: bytes = b""
-
-
-@dataclass(frozen=True, slots=True)
-class Disk:
-    """What outlasts the process. `log[0]` has the index after the snapshot's."""
-
-    term: int = 0
-    vote: str = ""
-    log: tuple[Entry, ...] = ()
-    snapshot: Snapshot = field(default_factory=Snapshot)
-
-
-@dataclass(frozen=True, slots=True)
-class Message:
-    """One message. What a field means to which kind stands beside it."""
-
-    kind: str  # ask, remember, prevote, vote, voted, append, appended, snapshot, confirm
-    sender: str
-    to: str
-    incarnation: int  # the sender's
-    term: int = 0
-    number: int = (
-        0  # ask, remember: the asker's incarnation; append, appended: the beat; prevote: 1
-    )
-    index: int = (
-        0  # prevote, vote: the last entry's; append: the one before; appended: up to here; snapshot
-    )
-    of: int = 0  # that entry's term; remember: the term of what is remembered
-    yes: bool = False  # voted, appended: granted, matched; remember: a vote
-    counts: bool = True  # appended: the sender's word counts in a majority
-    commit: int = 0
-    entries: tuple[Entry, ...] = ()
-    snapshot: Snapshot | None = None
-
-
-@dataclass(slots=True)
-class Out:
-    """What has come of the events since the last `take`."""
-
-    save: Disk | None = None
-    messages: list[Message] = field(default_factory=list)
-    committed: list[tuple[int, Entry]] = field(default_factory=list)
-    installed: Snapshot | None = None  # in place of all before
-    readable: list[int] = field(default_factory=list)  # read requests whose state is sure now
+from yewrill.leases.raft_types import (
+    ABSTAINED,
+    CANDIDATE,
+    FOLLOWER,
+    LEADER,
+    PRE_VOTE_NUMBER,
+    VOTERS,
+    Acknowledged,
+    LogEntry,
+    MessageKind,
+    PendingRead,
+    PersistentRaftState,
+    RaftMessage,
+    Ready,
+    Snapshot,
+    StateAtStart,
+)
+
+MAX_ENTRIES_PER_MESSAGE = 64
 
 
 class Raft:
-    def __init__(self, me: str, incarnation: int, disk: Disk, *, trust_disk: bool = False):
+    """One voter. Call `take` after each event and store `Ready.save` before sending its messages."""
+
+    def __init__(
+        self, me: str, incarnation: int, disk: PersistentRaftState, *, trust_disk: bool = False
+    ):
         self.me, self.incarnation = me, incarnation
         self.term, self.vote = disk.term, disk.vote
         self.log, self.snapshot = list(disk.log), disk.snapshot
         self.role, self.leader = FOLLOWER, ""
-        self.commit = self.snapshot.index
-        self.out = Out(installed=self.snapshot if self.snapshot.index else None)
+        self.commit_index = self.snapshot.index
+        self.ready = Ready(installed=self.snapshot if self.snapshot.index else None)
         # Of this incarnation: who has answered it, whether its word counts, whether its tail was lost.
-        self.began = self.term, self.vote, self.last
-        self.answered: set[str] = set()
-        self.counts = trust_disk or len(self.voters()) <= 1
-        self.lost = False
+        self.state_at_start = StateAtStart(self.term, self.vote, self.last_index)
+        self.answered_by: set[str] = set()
+        self.is_voting = trust_disk or len(self.voters()) <= 1
+        self.lost_tail = False
         # Of the others: their incarnations, and what each gave us as its word: term, index, a vote.
-        self.known: dict[str, int] = {}
-        self.memory: dict[str, tuple[int, int, bool]] = {}
+        self.incarnations: dict[str, int] = {}
+        self.acknowledged: dict[str, Acknowledged] = {}
         # A candidate's and a leader's.
         self.votes: set[str] = set()
-        self.before = False  # these votes are for standing at all
-        self.match: dict[str, int] = {}
-        self.next: dict[str, int] = {}
-        self.heard: set[str] = set()
-        self.round = 0
-        self.reads: list[tuple[int, int, set[str]]] = []  # number, round, who confirmed
+        self.pre_voting = False  # these votes are for standing at all
+        self.match_index: dict[str, int] = {}
+        self.next_index: dict[str, int] = {}
+        self.active_followers: set[str] = set()
+        self.heartbeat_round = 0
+        self.pending_reads: list[PendingRead] = []
 
     # -- the log
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
+        """The index of the last entry; 0 for an empty log."""
         return self.snapshot.index + len(self.log)
 
     def term_at(self, index: int) -> int:
@@ -143,52 +101,60 @@
         voters = self.voters()
         return 2 * len(set(names) & set(voters)) > len(voters)
 
-    def disk(self) -> Disk:
-        return Disk(self.term, self.vote, tuple(self.log), self.snapshot)
+    def disk(self) -> PersistentRaftState:
+        """The state that must be on disk now."""
+        return PersistentRaftState(self.term, self.vote, tuple(self.log), self.snapshot)
 
     def _save(self) -> None:
-        self.out.save = self.disk()
+        self.ready.save = self.disk()
 
-    def take(self) -> Out:
-        out, self.out = self.out, Out()
+    def take(self) -> Ready:
+        """What the events since the last call have produced; it is handed over once."""
+        out, self.ready = self.ready, Ready()
         return out
 
-    def _say(self, kind: str, to: str, **more) -> None:
-        message = Message(kind, self.me, to, self.incarnation, more.pop("term", self.term), **more)
-        self.out.messages.append(message)
+    def _send(self, kind: MessageKind, to: str, **more) -> None:
+        message = RaftMessage(
+            kind, self.me, to, self.incarnation, more.pop("term", self.term), **more
+        )
+        self.ready.messages.append(message)
 
     # -- what the driver tells
 
     def beat(self) -> None:
         """Time to speak: the leader to all, one on probation to those who have not answered it."""
-        if not self.counts:
+        if not self.is_voting:
             for name in self._others():
-                if name not in self.answered:
-                    self._say("ask", name, number=self.incarnation)
+                if name not in self.answered_by:
+                    self._send(MessageKind.RECOVERY_REQUEST, name, number=self.incarnation)
         if self.role == LEADER:
-            self.round += 1
+            self.heartbeat_round += 1
             for name in self._others():
                 self._append(name)
 
     def campaign(self) -> None:
         """Nothing was heard of a leader for an election's time: ask whether it would be elected."""
-        if self.role == LEADER or not self.counts or self.me not in self.voters():
+        if self.role == LEADER or not self.is_voting or self.me not in self.voters():
             return
-        self.role, self.before, self.votes, self.leader = CANDIDATE, True, {self.me}, ""
+        self.role, self.pre_voting, self.votes, self.leader = CANDIDATE, True, {self.me}, ""
         if self._majority(self.votes):
-            self._stand()
+            self._start_election()
             return
         for name in self._others():
-            self._say(
-                "prevote", name, term=self.term + 1, index=self.last, of=self.term_at(self.last)
+            self._send(
+                MessageKind.PRE_VOTE,
+                name,
+                term=self.term + 1,
+                index=self.last_index,
+                entry_term=self.term_at(self.last_index),
             )
 
     def check(self) -> None:
         """Once in an election's time: a leader that has not heard a majority steps down."""
         if self.role == LEADER:
-            if not self._majority(self.heard | {self.me}):
-                self._follow(self.term, "")
-            self.heard = set()
+            if not self._majority(self.active_followers | {self.me}):
+                self._become_follower(self.term, "")
+            self.active_followers = set()
 
     def propose(self, kind: str, data: bytes = b"", voters: tuple[str, ...] = ()) -> int:
         """A new entry; its index, 0 if this is not the leader or it may not be now."""
@@ -197,206 +163,287 @@
         if kind == VOTERS:
             # One change at a time, by one voter, and only after an entry of this term is committed: else two
             # majorities could be formed that have nobody in common.
-            pending = any(e.kind == VOTERS for e in self.log[self.commit - self.snapshot.index :])
+            pending = any(
+                e.kind == VOTERS for e in self.log[self.commit_index - self.snapshot.index :]
+            )
             by_one = len(set(voters) ^ set(self.voters())) == 1
-            if pending or not by_one or self.term_at(self.commit) != self.term:
+            if pending or not by_one or self.term_at(self.commit_index) != self.term:
                 return 0
-        self.log.append(Entry(self.term, kind, data, voters))
+        self.log.append(LogEntry(self.term, kind, data, voters))
         self._save()
         for name in self._others():
-            self.match.setdefault(name, 0)
-            self.next.setdefault(name, self.last)
+            self.match_index.setdefault(name, 0)
+            self.next_index.setdefault(name, self.last_index)
             self._append(name)
         self._advance()
-        return self.last
+        return self.last_index
 
     def read(self, number: int) -> bool:
         """Ask that what is committed now may be read; `readable` says so once a majority has confirmed us."""
-        if self.role != LEADER or self.term_at(self.commit) != self.term:
+        if self.role != LEADER or self.term_at(self.commit_index) != self.term:
             return False
-        self.reads.append((number, self.round + 1, {self.me}))
+        self.pending_reads.append(PendingRead(number, self.heartbeat_round + 1, {self.me}))
         self.beat()
         self._confirm_reads("")
         return True
 
     def compact(self, index: int, data: bytes) -> None:
         """The entries up to an index, which were applied, are this state."""
-        if self.snapshot.index < index <= self.commit:
-            term, kept = self.term_at(index), self.log[index - self.snapshot.index :]
+        if self.snapshot.index < index <= self.commit_index:
+            term, remaining_log = self.term_at(index), self.log[index - self.snapshot.index :]
             voters = self.snapshot.voters
             for entry in self.log[: index - self.snapshot.index]:
                 voters = entry.voters if entry.kind == VOTERS else voters
-            self.snapshot, self.log = Snapshot(index, term, voters, data), kept
+            self.snapshot, self.log = Snapshot(index, term, voters, data), remaining_log
             self._save()
 
     # -- messages
 
-    def receive(self, m: Message) -> None:
-        if m.to != self.me or m.incarnation < self.known.get(m.sender, 0):
-            return  # of an earlier incarnation, which may have lost what it says
-        if m.incarnation > self.known.get(m.sender, 0):
-            self.known[m.sender] = m.incarnation
-            self.match.pop(
-                m.sender, None
-            )  # its word until now does not count any more for what is to come
-            self.votes.discard(m.sender)
-        if m.kind == "ask":
-            term, index, voted = self.memory.get(m.sender, (0, 0, False))
-            self._say("remember", m.sender, number=m.number, of=term, index=index, yes=voted)
+    def receive(self, message: RaftMessage) -> None:
+        """Handle one message. Those of an earlier incarnation of their sender are ignored."""
+        if message.to != self.me or message.incarnation < self.incarnations.get(message.sender, 0):
+            return  # an earlier incarnation may have lost what it says
+        self._record_incarnation(message)
+        match message.kind:
+            case MessageKind.RECOVERY_REQUEST:
+                self._on_recovery_request(message)
+            case MessageKind.RECOVERY_REPLY:
+                self._on_recovery_reply(message)
+            case MessageKind.PRE_VOTE:
+                self._on_pre_vote(message)
+            case MessageKind.VOTE_REPLY if message.number == PRE_VOTE_NUMBER:
+                self._on_pre_vote_reply(message)
+            case _:
+                self._receive_in_term(message)
+
+    def _record_incarnation(self, message: RaftMessage) -> None:
+        if message.incarnation > self.incarnations.get(message.sender, 0):
+            self.incarnations[message.sender] = message.incarnation
+            # What the earlier incarnation acknowledged no longer counts towards a majority.
+            self.match_index.pop(message.sender, None)
+            self.votes.discard(message.sender)
+
+    def _receive_in_term(self, message: RaftMessage) -> None:
+        """The messages for which the sender's term decides: a newer one is taken up, an older one refused."""
+        if message.term > self.term:
+            self._become_follower(message.term, "")
+        elif message.term < self.term:
+            self._refuse_older_term(message)
             return
-        if m.kind == "remember":
-            self._remembered(m)
-            return
-        if m.kind == "prevote":
-            # No promise: nothing is kept. Who hears a leader, or can't vote, does not help to unseat it.
-            yes = (
-                self.counts
-                and m.term > self.term
-                and self._newer(m)
-                and (not self.leader or self.role == CANDIDATE)
-            )
-            self._say("voted", m.sender, term=m.term if yes else self.term, number=1, yes=yes)
-            return
-        if m.kind == "voted" and m.number == 1:
-            if m.yes and self.role == CANDIDATE and self.before and m.term == self.term + 1:
-                self.votes.add(m.sender)
-                if self._majority(self.votes):
-                    self._stand()
-            elif m.term > self.term:
-                self._follow(m.term, "")
-            return
-        if m.term > self.term:
-            self._follow(m.term, "")
-        elif m.term < self.term:
-            if m.kind in ("append", "snapshot", "vote"):
-                # So that an old leader hears of the newer term.
-                kind = "voted" if m.kind == "vote" else "appended"
-                self._say(kind, m.sender, yes=False, counts=False)
-            return
-        getattr(self, "_on_" + m.kind, lambda message: None)(m)
-
-    # -- probation
+        match message.kind:
+            case MessageKind.VOTE:
+                self._on_vote(message)
+            case MessageKind.VOTE_REPLY:
+                self._on_vote_reply(message)
+            case MessageKind.APPEND:
+                self._on_append(message)
+            case MessageKind.APPEND_REPLY:
+                self._on_append_reply(message)
+            case MessageKind.SNAPSHOT:
+                self._on_snapshot(message)
+            case MessageKind.RECOVERY_CONFIRMED:
+                self._on_recovery_confirmed(message)
+
+    def _refuse_older_term(self, message: RaftMessage) -> None:
+        """Answer a leader or candidate of an older term, so that it learns of the newer one."""
+        if message.kind == MessageKind.VOTE:
+            self._send(MessageKind.VOTE_REPLY, message.sender, accepted=False, is_voting=False)
+        elif message.kind in (MessageKind.APPEND, MessageKind.SNAPSHOT):
+            self._send(MessageKind.APPEND_REPLY, message.sender, accepted=False, is_voting=False)
+
+    # -- recovery after a restart
+
+    def _on_recovery_request(self, message: RaftMessage) -> None:
+        acknowledged = self.acknowledged.get(message.sender, Acknowledged())
+        self._send(
+            MessageKind.RECOVERY_REPLY,
+            message.sender,
+            number=message.number,
+            entry_term=acknowledged.term,
+            index=acknowledged.index,
+            accepted=acknowledged.voted,
+        )
 
-    def _remembered(self, m: Message) -> None:
-        if self.counts or m.number != self.incarnation or m.sender in self.answered:
+    def _on_recovery_reply(self, message: RaftMessage) -> None:
+        if (
+            self.is_voting
+            or message.number != self.incarnation
+            or message.sender in self.answered_by
+        ):
             return
-        self.answered.add(m.sender)
-        term, vote, last = self.began
-        if m.of > term or (m.of == term and (m.index > last or (m.yes and vote != m.sender))):
-            self.lost = True
-        if max(m.term, m.of) > self.term:
-            self._follow(max(m.term, m.of), "")
+        self.answered_by.add(message.sender)
+        if self._exceeds_state_at_start(message):
+            self.lost_tail = True
+        highest_term = max(message.term, message.entry_term)
+        if highest_term > self.term:
+            self._become_follower(highest_term, "")
         if self._all_answered():
-            if not self.lost:
-                self.counts = True
+            if not self.lost_tail:
+                self.is_voting = True
             elif not self.vote:
-                self.vote = ABSTAINS
+                self.vote = ABSTAINED
                 self._save()
 
+    def _exceeds_state_at_start(self, reply: RaftMessage) -> bool:
+        """Whether a peer has an acknowledgement from us that our disk no longer held at the start."""
+        start = self.state_at_start
+        if reply.entry_term != start.term:
+            return reply.entry_term > start.term
+        lost_vote = reply.accepted and start.vote != reply.sender
+        return reply.index > start.last_index or lost_vote
+
     def _all_answered(self) -> bool:
-        return set(self._others()) <= self.answered
+        return set(self._others()) <= self.answered_by
+
+    def _on_recovery_confirmed(self, message: RaftMessage) -> None:
+        has_all_committed = self.term_at(message.index) == message.entry_term
+        if message.number == self.incarnation and self._all_answered() and has_all_committed:
+            self.is_voting = True
+
+    # -- pre-votes
+
+    def _on_pre_vote(self, message: RaftMessage) -> None:
+        """Answer; no state changes. A voter that has a leader doesn't help to replace it."""
+        accepted = (
+            self.is_voting
+            and message.term > self.term
+            and self._is_up_to_date(message)
+            and (not self.leader or self.role == CANDIDATE)
+        )
+        self._send(
+            MessageKind.VOTE_REPLY,
+            message.sender,
+            term=message.term if accepted else self.term,
+            number=PRE_VOTE_NUMBER,
+            accepted=accepted,
+        )
 
-    def _on_confirm(self, m: Message) -> None:
-        if m.number == self.incarnation and self._all_answered() and self.term_at(m.index) == m.of:
-            self.counts = True
+    def _on_pre_vote_reply(self, message: RaftMessage) -> None:
+        is_candidate = self.role == CANDIDATE and self.pre_voting
+        if message.accepted and is_candidate and message.term == self.term + 1:
+            self.votes.add(message.sender)
+            if self._majority(self.votes):
+                self._start_election()
+        elif message.term > self.term:
+            self._become_follower(message.term, "")
 
     # -- elections
 
-    def _newer(self, m: Message) -> bool:
+    def _is_up_to_date(self, message: RaftMessage) -> bool:
         """Whether a candidate's log is at least as new as ours."""
-        return (m.of, m.index) >= (self.term_at(self.last), self.last)
+        return (message.entry_term, message.index) >= (
+            self.term_at(self.last_index),
+            self.last_index,
+        )
 
-    def _stand(self) -> None:
+    def _start_election(self) -> None:
         self.term += 1
-        self.vote, self.role, self.before, self.votes = self.me, CANDIDATE, False, {self.me}
+        self.vote, self.role, self.pre_voting, self.votes = self.me, CANDIDATE, False, {self.me}
         self._save()
         if self._majority(self.votes):
-            self._lead()
+            self._become_leader()
             return
         for name in self._others():
-            self._say("vote", name, index=self.last, of=self.term_at(self.last))
+            self._send(
+                MessageKind.VOTE,
+                name,
+                index=self.last_index,
+                entry_term=self.term_at(self.last_index),
+            )
 
-    def _on_vote(self, m: Message) -> None:
-        yes = self.counts and self.vote in ("", m.sender) and self._newer(m)
-        if yes and self.vote != m.sender:
-            self.vote = m.sender
+    def _on_vote(self, message: RaftMessage) -> None:
+        accepted = (
+            self.is_voting and self.vote in ("", message.sender) and self._is_up_to_date(message)
+        )
+        if accepted and self.vote != message.sender:
+            self.vote = message.sender
             self._save()
-        self._say("voted", m.sender, yes=yes)
+        self._send(MessageKind.VOTE_REPLY, message.sender, accepted=accepted)
 
-    def _on_voted(self, m: Message) -> None:
-        if m.yes:
-            self._note(m.sender, m.term, 0, True)
-            if self.role == CANDIDATE and not self.before:
-                self.votes.add(m.sender)
+    def _on_vote_reply(self, message: RaftMessage) -> None:
+        if message.accepted:
+            self._record_acknowledgement(message.sender, message.term, 0, True)
+            if self.role == CANDIDATE and not self.pre_voting:
+                self.votes.add(message.sender)
                 if self._majority(self.votes):
-                    self._lead()
-
-    def _note(self, name: str, term: int, index: int, vote: bool) -> None:
-        """Remember what another gave as its word: the highest term, and in it the furthest."""
-        before = self.memory.get(name, (0, 0, False))
-        if term > before[0]:
-            self.memory[name] = term, index, vote
-        elif term == before[0]:
-            self.memory[name] = term, max(index, before[1]), vote or before[2]
+                    self._become_leader()
+
+    def _record_acknowledgement(self, name: str, term: int, index: int, voted: bool) -> None:
+        """Remember the highest term that another voter acknowledged, and the furthest index in it."""
+        before = self.acknowledged.get(name, Acknowledged())
+        if term > before.term:
+            self.acknowledged[name] = Acknowledged(term, index, voted)
+        elif term == before.term:
+            self.acknowledged[name] = Acknowledged(
+                term, max(index, before.index), voted or before.voted
+            )
 
-    def _lead(self) -> None:
+    def _become_leader(self) -> None:
         self.role, self.leader = LEADER, self.me
-        self.match, self.heard, self.reads = {}, set(), []
-        self.next = dict.fromkeys(self._others(), self.last + 1)
-        self.log.append(Entry(self.term))  # what came before is committed with it, never by itself
+        self.match_index, self.active_followers, self.pending_reads = {}, set(), []
+        self.next_index = dict.fromkeys(self._others(), self.last_index + 1)
+        self.log.append(
+            LogEntry(self.term)
+        )  # what came before is committed with it, never by itself
         self._save()
         self.beat()
         self._advance()
 
-    def _follow(self, term: int, leader: str) -> None:
+    def _become_follower(self, term: int, leader: str) -> None:
         if term > self.term:
             self.term, self.vote = term, ""
             self._save()
-        self.role, self.leader, self.votes, self.reads = FOLLOWER, leader, set(), []
+        self.role, self.leader, self.votes, self.pending_reads = FOLLOWER, leader, set(), []
 
     # -- replication
 
     def _append(self, name: str) -> None:
-        before = self.next.get(name, self.last + 1) - 1
+        before = self.next_index.get(name, self.last_index + 1) - 1
         if before < self.snapshot.index:
-            self._say(
-                "snapshot",
+            self._send(
+                MessageKind.SNAPSHOT,
                 name,
-                number=self.round,
+                number=self.heartbeat_round,
                 index=self.snapshot.index,
-                of=self.snapshot.term,
+                entry_term=self.snapshot.term,
                 snapshot=self.snapshot,
-                commit=self.commit,
+                commit_index=self.commit_index,
             )
             return
         at = before - self.snapshot.index
-        entries = tuple(self.log[at : at + BATCH])
-        self._say(
-            "append",
+        entries = tuple(self.log[at : at + MAX_ENTRIES_PER_MESSAGE])
+        self._send(
+            MessageKind.APPEND,
             name,
-            number=self.round,
+            number=self.heartbeat_round,
             index=before,
-            of=self.term_at(before),
+            entry_term=self.term_at(before),
             entries=entries,
-            commit=self.commit,
+            commit_index=self.commit_index,
         )
 
-    def _on_append(self, m: Message) -> None:
-        self._follow(m.term, m.sender)
-        if m.index > self.last or (
-            m.index >= self.snapshot.index and self.term_at(m.index) != m.of
+    def _on_append(self, message: RaftMessage) -> None:
+        self._become_follower(message.term, message.sender)
+        if message.index > self.last_index or (
+            message.index >= self.snapshot.index
+            and self.term_at(message.index) != message.entry_term
         ):
             # Not the same up to there: the furthest that may be, the leader steps back no further.
-            back = min(self.last, m.index - 1)
-            while back > self.snapshot.index and self.term_at(back) > m.of:
+            back = min(self.last_index, message.index - 1)
+            while back > self.snapshot.index and self.term_at(back) > message.entry_term:
                 back -= 1
             index = max(back, self.snapshot.index)
-            self._say(
-                "appended", m.sender, number=m.number, index=index, yes=False, counts=self.counts
+            self._send(
+                MessageKind.APPEND_REPLY,
+                message.sender,
+                number=message.number,
+                index=index,
+                accepted=False,
+                is_voting=self.is_voting,
             )
             return
         changed = False
-        for i, entry in enumerate(m.entries, m.index + 1):
+        for i, entry in enumerate(message.entries, message.index + 1):
             if i <= self.snapshot.index or self.term_at(i) == entry.term:
                 continue
             del self.log[i - self.snapshot.index - 1 :]
@@ -404,75 +451,89 @@
             changed = True
         if changed:
             self._save()
-        upto = max(m.index + len(m.entries), self.snapshot.index)
-        self._commit_to(min(m.commit, upto))
-        self._say("appended", m.sender, number=m.number, index=upto, yes=True, counts=self.counts)
-
-    def _on_snapshot(self, m: Message) -> None:
-        self._follow(m.term, m.sender)
-        found = m.snapshot
-        if found is not None and found.index > self.commit:
+        upto = max(message.index + len(message.entries), self.snapshot.index)
+        self._commit_to(min(message.commit_index, upto))
+        self._send(
+            MessageKind.APPEND_REPLY,
+            message.sender,
+            number=message.number,
+            index=upto,
+            accepted=True,
+            is_voting=self.is_voting,
+        )
+
+    def _on_snapshot(self, message: RaftMessage) -> None:
+        self._become_follower(message.term, message.sender)
+        found = message.snapshot
+        if found is not None and found.index > self.commit_index:
             same = self.term_at(found.index) == found.term
-            kept = self.log[found.index - self.snapshot.index :] if same else []
-            self.snapshot, self.log, self.commit = found, kept, found.index
-            self.out.installed, self.out.committed = found, []
+            remaining_log = self.log[found.index - self.snapshot.index :] if same else []
+            self.snapshot, self.log, self.commit_index = found, remaining_log, found.index
+            self.ready.installed, self.ready.committed = found, []
             self._save()
-        index = max(self.commit, self.snapshot.index)
-        self._say("appended", m.sender, number=m.number, index=index, yes=True, counts=self.counts)
+        index = max(self.commit_index, self.snapshot.index)
+        self._send(
+            MessageKind.APPEND_REPLY,
+            message.sender,
+            number=message.number,
+            index=index,
+            accepted=True,
+            is_voting=self.is_voting,
+        )
 
-    def _on_appended(self, m: Message) -> None:
+    def _on_append_reply(self, message: RaftMessage) -> None:
         if self.role != LEADER:
             return
-        name = m.sender
-        if m.counts:
-            self.heard.add(name)
-        if not m.yes:
-            self.next[name] = max(1, min(m.index + 1, self.next.get(name, 1) - 1))
+        name = message.sender
+        if message.is_voting:
+            self.active_followers.add(name)
+        if not message.accepted:
+            self.next_index[name] = max(1, min(message.index + 1, self.next_index.get(name, 1) - 1))
             self._append(name)
             return
-        self.next[name] = max(self.next.get(name, 1), m.index + 1)
-        if m.counts:
-            self._note(name, m.term, m.index, False)
-            self.match[name] = max(self.match.get(name, 0), m.index)
+        self.next_index[name] = max(self.next_index.get(name, 1), message.index + 1)
+        if message.is_voting:
+            self._record_acknowledgement(name, message.term, message.index, False)
+            self.match_index[name] = max(self.match_index.get(name, 0), message.index)
             self._advance()
-            self._confirm_reads(name, m.number)
-        elif m.index >= self.commit and self.term_at(self.commit) == self.term:
-            self._say(
-                "confirm",
+            self._confirm_reads(name, message.number)
+        elif message.index >= self.commit_index and self.term_at(self.commit_index) == self.term:
+            self._send(
+                MessageKind.RECOVERY_CONFIRMED,
                 name,
-                number=m.incarnation,
-                index=self.commit,
-                of=self.term_at(self.commit),
+                number=message.incarnation,
+                index=self.commit_index,
+                entry_term=self.term_at(self.commit_index),
             )
-        if self.next[name] <= self.last:
+        if self.next_index[name] <= self.last_index:
             self._append(name)
 
     def _advance(self) -> None:
         """Commit what a majority has, if it is of our own term."""
-        for index in range(self.last, self.commit, -1):
+        for index in range(self.last_index, self.commit_index, -1):
             if self.term_at(index) != self.term:
                 return
             if self._majority(
-                {self.me} | {name for name, upto in self.match.items() if upto >= index}
+                {self.me} | {name for name, upto in self.match_index.items() if upto >= index}
             ):
                 self._commit_to(index)
                 return
 
     def _commit_to(self, index: int) -> None:
-        for i in range(self.commit + 1, min(index, self.last) + 1):
+        for i in range(self.commit_index + 1, min(index, self.last_index) + 1):
             entry = self.log[i - self.snapshot.index - 1]
-            self.out.committed.append((i, entry))
+            self.ready.committed.append((i, entry))
             if entry.kind == VOTERS and self.me not in entry.voters and self.role == LEADER:
                 self.role, self.leader = FOLLOWER, ""
-            self.commit = i
+            self.commit_index = i
 
     def _confirm_reads(self, name: str, number: int = 0) -> None:
         left = []
-        for read in self.reads:
-            if name and number >= read[1]:
-                read[2].add(name)
-            if self._majority(read[2]):
-                self.out.readable.append(read[0])
+        for read in self.pending_reads:
+            if name and number >= read.heartbeat_round:
+                read.confirmed_by.add(name)
+            if self._majority(read.confirmed_by):
+                self.ready.readable.append(read.number)
             else:
                 left.append(read)
-        self.reads = left
+        self.pending_reads = left
