--- a/tests/fixture_conversation.py
+++ b/tests/fixture_conversation.py
@@ -11,10 +11,10 @@
 from yewrill.leases.format import pack as pack_ownership
 from yewrill.leases.format import unpack as unpack_ownership
 from yewrill.leases.node import Node
-from yewrill.membership.format import Codec, Stranger
-from yewrill.membership.machine import Claim
-from yewrill.membership.machine import Machine as Membership
-from yewrill.membership.machine import Message as Datagram
+from yewrill.membership.format import Codec, UnknownRun
+from yewrill.membership.machine import SwimMember as Membership
+from yewrill.membership.messages import Claim
+from yewrill.membership.messages import Message as Datagram
 from yewrill.views.format import Parts
 from yewrill.views.format import pack as pack_views
 from yewrill.views.machine import Machine as Viewer
@@ -62,10 +62,10 @@
     codec, source = codecs[receiver], ADDRESSES[sender]
     try:
         name, message = codec.decode(data, source)
-    except Stranger as stranger:
-        greeting = codec.hello(source, stranger.run)
+    except UnknownRun as error:
+        greeting = codec.hello(source, error.run)
         codecs[sender].decode(greeting, ADDRESSES[receiver])
-        again = codecs[sender].again(ADDRESSES[receiver])
+        again = codecs[sender].take_undelivered(ADDRESSES[receiver])
         return [] if again is None else [(sender, ADDRESSES[receiver], again)]
     out = machines[receiver].receive(now, message, name, source)
     return [(receiver, to, answer) for to, answer in out]
--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -11,9 +11,9 @@
 from yewrill.leases import duties, raft, states
 from yewrill.leases import format as ownership
 from yewrill.membership.format import KINDS, Codec
-from yewrill.membership.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim
-from yewrill.membership.machine import Message as Datagram
-from yewrill.membership.parts import cut
+from yewrill.membership.messages import ALIVE, DEAD, LEFT, SUSPECT, Claim
+from yewrill.membership.messages import Message as Datagram
+from yewrill.membership.parts import split_payload
 from yewrill.reservations import asking
 from yewrill.reservations.book import Book
 from yewrill.reservations.windows import MINUTE, Window
@@ -88,7 +88,7 @@
 
 
 def parts() -> Encoded:
-    return {label: cut(payload, number) for label, payload, number in PAYLOADS}
+    return {label: split_payload(payload, number) for label, payload, number in PAYLOADS}
 
 
 # -- views
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -22,8 +22,8 @@
 from yewrill.leases import duties, raft, states
 from yewrill.leases import format as ownership
 from yewrill.leases.format import unpack as read_ownership
-from yewrill.membership.format import Refused, Stranger
-from yewrill.membership.parts import Joiner
+from yewrill.membership.format import DatagramRejected, UnknownRun
+from yewrill.membership.parts import FragmentAssembler
 from yewrill.reservations import asking
 from yewrill.reservations.book import Book
 from yewrill.store.commands import check_all
@@ -43,17 +43,19 @@
 def test_datagrams_of_members_are_read():
     stored = {label: parts[0] for label, parts in read_encoded("members").items()}
     receiver, sender = messages.receiving_codec(), messages.sending_codec()
-    with pytest.raises(Stranger) as stranger:
+    with pytest.raises(UnknownRun) as unknown_run:
         receiver.decode(stored["to a stranger"], messages.SENDER_ADDRESS)
-    assert stranger.value.run == messages.SENDER_RUN
-    with pytest.raises(Refused, match="code"):  # it is signed with a key that this one lacks
+    assert unknown_run.value.run == messages.SENDER_RUN
+    with pytest.raises(
+        DatagramRejected, match="code"
+    ):  # it is signed with a key that this one lacks
         sender.decode(stored["hello"], messages.RECEIVER_ADDRESS)
     for label, message in messages.DATAGRAMS:
         found = receiver.decode(stored[label], messages.SENDER_ADDRESS)
         assert found == ("alpha", message), label
     _, full = receiver.decode(stored["as much as fits"], messages.SENDER_ADDRESS)
-    assert full.news == messages.MANY_CLAIMS[: len(full.news)] and len(full.news) > 10
-    with pytest.raises(Refused, match="replay"):
+    assert full.updates == messages.MANY_CLAIMS[: len(full.updates)] and len(full.updates) > 10
+    with pytest.raises(DatagramRejected, match="replay"):
         receiver.decode(stored["ping"], messages.SENDER_ADDRESS)
 
 
@@ -61,7 +63,7 @@
     stored = read_encoded("parts")
     assert messages.parts() == stored
     for label, payload, _ in messages.PAYLOADS:
-        joiner = Joiner()
+        joiner = FragmentAssembler()
         *before, last = [joiner.take("alpha", part) for part in stored[label]]
         assert last == payload and not any(before), label
 
@@ -173,7 +175,11 @@
         assert asking.read_entry(data) == entry, label
         assert asking.encode(asking.read_result(result)) == result, label
     results = [asking.read_result(stored[label][1]) for label, _ in messages.CALENDAR_ENTRIES]
-    assert {type(result) for result in results} == {asking.Booked, asking.Refused, asking.Done}
+    assert {type(result) for result in results} == {
+        asking.Booked,
+        asking.Refused,
+        asking.Done,
+    }
     book = Book(messages.CALENDAR)
     book.restore(stored["book"][0])
     assert book.pack() == stored["book"][0]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -13,10 +13,10 @@
 from yewrill.config.reading import ConfigError, MembersConfig, read_config
 from yewrill.lab.netsim import Net, Path
 from yewrill.membership import Members
-from yewrill.membership.format import MOST, Codec, Refused, Stranger
-from yewrill.membership.intake import Intake
-from yewrill.membership.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim, Message
-from yewrill.membership.suspicion import CONFIRMATIONS, MOST_DOUBT, Suspicion
+from yewrill.membership.format import MAX_DATAGRAM_BYTES, Codec, DatagramRejected, UnknownRun
+from yewrill.membership.intake import InboundBudget
+from yewrill.membership.messages import ALIVE, DEAD, LEFT, SUSPECT, Claim, Message
+from yewrill.membership.suspicion import CONFIRMATIONS, MAX_HEALTH_SCORE, Suspicion
 
 HERE, THERE = ("127.0.0.1", 1), ("127.0.0.1", 2)
 KEYS = [b"k" * 32, b"l" * 32]
@@ -36,10 +36,10 @@
 def pair(keys=KEYS[:1], other=KEYS[:1]):
     """Two codecs that know each other's run."""
     a, b = Codec("a", 11, list(keys)), Codec("b", 22, list(other))
-    with pytest.raises(Stranger) as stranger:
+    with pytest.raises(UnknownRun) as unknown_run:
         b.decode(a.encode(Message("ping"), THERE), HERE)
-    assert a.decode(b.hello(HERE, stranger.value.run), THERE)[1].kind == "hello"
-    assert a.again(THERE) == Message("ping") and a.again(THERE) is None
+    assert a.decode(b.hello(HERE, unknown_run.value.run), THERE)[1].kind == "hello"
+    assert a.take_undelivered(THERE) == Message("ping") and a.take_undelivered(THERE) is None
     return a, b
 
 
@@ -56,9 +56,9 @@
     a, b = pair()
     data = a.encode(Message(kind, number, about, tuple(news)), THERE)
     sender, message = b.decode(data, HERE)
-    assert len(data) <= MOST and sender == "a"
+    assert len(data) <= MAX_DATAGRAM_BYTES and sender == "a"
     assert (message.kind, message.number, message.about) == (kind, number, about)
-    assert message.news == tuple(news[: len(message.news)])
+    assert message.updates == tuple(news[: len(message.updates)])
 
 
 @given(st.data())
@@ -67,8 +67,12 @@
     sound = bytearray(a.encode(Message("ping", 7, "b"), THERE))
     at = data.draw(st.integers(0, len(sound) - 1))
     sound[at] ^= data.draw(st.integers(1, 255))
-    for bad in (bytes(sound), bytes(sound[:at]), data.draw(st.binary(max_size=MOST + 9))):
-        with pytest.raises(Refused):
+    for bad in (
+        bytes(sound),
+        bytes(sound[:at]),
+        data.draw(st.binary(max_size=MAX_DATAGRAM_BYTES + 9)),
+    ):
+        with pytest.raises(DatagramRejected):
             b.decode(bad, HERE)
 
 
@@ -79,22 +83,22 @@
         b.decode(second, HERE)[1].number == 2 and b.decode(first, HERE)[1].number == 1
     )  # out of order
     for again in (first, second):
-        with pytest.raises(Refused, match="replay"):
+        with pytest.raises(DatagramRejected, match="replay"):
             b.decode(again, HERE)
     old = a.encode(Message("ping", 3), THERE)
     for _ in range(70):
         b.decode(a.encode(Message("ping"), THERE), HERE)
     with pytest.raises(
-        Refused, match="replay"
+        DatagramRejected, match="replay"
     ):  # older than the window: it can't be told from a replay
         b.decode(old, HERE)
-    with pytest.raises(Stranger):  # b has been started anew since
+    with pytest.raises(UnknownRun):  # b has been started anew since
         Codec("b", 23, KEYS[:1]).decode(a.encode(Message("ping"), THERE), HERE)
     later = Codec("a", 12, KEYS[:1])
     later.decode(b.hello(HERE, 12), THERE)
     last_of_the_old = a.encode(Message("ping"), THERE)
     assert b.decode(later.encode(Message("ping"), THERE), HERE)
-    with pytest.raises(Refused, match="earlier run"):
+    with pytest.raises(DatagramRejected, match="earlier run"):
         b.decode(last_of_the_old, HERE)
 
 
@@ -102,14 +106,14 @@
     for mine, other in ((KEYS[:1], KEYS), (KEYS, KEYS[::-1]), (KEYS[::-1], KEYS[1:])):
         a, b = pair(mine, other)
         assert b.decode(a.encode(Message("ping"), THERE), HERE)
-    with pytest.raises(Refused, match="code"):
+    with pytest.raises(DatagramRejected, match="code"):
         Codec("b", 1, KEYS[1:]).decode(Codec("a", 2, KEYS[:1]).encode(Message("ping"), THERE), HERE)
 
 
 def test_a_flood_from_strange_addresses_leaves_the_peers_their_share():
-    intake = Intake(20_000.0)
+    intake = InboundBudget(20_000.0)
     peers = [("127.0.0.1", port) for port in range(100, 110)]
-    intake.know(peers)
+    intake.set_members(peers)
     looked = taken = 0
     for i in range(
         100_000
@@ -148,7 +152,7 @@
     net.leave("m0004")
     assert net.until(net.agreed, 12.0) is not None and not net.false_deaths
     assert any(
-        n.machine.listed["m0004"].claim.state == LEFT for n in net.living()
+        n.machine.entries["m0004"].claim.state == LEFT for n in net.living()
     )  # whom it told itself
 
 
@@ -201,7 +205,7 @@
             replace(c, state=DEAD if i % 2 else SUSPECT, by=f"m{i % 24:04d}")
             for i, c in enumerate(net.rng.sample(names, 8))
         ]
-        return replace(message, news=tuple(accused))
+        return replace(message, updates=tuple(accused))
 
     net.nodes["m0001"].lie = lie
     net.run(60.0)
@@ -213,8 +217,8 @@
     assert net.nodes["m0002"].machine.counts.refuted + net.nodes["m0002"].machine.me.incarnation > 0
     machine = net.nodes["m0002"].machine
     absurd = Claim("m0005", THERE, incarnation=2**60, state=DEAD)
-    machine.receive(net.now, Message("news", news=(absurd,)), "m0001", HERE)
-    assert machine.listed["m0005"].claim.state == ALIVE and machine.counts.dropped
+    machine.receive(net.now, Message("news", updates=(absurd,)), "m0001", HERE)
+    assert machine.entries["m0005"].claim.state == ALIVE and machine.counts.dropped
 
 
 @pytest.mark.parametrize("members", [3, 24, 72])
@@ -233,10 +237,10 @@
 @settings(max_examples=50)
 def test_a_doubt_shortens_with_each_that_shares_it_and_never_under_the_least(by, least, factor):
     doubt = Suspicion(0.0, least, least * factor, {"me"})
-    ends = [doubt.until()]
+    ends = [doubt.expires_at()]
     for name in by:
-        doubt.by.add(name)
-        ends.append(doubt.until())
+        doubt.accusers.add(name)
+        ends.append(doubt.expires_at())
     assert ends == sorted(ends, reverse=True) and least <= ends[-1] <= least * factor * 1.000001
     if len(set(by)) >= CONFIRMATIONS:
         assert ends[-1] == pytest.approx(least)
@@ -247,7 +251,7 @@
     net.cut(["m0001"], [name for name in net.nodes if name != "m0001"])
     net.run(4.0)
     alone = net.nodes["m0001"].machine
-    assert 4 <= alone.health.doubt <= MOST_DOUBT and len(alone.members()) > 20
+    assert 4 <= alone.health.score <= MAX_HEALTH_SCORE and len(alone.members()) > 20
 
 
 # ------------------------------------------------------------------------------------------------- on sockets
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -13,7 +13,7 @@
 from yewrill.leases.duties import CLAIM, GIVE_UP, RENEW, Command, Duties, Fence, Result
 from yewrill.leases.format import Reply, Request, pack, unpack
 from yewrill.leases.raft import ORDER, VOTERS, Disk, Entry, Message, Snapshot
-from yewrill.membership.parts import Joiner, Malformed, cut
+from yewrill.membership.parts import FragmentAssembler, MalformedPayload, split_payload
 from yewrill.store import Store
 
 COMMAND = st.builds(
@@ -79,12 +79,12 @@
 
 @given(SAID, st.randoms(), st.binary(max_size=30))
 def test_what_is_said_comes_out_whole_from_its_parts_in_any_order(what, rng, noise):
-    parts, joiner = cut(pack(what), 7), Joiner()
+    parts, joiner = split_payload(pack(what), 7), FragmentAssembler()
     rng.shuffle(parts)
     found = [whole for part in parts if (whole := joiner.take("a", part)) is not None]
     assert [unpack(whole) for whole in found] == [what]
     for bad in (noise, parts[0][:-1]):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedPayload):
             unpack(joiner.take("b", bad) or b"")
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,8 +14,9 @@
 from yewrill.lab.scale.plan import Mix, TooLarge
 from yewrill.lab.scale.virtual import Fleet, VirtualFleet
 from yewrill.membership.format import Codec
-from yewrill.membership.intake import BURST, Bucket, Intake, Priority
-from yewrill.membership.machine import Claim, Machine, Message
+from yewrill.membership.intake import BURST_SECONDS, InboundBudget, Priority, TokenBucket
+from yewrill.membership.machine import SwimMember
+from yewrill.membership.messages import Claim, Message
 from yewrill.membership.transport import VIEWS, Transport
 from yewrill.views import admission
 from yewrill.views.agreement import Word
@@ -202,13 +203,13 @@
 
 
 def transport(bytes_per_s):
-    machine = Machine(Claim("a", ("h", 1)), [("h", 2)], random.Random(1), 0.0)
+    machine = SwimMember(Claim("a", ("h", 1)), [("h", 2)], random.Random(1), 0.0)
     return Transport(machine, Codec("a", 1, [b"k" * 16]), bytes_per_s)
 
 
 def test_heartbeats_find_room_where_gossip_and_lists_do_not():
     sender = transport(1000.0)
-    full = 1000.0 * BURST
+    full = 1000.0 * BURST_SECONDS
     while sender.send(0.0, [(("h", 2), Message("list", about="x" * 40))]):
         pass
     assert sender.sent <= full * (1.0 - Priority.LIST.value)
@@ -216,7 +217,7 @@
         pass
     assert sender.sent <= full * (1.0 - Priority.GOSSIP.value)
     assert sender.send(0.0, [(("h", 2), Message("ping", 1))])
-    assert sender.say(0.0, VIEWS, [(("h", 2), b"beat")])
+    assert sender.send_payloads(0.0, VIEWS, [(("h", 2), b"beat")])
     assert sender.held_back_by == {Priority.LIST: 1, Priority.GOSSIP: 1}
 
 
@@ -228,11 +229,11 @@
 
 
 def test_one_member_and_strangers_leave_the_others_their_share_of_what_is_looked_at():
-    intake = Intake(10_000.0)
+    intake = InboundBudget(10_000.0)
     members = [("h", i) for i in range(20)]
-    intake.know(members)
+    intake.set_members(members)
     taken = sum(intake.admits(0.0, ("h", 0), 100) for _ in range(1000))
-    assert taken * 100 <= 0.25 * 10_000.0 * BURST
+    assert taken * 100 <= 0.25 * 10_000.0 * BURST_SECONDS
     assert sum(intake.admits(0.0, ("strange", i), 100) for i in range(1000)) * 100 <= 5000.0
     rest = sum(intake.admits(0.0, member, 100) for member in members[1:] for _ in range(5))
     assert rest == 5 * 19  # a well peer sends so much in a moment
@@ -240,7 +241,7 @@
 
 
 def test_a_bucket_leaves_what_it_is_told_to():
-    bucket = Bucket(100.0)
+    bucket = TokenBucket(100.0)
     assert bucket.take(0.0, 100.0, 0.5) and not bucket.take(0.0, 1.0, 0.5) and bucket.take(0.0, 1.0)
 
 
@@ -249,16 +250,17 @@
 
 def test_equal_lists_are_not_sent_and_different_ones_are():
     one, other = (
-        Machine(Claim(name, ("h", at)), [], random.Random(at), 0.0) for at, name in enumerate("ab")
+        SwimMember(Claim(name, ("h", at)), [], random.Random(at), 0.0)
+        for at, name in enumerate("ab")
     )
     for machine, claim in ((one, other.me), (other, one.me)):
-        machine._set(claim)
+        machine.apply(claim)
     assert one.digest == other.digest
     question = Message("list", one.digest, about="a")
     assert other.receive(0.1, question, "a", ("h", 0)) == []
-    other._set(Claim("c", ("h", 9)))
+    other.apply(Claim("c", ("h", 9)))
     (answer,) = other.receive(0.2, question, "a", ("h", 0))
-    assert {claim.name for claim in answer[1].news} == {"a", "b", "c"}
+    assert {claim.name for claim in answer[1].updates} == {"a", "b", "c"}
     assert other.receive(0.3, Message("list", about="a"), "a", ("h", 0))  # as an older member asks
 
 
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -9,7 +9,7 @@
 
 from yewrill.lab.netsim import Path
 from yewrill.lab.viewnet import ViewNet
-from yewrill.membership.parts import Malformed
+from yewrill.membership.parts import MalformedPayload
 from yewrill.views.agreement import Word
 from yewrill.views.cut import judge, marks
 from yewrill.views.format import (
@@ -212,7 +212,7 @@
     data[at % len(data)] = byte
     for tried in (bytes(data), bytes(data[: at % len(data)]), bytes(data[1:])):
         for take in (unpack, lambda b: Parts().take("m", b)):
-            with contextlib.suppress(Malformed):
+            with contextlib.suppress(MalformedPayload):
                 take(tried)
 
 
@@ -225,7 +225,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"\3", b"\1\5", b"\1\x18\0", b"\2\xff\xff", b"\0\0\0\0\1"])
 def test_bitmaps_of_other_sizes_are_refused(data):
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedPayload):
         whole_of(data, 24)
 
 
@@ -233,7 +233,7 @@
 def test_rounds_and_words_keep_what_they_say(r, w):
     assert round_of(wire_round(r, 24), 24) == r and word_of(wire_word(w, 24), 24) == w
     if max(r.opener, r.opener_before) >= 5:
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedPayload):
             round_of(wire_round(r, 24), 5)
 
 
--- a/tests/test_views_hook.py
+++ b/tests/test_views_hook.py
@@ -157,7 +157,7 @@
     def __init__(self):
         self.datagrams = []
 
-    async def say(self, what, parts, priority):
+    async def send_payloads(self, subsystem, parts, priority):
         self.datagrams.append(parts)
 
 
--- a/yewrill/lab/netsim.py
+++ b/yewrill/lab/netsim.py
@@ -16,8 +16,10 @@
 from itertools import count
 from typing import Self
 
-from yewrill.membership.format import Codec, Refused, Stranger
-from yewrill.membership.machine import DEAD, Claim, Machine, Message, Out, Rules
+from yewrill.membership.config import SwimConfig
+from yewrill.membership.format import Codec, DatagramRejected, UnknownRun
+from yewrill.membership.machine import SwimMember
+from yewrill.membership.messages import DEAD, Claim, Message, OutgoingMessage
 
 KEY = b"a key of the virtual network's own"
 
@@ -39,7 +41,7 @@
 
     name: str
     address: tuple[str, int]
-    machine: Machine
+    machine: SwimMember
     codec: Codec
     paused_until: float = -1.0
     dead: bool = False
@@ -136,12 +138,12 @@
         seed: int,
         members: int,
         zones: int = 1,
-        rules: Rules | None = None,
+        rules: SwimConfig | None = None,
         path: Path | None = None,
         known: int = 3,
     ):
         super().__init__(seed, path)
-        self.rules = rules or Rules()
+        self.rules = rules or SwimConfig()
         self.nodes: dict[str, Node] = {}
         self._at: dict[tuple[str, int], Node] = {}
         self.false_deaths: list[tuple[float, str, str]] = []  # when, who believed it, of whom
@@ -156,7 +158,7 @@
         self, name: str, address: tuple[str, int], zone: str = "", seeds: Iterable = ()
     ) -> Node:
         """Start a member, or start it anew."""
-        machine = Machine(
+        machine = SwimMember(
             Claim(name, address, zone),
             list(seeds),
             random.Random(self.rng.getrandbits(64)),
@@ -212,7 +214,7 @@
                     self.false_deaths.append((self.now, node.name, claim.name))
         node.machine.changes.clear()
 
-    def _send(self, node: Node, out: list[Out]) -> None:
+    def _send(self, node: Node, out: list[OutgoingMessage]) -> None:
         for address, message in out:
             if node.lie is not None:
                 message = node.lie(node, message)
@@ -237,13 +239,13 @@
     def _take(self, node: Node, data: bytes, source: tuple[str, int]) -> None:
         try:
             sender, message = node.codec.decode(data, source)
-        except Stranger as stranger:
-            self._put(node, source, node.codec.hello(source, stranger.run))
+        except UnknownRun as unknown_run:
+            self._put(node, source, node.codec.hello(source, unknown_run.run))
             return
-        except Refused:
+        except DatagramRejected:
             return
         out = node.machine.receive(self.now, message, sender, source)
-        if message.kind == "hello" and (said := node.codec.again(source)) is not None:
+        if message.kind == "hello" and (said := node.codec.take_undelivered(source)) is not None:
             out.append((source, said))
         self._send(node, out)
         self._watch(node)
--- a/yewrill/lab/ownnet.py
+++ b/yewrill/lab/ownnet.py
@@ -18,7 +18,7 @@
 from yewrill.leases.node import Node, Step
 from yewrill.leases.raft import Disk, Snapshot
 from yewrill.leases.states import StateMachine
-from yewrill.membership.parts import Joiner, cut
+from yewrill.membership.parts import FragmentAssembler, split_payload
 
 
 @dataclass(eq=False)
@@ -33,7 +33,7 @@
     rate: float = 1.0
     sent: int = 0
     fence: Fence = field(default_factory=Fence)  # on its disk
-    joiner: Joiner = field(default_factory=Joiner)
+    joiner: FragmentAssembler = field(default_factory=FragmentAssembler)
 
 
 class OwnNet(Wires):
@@ -74,7 +74,7 @@
             span=self.span,
             machines=self.machines() if self.machines is not None else None,
         )
-        member.joiner = Joiner()
+        member.joiner = FragmentAssembler()
         if self.wanting is None or int(member.name[1:]) < self.wanting:
             member.node.want(self.duty)
         self._arm(member, member.node)
@@ -120,7 +120,7 @@
             member.disk = step.save
             member.past = [*member.past, step.save][-5:]
         for to, what in step.messages:
-            for part in cut(pack(what), self.rng.getrandbits(40)):
+            for part in split_payload(pack(what), self.rng.getrandbits(40)):
                 member.sent += len(part)
                 self.carry(
                     self.path(member.name, to),
--- a/yewrill/lab/scale/events.py
+++ b/yewrill/lab/scale/events.py
@@ -58,11 +58,11 @@
         """Have all know each other and be in one view, as a fleet that has stood for long."""
         for node in self.nodes.values():
             members = node.transport.machine
-            members.listed.clear()
+            members.entries.clear()
             for other in self.nodes.values():
                 if other is not node:
-                    members._set(other.transport.machine.me)
-            members._news.clear()
+                    members.apply(other.transport.machine.me)
+            members.gossip.clear()
         view = View(1, tuple(node.views.me for node in self.nodes.values()))
         for node in self.nodes.values():
             self._settle(node)
--- a/yewrill/lab/scale/hollow.py
+++ b/yewrill/lab/scale/hollow.py
@@ -96,7 +96,7 @@
         members = self._subsystems["members"]
         assert isinstance(members, Members)
         if members.link is not None:
-            members.link.mute()
+            members.link.stop_sending()
         self._scope.cancel()
 
     def status(self) -> dict[str, Any]:
--- a/yewrill/lab/scale/measure.py
+++ b/yewrill/lab/scale/measure.py
@@ -11,7 +11,7 @@
 from yewrill.lab.scale import plan
 from yewrill.lab.scale.fleet import CONTROL, FleetPlan, ScaleFleet, Status, in_one_view, leases
 from yewrill.lab.scale.sampling import LEAST_IDLE, Cost, cost, idle_share, machine_times
-from yewrill.membership.transport import HEADERS
+from yewrill.membership.transport import IP_UDP_HEADER_BYTES
 
 SETTLE_S = 4.0  # between agreement and the span at rest
 POLL_S = 0.5
@@ -63,7 +63,10 @@
     for kind, now in after.items():
         was = before.get(kind, {"datagrams": 0, "bytes": 0})
         count = now["datagrams"] - was["datagrams"]
-        by_kind[kind] = [count / span, (now["bytes"] - was["bytes"] + HEADERS * count) / span]
+        by_kind[kind] = [
+            count / span,
+            (now["bytes"] - was["bytes"] + IP_UDP_HEADER_BYTES * count) / span,
+        ]
     received = last["members"]["members_bytes_in"] - first["members"]["members_bytes_in"]
     return Wire(
         sum(size for _, size in by_kind.values()),
--- a/yewrill/lab/scale/virtual.py
+++ b/yewrill/lab/scale/virtual.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 
 from yewrill.lab.netsim import KEY, Path, Wires
+from yewrill.membership.config import SwimConfig
 from yewrill.membership.format import Codec
-from yewrill.membership.machine import DEAD, LEFT, Claim
-from yewrill.membership.machine import Machine as MembersMachine
-from yewrill.membership.machine import Rules as MembersRules
-from yewrill.membership.parts import Malformed
-from yewrill.membership.transport import HEADERS, VIEWS, Address, Datagram, Transport
+from yewrill.membership.machine import SwimMember
+from yewrill.membership.messages import DEAD, LEFT, Claim
+from yewrill.membership.parts import MalformedPayload
+from yewrill.membership.transport import IP_UDP_HEADER_BYTES, VIEWS, Address, Datagram, Transport
 from yewrill.views.format import Parts, pack, priority_of
 from yewrill.views.machine import Machine as ViewsMachine
 from yewrill.views.machine import Step
@@ -41,7 +41,7 @@
     peers: int = PEERS
     bytes_per_s: float = SHIPPED_BYTES_PER_S
     path: Path = field(default_factory=Path)
-    members_rules: MembersRules = field(default_factory=MembersRules)
+    members_rules: SwimConfig = field(default_factory=SwimConfig)
     views_rules: ViewsRules = field(default_factory=ViewsRules)
 
 
@@ -70,7 +70,7 @@
     @property
     def bytes_out(self) -> int:
         """Bytes on the wire so far, with headers."""
-        return self.transport.sent + HEADERS * self.datagrams_out
+        return self.transport.sent + IP_UDP_HEADER_BYTES * self.datagrams_out
 
 
 class VirtualFleet(Wires):
@@ -96,7 +96,7 @@
         name, address = f"d{index:03d}", self._address(index)
         zone = f"z{index % fleet.zones:02d}"
         seeds = [self._address(i) for i in range(min(fleet.peers, fleet.dispatchers))]
-        members = MembersMachine(
+        members = SwimMember(
             Claim(name, address, zone),
             [seed for seed in seeds if seed != address],
             random.Random(self.rng.getrandbits(64)),
@@ -189,7 +189,7 @@
     ) -> list[tuple[Address, bytes]]:
         try:
             message = node.parts.take(sender, data)
-        except Malformed:
+        except MalformedPayload:
             return []
         if message is not None:
             step = node.views.receive(self.now, message, sender, source)
@@ -203,16 +203,16 @@
         for address, message in step.messages:
             node.number += 1
             parts = [(address, part) for part in pack(message, node.number)]
-            datagrams += node.transport.say(self.now, VIEWS, parts, priority_of(message))
+            datagrams += node.transport.send_payloads(self.now, VIEWS, parts, priority_of(message))
         return datagrams
 
     def _settle(self, node: Node) -> None:
         if node.transport.take_changes(self.now) or node.known < 0:
-            node.known = len(node.transport.machine.listed)
+            node.known = len(node.transport.machine.entries)
             node.views.know(
                 {
                     name: member.claim.address
-                    for name, member in node.transport.machine.listed.items()
+                    for name, member in node.transport.machine.entries.items()
                     if member.claim.state not in (DEAD, LEFT)
                 },
                 self.now,
--- a/yewrill/lab/viewnet.py
+++ b/yewrill/lab/viewnet.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from yewrill.lab.netsim import Path, Stopped
-from yewrill.membership.parts import Malformed
+from yewrill.membership.parts import MalformedPayload
 from yewrill.views.format import Parts, pack
 from yewrill.views.machine import Machine, Rules, Step
 from yewrill.views.view import Entry, Kept, View
@@ -169,7 +169,7 @@
     def _take(self, node: Node, sender: str, source: tuple[str, int], data: bytes) -> None:
         try:
             message = node.parts.take(sender, data)
-        except Malformed:
+        except MalformedPayload:
             return
         if message is not None:
             self._do(node, node.machine.receive(self.now, message, sender, source))
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -16,8 +16,8 @@
 from yewrill.leases.raft import Disk
 from yewrill.leases.states import StateMachine
 from yewrill.membership import Members
-from yewrill.membership.link import OWNERSHIP, Link
-from yewrill.membership.parts import Joiner, Malformed, cut
+from yewrill.membership.link import OWNERSHIP, MembershipLink
+from yewrill.membership.parts import FragmentAssembler, MalformedPayload, split_payload
 from yewrill.service.subsystems import SubsystemContext
 from yewrill.store import Store, StoreError
 
@@ -154,11 +154,11 @@
         self._store = store = await trio.to_thread.run_sync(Store, self._config.dir)
         try:
             await self._open(store, me)
-            link.cargo[OWNERSHIP] = self._receive
+            link.payload_handlers[OWNERSHIP] = self._receive
             task_status.started()
             await self._serve(link)
         finally:
-            link.cargo.pop(OWNERSHIP, None)
+            link.payload_handlers.pop(OWNERSHIP, None)
             with trio.CancelScope(shield=True):
                 await trio.to_thread.run_sync(store.close)
 
@@ -199,8 +199,8 @@
             self._lost += 1
         return []
 
-    async def _serve(self, link: Link) -> None:
-        node, joiner, owned = self._node, Joiner(), {}
+    async def _serve(self, link: MembershipLink) -> None:
+        node, joiner, owned = self._node, FragmentAssembler(), {}
         assert node is not None
         while True:
             with trio.move_on_at(node.due):
@@ -211,7 +211,7 @@
                 try:
                     whole = joiner.take(sender, data)
                     what = None if whole is None else unpack(whole)
-                except Malformed:
+                except MalformedPayload:
                     self._malformed += 1
                     continue
                 if what is not None:
@@ -242,7 +242,7 @@
             for duty in sorted(node.wanted):
                 node.give_up(duty, now)
 
-    async def _carry_out(self, link: Link, step: Step) -> None:
+    async def _carry_out(self, link: MembershipLink, step: Step) -> None:
         """First to disk, then out: what is said rests on what is kept."""
         node = self._node
         assert node is not None and self._store is not None
@@ -256,11 +256,13 @@
                 return
         out = []
         for name, what in step.messages:
-            listed = link.machine.listed.get(name)
+            listed = link.machine.entries.get(name)
             if listed is not None:
                 self._number += 1
-                out += [(listed.claim.address, part) for part in cut(pack(what), self._number)]
-        await link.say(OWNERSHIP, out)
+                out += [
+                    (listed.claim.address, part) for part in split_payload(pack(what), self._number)
+                ]
+        await link.send_payloads(OWNERSHIP, out)
 
     # -- operators
 
--- a/yewrill/leases/format.py
+++ b/yewrill/leases/format.py
@@ -12,7 +12,7 @@
 from yewrill.leases.duties import Command, Result
 from yewrill.leases.raft import Entry, Message, Snapshot
 from yewrill.membership.format import text, whole
-from yewrill.membership.parts import MOST_PART, MOST_PARTS, Malformed
+from yewrill.membership.parts import MAX_FRAGMENT_BYTES, MAX_FRAGMENTS, MalformedPayload
 
 LOG, REQUEST, REPLY, SUBMIT, SUBMITTED = 0, 1, 2, 3, 4
 MOST_DATA = 60_000  # bytes that a state machine is given, or gives back
@@ -149,8 +149,8 @@
                 None if snapshot is None else _snapshot(*snapshot),
             )
     except (ValueError, TypeError, msgpack.exceptions.UnpackException, RecursionError) as error:
-        raise Malformed(str(error)) from error
-    raise Malformed("kind")
+        raise MalformedPayload(str(error)) from error
+    raise MalformedPayload("kind")
 
 
 def _snapshot(index: Any, term: Any, voters: Any, data: Any) -> Snapshot:
@@ -163,7 +163,7 @@
     return tuple(_text(name) for name in value)
 
 
-def _bytes(value: Any, most: int = MOST_PART * MOST_PARTS) -> bytes:
+def _bytes(value: Any, most: int = MAX_FRAGMENT_BYTES * MAX_FRAGMENTS) -> bytes:
     if not isinstance(value, bytes) or len(value) > most:
         raise ValueError("bytes")
     return value
--- a/yewrill/membership/evidence.py
+++ b/yewrill/membership/evidence.py
@@ -1,196 +1,239 @@
-"""What the silence of another member is worth, and which ways between two of them work. No I/O, no clock.
-
-`Arrivals` keeps the last times between what came of one peer and says `phi`: 10 to the minus phi is the
-chance of the present silence. `Link` joins what we hear of a peer with what it says that it hears of us.
-
-Phi-accrual (Hayashibara 2004) takes mean and spread of the last times and the tail of a normal distribution.
-Two things are better for us there: a threshold that means a chance, whatever the network, and no timeout to
-be set. Two are worse. Its tail knows no loss: at 30% lost, times of 1, 2 and 3 intervals make one wide hump,
-so that it finds five lost in a row impossible, and is slow for a jitter that is not there. And it looks at
-one direction only. So here a time of about k intervals counts as one interval and k - 1 lost; the chance of
-a silence is that of the jitter over all numbers of lost ones, each weighed by the loss seen (by the rule of
-succession: one lost and one come in advance, so that a new pair is given the benefit, and no loss seen is
-not loss never). Against a fixed timeout (ZooKeeper's) it is as fast as the loss allows: six intervals on a
-quiet LAN, twenty at 40% lost. Against counting missed ones it takes an uneven sender for what it is.
-
-Units are the caller's: seconds with beats; `machine.py` counts in questions asked, so that whoever was not
-asked is not silent. Each object holds WINDOW times at most; a note costs the same whatever was before.
+"""Failure evidence: how unlikely a peer's silence is, and which directions of a link work. No I/O, no clock.
+
+`ArrivalHistory` keeps the recent gaps between arrivals from one peer and computes `phi`: 10 to the minus phi
+is the probability of the present silence. `PeerLink` combines what we receive from a peer with what it
+reports of receiving from us.
+
+The phi-accrual detector (Hayashibara 2004) takes mean and deviation of the recent gaps and the tail of a
+normal distribution. It gives a threshold that means a probability, whatever the network, but its tail knows
+no loss: at 30% loss, gaps of 1, 2 and 3 intervals form one wide hump, so that five losses in a row look
+impossible. It also looks at one direction only. Here a gap of about k intervals counts as one interval and
+k - 1 lost messages. The probability of a silence is the sum over all numbers of lost messages, each weighted
+by the estimated loss, of the probability that the next one is later still. The loss is estimated by the rule
+of succession (one lost and one received in advance), so a new pair gets the benefit of the doubt.
+
+Units are the caller's: the views count in seconds; membership counts in ended probes, so that a peer that was
+not probed is not silent. An object holds WINDOW gaps at most, and recording an arrival costs constant time.
 """
 
 from __future__ import annotations
 
 import math
 from collections import deque
+from enum import IntEnum
 
-WINDOW = 32  # times between arrivals that are remembered
-MOST_LOST = 8  # lost ones that one time shows: a longer gap was an outage, not loss
-NEARLY = (
-    0.25  # intervals: a time no further off a whole number shows loss; a shorter one is a burst
-)
-LEAST_SPREAD = 0.1  # intervals
-MOST_LOSS = 0.8
-MOST_PHI = 100.0
+WINDOW = 32  # gaps between arrivals that are remembered
+MAX_LOST_PER_GAP = 8  # a longer gap was an outage, not loss
+ROUNDING_TOLERANCE = 0.25  # intervals: how far from a whole number a gap still shows loss
+MIN_BURST_GAP = 0.25  # intervals: a shorter gap belongs to a burst
+MIN_REPORT_GAP = 0.25  # intervals: peer reports closer together are one
+MIN_DEVIATION = 0.1  # intervals
+MAX_LOSS = 0.8
+MAX_PHI = 100.0
 
-WELL, DEAF, MUTE, CUT = 0, 1, 2, 3
-LINK_STATES = ("well", "deaf", "mute", "cut")
 
+class LinkState(IntEnum):
+    """Which directions of the link to a peer work."""
 
-class Arrivals:
-    """What comes of one peer about every `interval`, and how unlikely its silence is."""
+    HEALTHY = 0
+    INBOUND_LOSS = 1  # we do not receive from it, but a third member exchanges messages with it
+    OUTBOUND_LOSS = 2  # we receive from it; it does not receive from us
+    PARTITIONED = 3  # we do not receive from it, and nobody reports that he does
+
+
+LINK_STATE_NAMES = {
+    LinkState.HEALTHY: "well",
+    LinkState.INBOUND_LOSS: "deaf",
+    LinkState.OUTBOUND_LOSS: "mute",
+    LinkState.PARTITIONED: "cut",
+}
+"""The words that operators read in `/_members`."""
+
+
+class ArrivalHistory:
+    """Recent gaps between arrivals from one peer, expected about every `interval`, and phi of its silence."""
 
     __slots__ = (
         "_arrived",
-        "_forgiven",
+        "_excluded",
         "_interval",
         "_last",
         "_lost",
         "_squares",
         "_sum",
-        "_times",
+        "_gaps",
     )
 
     def __init__(self, interval: float):
         self._interval = interval
         self._last = -math.inf
-        self._forgiven = 0.0
+        self._excluded = 0.0
         self._arrived = False
-        self._times: deque[tuple[float, int]] = (
-            deque()
-        )  # in intervals without those lost; how many were
+        # Of each gap its length in intervals without the lost ones, and how many were lost.
+        self._gaps: deque[tuple[float, int]] = deque()
         self._sum = self._squares = 0.0
         self._lost = 0
 
     def begin(self, now: float) -> None:
-        """Without arrivals it counts from here; else from the first look."""
+        """Count the silence from here if nothing has arrived and no earlier call did so."""
         if self._last == -math.inf:
             self._last = now
 
-    def note(self, now: float, interval: float | None = None) -> None:
-        """Something came; `interval` is what its sender states from here on."""
+    def record_arrival(self, now: float, interval: float | None = None) -> None:
+        """Record an arrival; `interval` is the one that its sender announces from here on."""
         self.begin(now)
         if self._arrived:
             self._add(self.silence(now) / self._interval)
-        self._arrived, self._last, self._forgiven = True, max(now, self._last), 0.0
+        self._arrived, self._last, self._excluded = True, max(now, self._last), 0.0
         if interval is not None and interval > 0.0:
             self._interval = interval
 
-    def _add(self, time: float) -> None:
-        if time < NEARLY:  # several at once, as after a pause: no rhythm
+    def _add(self, gap_intervals: float) -> None:
+        if gap_intervals < MIN_BURST_GAP:  # a burst, as after a pause, shows no rhythm
             return
-        whole = round(time)
-        lost = whole - 1 if whole > 1 and abs(time - whole) <= NEARLY else 0
-        time, lost = min(time - lost, 2.0 * MOST_LOST), min(lost, MOST_LOST)
-        self._times.append((time, lost))
-        self._count(time, lost, 1)
-        if len(self._times) > WINDOW:
-            self._count(*self._times.popleft(), -1)
-
-    def _count(self, time: float, lost: int, sign: int) -> None:
-        self._sum += sign * time
-        self._squares += sign * time * time
+        rounded = round(gap_intervals)
+        lost = (
+            rounded - 1 if rounded > 1 and abs(gap_intervals - rounded) <= ROUNDING_TOLERANCE else 0
+        )
+        gap_intervals, lost = (
+            min(gap_intervals - lost, 2.0 * MAX_LOST_PER_GAP),
+            min(lost, MAX_LOST_PER_GAP),
+        )
+        self._gaps.append((gap_intervals, lost))
+        self._count(gap_intervals, lost, 1)
+        if len(self._gaps) > WINDOW:
+            self._count(*self._gaps.popleft(), -1)
+
+    def _count(self, gap_intervals: float, lost: int, sign: int) -> None:
+        self._sum += sign * gap_intervals
+        self._squares += sign * gap_intervals * gap_intervals
         self._lost += sign * lost
 
     @property
     def loss(self) -> float:
-        """The part lost, estimated."""
-        return min(MOST_LOSS, (self._lost + 1.0) / (len(self._times) + self._lost + 2.0))
+        """The estimated fraction of lost messages, MAX_LOSS at most."""
+        return min(MAX_LOSS, (self._lost + 1.0) / (len(self._gaps) + self._lost + 2.0))
 
     @property
     def lost(self) -> int:
-        """How many the remembered times show as lost."""
+        """How many lost messages the remembered gaps show."""
         return self._lost
 
     def silence(self, now: float) -> float:
-        """Since the last arrival (or the beginning), without what is forgiven."""
+        """Time since the last arrival (or `begin`), without excluded pauses."""
         self.begin(now)
-        return max(0.0, now - self._last - self._forgiven)
+        return max(0.0, now - self._last - self._excluded)
 
     def phi(self, now: float) -> float:
-        """-log10 of the chance of the present silence."""
-        return self.unlikely(self.silence(now))
-
-    def unlikely(self, silence: float) -> float:
-        """-log10 of the chance of such a silence: over how many were lost before the next that comes,
-        the sum of the chances of so many lost and that one later still."""
-        count = len(self._times) + 2.0  # two in advance, half an interval early and late
-        mean = (self._sum + 2.0) / count
-        spread = math.sqrt(max(LEAST_SPREAD**2, (self._squares + 2.5) / count - mean * mean))
-        loss, so_far, chance, late = self.loss, 1.0, 0.0, silence / self._interval - mean
-        while late > -6.0 * spread and so_far > 1e-120:
-            chance += so_far * (1.0 - loss) * 0.5 * math.erfc(late / spread / math.sqrt(2.0))
-            so_far *= loss
-            late -= 1.0
-        return min(MOST_PHI, max(0.0, -math.log10(max(chance + so_far, 1e-120))))
+        """-log10 of the probability of the present silence, MAX_PHI at most."""
+        return self.phi_of_silence(self.silence(now))
 
-    def forgive(self, span: float) -> None:
-        """We did not look for so long: to be called before what waited meanwhile is noted. The present
-        silence is shorter by that, the next one is not."""
-        self._forgiven += max(0.0, span)
+    def phi_of_silence(self, silence: float) -> float:
+        """-log10 of the probability of a silence of that length, MAX_PHI at most.
 
-
-class Link:
-    """Both directions between us and one peer."""
-
-    __slots__ = ("_by", "_by_at", "_in", "_interval", "_relayed")
+        The sum, over the number of messages lost before the next one that arrives, of the probability that
+        so many are lost and that one is later still.
+        """
+        count = len(self._gaps) + 2.0  # two in advance, half an interval early and late
+        mean = (self._sum + 2.0) / count
+        deviation = math.sqrt(max(MIN_DEVIATION**2, (self._squares + 2.5) / count - mean * mean))
+        loss, chance_all_lost, chance, lateness = (
+            self.loss,
+            1.0,
+            0.0,
+            silence / self._interval - mean,
+        )
+        while lateness > -6.0 * deviation and chance_all_lost > 1e-120:
+            chance += (
+                chance_all_lost
+                * (1.0 - loss)
+                * 0.5
+                * math.erfc(lateness / deviation / math.sqrt(2.0))
+            )
+            chance_all_lost *= loss
+            lateness -= 1.0
+        return min(MAX_PHI, max(0.0, -math.log10(max(chance + chance_all_lost, 1e-120))))
+
+    def exclude_pause(self, duration: float) -> None:
+        """Shorten the present silence by a local pause; the next one is not affected.
+
+        To be called before what arrived during the pause is recorded.
+        """
+        self._excluded += max(0.0, duration)
+
+
+class PeerLink:
+    """Both directions of the link to one peer."""
+
+    __slots__ = ("_inbound", "_interval", "_last_received_by_peer", "_outbound", "_relayed_at")
 
     def __init__(self, interval: float, now: float):
         self._interval = interval
-        self._in, self._by = Arrivals(interval), Arrivals(interval)
-        self._in.begin(now)
-        self._by.begin(now)
-        self._by_at = now  # when it last heard us, as far as we know
-        self._relayed = -math.inf
-
-    def heard(self, now: float, heard_us_ago: float | None, interval: float | None = None) -> None:
-        """A message of the peer's, which says how long ago it last heard us (None: never)."""
-        self._in.note(now, interval)
-        if heard_us_ago is None:
+        self._inbound, self._outbound = ArrivalHistory(interval), ArrivalHistory(interval)
+        self._inbound.begin(now)
+        self._outbound.begin(now)
+        self._last_received_by_peer = now  # as far as we know
+        self._relayed_at = -math.inf
+
+    def record_report(
+        self, now: float, received_us_ago: float | None, interval: float | None = None
+    ) -> None:
+        """Record a message in which the peer says how long ago it last received from us (None: never)."""
+        self._inbound.record_arrival(now, interval)
+        if received_us_ago is None:
             return
-        at = now - max(0.0, heard_us_ago)
-        if at > self._by_at:  # it has heard us again since its last word on that
-            fresh, self._by_at = at - self._by_at, at
-            if fresh > NEARLY * self._interval:
-                self._by.note(min(now, at + 2.0 * self._interval), interval)
+        at = now - max(0.0, received_us_ago)
+        if at > self._last_received_by_peer:  # it received from us again since its last report
+            gap, self._last_received_by_peer = at - self._last_received_by_peer, at
+            if gap > MIN_REPORT_GAP * self._interval:
+                self._outbound.record_arrival(min(now, at + 2.0 * self._interval), interval)
 
-    def came(self, now: float) -> None:
-        """A message of the peer's that does not say whether it hears us."""
-        self._in.note(now)
+    def record_message(self, now: float) -> None:
+        """Record a message that does not say whether the peer receives from us."""
+        self._inbound.record_arrival(now)
 
-    def relayed(self, now: float) -> None:
-        """A third says that it and the peer hear each other."""
-        self._relayed = max(now, self._relayed)
+    def record_relay(self, now: float) -> None:
+        """Record that a third member exchanges messages with the peer."""
+        self._relayed_at = max(now, self._relayed_at)
 
     def forget_relays(self) -> None:
-        """Nobody is heard, so no third either: what one said of the peer is of another time."""
-        self._relayed = -math.inf
-
-    def hears(self, now: float, threshold: float = 8.0, most_silence: float = 10.0) -> bool:
-        """Whether we hear the peer."""
-        return self._in.silence(now) <= most_silence and self._in.phi(now) < threshold
-
-    def heard_by(self, now: float, threshold: float = 8.0, most_silence: float = 10.0) -> bool:
-        """Whether the peer hears us, by its own word; that word gets old like any other."""
-        return self._by.silence(now) <= most_silence and self._by.phi(now) < threshold
-
-    def state(self, now: float, threshold: float = 8.0, most_silence: float = 10.0) -> int:
-        """WELL; DEAF: we don't hear it, but a third exchanges with it; MUTE: we hear it, it does not hear us;
-        CUT: we don't hear it, and nobody says that he does."""
-        if self.hears(now, threshold, most_silence):
-            return WELL if self.heard_by(now, threshold, most_silence) else MUTE
-        return DEAF if now - self._relayed <= most_silence else CUT
+        """Forget reports of third members: while we receive from nobody they are out of date."""
+        self._relayed_at = -math.inf
+
+    def receives(self, now: float, threshold: float = 8.0, max_silence: float = 10.0) -> bool:
+        """Whether messages of the peer reach us."""
+        return self._inbound.silence(now) <= max_silence and self._inbound.phi(now) < threshold
+
+    def received_by(self, now: float, threshold: float = 8.0, max_silence: float = 10.0) -> bool:
+        """Whether the peer receives from us, by its own reports, which age like any other evidence."""
+        return self._outbound.silence(now) <= max_silence and self._outbound.phi(now) < threshold
+
+    def state(self, now: float, threshold: float = 8.0, max_silence: float = 10.0) -> LinkState:
+        """Which directions work."""
+        if self.receives(now, threshold, max_silence):
+            return (
+                LinkState.HEALTHY
+                if self.received_by(now, threshold, max_silence)
+                else LinkState.OUTBOUND_LOSS
+            )
+        return (
+            LinkState.INBOUND_LOSS
+            if now - self._relayed_at <= max_silence
+            else LinkState.PARTITIONED
+        )
 
     @property
-    def arrivals(self) -> Arrivals:
-        """What we hear of the peer."""
-        return self._in
+    def arrivals(self) -> ArrivalHistory:
+        """Arrivals of the peer's messages here."""
+        return self._inbound
 
     @property
-    def answers(self) -> Arrivals:
-        """Its words of having heard us again."""
-        return self._by
-
-    def forgive(self, span: float) -> None:
-        """We did not look for so long; as `Arrivals.forgive`."""
-        self._in.forgive(span)
-        self._by.forgive(span)
-        self._relayed += max(0.0, span)
+    def answers(self) -> ArrivalHistory:
+        """Arrivals of the peer's reports that it received from us again."""
+        return self._outbound
+
+    def exclude_pause(self, duration: float) -> None:
+        """Leave a local pause out of both directions; as `ArrivalHistory.exclude_pause`."""
+        self._inbound.exclude_pause(duration)
+        self._outbound.exclude_pause(duration)
+        self._relayed_at += max(0.0, duration)
--- a/yewrill/membership/facade.py
+++ b/yewrill/membership/facade.py
@@ -1,4 +1,4 @@
-"""What the rest of the program uses of the membership: who lives, and a word when that changes."""
+"""The subsystem of the membership: the list of live members, and a notification when it changes."""
 
 from __future__ import annotations
 
@@ -9,19 +9,21 @@
 
 import trio
 
-from yewrill.membership.evidence import LINK_STATES, WELL
-from yewrill.membership.format import key_of
-from yewrill.membership.link import Link, open_link
-from yewrill.membership.machine import STATES, Claim, Machine, Rules
+from yewrill.membership.config import SwimConfig
+from yewrill.membership.evidence import LINK_STATE_NAMES, LinkState
+from yewrill.membership.format import parse_key
+from yewrill.membership.link import MembershipLink, open_link
+from yewrill.membership.machine import SwimMember
+from yewrill.membership.messages import STATE_NAMES, Claim
 from yewrill.service.subsystems import SubsystemContext
 
 
 class MembersConfig(Protocol):
-    """What the operators' file says of the membership. Bytes a second each way, seconds."""
+    """The section `members` of the configuration. Bytes a second each way, seconds."""
 
     listen: tuple[str, int]
     peers: tuple[tuple[str, int], ...]
-    keys: tuple[str, ...]  # hexadecimal; the first signs, all are taken
+    keys: tuple[str, ...]  # hexadecimal; the first signs, all are accepted
     name: str
     zone: str
     region: str
@@ -30,18 +32,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """The members at one moment, ourselves among them; those doubted count as living."""
+class MembershipSnapshot:
+    """The members at one moment, ourselves among them; suspects count as living."""
 
     living: tuple[Claim, ...]
-    doubted: frozenset[str] = field(default_factory=frozenset)
-    own_doubt: int = 0  # 0: we trust our own eyes; 8: hardly
+    suspected: frozenset[str] = field(default_factory=frozenset)
+    local_health_score: int = 0  # 0: healthy; 8: the worst
 
     @property
     def count(self) -> int:
+        """How many members live."""
         return len(self.living)
 
     def by_zone(self) -> Mapping[str, tuple[Claim, ...]]:
+        """The live members by zone."""
         zones: dict[str, tuple[Claim, ...]] = {}
         for claim in self.living:
             zones[claim.zone] = (*zones.get(claim.zone, ()), claim)
@@ -49,7 +53,7 @@
 
 
 class Members:
-    """A hook of the service: runs while it does, says goodbye when it ends."""
+    """A subsystem of the service: runs while it does, and announces its departure when it ends."""
 
     name = "members"
     calls: Mapping[str, Any] = {}
@@ -59,19 +63,20 @@
 
     def __init__(self, config: MembersConfig):
         self._config = config
-        self._keys = [key_of(key) for key in config.keys]
-        self._link: Link | None = None
+        self._keys = [parse_key(key) for key in config.keys]
+        self._link: MembershipLink | None = None
         self.opened = trio.Event()
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Run until cancelled; then the departure is announced. Raises OSError if it can't listen."""
         config = self._config
-        rules = Rules(interval=config.interval, timeout=0.4 * config.interval)
+        swim_config = SwimConfig(interval=config.interval, timeout=0.4 * config.interval)
 
-        def make(address: tuple[str, int], now: float) -> Machine:
+        def create_member(address: tuple[str, int], now: float) -> SwimMember:
             me = Claim(config.name, address, config.zone, config.region)
-            return Machine(me, list(config.peers), random.SystemRandom(), now, rules)
+            return SwimMember(me, list(config.peers), random.SystemRandom(), now, swim_config)
 
-        async with open_link(config.listen, make, self._keys, config.bytes_per_s) as link:
+        async with open_link(config.listen, create_member, self._keys, config.bytes_per_s) as link:
             self._link = link
             self.opened.set()
             task_status.started()
@@ -79,29 +84,30 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens, once it runs."""
+        """Where it listens. Only once it runs."""
         assert self._link is not None
         return self._link.machine.me.address
 
-    def view(self) -> View:
+    def view(self) -> MembershipSnapshot:
+        """The members now; none before it runs."""
         if self._link is None:
-            return View(())
+            return MembershipSnapshot(())
         machine = self._link.machine
-        return View(
+        return MembershipSnapshot(
             tuple(machine.members()),
             frozenset(c.name for c in machine.members() if c.state),
-            machine.health.doubt,
+            machine.health.score,
         )
 
     @property
-    def link(self) -> Link | None:
-        """The socket, for parts that send to members; None until it is open."""
+    def link(self) -> MembershipLink | None:
+        """The link, for subsystems that send to members; None until it is open."""
         return self._link
 
     async def changed(self) -> None:
         """Wait until the list has changed."""
         assert self._link is not None
-        await self._link.news.wait()
+        await self._link.list_changed.wait()
 
     def status(self) -> dict[str, Any]:
         """For operators, as plain values. Of each other member how the link to it looks from here and
@@ -113,19 +119,19 @@
         listed = [
             {"name": machine.me.name, "state": "alive", "zone": machine.me.zone, "self": True}
         ]
-        links = {name: machine.link_state(name) for name in machine.listed}
+        links = {name: machine.link_state(name) for name in machine.entries}
         listed += [
             {
                 "name": m.claim.name,
-                "state": STATES[m.claim.state],
+                "state": STATE_NAMES[m.claim.state],
                 "zone": m.claim.zone,
                 "region": m.claim.region,
                 "address": ":".join(map(str, m.claim.address)),
-                "link": LINK_STATES[links[name]],
-                "heard": links[name] == WELL,
+                "link": LINK_STATE_NAMES[links[name]],
+                "heard": links[name] == LinkState.HEALTHY,
                 "for_s": round(now - m.since, 1),
             }
-            for name, m in sorted(machine.listed.items())
+            for name, m in sorted(machine.entries.items())
         ]
         traffic = link.transport.traffic
         sent = {
@@ -134,7 +140,7 @@
         }
         return {
             "members": listed,
-            "own_doubt": machine.health.doubt,
+            "own_doubt": machine.health.score,
             "sent": sent,
             **self.metrics(),
         }
@@ -148,10 +154,10 @@
         return {
             "members_suspected": counts.suspected,
             "members_refuted": counts.refuted,
-            "members_vouched": counts.vouched,
+            "members_vouched": counts.attested,
             "members_died": counts.died,
             "members_late": counts.late,
-            "members_alone": counts.alone,
+            "members_alone": counts.isolated,
             "members_bytes_out": transport.sent,
             "members_bytes_in": transport.received,
             "members_held_back": transport.held_back,
--- a/yewrill/membership/format.py
+++ b/yewrill/membership/format.py
@@ -1,12 +1,12 @@
-"""Datagrams: messages to authenticated bytes and back, and the refusal of replays. docs/members.md has the
-bytes.
-
-A datagram is `YM`, the format's number, a key's mark, 16 bytes of code (keyed blake2b over all that follows
-and the four bytes before), and a msgpack array. In it stand the sender's name and run (a random number of
-this process), the run of the receiver that it was made for, and a counter. A receiver takes only what was
-made for its present run, by the sender's present run, with a counter not seen yet: so nothing recorded
-earlier, or elsewhere, can be played to it, and no clock is asked. Whoever does not know the receiver's run
-is told it (`hello`) and says its message again later.
+"""The datagram codec: messages to authenticated bytes and back, with replay protection. docs/members.md has
+the layout.
+
+A datagram is `YM`, the format's number, a key's id, a MAC of 16 bytes (keyed blake2b over all that follows
+and the four bytes before), and a msgpack array. The array holds the sender's name and run (a random number of
+the process), the run of the receiver that it was made for, and a counter. A receiver takes only what was made
+for its present run, by the sender's present run, with a counter not seen yet: nothing recorded earlier or
+elsewhere can be replayed to it, and no clock is needed. A sender that does not know the receiver's run is
+told it (`hello`) and sends its message again.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 import hmac
 from collections import deque
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgpack
 
-from yewrill.membership.machine import ALIVE, LEFT, MOST_INCARNATION, Claim, Message
+from yewrill.membership.messages import ALIVE, LEFT, MAX_INCARNATION, Address, Claim, Message
 
 MAGIC, FORMAT = b"YM", 1
-CODE = 16  # bytes
-HEAD = len(MAGIC) + 2
-MOST = 1200  # bytes of a datagram
-MOST_NAME = 64  # characters of a name, a zone, a region
+MAC_BYTES = 16  # bytes
+HEADER_BYTES = len(MAGIC) + 2
+MAX_DATAGRAM_BYTES = 1200  # bytes of a datagram
+MAX_NAME_CHARACTERS = 64  # characters of a name, a zone, a region
 KINDS = ("hello", "ping", "ack", "nack", "help", "list", "news", "cargo")
-MOST_CARGO = 1000  # bytes that other parts may send in one datagram
-WINDOW = 64  # counters that may arrive out of order
-RUNS = 8  # earlier runs of a member that are remembered as over
+MAX_PAYLOAD_BYTES = 1000  # bytes that other parts may send in one datagram
+REPLAY_WINDOW = 64  # counters that may arrive out of order
+MAX_EARLIER_RUNS = 8  # earlier runs of a member that are remembered as over
 
 
-class Refused(Exception):
-    """A datagram that is not taken; the text says why, for the figures."""
+class DatagramRejected(Exception):
+    """A datagram that is not accepted; the text is the reason, which metrics count."""
 
 
-def key_of(text: str) -> bytes:
+def parse_key(text: str) -> bytes:
     """A key as operators write it: at least 32 hexadecimal digits."""
     key = bytes.fromhex(text)
     if not 16 <= len(key) <= 64:
@@ -44,39 +44,43 @@
     return key
 
 
-def _mark(key: bytes) -> int:
+def _key_id(key: bytes) -> int:
     return hashlib.blake2b(key, digest_size=1, person=b"ym-mark").digest()[0]
 
 
-def _code(key: bytes, data: bytes) -> bytes:
-    return hashlib.blake2b(data, digest_size=CODE, key=key).digest()
+def _mac(key: bytes, data: bytes) -> bytes:
+    return hashlib.blake2b(data, digest_size=MAC_BYTES, key=key).digest()
 
 
 @dataclass(slots=True)
 class _Peer:
-    """What is known of a sender: its run, and the counters seen of it."""
+    """What is known of a sender: its present run, and the counters seen of it."""
 
     run: int
     highest: int = 0
-    seen: int = 0  # a bit for each of the WINDOW counters up to the highest
-    over: deque[int] = field(default_factory=lambda: deque(maxlen=RUNS))
+    seen_bits: int = 0  # a bit for each of the WINDOW counters up to the highest
+    earlier_runs: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_EARLIER_RUNS))
 
-    def fresh(self, counter: int) -> bool:
-        """Whether a counter is seen for the first time; it is noted."""
+    def accept(self, counter: int) -> bool:
+        """Whether a counter is seen for the first time; it is recorded."""
         if counter > self.highest:
             shift = counter - self.highest
-            self.seen = (self.seen << shift | 1) & (1 << WINDOW) - 1 if shift < WINDOW else 1
+            self.seen_bits = (
+                (self.seen_bits << shift | 1) & (1 << REPLAY_WINDOW) - 1
+                if shift < REPLAY_WINDOW
+                else 1
+            )
             self.highest = counter
             return True
-        back = self.highest - counter
-        if back >= WINDOW or self.seen >> back & 1:
+        age = self.highest - counter
+        if age >= REPLAY_WINDOW or self.seen_bits >> age & 1:
             return False
-        self.seen |= 1 << back
+        self.seen_bits |= 1 << age
         return True
 
 
-class Stranger(Refused):
-    """It does not know our present run: it is to be told it (`hello`), and to say its message again."""
+class UnknownRun(DatagramRejected):
+    """The sender does not know our present run: it is told it (`hello`) and sends its message again."""
 
     def __init__(self, run: int):
         super().__init__("stranger")
@@ -84,32 +88,31 @@
 
 
 class Codec:
-    """One instance's side of the format."""
+    """Encodes and decodes the datagrams of one process."""
 
-    def __init__(self, name: str, run: int, keys: list[bytes], most_peers: int = 4096):
+    def __init__(self, name: str, run: int, keys: list[bytes], max_peers: int = 4096):
         self.name, self.run = name, run
-        self._keys = {_mark(key): key for key in reversed(keys)}  # the first one signs
+        self._keys = {_key_id(key): key for key in reversed(keys)}  # the first one signs
         self._signing = keys[0]
         self._peers: dict[str, _Peer] = {}
-        self._runs: dict[tuple[str, int], int] = {}  # of whoever listens at an address
-        self._unheard: dict[
-            tuple[str, int], Message
-        ] = {}  # the last message to whoever's run we don't know
+        self._runs: dict[Address, int] = {}  # of the process at an address
+        # The last message to each address whose run is not known yet.
+        self._undelivered: dict[Address, Message] = {}
         self._counter = 0
-        self._most_peers = most_peers
+        self._max_peers = max_peers
 
     # -- out
 
-    def encode(self, message: Message, to: tuple[str, int]) -> bytes:
-        """A datagram for an address. News that does not fit is left out."""
+    def encode(self, message: Message, to: Address) -> bytes:
+        """A datagram for an address. Updates that do not fit are left out."""
         self._counter += 1
         if (
             to not in self._runs
             and message.kind != "hello"
-            and len(self._unheard) < self._most_peers
+            and len(self._undelivered) < self._max_peers
         ):
-            self._unheard[to] = message
-        news, cargo = list(message.news), [message.cargo] if message.cargo else []
+            self._undelivered[to] = message
+        updates, payload = list(message.updates), [message.payload] if message.payload else []
         while True:
             body = msgpack.packb(
                 [
@@ -120,67 +123,73 @@
                     KINDS.index(message.kind),
                     message.number,
                     message.about,
-                    [_plain(claim) for claim in news],
-                    *cargo,
+                    [_encode_claim(claim) for claim in updates],
+                    *payload,
                 ]
             )
-            if HEAD + CODE + len(body) <= MOST or not news:
+            if HEADER_BYTES + MAC_BYTES + len(body) <= MAX_DATAGRAM_BYTES or not updates:
                 break
-            news.pop()
-        head = MAGIC + bytes((FORMAT, _mark(self._signing)))
-        return head + _code(self._signing, head + body) + body
+            updates.pop()
+        header = MAGIC + bytes((FORMAT, _key_id(self._signing)))
+        return header + _mac(self._signing, header + body) + body
 
     # -- in
 
-    def decode(self, data: bytes, source: tuple[str, int]) -> tuple[str, Message]:
-        """The sender's name and its message. Raises Refused; Stranger for one who must hear our run first."""
-        head, code, body = data[:HEAD], data[HEAD : HEAD + CODE], data[HEAD + CODE :]
-        if len(data) > MOST or head[:2] != MAGIC or len(code) < CODE:
-            raise Refused("not ours")
-        if head[2] != FORMAT:
-            raise Refused("another format")
-        key = self._keys.get(head[3])
-        if key is None or not hmac.compare_digest(_code(key, head + body), code):
-            raise Refused("code")
-        try:
-            name, run, for_run, counter, kind, number, about, news, *rest = msgpack.unpackb(body)
-            sender = text(name)
-            message = Message(
-                KINDS[whole(kind, len(KINDS) - 1)],
-                whole(number, 2**63),
-                text(about, empty=True),
-                tuple(_claim(entry) for entry in news),
-                _cargo(rest),
-            )
-            run, for_run, counter = whole(run, 2**64), whole(for_run, 2**64), whole(counter, 2**63)
-        except (ValueError, TypeError, msgpack.exceptions.UnpackException, RecursionError) as error:
-            raise Refused("form") from error
-        if sender == self.name:
-            raise Refused("our own name")
-        if for_run != self.run:  # made for another run of ours, or by one that knows none
-            raise Refused("hello") if message.kind == "hello" else Stranger(run)
+    def decode(self, data: bytes, source: Address) -> tuple[str, Message]:
+        """The sender's name and its message.
+
+        Raises DatagramRejected; UnknownRun for a sender that must be told our run first.
+        """
+        envelope = _parse(self._authenticate(data))
+        if envelope.sender == self.name:
+            raise DatagramRejected("our own name")
+        if (
+            envelope.receiver_run != self.run
+        ):  # made for another run of ours, or by one that knows none
+            is_hello = envelope.message.kind == "hello"
+            raise DatagramRejected("hello") if is_hello else UnknownRun(envelope.run)
+        if not self._peer(envelope.sender, envelope.run).accept(envelope.counter):
+            raise DatagramRejected("replay")
+        self._runs[source] = envelope.run
+        return envelope.sender, envelope.message
+
+    def _authenticate(self, data: bytes) -> bytes:
+        """The body of a datagram whose MAC is right. Raises DatagramRejected."""
+        header, body = data[:HEADER_BYTES], data[HEADER_BYTES + MAC_BYTES :]
+        mac = data[HEADER_BYTES : HEADER_BYTES + MAC_BYTES]
+        if len(data) > MAX_DATAGRAM_BYTES or header[:2] != MAGIC or len(mac) < MAC_BYTES:
+            raise DatagramRejected("not ours")
+        if header[2] != FORMAT:
+            raise DatagramRejected("another format")
+        key = self._keys.get(header[3])
+        if key is None or not hmac.compare_digest(_mac(key, header + body), mac):
+            raise DatagramRejected("code")
+        return body
+
+    def _peer(self, sender: str, run: int) -> _Peer:
+        """What is known of a sender in its present run. Raises DatagramRejected."""
         peer = self._peers.get(sender)
         if peer is None:
-            if len(self._peers) >= self._most_peers:
-                raise Refused("too many peers")
+            if len(self._peers) >= self._max_peers:
+                raise DatagramRejected("too many peers")
             peer = self._peers[sender] = _Peer(run)
         elif run != peer.run:
-            if run in peer.over:
-                raise Refused("an earlier run")
-            peer.over.append(peer.run)
-            peer.run, peer.highest, peer.seen = run, 0, 0
-        if not peer.fresh(counter):
-            raise Refused("replay")
-        self._runs[source] = run
-        return sender, message
-
-    def again(self, source: tuple[str, int]) -> Message | None:
-        """After a hello from there: what was said in vain, to be said again."""
-        return self._unheard.pop(source, None)
-
-    def hello(self, to: tuple[str, int], run: int) -> bytes:
-        """Our run, for a stranger of that run; nothing else. It may itself be a replay: so its run is taken
-        for this one answer only, and whoever has another run by now refuses it."""
+            if run in peer.earlier_runs:
+                raise DatagramRejected("an earlier run")
+            peer.earlier_runs.append(peer.run)
+            peer.run, peer.highest, peer.seen_bits = run, 0, 0
+        return peer
+
+    def take_undelivered(self, source: Address) -> Message | None:
+        """After a hello from an address: the last message that it could not accept, to be sent again."""
+        return self._undelivered.pop(source, None)
+
+    def hello(self, to: Address, run: int) -> bytes:
+        """A datagram that tells our run to a sender of the given run, and nothing else.
+
+        What we answer may be a replay: so its run is taken for this one answer only, and a sender that has
+        another run by now rejects it.
+        """
         known = self._runs.get(to)
         self._runs[to] = run
         try:
@@ -191,47 +200,77 @@
             else:
                 self._runs[to] = known
 
-    def forget(self, names: set[str], addresses: set[tuple[str, int]]) -> None:
-        """Keep what is known of these only."""
+    def forget(self, names: set[str], addresses: set[Address]) -> None:
+        """Forget all peers and addresses except these."""
         self._peers = {name: peer for name, peer in self._peers.items() if name in names}
         self._runs = {address: run for address, run in self._runs.items() if address in addresses}
-        self._unheard = {a: message for a, message in self._unheard.items() if a in addresses}
+        self._undelivered = {
+            a: message for a, message in self._undelivered.items() if a in addresses
+        }
 
 
-def _plain(c: Claim) -> list[Any]:
+class _Envelope(NamedTuple):
+    sender: str
+    run: int
+    receiver_run: int
+    counter: int
+    message: Message
+
+
+def _parse(body: bytes) -> _Envelope:
+    """An authenticated body. Raises DatagramRejected."""
+    try:
+        fields = msgpack.unpackb(body)
+        name, run, receiver_run, counter, kind, number, about, updates, *remainder = fields
+        sender = text(name)
+        message = Message(
+            KINDS[whole(kind, len(KINDS) - 1)],
+            whole(number, 2**63),
+            text(about, empty=True),
+            tuple(_decode_claim(entry) for entry in updates),
+            _decode_payload(remainder),
+        )
+        return _Envelope(
+            sender, whole(run, 2**64), whole(receiver_run, 2**64), whole(counter, 2**63), message
+        )
+    except (ValueError, TypeError, msgpack.exceptions.UnpackException, RecursionError) as error:
+        raise DatagramRejected("form") from error
+
+
+def _encode_claim(c: Claim) -> list[Any]:
     return [c.name, c.address[0], c.address[1], c.zone, c.region, c.incarnation, c.state, c.by]
 
 
-def _claim(entry: Any) -> Claim:
+def _decode_claim(entry: Any) -> Claim:
     name, host, port, zone, region, incarnation, state, by = entry
     return Claim(
         text(name),
         (text(host), whole(port, 65535)),
         text(zone, empty=True),
         text(region, empty=True),
-        whole(incarnation, MOST_INCARNATION),
+        whole(incarnation, MAX_INCARNATION),
         whole(state, LEFT, ALIVE),
         text(by, empty=True),
     )
 
 
-def _cargo(rest: list[Any]) -> bytes:
-    if not rest:
+def _decode_payload(remainder: list[Any]) -> bytes:
+    if not remainder:
         return b""
-    if len(rest) > 1 or not isinstance(rest[0], bytes):
-        raise ValueError("cargo")
-    return rest[0]
+    if len(remainder) > 1 or not isinstance(remainder[0], bytes):
+        raise ValueError("payload")
+    return remainder[0]
 
 
 def text(value: Any, *, empty: bool = False) -> str:
     """A decoded text of at most MOST_NAME characters. Raises ValueError."""
-    if not isinstance(value, str) or len(value) > MOST_NAME or not (value or empty):
+    if not isinstance(value, str) or len(value) > MAX_NAME_CHARACTERS or not (value or empty):
         raise ValueError("text")
     return value
 
 
-def whole(value: Any, most: int, least: int = 0) -> int:
+def whole(value: Any, maximum: int, minimum: int = 0) -> int:
     """A decoded whole number within bounds. Raises ValueError."""
-    if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
+    if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
         raise ValueError("number")
     return value
--- a/yewrill/membership/parts.py
+++ b/yewrill/membership/parts.py
@@ -1,4 +1,4 @@
-"""Messages of other parts as cargo of datagrams, in parts where they are longer than one."""
+"""Messages of other subsystems as payloads of datagrams, fragmented where they exceed one."""
 
 from __future__ import annotations
 
@@ -7,48 +7,57 @@
 
 import msgpack
 
-MOST_PART = 900  # bytes of a part
-MOST_PARTS = 256
-MOST_OPEN = 32  # messages of which some parts are there
+MAX_FRAGMENT_BYTES = 900
+MAX_FRAGMENTS = 256
+MAX_OPEN_MESSAGES = 32  # of which some fragments have arrived
 
 
-class Malformed(Exception):
-    """Bytes that are no such message."""
+class MalformedPayload(Exception):
+    """Bytes that are no valid fragment, or a message that needs more than MAX_FRAGMENTS."""
 
 
-def cut(data: bytes, number: int) -> list[bytes]:
-    """A message as datagrams' cargo: each with its number, its place and how many there are."""
-    parts = [data[at : at + MOST_PART] for at in range(0, len(data), MOST_PART)] or [b""]
-    if len(parts) > MOST_PARTS:
-        raise Malformed("too long")
-    return [msgpack.packb([number, at, len(parts), part]) for at, part in enumerate(parts)]
+def split_payload(data: bytes, number: int) -> list[bytes]:
+    """Split a message into fragments, each with the message's number, its index and their count.
+
+    Raises MalformedPayload if there would be more than MAX_FRAGMENTS.
+    """
+    fragments = [
+        data[index : index + MAX_FRAGMENT_BYTES]
+        for index in range(0, len(data), MAX_FRAGMENT_BYTES)
+    ] or [b""]
+    if len(fragments) > MAX_FRAGMENTS:
+        raise MalformedPayload("too long")
+    return [
+        msgpack.packb([number, index, len(fragments), fragment])
+        for index, fragment in enumerate(fragments)
+    ]
 
 
 @dataclass
-class Joiner:
-    """Puts parts together again. Bounded; who begins too many loses the oldest."""
+class FragmentAssembler:
+    """Reassembles messages. Bounded: beyond MAX_OPEN_MESSAGES the oldest incomplete one is dropped."""
 
-    _open: OrderedDict[tuple[str, int], dict[int, bytes]] = field(default_factory=OrderedDict)
+    _incomplete: OrderedDict[tuple[str, int], dict[int, bytes]] = field(default_factory=OrderedDict)
 
-    def take(self, sender: str, cargo: bytes) -> bytes | None:
-        """A whole message, once its last part has come. Raises Malformed."""
+    def take(self, sender: str, payload: bytes) -> bytes | None:
+        """Take a fragment; the whole message once its last one has arrived. Raises MalformedPayload."""
         try:
-            number, at, count, part = msgpack.unpackb(cargo)
+            number, index, count, fragment = msgpack.unpackb(payload)
             if (
-                not 0 <= at < count <= MOST_PARTS
-                or not isinstance(part, bytes)
-                or len(part) > MOST_PART
+                not 0 <= index < count <= MAX_FRAGMENTS
+                or not isinstance(fragment, bytes)
+                or len(fragment) > MAX_FRAGMENT_BYTES
             ):
                 raise ValueError("part")
         except (ValueError, TypeError, msgpack.exceptions.UnpackException) as error:
-            raise Malformed(str(error)) from error
+            raise MalformedPayload(str(error)) from error
         if count == 1:
-            return part
-        parts = self._open.setdefault((sender, number), {})
-        parts[at] = part
-        if len(parts) < count:
-            while len(self._open) > MOST_OPEN:
-                self._open.popitem(last=False)
+            return fragment
+        fragments = self._incomplete.setdefault((sender, number), {})
+        fragments[index] = fragment
+        if len(fragments) < count:
+            while len(self._incomplete) > MAX_OPEN_MESSAGES:
+                self._incomplete.popitem(last=False)
             return None
-        del self._open[sender, number]
-        return b"".join(parts[i] for i in range(count))
+        del self._incomplete[sender, number]
+        return b"".join(fragments[i] for i in range(count))
--- /dev/null
+++ b/yewrill/membership/table.py
@@ -0,0 +1,143 @@
+"""The member table: every known member with its latest claim and the evidence about it. Pure; seconds."""
+
+from __future__ import annotations
+
+import hashlib
+import itertools
+from collections.abc import Iterator
+from dataclasses import dataclass, replace
+
+from yewrill.membership.config import SwimConfig
+from yewrill.membership.evidence import PeerLink
+from yewrill.membership.messages import ALIVE, DEAD, LEFT, MAX_INCARNATION, SUSPECT, Claim
+from yewrill.membership.suspicion import Suspicion, SuspicionProbe
+
+DIGEST_BYTES = 7
+NEVER = -1e18
+
+
+@dataclass(slots=True)
+class MemberEntry:
+    """One other member."""
+
+    claim: Claim
+    since: float  # when it entered its present state
+    last_received: float = NEVER  # when it last sent us something
+    last_received_adjusted: float = NEVER  # the same, later by local pauses
+    probes_ended: float = 0.0  # probes to it that are over: the clock of its link
+    link: PeerLink | None = None
+    relay: str = ""  # the member that last exchanged messages with it on our behalf
+    does_not_receive_us: bool = False  # it sends, but our messages do not reach it
+    suspicion_probe: SuspicionProbe | None = None
+    suspicion: Suspicion | None = None
+
+    @property
+    def name(self) -> str:
+        """The member's name."""
+        return self.claim.name
+
+    @property
+    def is_listed(self) -> bool:
+        """Whether it counts as a member: alive, or only suspected."""
+        return self.claim.state in (ALIVE, SUSPECT)
+
+    def apply(self, claim: Claim, now: float) -> None:
+        """Take over a claim; a member that comes back is judged anew."""
+        if not self.is_listed and claim.state == ALIVE:
+            self.probes_ended, self.link = 0.0, None
+            self.relay, self.does_not_receive_us = "", False
+        self.claim, self.since, self.suspicion = claim, now, None
+        if claim.state != SUSPECT:
+            self.suspicion_probe = None
+
+
+class MemberTable:
+    """The local member's claim about itself and the entries of all others."""
+
+    def __init__(self, me: Claim, config: SwimConfig, now: float):
+        self.me = me
+        self.entries: dict[str, MemberEntry] = {}
+        self.changes: list[Claim] = []  # not yet taken by whoever follows the list
+        self.changed_at = now
+        self.last_received = now  # from anybody, later by local pauses
+        self._config = config
+        self._digest = 0  # 0: not computed
+
+    def listed(self) -> Iterator[Claim]:
+        """The claims about other members that are alive or only suspected."""
+        return (entry.claim for entry in self.entries.values() if entry.is_listed)
+
+    def reachable(self, now: float, except_name: str) -> list[Claim]:
+        """The live members, without one, that were heard from recently."""
+        since = now - self._config.recent_intervals * self._config.interval
+        return [
+            entry.claim
+            for entry in self.entries.values()
+            if entry.claim.state == ALIVE
+            and entry.claim.name != except_name
+            and entry.last_received_adjusted >= since
+        ]
+
+    def is_isolated(self, now: float) -> bool:
+        """Whether nobody is heard from though there are several: the fault may well be ours."""
+        silence = now - self.last_received
+        return (
+            silence > self._config.isolated_after_intervals * self._config.interval
+            and sum(1 for _ in itertools.islice(self.listed(), 2)) > 1
+        )
+
+    def apply(self, claim: Claim, now: float) -> None:
+        """Take over a claim about another member; records the change of its state, if it is one."""
+        entry = self.entries.get(claim.name)
+        previous = None if entry is None else entry.claim
+        if entry is None:
+            entry = self.entries[claim.name] = MemberEntry(claim, now)
+        if previous is None or (previous.incarnation, previous.state) != (
+            claim.incarnation,
+            claim.state,
+        ):
+            self._digest, self.changed_at = 0, now
+        entry.apply(claim, now)
+        if previous is None or previous.state != claim.state:
+            self.changes.append(claim)
+            del self.changes[: -2 * self._config.max_members]
+
+    def raise_incarnation(self, above: int) -> None:
+        """Make our own claim newer than one about us."""
+        self.me = replace(self.me, incarnation=min(above + 1, MAX_INCARNATION))
+        self._digest = 0
+
+    def mark_self_left(self) -> None:
+        """Make our own claim say that we leave."""
+        self.me = replace(self.me, incarnation=self.me.incarnation + 1, state=LEFT)
+
+    def expired(self, entry: MemberEntry, now: float) -> bool:
+        """Whether a dead or departed member has been listed for long enough."""
+        return entry.claim.state in (DEAD, LEFT) and now - entry.since > self._config.forget_after
+
+    @property
+    def digest(self) -> int:
+        """A digest of the listed members, equal wherever the list is. Never 0, which means none."""
+        if self._digest == 0:
+            claims = sorted((c.name, c.incarnation) for c in (self.me, *self.listed()))
+            text = "".join(f"{name} {incarnation}\n" for name, incarnation in claims)
+            found = hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES, person=b"ym-list")
+            self._digest = int.from_bytes(found.digest(), "big") | 1
+        return self._digest
+
+    def page(self, after: str) -> Iterator[Claim]:
+        """Our own claim and a page of entries in the order of names, beginning behind a name."""
+        names = sorted(self.entries)
+        start = next((i for i, name in enumerate(names) if name > after), 0)
+        rotated = names[start:] + names[:start]
+        yield self.me
+        for name in rotated[: self._config.page_size - 1]:
+            yield self.entries[name].claim
+
+    def exclude_pause(self, duration: float) -> None:
+        """Leave a local pause out of every silence."""
+        self.last_received += duration
+        for entry in self.entries.values():
+            entry.last_received_adjusted += duration
+            if entry.suspicion is not None:
+                entry.suspicion.exclude_pause(duration)
--- a/yewrill/membership/udp.py
+++ b/yewrill/membership/udp.py
@@ -1,4 +1,4 @@
-"""A UDP socket that takes and sends many datagrams a turn of the event loop."""
+"""A UDP socket that reads many datagrams in a turn of the event loop."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from collections import Counter
 
 Address = tuple[str, int]
-MOST_BATCH = 256  # datagrams that are read at a time
+MAX_BATCH_DATAGRAMS = 256  # read at a time
 
 
 class UdpSocket:
-    """Bound to an address. What can't be sent at once is lost, as on any network, and counted in `errors`."""
+    """A bound socket. What can't be sent at once is lost, as on any network, and counted in `errors`."""
 
     def __init__(self, address: Address):
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -23,19 +23,19 @@
         """Where it listens."""
         return self._socket.getsockname()[:2]
 
-    def receive(self, most: int) -> list[tuple[bytes, Address]]:
+    def receive(self, max_bytes: int) -> list[tuple[bytes, Address]]:
         """The datagrams that have come, each cut to `most` bytes, with their sources."""
-        found: list[tuple[bytes, Address]] = []
-        while len(found) < MOST_BATCH:
+        datagrams: list[tuple[bytes, Address]] = []
+        while len(datagrams) < MAX_BATCH_DATAGRAMS:
             try:
-                data, source = self._socket.recvfrom(most)
+                data, source = self._socket.recvfrom(max_bytes)
             except BlockingIOError:
                 break
-            except OSError as error:  # what an earlier datagram met, told on the next call
+            except OSError as error:  # an earlier datagram's error, reported on the next call
                 self.errors[f"socket {error.errno}"] += 1
                 break
-            found.append((data, source[:2]))
-        return found
+            datagrams.append((data, source[:2]))
+        return datagrams
 
     def send(self, data: bytes, address: Address) -> None:
         """Send a datagram, if the system takes it now."""
@@ -45,5 +45,5 @@
             self.errors[f"send {error.errno}"] += 1
 
     def close(self) -> None:
-        """Give the address back."""
+        """Close the socket."""
         self._socket.close()
--- a/yewrill/views/facade.py
+++ b/yewrill/views/facade.py
@@ -13,9 +13,9 @@
 import trio
 
 from yewrill.membership import Members
-from yewrill.membership.link import VIEWS, Address, Link
-from yewrill.membership.machine import DEAD, LEFT
-from yewrill.membership.parts import Malformed
+from yewrill.membership.link import VIEWS, Address, MembershipLink
+from yewrill.membership.messages import DEAD, LEFT
+from yewrill.membership.parts import MalformedPayload
 from yewrill.service.subsystems import SubsystemContext
 from yewrill.store import Batch, Store, StoreError, StorePoisoned
 from yewrill.views.config import ViewsConfig
@@ -90,11 +90,11 @@
                 me.name in self._config.founders,
                 0 if kept is None else kept.number,
             )
-            link.cargo[VIEWS] = self._receive
+            link.payload_handlers[VIEWS] = self._receive
             task_status.started()
             await self._serve(link, self._machine)
         finally:
-            link.cargo.pop(VIEWS, None)
+            link.payload_handlers.pop(VIEWS, None)
             with trio.CancelScope(shield=True):
                 with trio.move_on_after(GOODBYE):
                     if self._machine is not None:
@@ -109,20 +109,20 @@
             self._lost += 1
         return []
 
-    async def _serve(self, link: Link, machine: Machine) -> None:
+    async def _serve(self, link: MembershipLink, machine: Machine) -> None:
         listed, parts = None, Parts()
         while True:
-            if listed is not link.news:
-                listed = link.news
+            if listed is not link.list_changed:
+                listed = link.list_changed
                 machine.know(
                     {
                         name: m.claim.address
-                        for name, m in link.machine.listed.items()
+                        for name, m in link.machine.entries.items()
                         if m.claim.state not in (DEAD, LEFT)
                     },
                     trio.current_time(),
                 )
-            with trio.move_on_at(link.turn(machine.due)):
+            with trio.move_on_at(link.next_turn(machine.due)):
                 await self._woken.wait()
             self._woken = trio.Event()
             now = trio.current_time()
@@ -134,7 +134,7 @@
             for data, sender, address in queue:
                 try:
                     message = parts.take(sender, data)
-                except Malformed:
+                except MalformedPayload:
                     self._malformed += 1
                     continue
                 if message is not None:
@@ -142,7 +142,7 @@
                     await self._carry_out(link, machine.receive(now, message, sender, address))
             self._tell(machine)
 
-    async def _carry_out(self, link: Link, step: Step) -> None:
+    async def _carry_out(self, link: MembershipLink, step: Step) -> None:
         """First to disk, then out: what is said rests on what is kept, also on what an earlier step kept."""
         if step.keep is not None:
             self._unkept = step.keep
@@ -151,7 +151,7 @@
         for address, message in step.messages:
             self._number += 1
             parts = [(address, part) for part in pack(message, self._number)]
-            await link.say(VIEWS, parts, priority_of(message))
+            await link.send_payloads(VIEWS, parts, priority_of(message))
 
     async def _keep(self, kept: Kept) -> bool:
         """Whether it is on disk now. A store whose sync failed is opened anew by the next try."""
--- a/yewrill/views/format.py
+++ b/yewrill/views/format.py
@@ -11,7 +11,7 @@
 from msgspec import Meta, Struct
 
 from yewrill.membership.intake import Priority
-from yewrill.membership.parts import Joiner, Malformed, cut
+from yewrill.membership.parts import FragmentAssembler, MalformedPayload, split_payload
 from yewrill.views.agreement import MOST_TRY, Word
 from yewrill.views.rollcall import Round
 from yewrill.views.view import MOST_ENTRIES, MOST_VALUE, Entry, Kept, Number, Rank
@@ -143,7 +143,7 @@
 
 def pack(message: Message, number: int = 0) -> list[bytes]:
     """A message as cargo, in parts of under 999 bytes; `number` tells a sender's messages apart."""
-    return cut(_ENCODER.encode(message), number)
+    return split_payload(_ENCODER.encode(message), number)
 
 
 def unpack(data: bytes) -> Message:
@@ -151,14 +151,14 @@
     try:
         return _DECODER.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Malformed(str(error)) from error
+        raise MalformedPayload(str(error)) from error
 
 
 class Parts:
     """Takes the parts of messages. Bounded."""
 
     def __init__(self) -> None:
-        self._joiner = Joiner()
+        self._joiner = FragmentAssembler()
 
     def take(self, sender: str, cargo: bytes) -> Message | None:
         """A message, once its last part is there. Raises Malformed."""
@@ -187,9 +187,9 @@
         if mark == b"\2" and not value >> size:
             value ^= (1 << size) - 1
     else:
-        raise Malformed("bitmap")
+        raise MalformedPayload("bitmap")
     if value >> size:
-        raise Malformed("ranks")
+        raise MalformedPayload("ranks")
     return value
 
 
@@ -200,7 +200,7 @@
 def round_of(r: WireRound, size: int) -> Round:
     """Raises Malformed where it is none of a view of this size."""
     if r.opener >= size or r.opener_before >= size:
-        raise Malformed("ranks")
+        raise MalformedPayload("ranks")
     return Round(
         r.number, r.opener, r.opener_before, whole_of(r.before, size), whole_of(r.bits, size)
     )
--- a/yewrill/views/machine.py
+++ b/yewrill/views/machine.py
@@ -17,8 +17,8 @@
 import random
 from dataclasses import dataclass, field
 
-from yewrill.membership.evidence import WELL
-from yewrill.membership.parts import Malformed
+from yewrill.membership.evidence import LinkState
+from yewrill.membership.parts import MalformedPayload
 from yewrill.views import admission
 from yewrill.views.format import PAGE, Answer, Ask, Beat, Call, Message, Page
 from yewrill.views.founding import Founding
@@ -372,7 +372,7 @@
         elif rank is not None:
             try:
                 inside.merge(self._now, beat, edge, sender)
-            except (Malformed, ValueError):
+            except (MalformedPayload, ValueError):
                 self.counts.refused += 1
             self._voted()
 
@@ -409,7 +409,8 @@
         near = (
             c.calls >= 3
             and max(self._now - c.heard, self._now - c.word) < 4.0 * c.interval
-            and c.link.state(self._now, self.rules.threshold, self.rules.most_silence) == WELL
+            and c.link.state(self._now, self.rules.threshold, self.rules.most_silence)
+            == LinkState.HEALTHY
         )
         return (
             near
--- a/yewrill/views/rules.py
+++ b/yewrill/views/rules.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from yewrill.membership.evidence import WELL, Link
+from yewrill.membership.evidence import LinkState, PeerLink
 from yewrill.views.agreement import Ballot
 from yewrill.views.view import Entry, depth_of
 
@@ -74,7 +74,7 @@
 
     def __init__(self, entry: Entry, interval: float, now: float):
         self.entry, self.interval = entry, interval
-        self.link = Link(interval, now)
+        self.link = PeerLink(interval, now)
         self.heard = self.word = now  # when it was heard last, and when it last heard us
         self.calls = 0
         self.other_sum = 0  # beats in which its registers were not ours
@@ -89,7 +89,7 @@
         ago = None if heard < 0 else heard / 1000.0
         if interval:
             self.interval = interval / 1000.0
-            self.link.heard(now, ago, interval / 1000.0)
+            self.link.record_report(now, ago, interval / 1000.0)
         if ago is not None:
             self.word = max(self.word, now - ago)
         self.heard = now
@@ -102,10 +102,10 @@
     def bad(self, now: float, rules: Rules, least: float) -> bool:
         return (
             now - min(self.heard, self.word) >= least
-            and self.link.state(now, rules.threshold, rules.most_silence) != WELL
+            and self.link.state(now, rules.threshold, rules.most_silence) != LinkState.HEALTHY
         )
 
     def forgive(self, span: float) -> None:
-        self.link.forgive(span)
+        self.link.exclude_pause(span)
         self.heard += span
         self.word += span
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -14,8 +14,8 @@
 from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.membership import Members
 from yewrill.membership.link import ZONES
-from yewrill.membership.machine import DEAD, LEFT
-from yewrill.membership.suspicion import MOST_DOUBT
+from yewrill.membership.messages import DEAD, LEFT
+from yewrill.membership.suspicion import MAX_HEALTH_SCORE
 from yewrill.service.subsystems import SubsystemContext
 from yewrill.zone_failover.machine import Address, Machine, Member, Out, Rules
 from yewrill.zone_failover.plan import WHOLE
@@ -119,7 +119,7 @@
         claims = (
             []
             if link is None
-            else [link.machine.me, *(m.claim for m in link.machine.listed.values())]
+            else [link.machine.me, *(m.claim for m in link.machine.entries.values())]
         )
         return {claim.zone: claim.region for claim in claims if claim.region}
 
@@ -138,19 +138,19 @@
             self._regions,
         )
         self._machine = machine
-        link.cargo[ZONES] = self._receive
+        link.payload_handlers[ZONES] = self._receive
         task_status.started()
         version = machine.plan.version
         while True:
-            with trio.move_on_at(link.turn(machine.due)):
+            with trio.move_on_at(link.next_turn(machine.due)):
                 await self._woken.wait()
             self._woken = trio.Event()
             now = trio.current_time()
             if now >= machine.due:
                 outside = self._views is not None and self._views.view() is None
-                machine.distrust = MOST_DOUBT if outside else link.machine.health.doubt
+                machine.distrust = MAX_HEALTH_SCORE if outside else link.machine.health.score
                 self._take_ownership(machine, now)
-                await link.say(ZONES, machine.tick(now))
+                await link.send_payloads(ZONES, machine.tick(now))
             if machine.plan.version != version:
                 version = machine.plan.version
                 log.info(
@@ -196,12 +196,12 @@
                     ],
                 )
             return self._list[1]
-        if self._list[0] is not link.news:
+        if self._list[0] is not link.list_changed:
             self._list = (
-                link.news,
+                link.list_changed,
                 [
                     Member(name, m.claim.address, m.claim.zone, m.claim.state != DEAD)
-                    for name, m in link.machine.listed.items()
+                    for name, m in link.machine.entries.items()
                     if m.claim.state != LEFT
                 ],
             )
