--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -28,7 +28,7 @@
     RaftMessage,
     Snapshot,
 )
-from yewrill.membership.parts import Joiner, Malformed, cut
+from yewrill.membership.parts import FragmentAssembler, MalformedPayload, split_payload
 from yewrill.store import Store
 
 LEASE_COMMANDS = st.builds(
@@ -94,12 +94,12 @@
 
 @given(SAID, st.randoms(), st.binary(max_size=30))
 def test_what_is_said_comes_out_whole_from_its_parts_in_any_order(what, rng, noise):
-    parts, joiner = cut(pack(what), 7), Joiner()
+    parts, joiner = split_payload(pack(what), 7), FragmentAssembler()
     rng.shuffle(parts)
     found = [whole for part in parts if (whole := joiner.take("a", part)) is not None]
     assert [unpack(whole) for whole in found] == [what]
     for bad in (noise, parts[0][:-1]):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedPayload):
             unpack(joiner.take("b", bad) or b"")
 
 
