--- a/tests/fixture_configuration.py
+++ b/tests/fixture_configuration.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from fixture_simulator import SITE, STATE_NAMES, settings_values
+from fixture_simulator import SITE, STATE_WORDS, settings_values
 
 from yewrill.config.endpoints import read_endpoints
 from yewrill.config.reading import read_config
@@ -141,7 +141,7 @@
     return [
         [
             [one.id, list(one.address), one.zone, one.kind, one.cell],
-            [STATE_NAMES[one.state], one.weight, one.started_ms],
+            [STATE_WORDS[one.state], one.weight, one.started_ms],
         ]
         for one in found
     ]
