--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -8,8 +8,8 @@
 import msgspec
 from fixture_files import Encoded
 
-from yewrill.leases import duties, raft_types, states
 from yewrill.leases import format as ownership
+from yewrill.leases import lease_table, raft_types, states
 from yewrill.membership.format import KINDS, Codec
 from yewrill.membership.machine import ALIVE, DEAD, LEFT, SUSPECT, Claim
 from yewrill.membership.machine import Message as Datagram
@@ -213,10 +213,10 @@
 # -- ownership
 
 VOTERS = ("d00", "d01", "d02")
-COMMAND = duties.LeaseCommand(duties.CLAIM, "zones", "d01", 12, 0, 2000)
+COMMAND = lease_table.LeaseCommand(lease_table.CLAIM, "zones", "d01", 12, 0, 2000)
 LOG_ENTRIES = (
     raft_types.LogEntry(1, raft_types.NO_OP),
-    raft_types.LogEntry(2, raft_types.COMMAND, duties.pack_command(5000, COMMAND)),
+    raft_types.LogEntry(2, raft_types.COMMAND, lease_table.pack_command(5000, COMMAND)),
     raft_types.LogEntry(2, raft_types.VOTERS, b"", VOTERS),
     raft_types.LogEntry(3, states.STATE, states.pack_entry(6000, "calendar", b"for the machine")),
 )
@@ -252,10 +252,16 @@
 )
 REQUESTS = (
     ("claim", ownership.Request(COMMAND)),
-    ("renew", ownership.Request(duties.LeaseCommand(duties.RENEW, "zones", "d01", 13, 4, 2000))),
-    ("give up", ownership.Request(duties.LeaseCommand(duties.GIVE_UP, "zones", "d01", 14, 4))),
-    ("reply", ownership.Reply(12, True, duties.LeaseResult(True, 4, "d01", 1999), "")),
-    ("reply of another", ownership.Reply(13, False, duties.LeaseResult(False), "d02")),
+    (
+        "renew",
+        ownership.Request(lease_table.LeaseCommand(lease_table.RENEW, "zones", "d01", 13, 4, 2000)),
+    ),
+    (
+        "give up",
+        ownership.Request(lease_table.LeaseCommand(lease_table.GIVE_UP, "zones", "d01", 14, 4)),
+    ),
+    ("reply", ownership.Reply(12, True, lease_table.LeaseResult(True, 4, "d01", 1999), "")),
+    ("reply of another", ownership.Reply(13, False, lease_table.LeaseResult(False), "d02")),
     ("submit", ownership.Submit("calendar", 99, b"entry")),
     ("submitted", ownership.Submitted(99, True, True, b"result", "d00")),
     ("submitted in vain", ownership.Submitted(100, True, False)),
@@ -280,14 +286,14 @@
         self.data = data
 
 
-def applied_duties() -> duties.LeaseTable:
+def applied_duties() -> lease_table.LeaseTable:
     """Duties after a claim, a renewal, one given up, and one refused."""
-    state = duties.LeaseTable()
+    state = lease_table.LeaseTable()
     state.apply(5000, COMMAND)
-    state.apply(5500, duties.LeaseCommand(duties.RENEW, "zones", "d01", 13, 1, 2000))
-    state.apply(5600, duties.LeaseCommand(duties.CLAIM, "calendar", "d02", 1, 0, 1000))
-    state.apply(5700, duties.LeaseCommand(duties.GIVE_UP, "calendar", "d02", 2, 1))
-    state.apply(5800, duties.LeaseCommand(duties.CLAIM, "zones", "d00", 5, 0, 1000))
+    state.apply(5500, lease_table.LeaseCommand(lease_table.RENEW, "zones", "d01", 13, 1, 2000))
+    state.apply(5600, lease_table.LeaseCommand(lease_table.CLAIM, "calendar", "d02", 1, 0, 1000))
+    state.apply(5700, lease_table.LeaseCommand(lease_table.GIVE_UP, "calendar", "d02", 2, 1))
+    state.apply(5800, lease_table.LeaseCommand(lease_table.CLAIM, "zones", "d00", 5, 0, 1000))
     return state
 
 
@@ -300,7 +306,7 @@
     machine = Keeper()
     machine.apply(0, b"kept")
     return {
-        "command": [duties.pack_command(5000, COMMAND)],
+        "command": [lease_table.pack_command(5000, COMMAND)],
         "entry of a state machine": [states.pack_entry(6000, "calendar", b"entry")],
         "duties": [applied_duties().pack()],
         "snapshot without machines": [states.pack_all(applied_duties(), {})],
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -19,8 +19,8 @@
 from fixture_files import DIRECTORY, read_encoded, read_file, read_json
 from helper import story
 
-from yewrill.leases import duties, raft, raft_types, states
 from yewrill.leases import format as ownership
+from yewrill.leases import lease_table, raft, raft_types, states
 from yewrill.leases.format import unpack as read_ownership
 from yewrill.membership.format import Refused, Stranger
 from yewrill.membership.parts import Joiner
@@ -164,10 +164,10 @@
 def test_entries_and_snapshots_of_the_log_have_the_same_bytes_and_are_read():
     stored = read_encoded("ownership_states")
     assert messages.ownership_states() == stored
-    assert duties.unpack_command(stored["command"][0]) == (5000, messages.COMMAND)
+    assert lease_table.unpack_command(stored["command"][0]) == (5000, messages.COMMAND)
     entry = stored["entry of a state machine"][0]
     assert states.unpack_entry(entry) == (6000, "calendar", b"entry")
-    assert duties.LeaseTable.unpack(stored["duties"][0]) == messages.applied_duties()
+    assert lease_table.LeaseTable.unpack(stored["duties"][0]) == messages.applied_duties()
     found, missing = states.restore_all(stored["snapshot without machines"][0], {})
     assert (found, missing) == (messages.applied_duties(), "")
     machine = messages.Keeper()
--- a/tests/test_log_states.py
+++ b/tests/test_log_states.py
@@ -5,8 +5,8 @@
 
 from yewrill.lab.netsim import Path
 from yewrill.lab.ownnet import OwnNet
-from yewrill.leases.duties import LeaseTable
 from yewrill.leases.format import pack, unpack
+from yewrill.leases.lease_table import LeaseTable
 from yewrill.leases.node import MAX_PENDING_SUBMISSIONS, SNAPSHOT_AFTER_ENTRIES, Submit, Submitted
 from yewrill.leases.raft_types import (
     LEADER,
@@ -139,7 +139,7 @@
 
 
 def test_snapshots_of_duties_alone_are_as_they_were():
-    duties = LeaseTable(clock=7, numbers={"zones": 3})
+    duties = LeaseTable(clock=7, highest_numbers={"zones": 3})
     assert pack_all(duties, {}) == duties.pack()
     ledger = Ledger()
     ledger.apply(1, b"x")
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -9,8 +9,9 @@
 from yewrill.lab.ownnet import OwnNet, trouble
 from yewrill.lab.raftcheck import Broken
 from yewrill.leases import disk as on_disk
-from yewrill.leases import duties as duties_module
-from yewrill.leases.duties import (
+from yewrill.leases import lease_table as lease_table_module
+from yewrill.leases.format import Reply, Request, pack, unpack
+from yewrill.leases.lease_table import (
     CLAIM,
     GIVE_UP,
     RENEW,
@@ -19,7 +20,6 @@
     LeaseResult,
     LeaseTable,
 )
-from yewrill.leases.format import Reply, Request, pack, unpack
 from yewrill.leases.raft_types import (
     COMMAND,
     VOTERS,
@@ -57,12 +57,12 @@
         before = LeaseTable.unpack(state.pack())
         result = state.apply(clock, command)
         assert before.apply(clock, command) == result and before == state  # all who apply it agree
-        held = state.view(command.duty, state.clock)
-        if result.ok and command.what == CLAIM:
-            assert result.number == highest.get(command.duty, 0) + 1
-            highest[command.duty] = result.number
-        assert state.numbers.get(command.duty, 0) == highest.get(command.duty, 0)
-        assert not held.owner or held.number == state.numbers[command.duty]
+        held = state.view(command.role, state.clock)
+        if result.ok and command.action == CLAIM:
+            assert result.number == highest.get(command.role, 0) + 1
+            highest[command.role] = result.number
+        assert state.highest_numbers.get(command.role, 0) == highest.get(command.role, 0)
+        assert not held.holder or held.number == state.highest_numbers[command.role]
         assert state.apply(clock, command) == result  # once more: the same, and nothing moves
 
 
@@ -145,7 +145,7 @@
 
 
 def test_a_grant_that_outlasts_what_was_granted_is_found(monkeypatch):
-    monkeypatch.setattr(duties_module, "MAX_CLOCK_DRIFT", -4.0)
+    monkeypatch.setattr(lease_table_module, "MAX_CLOCK_DRIFT", -4.0)
     assert "act at once" in (found := broken(range(12))) or "owns with" in found
 
 
--- a/yewrill/lab/ownnet.py
+++ b/yewrill/lab/ownnet.py
@@ -13,8 +13,8 @@
 
 from yewrill.lab.netsim import Path, Wires
 from yewrill.lab.raftcheck import Broken
-from yewrill.leases.duties import Fence
 from yewrill.leases.format import pack, unpack
+from yewrill.leases.lease_table import Fence
 from yewrill.leases.node import LeaseNode, NodeOutput
 from yewrill.leases.raft_types import (
     PersistentRaftState,
--- a/yewrill/leases/__init__.py
+++ b/yewrill/leases/__init__.py
@@ -1,14 +1,15 @@
-"""One owner at a time for work on behalf of the fleet, by a replicated log among a few voters.
+"""Leases with fencing numbers on roles of the fleet, granted by a replicated log among a few voters.
 
-Promises: a duty has at most one owner whose orders are obeyed, each grant with a number that only grows; an
-owner that wakes late finds its grant over by its own clock, and should that clock lie, whoever carries out
-its order refuses the number; all of this whatever is lost, late, doubled or killed, and also where a voter's
-disk lost what it had called synced, as long as those who remember its word have not restarted since. It does
-not promise an owner at all times: without a majority of voters there is none, and work rests.
+Promises: a role has at most one holder whose commands are executed, and each lease has a number that only
+grows. A holder that was paused finds its lease expired by its own clock; should that clock be wrong, whoever
+executes the command refuses the number. This holds whatever is lost, late, duplicated or killed, and also
+where a voter's disk lost synced data, as long as the peers that have its acknowledgements have not restarted
+since. It doesn't promise a holder at all times: without a majority of voters there is none.
 
-`raft.py` (pure) keeps one order of entries; `duties.py` (pure) is the state that they make, grants and
-fences; `timing.py` (pure) says when a voter stands and speaks; `node.py` (pure) is one member's whole part;
-`format.py` and `disk.py` are bytes; `Ownership` in `facade.py` is all that others use.
+`raft.py` and `raft_types.py` (pure) keep one order of entries; `lease_table.py` (pure) is the state that they
+make, and the fence; `timing.py` (pure) has Raft's timers; `node.py` (pure) is one member's whole part;
+`states.py` adds further state machines; `format.py` and `disk.py` are the codecs of messages and of the
+store; `Ownership` in `facade.py` is all that others use.
 docs/ownership-design.md.
 """
 
--- a/yewrill/leases/disk.py
+++ b/yewrill/leases/disk.py
@@ -1,4 +1,4 @@
-"""A voter's disk in the embedded store: what has changed is one batch, whole or absent."""
+"""A voter's persistent state in the embedded store. Each change is one atomic batch."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def read(store: Store, voters: tuple[str, ...]) -> tuple[PersistentRaftState, int]:
-    """What is there, and the incarnation that was kept last. With nothing there, these are the voters."""
+    """The stored state and the last incarnation; for an empty store, the initial state with these voters."""
     meta = store.get(META)
     if meta is None:
         return PersistentRaftState(snapshot=Snapshot(0, 0, voters)), 0
@@ -31,9 +31,7 @@
         snapshot = Snapshot(index, entry_term, tuple(names), data)
     log = []
     for key, value in store.scan(prefix=ENTRY):
-        if (
-            int(key[len(ENTRY) :]) == snapshot.index + len(log) + 1
-        ):  # what comes after a gap is no log
+        if int(key[len(ENTRY) :]) == snapshot.index + len(log) + 1:  # nothing after a gap counts
             entry_term, kind, data, names = msgpack.unpackb(value)
             log.append(LogEntry(entry_term, kind, data, tuple(names)))
     return PersistentRaftState(term, vote, tuple(log), snapshot), incarnation
@@ -42,7 +40,7 @@
 def changes(
     before: PersistentRaftState | None, now: PersistentRaftState, incarnation: int
 ) -> Batch:
-    """What makes the disk hold `now` where it held `before`."""
+    """The batch that turns the stored state `before` into `now`."""
     batch = Batch().put(META, msgpack.packb([now.term, now.vote, incarnation]))
     if before is None or before.snapshot != now.snapshot:
         s = now.snapshot
@@ -60,8 +58,10 @@
 
 
 def read_fences(store: Store) -> dict[str, int]:
+    """The highest fencing number of each role."""
     return {key[len(FENCE) :].decode(): int(value) for key, value in store.scan(prefix=FENCE)}
 
 
-def fence(duty: str, number: int) -> Batch:
-    return Batch().put(FENCE + duty.encode(), b"%d" % number)
+def fence(role: str, number: int) -> Batch:
+    """The batch that stores the highest fencing number of a role."""
+    return Batch().put(FENCE + role.encode(), b"%d" % number)
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -1,4 +1,4 @@
-"""What the rest of the program uses of ownership: a hook that has this member's node on disk and socket."""
+"""The subsystem that runs this member's `LeaseNode` on the store and the membership's datagrams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from yewrill.leases import disk as on_disk
 from yewrill.leases.format import pack, unpack
-from yewrill.leases.node import LeaseNode, NodeOutput
+from yewrill.leases.node import KnownHolder, LeaseNode, NodeOutput
 from yewrill.leases.raft_types import (
     PersistentRaftState,
 )
@@ -29,11 +29,11 @@
 
 
 class Unanswered(Exception):
-    """The log has not answered; whether it took what was said is not known."""
+    """The log has not answered; whether it applied the submission is not known."""
 
 
 class OwnershipConfig(Protocol):
-    """What the operators' file says. `span` in seconds."""
+    """The section `ownership` of the operators' file. `span` is the lease duration in seconds."""
 
     voters: tuple[str, ...]
     dir: str
@@ -42,7 +42,7 @@
 
 
 class Ownership:
-    """A hook of the service. It needs the membership's hook."""
+    """A subsystem of the service. It needs the membership subsystem."""
 
     name = "ownership"
 
@@ -59,11 +59,14 @@
         self._answers: dict[
             int, trio.Event
         ] = {}  # who waits for what was submitted; bounded by the node
-        self._number = random.SystemRandom().getrandbits(40)  # of messages that are cut in parts
-        self._lost = self._malformed = 0
+        self._datagram_number = random.SystemRandom().getrandbits(
+            40
+        )  # of messages that are cut in parts
+        self._dropped = self._malformed = 0
         self.calls = {"release": self._release}
 
     def attach(self, context: SubsystemContext) -> None:
+        """Take the subsystems that this one uses."""
         members = context.subsystems["members"]
         assert isinstance(members, Members)
         self._members = members
@@ -73,44 +76,45 @@
 
     # -- what other parts use
 
-    def want(self, duty: str) -> None:
-        """Try to own a duty from here on, whenever nobody else does."""
-        self._wanted.add(duty)
-        if self._node is not None and not self._outside():
-            self._node.want(duty)
+    def want(self, role: str) -> None:
+        """Request the lease on a role from here on, whenever nobody else holds it."""
+        self._wanted.add(role)
+        if self._node is not None and not self._is_outside_views():
+            self._node.want(role)
         self._woken.set()
 
-    def _outside(self) -> bool:
-        """With agreed views, whoever is in none owns nothing, and asks for nothing."""
+    def _is_outside_views(self) -> bool:
+        """Whether group views are in use and this member is in none: then it holds and requests nothing."""
         return self._views is not None and self._views.view() is None
 
-    def owns(self, duty: str) -> int:
-        """The number of our grant while it is sure to hold, else 0."""
-        outside = self._node is None or self._outside()
-        return 0 if outside else self._node.owns(duty, trio.current_time())
+    def owns(self, role: str) -> int:
+        """The fencing number of our lease while it is certain to hold, else 0."""
+        outside = self._node is None or self._is_outside_views()
+        return 0 if outside else self._node.owns(role, trio.current_time())
 
-    def seen(self, duty: str, now: float) -> tuple[int, str]:
-        """The highest number heard of, and the owner; nobody if that was not heard for two spans."""
+    def seen(self, role: str, now: float) -> tuple[int, str]:
+        """The highest known number and the holder; "" if not reported for two lease durations."""
         if self._node is None:
             return 0, ""
-        if number := self.owns(duty):
+        if number := self.owns(role):
             return number, self._node.me
-        owner, number, at = self._node.known.get(duty, ("", 0, 0.0))
-        lately = now - at < 2.0 * self._config.span
-        return number, owner if lately and owner != self._node.me else ""
+        holder, number, at = self._node.known_holders.get(role, KnownHolder("", 0, 0.0))
+        is_recent = now - at < 2.0 * self._config.span
+        return number, holder if is_recent and holder != self._node.me else ""
 
     def carry(self, name: str, machine: StateMachine) -> None:
-        """Have the log carry a state machine; said before it runs, at all voters."""
+        """Register a state machine of the log; at all voters, and before `run`."""
         self._machines[name] = machine
 
-    async def submit(self, machine: str, data: bytes, patience: float) -> bytes:
-        """What a state machine of the log says to this, once most voters have it on disk. Raises Unanswered
-        after `patience` seconds, when it may have taken effect or not: it may be said again under the same
-        number of the machine's own."""
+    async def submit(self, machine: str, data: bytes, timeout_seconds: float) -> bytes:
+        """Submit data to a state machine of the log; returns its reply once a majority has stored the entry.
+
+        Raises Unanswered after `timeout_seconds`, or if the log can't be reached: the submission may have
+        taken effect or not, so the machine must recognise a repetition. The same holds on cancellation."""
         node = self._node
         number = (
             0
-            if node is None or self._outside()
+            if node is None or self._is_outside_views()
             else node.submit(machine, data, trio.current_time())
         )
         if node is None or not number:
@@ -118,10 +122,10 @@
         waiting = self._answers[number] = trio.Event()
         self._woken.set()
         try:
-            with trio.move_on_after(patience):
+            with trio.move_on_after(timeout_seconds):
                 await waiting.wait()
             if number not in node.results:
-                raise Unanswered(f"no answer in {patience:g} s")
+                raise Unanswered(f"no answer in {timeout_seconds:g} s")
             said = node.results[number]
             if said is None:
                 raise Unanswered(f"the voters have no {machine}")
@@ -130,25 +134,26 @@
             del self._answers[number]
             node.withdraw(number)
 
-    async def admits(self, duty: str, number: int) -> bool:
-        """Whether an order under this number is to be obeyed; a higher number is on disk before the yes."""
+    async def admits(self, role: str, number: int) -> bool:
+        """Whether a command with this number may be executed; a higher number is stored before True."""
         node = self._node
         if node is None or self._store is None:
             return False
-        before = node.fence.highest.get(duty, 0)
-        if not node.fence.admits(duty, number):
+        before = node.fence.highest.get(role, 0)
+        if not node.fence.admits(role, number):
             return False
         if number > before:
             try:
-                await self._store.awrite(on_disk.fence(duty, number))
+                await self._store.awrite(on_disk.fence(role, number))
             except (StoreError, OSError) as error:
-                log.error("fence-not-kept duty=%s number=%d: %s", duty, number, error)
+                log.error("fence-not-kept duty=%s number=%d: %s", role, number, error)
                 return False
         return True
 
     # -- running
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serve until cancelled; the store is closed then. Raises StoreError or OSError if it can't open."""
         await self._members.opened.wait()
         link = self._members.link
         assert link is not None
@@ -184,7 +189,7 @@
         )
         node.fence.highest = on_disk.read_fences(store)
         self._node = node
-        self._woken.set()  # what was wanted before is asked for
+        self._woken.set()  # roles requested before the start are due now
         log.info(
             "ownership name=%s voter=%s term=%d entries=%d",
             me,
@@ -198,7 +203,7 @@
             self._queue.append((data, sender))
             self._woken.set()
         else:
-            self._lost += 1
+            self._dropped += 1
         return []
 
     async def _serve(self, link: Link) -> None:
@@ -217,63 +222,69 @@
                     self._malformed += 1
                     continue
                 if what is not None:
-                    await self._carry_out(link, node.receive(trio.current_time(), what, sender))
+                    await self._store_and_send(
+                        link, node.receive(trio.current_time(), what, sender)
+                    )
             now = trio.current_time()
-            self._heed_views(node, now)
+            self._follow_views(node, now)
             if now >= node.due:
-                await self._carry_out(link, node.tick(now))
+                await self._store_and_send(link, node.tick(now))
             for number in node.results.keys() & self._answers.keys():
                 self._answers[number].set()
-            for duty in sorted(self._wanted):
-                number = self.owns(duty)
-                if number != owned.get(duty, 0):
-                    owned[duty] = number
+            for role in sorted(self._wanted):
+                number = self.owns(role)
+                if number != owned.get(role, 0):
+                    owned[role] = number
                     log.info(
                         "owner duty=%s number=%d %s",
-                        duty,
-                        number or node.known.get(duty, ("", 0))[1],
+                        role,
+                        number or node.known_holders.get(role, KnownHolder("", 0, 0.0)).number,
                         "is ours" if number else "is not ours any more",
                     )
 
-    def _heed_views(self, node: LeaseNode, now: float) -> None:
-        """Out of the agreed views, let others have our duties; back in one, want them again."""
-        if not self._outside():
-            for duty in self._wanted - node.wanted:
-                node.want(duty)
-        elif node.wanted:
-            for duty in sorted(node.wanted):
-                node.give_up(duty, now)
-
-    async def _carry_out(self, link: Link, step: NodeOutput) -> None:
-        """First to disk, then out: what is said rests on what is kept."""
+    def _follow_views(self, node: LeaseNode, now: float) -> None:
+        """Give up all roles while outside the group views; request them again once back in one."""
+        if not self._is_outside_views():
+            for role in self._wanted - node.wanted_roles:
+                node.want(role)
+        elif node.wanted_roles:
+            for role in sorted(node.wanted_roles):
+                node.give_up(role, now)
+
+    async def _store_and_send(self, link: Link, output: NodeOutput) -> None:
+        """Store first, then send: messages must not go out before the state they promise is stored."""
         node = self._node
         assert node is not None and self._store is not None
-        if step.save is not None and not node.failed:
+        if output.save is not None and not node.failed:
             try:
-                await self._store.awrite(on_disk.changes(self._disk, step.save, self._incarnation))
-                self._disk = step.save
+                await self._store.awrite(
+                    on_disk.changes(self._disk, output.save, self._incarnation)
+                )
+                self._disk = output.save
             except (StoreError, OSError) as error:
                 node.fail(str(error))
                 log.error("voter-stands-down name=%s: %s", node.me, error)
                 return
         out = []
-        for name, what in step.messages:
+        for name, what in output.messages:
             listed = link.machine.listed.get(name)
             if listed is not None:
-                self._number += 1
-                out += [(listed.claim.address, part) for part in cut(pack(what), self._number)]
+                self._datagram_number += 1
+                out += [
+                    (listed.claim.address, part) for part in cut(pack(what), self._datagram_number)
+                ]
         await link.say(OWNERSHIP, out)
 
     # -- operators
 
-    async def _release(self, duty: str) -> bool:
-        """Give a duty up if it is ours; another gets it, or we again after a while."""
+    async def _release(self, role: str) -> bool:
+        """Give up the lease on a role if it is ours; another member gets it, or this one again later."""
         node = self._node
-        if node is None or duty not in self._wanted:
+        if node is None or role not in self._wanted:
             return False
-        if node.owns(duty, trio.current_time()):
-            node.give_up(duty, trio.current_time())
-            node.want(duty)
+        if node.owns(role, trio.current_time()):
+            node.give_up(role, trio.current_time())
+            node.want(role)
             self._woken.set()
         return True
 
@@ -285,13 +296,13 @@
         found: dict[str, Any] = {
             "duties": [
                 {
-                    "duty": duty,
-                    "number": self.seen(duty, now)[0],
-                    "owner": self.seen(duty, now)[1],
-                    "ours": bool(self.owns(duty)),
-                    "fence": node.fence.highest.get(duty, 0),
+                    "duty": role,
+                    "number": self.seen(role, now)[0],
+                    "owner": self.seen(role, now)[1],
+                    "ours": bool(self.owns(role)),
+                    "fence": node.fence.highest.get(role, 0),
                 }
-                for duty in sorted(self._wanted)
+                for role in sorted(self._wanted)
             ]
         }
         if node.driver is not None:
@@ -317,7 +328,7 @@
         return {
             "ownership_elected": node.elected,
             "ownership_fenced": node.fence.refused,
-            "ownership_lost": self._lost,
+            "ownership_lost": self._dropped,
             "ownership_malformed": self._malformed,
             "ownership_failed": int(bool(node.failed)),
         }
--- a/yewrill/leases/format.py
+++ b/yewrill/leases/format.py
@@ -1,5 +1,6 @@
-"""The bytes of ownership: messages of the log and requests, as cargo of the members' datagrams
-(`members/parts.py`). Whatever does not fit its form is refused.
+"""The codec of lease messages, the payload of membership datagrams (`membership/parts.py`).
+
+Any value that doesn't have the expected type or size raises Malformed.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 
 import msgpack
 
-from yewrill.leases.duties import LeaseCommand, LeaseResult
+from yewrill.leases.lease_table import LeaseCommand, LeaseResult
 from yewrill.leases.raft_types import (
     LogEntry,
     RaftMessage,
@@ -24,12 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
+    """A holder's request to the leader of the log."""
+
     command: LeaseCommand
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer to a request; `leader` where another is to be asked."""
+    """The answer to a request. Not `final`: ask `leader`, if it is known."""
 
     id: int
     final: bool
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """Something for one of the log's state machines."""
+    """Data submitted to one of the log's state machines."""
 
     machine: str
     id: int
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submitted:
-    """What the machine said; `final` without `ok`: the voters have no such machine."""
+    """The state machine's reply. `final` without `ok`: the voters have no such machine."""
 
     id: int
     final: bool
@@ -61,17 +64,18 @@
 
 
 def pack(what: LeaseMessage) -> bytes:
+    """Encode one message."""
     if isinstance(what, Submit):
         return msgpack.packb([SUBMIT, what.machine, what.id, what.data])
     if isinstance(what, Submitted):
         return msgpack.packb([SUBMITTED, what.id, what.final, what.ok, what.data, what.leader])
     if isinstance(what, Request):
         c = what.command
-        return msgpack.packb([REQUEST, c.what, c.duty, c.owner, c.id, c.number, c.span])
+        return msgpack.packb([REQUEST, c.action, c.role, c.holder, c.id, c.number, c.duration_ms])
     if isinstance(what, Reply):
         r = what.result
         return msgpack.packb(
-            [REPLY, what.id, what.final, r.ok, r.number, r.owner, r.left, what.leader]
+            [REPLY, what.id, what.final, r.ok, r.number, r.holder, r.remaining_ms, what.leader]
         )
     m, s = what, what.snapshot
     return msgpack.packb(
@@ -95,30 +99,39 @@
 
 
 def unpack(data: bytes) -> LeaseMessage:
-    """Raises Malformed."""
+    """Decode one message. Raises Malformed."""
     try:
         kind, *rest = msgpack.unpackb(data)
         if kind == SUBMIT:
             machine, id, body = rest
-            return Submit(_text(machine), _whole(id), _bytes(body, MAX_DATA_BYTES))
+            return Submit(_text(machine), _integer(id), _bytes(body, MAX_DATA_BYTES))
         if kind == SUBMITTED:
             id, final, ok, body, leader = rest
             return Submitted(
-                _whole(id), _truth(final), _truth(ok), _bytes(body, MAX_DATA_BYTES), _text(leader)
+                _integer(id),
+                _boolean(final),
+                _boolean(ok),
+                _bytes(body, MAX_DATA_BYTES),
+                _text(leader),
             )
         if kind == REQUEST:
-            what, duty, owner, id, number, span = rest
+            action, role, holder, id, number, duration_ms = rest
             return Request(
                 LeaseCommand(
-                    _text(what), _text(duty), _text(owner), _whole(id), _whole(number), _whole(span)
+                    _text(action),
+                    _text(role),
+                    _text(holder),
+                    _integer(id),
+                    _integer(number),
+                    _integer(duration_ms),
                 )
             )
         if kind == REPLY:
-            id, final, ok, number, owner, left, leader = rest
+            id, final, ok, number, holder, remaining_ms, leader = rest
             return Reply(
-                _whole(id),
-                _truth(final),
-                LeaseResult(_truth(ok), _whole(number), _text(owner), _whole(left)),
+                _integer(id),
+                _boolean(final),
+                LeaseResult(_boolean(ok), _integer(number), _text(holder), _integer(remaining_ms)),
                 _text(leader),
             )
         if kind == LOG:
@@ -141,16 +154,16 @@
                 _text(name),
                 _text(sender),
                 _text(to),
-                _whole(incarnation),
-                _whole(term),
-                _whole(number),
-                _whole(index),
-                _whole(entry_term),
-                _truth(yes),
-                _truth(counts),
-                _whole(commit),
+                _integer(incarnation),
+                _integer(term),
+                _integer(number),
+                _integer(index),
+                _integer(entry_term),
+                _boolean(yes),
+                _boolean(counts),
+                _integer(commit),
                 tuple(
-                    LogEntry(_whole(t), _text(k), _bytes(d), _names(v)) for t, k, d, v in entries
+                    LogEntry(_integer(t), _text(k), _bytes(d), _names(v)) for t, k, d, v in entries
                 ),
                 None if snapshot is None else _snapshot(*snapshot),
             )
@@ -160,7 +173,7 @@
 
 
 def _snapshot(index: Any, term: Any, voters: Any, data: Any) -> Snapshot:
-    return Snapshot(_whole(index), _whole(term), _names(voters), _bytes(data))
+    return Snapshot(_integer(index), _integer(term), _names(voters), _bytes(data))
 
 
 def _names(value: Any) -> tuple[str, ...]:
@@ -169,19 +182,19 @@
     return tuple(_text(name) for name in value)
 
 
-def _bytes(value: Any, most: int = MOST_PART * MOST_PARTS) -> bytes:
-    if not isinstance(value, bytes) or len(value) > most:
+def _bytes(value: Any, max_bytes: int = MOST_PART * MOST_PARTS) -> bytes:
+    if not isinstance(value, bytes) or len(value) > max_bytes:
         raise ValueError("bytes")
     return value
 
 
-def _truth(value: Any) -> bool:
+def _boolean(value: Any) -> bool:
     if not isinstance(value, bool):
         raise ValueError("truth")
     return value
 
 
-def _whole(value: Any) -> int:
+def _integer(value: Any) -> int:
     return whole(value, 2**63 - 1)
 
 
--- a/yewrill/leases/node.py
+++ b/yewrill/leases/node.py
@@ -1,6 +1,7 @@
-"""One member's whole part in ownership, pure: voter or not, its requests, its grants, and what is to go out.
+"""One member of the lease protocol, pure: its requests and leases and, if it is a voter, its part of the log.
 
-Events in, a `Step` out: what must be on disk first, then the messages. Seconds of a steady clock of its own.
+Every event returns a `NodeOutput`: what must be on disk first, then the messages. Times are seconds of the
+member's own monotonic clock.
 """
 
 from __future__ import annotations
@@ -8,8 +9,10 @@
 import random
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from yewrill.leases.duties import (
+from yewrill.leases.format import LeaseMessage, Reply, Request, Submit, Submitted
+from yewrill.leases.lease_table import (
     CLAIM,
     GIVE_UP,
     RENEW,
@@ -21,12 +24,12 @@
     pack_command,
     unpack_command,
 )
-from yewrill.leases.format import LeaseMessage, Reply, Request, Submit, Submitted
 from yewrill.leases.raft import Raft
 from yewrill.leases.raft_types import (
     COMMAND,
     FOLLOWER,
     LEADER,
+    LogEntry,
     PersistentRaftState,
     RaftMessage,
     Ready,
@@ -41,34 +44,62 @@
 )
 from yewrill.leases.timing import Driver, Times
 
-SNAPSHOT_AFTER_ENTRIES = 256  # entries of the log behind which it is made into a snapshot
-REPLY_TIMEOUT_SECONDS = 0.4  # seconds for an answer before another voter is asked
-MAX_PENDING_PROPOSALS = 1024  # requests that wait for their entries
+SNAPSHOT_AFTER_ENTRIES = 256
+REPLY_TIMEOUT_SECONDS = 0.4  # then another voter is asked
+MAX_PENDING_PROPOSALS = 1024  # requests whose entries are not committed yet
 MAX_PENDING_SUBMISSIONS = 256  # of ours that have no answer yet
 
 
 @dataclass(slots=True)
 class NodeOutput:
+    """What one event has produced. `save` is on disk before `messages` (receiver, message) are sent."""
+
     save: PersistentRaftState | None = None
     messages: list[tuple[str, LeaseMessage]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class _Asked:
+class _PendingRequest:
     command: LeaseCommand
-    first: float  # when it was sent first: a grant counts from there
-    again: float
+    first_sent_at: float  # the lease counts from here
+    retry_at: float
     target: str
 
 
+class KnownHolder(NamedTuple):
+    """The holder of a role as a voter last reported it, and when that report arrived."""
+
+    holder: str
+    number: int
+    reported_at: float
+
+
+class _Leadership(NamedTuple):
+    """Since when this member leads in a term, by its own clock, and the log's time (ms) at that moment."""
+
+    term: int = 0
+    since: float = 0.0
+    log_time_ms: int = 0
+
+
+class _PendingReply(NamedTuple):
+    """Who waits for a proposed entry: it is answered only if the entry is committed in this term."""
+
+    term: int
+    requester: str
+    request_id: int
+
+
 @dataclass(slots=True)
-class _Submitted:
-    what: Submit
-    again: float
+class _PendingSubmission:
+    message: Submit
+    retry_at: float
     target: str
 
 
 class LeaseNode:
+    """One member: holds leases on roles, and as a voter replicates the log that grants them."""
+
     def __init__(
         self,
         me: str,
@@ -92,51 +123,51 @@
             if me in self.voters
             else None
         )
-        self.duties = LeaseTable()
+        self.lease_table = LeaseTable()
         self.fence = Fence()
-        self.wanted: set[str] = set()
-        self.grants: dict[str, HeldLease] = {}
-        self.known: dict[str, tuple[str, int, float]] = {}  # owner, number, and when that was heard
+        self.wanted_roles: set[str] = set()
+        self.held_leases: dict[str, HeldLease] = {}
+        self.known_holders: dict[str, KnownHolder] = {}
         self.elected = 0  # times that this member came to lead the log
-        self.failed = ""  # why its disk is of no use any more
+        self.failed = ""  # why it is no voter any more
         self._id = incarnation << 20
-        self._asked: _Asked | None = None
-        self._submitted: dict[int, _Submitted] = {}
-        self._at: dict[str, float] = {}  # when each duty is to be asked for next
+        self._pending_request: _PendingRequest | None = None
+        self._pending_submissions: dict[int, _PendingSubmission] = {}
+        self._next_request_at: dict[str, float] = {}  # by role
         self._leader = ""
-        self._led: tuple[int, float, int] = (0, 0.0, 0)  # term, since when, the log's time then
-        self._waiting: dict[
-            int, tuple[int, str, int]
-        ] = {}  # of an entry: its term, who asked, which request
+        self._leadership = _Leadership()
+        self._pending_replies: dict[int, _PendingReply] = {}  # by index of the entry
         if self.driver is not None:
             self._apply(self.driver.raft.take(), NodeOutput(), now)
 
-    # -- what others use
+    # -- leases
 
-    def owns(self, duty: str, now: float) -> int:
-        """The number of our grant while it is sure to hold, else 0."""
-        grant = self.grants.get(duty)
-        return grant.number if grant is not None and grant.holds(now) else 0
+    def owns(self, role: str, now: float) -> int:
+        """The fencing number of our lease while it is certain to hold, else 0."""
+        lease = self.held_leases.get(role)
+        return lease.number if lease is not None and lease.holds(now) else 0
 
-    def want(self, duty: str) -> None:
-        self.wanted.add(duty)
+    def want(self, role: str) -> None:
+        """Request the role from here on, whenever nobody else holds it."""
+        self.wanted_roles.add(role)
 
-    def give_up(self, duty: str, now: float) -> None:
-        """Let another have it; from here on we act in it no more."""
-        self.wanted.discard(duty)
-        self._at[duty] = now + self.span  # should we want it again, others come first
-        grant = self.grants.pop(duty, None)
-        if grant is not None:
-            self._ask(LeaseCommand(GIVE_UP, duty, self.me, self._next_id(), grant.number), now)
+    def give_up(self, role: str, now: float) -> None:
+        """Release the role. It is not ours any more from this call on, whatever becomes of the message."""
+        self.wanted_roles.discard(role)
+        self._next_request_at[role] = now + self.span  # should we want it again, others come first
+        lease = self.held_leases.pop(role, None)
+        if lease is not None:
+            self._ask(LeaseCommand(GIVE_UP, role, self.me, self._next_id(), lease.number), now)
 
     @property
     def due(self) -> float:
+        """When `tick` is to be called next; infinity if there is nothing to do."""
         at = (
-            [self._at.get(duty, 0.0) for duty in self.wanted]
-            if self._asked is None
-            else [self._asked.again]
+            [self._next_request_at.get(role, 0.0) for role in self.wanted_roles]
+            if self._pending_request is None
+            else [self._pending_request.retry_at]
         )
-        at += [one.again for one in self._submitted.values()]
+        at += [one.retry_at for one in self._pending_submissions.values()]
         if self.driver is not None and not self.failed:
             at.append(self.driver.due)
         return min(at, default=float("inf"))
@@ -144,210 +175,227 @@
     # -- events
 
     def tick(self, now: float) -> NodeOutput:
-        step = NodeOutput()
+        """Do what is due: log timers, expired leases, requests and their retries."""
+        output = NodeOutput()
         driver = self.driver
         if driver is not None and not self.failed and now >= driver.due:
-            self._apply(driver.tick(now), step, now)
-        for duty, grant in list(self.grants.items()):
-            if not grant.holds(now):
-                del self.grants[duty]
-        if self._asked is None:
-            for duty in sorted(self.wanted):
-                if now >= self._at.get(duty, 0.0):
-                    grant = self.grants.get(duty)
-                    what, number = (CLAIM, 0) if grant is None else (RENEW, grant.number)
+            self._apply(driver.tick(now), output, now)
+        for role, lease in list(self.held_leases.items()):
+            if not lease.holds(now):
+                del self.held_leases[role]
+        if self._pending_request is None:
+            for role in sorted(self.wanted_roles):
+                if now >= self._next_request_at.get(role, 0.0):
+                    lease = self.held_leases.get(role)
+                    what, number = (CLAIM, 0) if lease is None else (RENEW, lease.number)
                     span = int(1000 * self.span)
-                    self._ask(LeaseCommand(what, duty, self.me, self._next_id(), number, span), now)
+                    self._ask(LeaseCommand(what, role, self.me, self._next_id(), number, span), now)
                     break
-        if self._asked is not None and now >= self._asked.again:
-            asked = self._asked
-            asked.target = self._leader or self._rng.choice(self.voters)
+        if self._pending_request is not None and now >= self._pending_request.retry_at:
+            pending = self._pending_request
+            pending.target = self._leader or self._rng.choice(self.voters)
             self._leader = ""  # should it not answer, another is asked
-            asked.again = now + REPLY_TIMEOUT_SECONDS
-            self._to(step, asked.target, Request(asked.command), now)
-        for one in [one for one in self._submitted.values() if now >= one.again]:
+            pending.retry_at = now + REPLY_TIMEOUT_SECONDS
+            self._deliver(output, pending.target, Request(pending.command), now)
+        for one in [one for one in self._pending_submissions.values() if now >= one.retry_at]:
             one.target = self._leader or self._rng.choice(self.voters)
-            one.again = now + REPLY_TIMEOUT_SECONDS
-            self._to(step, one.target, one.what, now)
-        return step
+            one.retry_at = now + REPLY_TIMEOUT_SECONDS
+            self._deliver(output, one.target, one.message, now)
+        return output
 
     def submit(self, machine: str, data: bytes, now: float) -> int:
-        """Have a state machine of the log take something; the answer comes under this number in `results`.
-        It is said until it is answered or withdrawn, so the machine may get it twice. 0: too much waits."""
-        if len(self._submitted) >= MAX_PENDING_SUBMISSIONS:
+        """Submit data to a state machine of the log; returns a number, 0 if too many are pending.
+
+        The reply appears in `results` under that number. The data is sent again until it is answered or
+        withdrawn, so the machine may apply it twice."""
+        if len(self._pending_submissions) >= MAX_PENDING_SUBMISSIONS:
             return 0
         what = Submit(machine, self._next_id(), data)
-        self._submitted[what.id] = _Submitted(what, now, "")
+        self._pending_submissions[what.id] = _PendingSubmission(what, now, "")
         return what.id
 
     def withdraw(self, id: int) -> None:
-        """Nobody waits for that answer any more; whether it took effect is not known."""
-        self._submitted.pop(id, None)
+        """Stop waiting for a reply; whether the submission took effect is not known."""
+        self._pending_submissions.pop(id, None)
         self.results.pop(id, None)
 
     def receive(self, now: float, what: LeaseMessage, sender: str) -> NodeOutput:
-        """One message of an authenticated member."""
-        step = NodeOutput()
+        """Handle one message of an authenticated member."""
+        output = NodeOutput()
         if isinstance(what, RaftMessage):
             if self.driver is not None and not self.failed and what.sender == sender:
-                self._apply(self.driver.receive(now, what), step, now)
+                self._apply(self.driver.receive(now, what), output, now)
         elif isinstance(what, Request):
-            if what.command.owner == sender:
-                self._requested(what.command, step, now)
+            if what.command.holder == sender:
+                self._on_request(what.command, output, now)
         elif isinstance(what, Submit):
-            self._take_submit(what, sender, step, now)
+            self._on_submit(what, sender, output, now)
         elif isinstance(what, Submitted):
-            self._take_submitted(what, sender, now)
+            self._on_submitted(what, sender, now)
         else:
-            self._replied(what, sender, now)
-        return step
+            self._on_reply(what, sender, now)
+        return output
 
-    def fail(self, why: str) -> None:
-        """The disk can't be written: no voter any more, and no word goes out that would rest on it."""
-        self.failed = why
+    def fail(self, reason: str) -> None:
+        """Stop being a voter, since the disk can't be written or the log can't be read."""
+        self.failed = reason
         if self.driver is not None and self.driver.raft.role == LEADER:
             self.driver.raft.role = FOLLOWER
-        self._waiting.clear()
+        self._pending_replies.clear()
 
-    # -- a member that wants
+    # -- requests
 
     def _next_id(self) -> int:
         self._id += 1
         return self._id
 
     def _ask(self, command: LeaseCommand, now: float) -> None:
-        self._asked = _Asked(command, now, now, "")
+        self._pending_request = _PendingRequest(command, now, now, "")
 
-    def _replied(self, reply: Reply, sender: str, now: float) -> None:
-        asked = self._asked
-        if asked is None or reply.id != asked.command.id or sender not in self.voters:
+    def _on_reply(self, reply: Reply, sender: str, now: float) -> None:
+        pending = self._pending_request
+        if pending is None or reply.id != pending.command.id or sender not in self.voters:
             return
         if not reply.final:
             self._leader = reply.leader if reply.leader in self.voters else ""
-            asked.again = min(asked.again, now + (0.0 if self._leader else 0.1))
+            pending.retry_at = min(pending.retry_at, now + (0.0 if self._leader else 0.1))
             return
         self._leader = sender
-        self._asked = None
-        command, result = asked.command, reply.result
-        duty = command.duty
-        if result.owner:
-            self.known[duty] = result.owner, result.number, now
-        if command.what == GIVE_UP:
+        self._pending_request = None
+        command, result = pending.command, reply.result
+        role = command.role
+        if result.holder:
+            self.known_holders[role] = KnownHolder(result.holder, result.number, now)
+        if command.action == GIVE_UP:
             return
-        if result.ok and duty in self.wanted:
-            self.grants[duty] = HeldLease.of(command, result, asked.first)
-            self._at[duty] = asked.first + self.span / 3.0
+        if result.ok and role in self.wanted_roles:
+            self.held_leases[role] = HeldLease.from_result(command, result, pending.first_sent_at)
+            self._next_request_at[role] = pending.first_sent_at + self.span / 3.0
         else:
-            self.grants.pop(duty, None)
-            left = min(result.left / 1000.0, self.span) if result.owner else 0.0
+            self.held_leases.pop(role, None)
+            left = min(result.remaining_ms / 1000.0, self.span) if result.holder else 0.0
             # All who want it come back at its end; by chance not all at once.
-            self._at[duty] = now + left + self.span * (0.02 + 0.08 * self._rng.random())
+            self._next_request_at[role] = (
+                now + left + self.span * (0.02 + 0.08 * self._rng.random())
+            )
 
-    def _take_submitted(self, reply: Submitted, sender: str, now: float) -> None:
-        one = self._submitted.get(reply.id)
+    def _on_submitted(self, reply: Submitted, sender: str, now: float) -> None:
+        one = self._pending_submissions.get(reply.id)
         if one is None or sender not in self.voters:
             return
         if reply.final:
             self._leader = sender
-            del self._submitted[reply.id]
+            del self._pending_submissions[reply.id]
             self.results[reply.id] = reply.data if reply.ok else None
         else:
             self._leader = reply.leader if reply.leader in self.voters else ""
-            one.again = min(one.again, now + (0.0 if self._leader else 0.1))
+            one.retry_at = min(one.retry_at, now + (0.0 if self._leader else 0.1))
 
     # -- a voter
 
-    def _take_submit(self, what: Submit, sender: str, step: NodeOutput, now: float) -> None:
+    def _on_submit(self, what: Submit, sender: str, output: NodeOutput, now: float) -> None:
         raft = None if self.driver is None or self.failed else self.driver.raft
         if raft is None or raft.role != LEADER:
             hint = "" if raft is None else raft.leader
-            self._to(step, sender, Submitted(what.id, False, False, leader=hint), now)
+            self._deliver(output, sender, Submitted(what.id, False, False, leader=hint), now)
             return
         if what.machine not in self.machines:
-            self._to(step, sender, Submitted(what.id, True, False), now)
+            self._deliver(output, sender, Submitted(what.id, True, False), now)
             return
         index = 0
-        if len(self._waiting) < MAX_PENDING_PROPOSALS:
+        if len(self._pending_replies) < MAX_PENDING_PROPOSALS:
             index = raft.propose(STATE, pack_entry(self._log_time(now), what.machine, what.data))
         if index:
-            self._waiting[index] = raft.term, sender, what.id
-        self._apply(raft.take(), step, now)
+            self._pending_replies[index] = _PendingReply(raft.term, sender, what.id)
+        self._apply(raft.take(), output, now)
 
     def _log_time(self, now: float) -> int:
-        term, since, began = self._led
+        term, since, began = self._leadership
         at = began + int(1000 * (now - since))
-        if (
-            at < self.duties.clock
-        ):  # entries applied since then are of a later time: go on from there
-            at = self.duties.clock
-            self._led = term, now, at
+        if at < self.lease_table.clock:  # continue from the time of the last entry applied
+            at = self.lease_table.clock
+            self._leadership = _Leadership(term, now, at)
         return at
 
-    def _requested(self, command: LeaseCommand, step: NodeOutput, now: float) -> None:
+    def _on_request(self, command: LeaseCommand, output: NodeOutput, now: float) -> None:
         raft = None if self.driver is None or self.failed else self.driver.raft
         if raft is None or raft.role != LEADER:
             hint = "" if raft is None else raft.leader
-            self._to(step, command.owner, Reply(command.id, False, LeaseResult(False), hint), now)
+            self._deliver(
+                output, command.holder, Reply(command.id, False, LeaseResult(False), hint), now
+            )
             return
         at = self._log_time(now)
-        view = self.duties.view(command.duty, at)
-        if command.what == CLAIM and view.owner:  # no entry for what will be refused
-            self._to(step, command.owner, Reply(command.id, True, view), now)
+        view = self.lease_table.view(command.role, at)
+        if command.action == CLAIM and view.holder:  # no entry for what will be refused
+            self._deliver(output, command.holder, Reply(command.id, True, view), now)
             return
         index = (
             raft.propose(COMMAND, pack_command(at, command))
-            if len(self._waiting) < MAX_PENDING_PROPOSALS
+            if len(self._pending_replies) < MAX_PENDING_PROPOSALS
             else 0
         )
         if index:
-            self._waiting[index] = raft.term, command.owner, command.id
-        self._apply(raft.take(), step, now)
+            self._pending_replies[index] = _PendingReply(raft.term, command.holder, command.id)
+        self._apply(raft.take(), output, now)
 
-    def _apply(self, out: Ready, step: NodeOutput, now: float) -> None:
+    def _apply(self, ready: Ready, output: NodeOutput, now: float) -> None:
+        """Take up what the log's machine has produced: state, messages and committed entries."""
         assert self.driver is not None
         raft = self.driver.raft
-        if out.installed is not None:
-            self.duties, unknown = restore_all(out.installed.data, self.machines)
+        if ready.installed is not None:
+            self.lease_table, unknown = restore_all(ready.installed.data, self.machines)
             if unknown:
                 self.fail(f"the log has a state that this version can't read: {unknown}")
                 return
-        if raft.role == LEADER and self._led[0] != raft.term:
-            self._led = raft.term, now, self.duties.clock
+        if raft.role == LEADER and self._leadership.term != raft.term:
+            self._leadership = _Leadership(raft.term, now, self.lease_table.clock)
             self.elected += 1
-            self._waiting.clear()
-        if out.save is not None:
-            step.save = out.save
-        for message in out.messages:
-            self._to(step, message.to, message, now)
-        for index, entry in out.committed:
-            if entry.kind == STATE:
-                at, name, data = unpack_entry(entry.data)
-                if (
-                    name not in self.machines
-                ):  # never skipped: what came after it would rest on nothing
-                    self.fail(f"the log has an entry that this version can't read: {name}")
-                    return
-                self.duties.clock = max(self.duties.clock, at)
-                said = self.machines[name].apply(self.duties.clock, data)
-                term, asker, id = self._waiting.pop(index, (0, "", 0))
-                if asker and term == entry.term:
-                    self._to(step, asker, Submitted(id, True, True, said), now)
-            if entry.kind != COMMAND:
-                continue
-            at, command = unpack_command(entry.data)
-            result = self.duties.apply(at, command)
-            term, asker, id = self._waiting.pop(index, (0, "", 0))
-            if asker and term == entry.term and id == command.id:
-                self._to(step, asker, Reply(id, True, result), now)
+            self._pending_replies.clear()
+        if ready.save is not None:
+            output.save = ready.save
+        for message in ready.messages:
+            self._deliver(output, message.to, message, now)
+        for index, entry in ready.committed:
+            if entry.kind == STATE and not self._apply_state_entry(index, entry, output, now):
+                return
+            if entry.kind == COMMAND:
+                self._apply_command(index, entry, output, now)
         if raft.commit_index - raft.snapshot.index > SNAPSHOT_AFTER_ENTRIES:
-            raft.compact(raft.commit_index, pack_all(self.duties, self.machines))
-            step.save = raft.take().save or step.save
+            raft.compact(raft.commit_index, pack_all(self.lease_table, self.machines))
+            output.save = raft.take().save or output.save
+
+    def _apply_state_entry(
+        self, index: int, entry: LogEntry, output: NodeOutput, now: float
+    ) -> bool:
+        """Apply an entry of a state machine. False: there is no such machine here, and this voter stops,
+        since no entry may be skipped."""
+        at, name, data = unpack_entry(entry.data)
+        if name not in self.machines:
+            self.fail(f"the log has an entry that this version can't read: {name}")
+            return False
+        self.lease_table.clock = max(self.lease_table.clock, at)
+        data = self.machines[name].apply(self.lease_table.clock, data)
+        pending = self._pending_replies.pop(index, None)
+        if pending is not None and pending.term == entry.term:
+            reply = Submitted(pending.request_id, True, True, data)
+            self._deliver(output, pending.requester, reply, now)
+        return True
+
+    def _apply_command(self, index: int, entry: LogEntry, output: NodeOutput, now: float) -> None:
+        at, command = unpack_command(entry.data)
+        result = self.lease_table.apply(at, command)
+        pending = self._pending_replies.pop(index, None)
+        if pending is None or pending.term != entry.term:
+            return
+        if pending.request_id == command.id:
+            self._deliver(output, pending.requester, Reply(command.id, True, result), now)
 
-    def _to(self, step: NodeOutput, name: str, what: LeaseMessage, now: float) -> None:
-        """Send, or take what is for ourselves."""
+    def _deliver(self, output: NodeOutput, name: str, what: LeaseMessage, now: float) -> None:
+        """Queue a message for its receiver; one to this member is handled at once."""
         if name == self.me:
             more = self.receive(now, what, self.me)
-            step.save = more.save or step.save
-            step.messages += more.messages
+            output.save = more.save or output.save
+            output.messages += more.messages
         else:
-            step.messages.append((name, what))
+            output.messages.append((name, what))
--- a/yewrill/leases/states.py
+++ b/yewrill/leases/states.py
@@ -1,5 +1,4 @@
-"""State machines that the replicated log makes beside the duties: their entries, and one snapshot of all.
-Pure.
+"""Further state machines of the replicated log, beside the lease table: entries and a common snapshot. Pure.
 
 An entry has the log's own time, which machine it is for, and bytes that only the machine reads. All voters
 apply the same entries in the same order; whoever has no such machine must not skip one. What is submitted may
@@ -13,43 +12,47 @@
 
 import msgpack
 
-from yewrill.leases.duties import LeaseTable
+from yewrill.leases.lease_table import LeaseTable
 
 STATE = "state"  # the kind of such an entry
-PARTS = "parts"  # what a snapshot with more than duties begins with
+PARTS = "parts"  # the first item of a snapshot of more than the lease table
 
 
 class StateMachine(Protocol):
-    """`at`: the log's time, milliseconds, never backwards."""
+    """A deterministic state machine. `at` is the log's time in milliseconds; it never decreases."""
 
-    def apply(self, at: int, data: bytes) -> bytes: ...
+    def apply(self, at: int, data: bytes) -> bytes:
+        """Apply one entry; returns the reply to whoever submitted it."""
 
-    def pack(self) -> bytes: ...
+    def pack(self) -> bytes:
+        """The whole state, for a snapshot."""
 
     def restore(self, data: bytes) -> None:
-        """Be as when `pack` gave this; b"": as at the beginning."""
+        """Replace the state by one that `pack` returned; b"" is the initial state."""
 
 
 def pack_entry(at: int, machine: str, data: bytes) -> bytes:
+    """The data of a log entry for a state machine; `at` is the log's time in milliseconds."""
     return msgpack.packb([at, machine, data])
 
 
 def unpack_entry(data: bytes) -> tuple[int, str, bytes]:
+    """Read what `pack_entry` returned."""
     at, machine, body = msgpack.unpackb(data)
     return at, machine, body
 
 
-def pack_all(duties: LeaseTable, machines: Mapping[str, StateMachine]) -> bytes:
+def pack_all(lease_table: LeaseTable, machines: Mapping[str, StateMachine]) -> bytes:
     """One snapshot. Without machines it is as it was before there were any."""
     if not machines:
-        return duties.pack()
+        return lease_table.pack()
     return msgpack.packb(
-        [PARTS, duties.pack(), {name: one.pack() for name, one in machines.items()}]
+        [PARTS, lease_table.pack(), {name: one.pack() for name, one in machines.items()}]
     )
 
 
 def restore_all(data: bytes, machines: Mapping[str, StateMachine]) -> tuple[LeaseTable, str]:
-    """The duties, with all machines put back; and which machine of the snapshot is not here, if any."""
+    """Restore all machines; returns the lease table and the name of one that is missing here, or ""."""
     parts = msgpack.unpackb(data) if data else None
     if parts is None or parts[0] != PARTS:
         for one in machines.values():
--- a/yewrill/leases/timing.py
+++ b/yewrill/leases/timing.py
@@ -1,6 +1,6 @@
-"""When a voter stands, speaks and counts: the time of the replicated log. Pure; seconds of any steady clock.
+"""The timers of Raft: heartbeats, election timeout, quorum check. Pure; seconds of any monotonic clock.
 
-Nothing that must hold rests on this: a time that is wrong costs elections, never an entry.
+Safety doesn't depend on these: a wrong time costs elections, never an entry.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    beat: float = 0.1  # between two words of a leader
-    election: float = (
-        0.6  # at the least, without a leader, before standing; up to twice that by chance
-    )
+    """Durations in seconds."""
+
+    beat: float = 0.1  # between two heartbeats of a leader
+    election: float = 0.6  # the shortest election timeout; the longest is twice that
 
 
 class Driver:
-    """A machine and its time."""
+    """Drives a `Raft` by the time."""
 
     def __init__(self, raft: Raft, rng: random.Random, now: float, times: Times | None = None):
         self.raft, self._rng, self._times = raft, rng, times or Times()
@@ -36,10 +36,11 @@
 
     @property
     def due(self) -> float:
+        """When `tick` is to be called next."""
         return min(self._beat, self._check if self.raft.role == LEADER else self._election)
 
     def tick(self, now: float) -> Ready:
-        """Whatever is due."""
+        """Run the timers that are due."""
         raft = self.raft
         if now >= self._beat:
             self._beat = now + self._times.beat
@@ -56,15 +57,15 @@
         return raft.take()
 
     def receive(self, now: float, message: RaftMessage) -> Ready:
-        """One message; a leader's word, or a vote given, puts off our own standing."""
+        """Handle one message. A leader's message, or a vote granted, restarts the election timeout."""
         raft = self.raft
         vote = raft.vote
         raft.receive(message)
-        heard = (
+        from_leader = (
             message.kind in (MessageKind.APPEND, MessageKind.SNAPSHOT)
             and raft.leader == message.sender
         )
-        if heard or (raft.vote != vote and raft.vote == message.sender):
+        if from_leader or (raft.vote != vote and raft.vote == message.sender):
             self._wait(now)
         return raft.take()
 
