--- a/tests/fixture_service.py
+++ b/tests/fixture_service.py
@@ -238,7 +238,7 @@
         ready = service.hot_restart.new_process_ready
         await new_process.say(*HEIR_SAYS[2:])
         heard += await new_process.hear(3)
-        known = [ready, service.hot_restart.open_elsewhere("heirs-job"), service.endpoints.out]
+        known = [ready, service.hot_restart.open_elsewhere("heirs-job"), service.endpoints.detached]
         await new_process.close()
         # Kept and refused records are answered as they get there, which may be in another order.
         return [_alike(heard[:-3]) + sorted(_alike(heard[-3:])), known]
@@ -260,8 +260,8 @@
                 first = [
                     hot_restart.open_elsewhere("elders-job"),
                     here.service.operator_drain.active,
-                    pool.out,
-                    sorted(pool.back),
+                    pool.detached,
+                    sorted(pool.recently_attached),
                     pool.names,
                 ]
                 await old_process.line.say(*[_now(line) for line in ELDER_SAYS])
@@ -269,8 +269,8 @@
                 then = [
                     [hot_restart.open_elsewhere(id) for id in ("elders-job", "another-job")],
                     here.service.operator_drain.active,
-                    pool.out,
-                    sorted(pool.back),
+                    pool.detached,
+                    sorted(pool.recently_attached),
                 ]
                 async with trio.open_nursery() as asking:
                     asking.start_soon(_job, here, "/once", "r1")
--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -22,7 +22,7 @@
 from yewrill.dispatch.engine import Attempt, DecisionEngine, Request
 from yewrill.leases import disk as voters_disk
 from yewrill.leases import raft
-from yewrill.net.discovery import EndpointList
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import HttpRequest
 from yewrill.observability.metrics import Metrics
 from yewrill.persistence import PersistentState
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -84,7 +84,7 @@
         await w.call("PUT /_profilers/detach?name=d1")
         await w.call("PUT /_profilers/attach?name=d1")
         clock.offset = step
-        assert 0.0 <= w.service.endpoints.back["d1"] < 20_000.0
+        assert 0.0 <= w.service.endpoints.recently_attached["d1"] < 20_000.0
         assert worker(w, "d1").cold_from >= 0
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,8 @@
 from yewrill.config.reading import TopologyNames, read_settings
 from yewrill.dispatch.engine import DecisionEngine
 from yewrill.net import discovery as poolconfig
-from yewrill.net.discovery import EndpointList, Watch
+from yewrill.net.discovery import DiscoveryWatch
+from yewrill.net.endpoint_list import EndpointList
 
 MANY = {"instances": 200, "registry_mode": "ask"}  # all ask one discovery
 TOLD = 6.0  # seconds after discovery had a change and could be reached
@@ -109,7 +110,7 @@
         well, discovery.peer.script = discovery.peer.script, silent
         host, _, port = address.partition(":")
         endpoints = EndpointList(DecisionEngine(read_settings(SETTINGS), 1), TopologyNames())
-        nursery.start_soon(Watch((host, int(port)), endpoints, callers=200).run)
+        nursery.start_soon(DiscoveryWatch((host, int(port)), endpoints, callers=200).run)
         while not discovery.peer.exchanges:
             await trio.sleep(0.01)
         discovery.peer.script = well
@@ -263,12 +264,18 @@
         at = 0.0
         for failures in range(40):
             pause = poolconfig.pause_after(failures, callers, rng.random())
-            assert pause >= poolconfig.RETRY and pause + poolconfig.ANEW < TOLD
+            assert (
+                pause >= poolconfig.RETRY_PAUSE_SECONDS
+                and pause + poolconfig.RECOVERY_TIMEOUT_SECONDS < TOLD
+            )
             calls.append(at := at + pause)
     for second in range(20):
         assert sum(second <= at < second + 1 for at in calls) <= a_second
     assert (
-        poolconfig.RETRY + poolconfig.HOLD_MS / 1000.0 + poolconfig.PATIENCE + poolconfig.CONNECT
+        poolconfig.RETRY_PAUSE_SECONDS
+        + poolconfig.HOLD_MS / 1000.0
+        + poolconfig.ANSWER_GRACE_SECONDS
+        + poolconfig.CONNECT_TIMEOUT_SECONDS
         < TOLD
     )
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -312,7 +312,7 @@
         service = w.service
         request = Request("r1", 0, service.engine.now() + 2000.0)
         attempt = await service.engine.pick(request)
-        assert service.endpoints.take_out(attempt.worker)
+        assert service.endpoints.detach(attempt.worker)
         assert (await service.worker_client.run_attempt(attempt))[0] is AttemptOutcome.NOT_SENT
         assert (await service.worker_client.probe("d1"))[0] is AttemptOutcome.TURNED_AWAY
         assert not one.exchanges
@@ -327,12 +327,13 @@
         assert (await w.call(BACK + "d2")).status == 200
         old_process, new_process = w.old_process, await start_heir(w)
         assert (
-            new_process.endpoints.out == ["d0", "d1"] and "d2" in new_process.endpoints.back
+            new_process.endpoints.detached == ["d0", "d1"]
+            and "d2" in new_process.endpoints.recently_attached
         )  # out, and back but still cold
         w.service = old_process
-        assert (await w.call(OUT + "d3")).status == 200 and "d3" in new_process.endpoints.out
+        assert (await w.call(OUT + "d3")).status == 200 and "d3" in new_process.endpoints.detached
         w.service = new_process
-        assert (await w.call(BACK + "d0")).status == 200 and old_process.endpoints.out == [
+        assert (await w.call(BACK + "d0")).status == 200 and old_process.endpoints.detached == [
             "d1",
             "d3",
         ]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -219,10 +219,10 @@
 
 @timed_story
 async def test_the_watch_goes_on_at_once_and_outlives_a_silent_discovery(monkeypatch):
-    from yewrill.net import discovery as poolconfig
+    from yewrill.net import discovery
 
-    monkeypatch.setattr(poolconfig, "PATIENCE", 0.1)
-    monkeypatch.setattr(poolconfig, "HOLD_MS", 100)
+    monkeypatch.setattr(discovery, "ANSWER_GRACE_SECONDS", 0.1)
+    monkeypatch.setattr(discovery, "HOLD_MS", 100)
     peer = Peer("d1", done)
     async with world(peer) as w:
         calls = w.discovery.calls
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -275,7 +275,7 @@
     async with world(peer, Peer("d2", done), Peer("d3", done), **config) as w:
         for call in ("detach?name=d1", "attach?name=d1", "detach?name=d2"):
             assert (await w.call(f"PUT /_profilers/{call}")).status == 200
-        assert w.service.endpoints.back["d1"] < 20_000.0  # milliseconds ago
+        assert w.service.endpoints.recently_attached["d1"] < 20_000.0  # milliseconds ago
         assert (await w.call("PUT /_lameduck/on")).status == 200
         await w.until(lambda: w.service.persistent_state._disk.store.get(b"list") is not None)
         w.service.engine.give_up()
@@ -299,8 +299,8 @@
             )
         )
         await nursery.start(lambda task_status: service.run(signals=False, task_status=task_status))
-        assert service.operator_drain.active and service.endpoints.out == ["d2"]
-        assert 0.0 < service.endpoints.back["d1"] < 20_000.0
+        assert service.operator_drain.active and service.endpoints.detached == ["d2"]
+        assert 0.0 < service.endpoints.recently_attached["d1"] < 20_000.0
         service.engine.tick()
         worker = service.engine._module.fleet.workers["d1"]
         assert worker.cold_from >= 0  # put back a moment ago, by a run that is dead
@@ -317,7 +317,7 @@
     async with shared_world(Peer("d1", done), Peer("d2", done), **state(tmp_path)) as w:
         await w.call("PUT /_profilers/detach?name=d1")
         new_process = await start_heir(w)
-        assert not new_process.persistent_state.held and new_process.endpoints.out == ["d1"]
+        assert not new_process.persistent_state.held and new_process.endpoints.detached == ["d1"]
         assert (await w.ask("/save", X_Request_ID="r", Idempotency_Key="k")).status == 200
         w.nursery.start_soon(w.old_process.drain)
         await w.ended.wait()
--- a/yewrill/net/discovery.py
+++ b/yewrill/net/discovery.py
@@ -1,170 +1,45 @@
-"""The pool config as this dispatcher holds it, and the watch that keeps it fresh."""
+"""The watch that keeps the endpoint list fresh by long polls at discovery."""
 
 from __future__ import annotations
 
 import logging
 import random
-from collections.abc import Callable
-from dataclasses import replace
-from typing import Any
+from dataclasses import dataclass
 
 import h11
 import trio
 import ujson
 
-from yewrill.config.reading import STATE_WORDS, ConfigError, TopologyNames, read_endpoints
-from yewrill.dispatch.engine import DecisionEngine, Endpoint
+from yewrill.config.reading import ConfigError
 from yewrill.net.connection import Connection
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import ClientSide, PeerEnded
-from yewrill.policy import interface as api
 
 log = logging.getLogger("yewrill.discovery")
 
 PATH = "/discovery/hosts"
-MOST_OUT = 10_000  # destinations taken out by hand
-REMEMBERED = 60.0  # seconds for which an heir is told that a destination was put back
-# A change counts as told 6 s after discovery had it and could be reached, whatever befell the calls before.
-# So between two chances to hear of it there is never more than that: a watch that has fallen silent is given
-# up after HOLD_MS and PATIENCE, one turned away is asked again within RETRY and MOST_PAUSE, and the call that
-# follows any such end is answered or given up within ANEW.
+# A change must be known here 6 s after discovery had it and could be reached, whatever became of the calls
+# before. So between two chances to learn of it there is never more than that: a call without an answer is
+# given up after the hold and its grace, a rejected one is repeated within the first and the longest pause,
+# and the call that follows any such end, a recovery call, is answered or given up within its timeout.
 HOLD_MS = 4000
-PATIENCE = 0.8  # seconds past the hold before discovery counts as silent
-ANEW = 3.0  # seconds for such a call: given up early, it still takes its turn in discovery's queue
-ANEW_HOLD_MS = (
-    1000  # it is answered soon with or without news, so that contact is known to be there
+ANSWER_GRACE_SECONDS = 0.8  # past the hold before discovery counts as silent
+RECOVERY_TIMEOUT_SECONDS = 3.0  # given up early, a call still takes its turn in discovery's queue
+RECOVERY_HOLD_MS = (
+    1000  # answered soon with or without a change, so that contact is known to be there
 )
-CONNECT = (
-    0.5  # seconds for a connection to come up: a SYN that was swallowed is sent again late, 1 s on
-)
-RETRY = (
-    0.1  # seconds before the next try after a failed one: within the 200 ms that keep a watch whole
-)
-# One that turns calls away has too many of them: those of a whole fleet at once. So they spread, each
+CONNECT_TIMEOUT_SECONDS = 0.5  # a SYN that was lost is sent again late, 1 s on
+RETRY_PAUSE_SECONDS = 0.1  # after a failed call: within the 200 ms that keep a watch whole
+# A discovery that rejects calls has too many of them: those of a whole fleet at once. So they spread, each
 # dispatcher's at random over as many of these seconds as there are callers, and grow rarer. One that many
 # call may end what it has no time for by a reset too: there only the first pause in a row is short.
-TURNED_AWAY, RARER, MOST_PAUSE = 0.3, 1.5, 2.7
-MOST = 4 * 1024 * 1024  # a list of some ten thousand destinations
-
-
-class EndpointList:
-    """The destinations known now; every change goes to the module too."""
-
-    def __init__(self, engine: DecisionEngine, topology: TopologyNames):
-        self._engine = engine
-        self.topology = topology
-        self._known: dict[str, Endpoint] = {}
-        self._out: set[str] = set()  # taken out by hand, listed or not
-        self._back: dict[str, float] = {}  # put back lately, and when by the module's clock, in ms
-        self.version = 0
-        self.on_change: Callable[[Endpoint | None, str], None] = lambda endpoint, name: None
-        self.on_applied: Callable[[], None] = lambda: None  # the list is another one
-
-    def __len__(self) -> int:
-        return len(self._known)
-
-    @property
-    def names(self) -> list[str]:
-        return list(self._known)
-
-    def get(self, name: str) -> Endpoint | None:
-        return self._known.get(name)
-
-    def may_send(self, name: str) -> bool:
-        """Whether new work may still go there: not once it drains, is gone or was taken out by hand."""
-        endpoint = self._known.get(name)
-        return endpoint is not None and endpoint.state == api.RUNNING and name not in self._out
-
-    # -- taken out and put back by hand
-
-    @property
-    def out(self) -> list[str]:
-        return sorted(self._out)
-
-    @property
-    def back(self) -> dict[str, float]:
-        """What was put back lately, and how long ago, in ms: whoever sends there for the first time must take
-        it for cold."""
-        now = self._engine.now()
-        oldest = now - REMEMBERED * 1000.0
-        self._back = {name: at for name, at in self._back.items() if at > oldest}
-        return {name: now - at for name, at in self._back.items()}
+REJECTED_PAUSE_SECONDS, PAUSE_GROWTH, MAX_PAUSE_SECONDS = 0.3, 1.5, 2.7
+MAX_COUNTED_FAILURES = 10  # in a row; the pause grows no more by then
+MAX_LIST_BYTES = 4 * 1024 * 1024  # a list of some ten thousand endpoints
+INPUT_BUFFER_BYTES = 65536
 
-    def take_out(self, name: str, listed: bool = True) -> bool:
-        """Nothing more goes there, whatever lists say, until it is put back. False if nobody has it."""
-        if name not in self._out:
-            if (listed and name not in self._known) or len(self._out) >= MOST_OUT:
-                return False
-            self._out.add(name)
-            self._back.pop(name, None)
-            self._tell(name)
-        return True
 
-    def put_back(self, name: str, ago: float = 0.0) -> bool:
-        """End that, so many ms ago; it may have been restarted meanwhile. False if nobody has this name."""
-        if name in self._out:
-            self._out.discard(name)
-            self._back[name] = self._engine.now() - ago
-            self._tell(name)
-            self._engine.returned(name, ago)
-            return True
-        return name in self._known
-
-    def _tell(self, name: str) -> None:
-        endpoint = self._known.get(name)
-        if endpoint is not None:
-            self.on_change(endpoint, name)
-            self._engine.update_endpoints([self._laid_over(endpoint)], full=False)
-
-    def _laid_over(self, endpoint: Endpoint) -> Endpoint:
-        """A line of the list as the module is to see it."""
-        if endpoint.id in self._out and endpoint.state == api.RUNNING:
-            return replace(endpoint, state=api.DRAINING)
-        return endpoint
-
-    def snapshot(self) -> dict[str, Any]:
-        """The list in discovery's form, for another run of this dispatcher."""
-        return {
-            "version": self.version,
-            "full": True,
-            "servers": [
-                {
-                    "id": d.id,
-                    "addr": f"{d.address[0]}:{d.address[1]}",
-                    "zone": d.zone,
-                    "kind": d.kind,
-                    "cell": d.cell,
-                    "state": STATE_WORDS[d.state],
-                    "weight": d.weight,
-                    "started_ms": d.started_ms,
-                }
-                for d in self._known.values()
-            ],
-        }
-
-    def apply(self, answer: dict[str, Any], cached: bool = False) -> None:
-        """Take an answer of discovery's. Raises ConfigError on nonsense, leaving the list as it was."""
-        endpoints = read_endpoints(answer, "discovery", self.topology)
-        version, full = answer["version"], cached or bool(answer.get("full"))
-        before = dict(self._known)
-        if full:
-            self._known = {}
-        for endpoint in endpoints:
-            if endpoint.state == api.GONE:
-                self._known.pop(endpoint.id, None)
-            else:
-                self._known[endpoint.id] = endpoint
-        self.version = version
-        for name in before.keys() | self._known.keys():
-            now = self._known.get(name)
-            if now != before.get(name):
-                self.on_change(now, name)
-        if self._known != before:
-            self.on_applied()
-        if full or endpoints:
-            self._engine.update_endpoints(map(self._laid_over, endpoints), full=full, cached=cached)
-
-
-class TurnedAway(Exception):
+class CallRejected(Exception):
     """Discovery has not taken the call. It says nothing against what is known of the list."""
 
 
@@ -172,22 +47,41 @@
     """Seconds until a discovery that so many dispatchers call is asked again, after a call that failed and so
     many others before it in a row; `chance` from 0 to 1. A fleet that asked again at once would keep a queue
     full in which all fail."""
-    return RETRY + chance * min(MOST_PAUSE, TURNED_AWAY * callers * RARER**failures)
+    spread = REJECTED_PAUSE_SECONDS * callers * PAUSE_GROWTH**failures
+    return RETRY_PAUSE_SECONDS + chance * min(MAX_PAUSE_SECONDS, spread)
 
 
-class Watch:
-    """Keeps the pool config fresh for good, whether discovery is silent, gone, talks nonsense or moves."""
+@dataclass(slots=True)
+class _Session:
+    """Where the watch stands with the discovery at one address."""
+
+    address: tuple[str, int]
+    side: ClientSide | None = None
+    needs_whole_list: bool = True  # the list known before may be old: begin with all of it
+    recovering: bool = True  # the call before did not get its answer
+    lost: bool = False  # that has been logged
+    failures: int = 0  # in a row
+
+    def close(self) -> None:
+        if self.side is not None:
+            self.side.connection.close()
+            self.side = None
+
+
+class DiscoveryWatch:
+    """Keeps the endpoint list fresh for good, also when discovery is silent, gone, malformed or moves."""
 
     def __init__(
         self, address: tuple[str, int], endpoints: EndpointList, seed: int = 0, callers: int = 1
     ):
+        """`callers`: how many dispatchers call this discovery, this one among them."""
         self.address = address
-        self.callers = callers  # how many dispatchers call this discovery, ours among them
+        self.callers = callers
         self._endpoints = endpoints
-        self._counted_by = address  # whose versions the list's is one of
+        self._list_source = address  # the discovery whose version numbers the list has
         self._rng = random.Random(seed)
         self._scope = trio.CancelScope()
-        self.heard = trio.Event()  # discovery has told something
+        self.answered = trio.Event()  # discovery has given a list
 
     def move(self, address: tuple[str, int]) -> None:
         """Go on at another address at once, even from within a held call, and take the whole list there."""
@@ -196,88 +90,99 @@
             self._scope.cancel()
 
     async def run(self) -> None:
+        """Watch until cancelled."""
         while True:
             self._scope = trio.CancelScope()
             with self._scope:
-                await self._follow(self.address)
+                await self._follow(_Session(self.address))
 
-    async def _follow(self, address: tuple[str, int]) -> None:
-        endpoints = self._endpoints
-        side: ClientSide | None = None
-        whole = True  # the list known before may be old: begin with all of it
-        anew = True  # the call before did not get its answer
-        quiet = False
-        failures = 0  # in a row
+    async def _follow(self, session: _Session) -> None:
         try:
             while True:
-                pause = RETRY
                 try:
-                    with trio.fail_after(ANEW if anew else HOLD_MS / 1000.0 + PATIENCE):
-                        if side is None:
-                            with trio.fail_after(CONNECT):
-                                side = ClientSide(await Connection.open(address, ring=65536))
-                        response, body = await self._call(
-                            side, whole, ANEW_HOLD_MS if anew else HOLD_MS
-                        )
-                    self._take(response, body, whole)
-                    self._counted_by = address
-                    self.heard.set()
-                    whole = anew = False
-                    failures = 0
-                    if quiet:
-                        log.info(
-                            "discovery-back version=%d destinations=%d",
-                            endpoints.version,
-                            len(endpoints),
-                        )
-                        quiet = False
-                    if not side.settled():
-                        side.connection.close()
-                        side = None
+                    await self._poll(session)
                 except (
                     OSError,
                     PeerEnded,
                     h11.ProtocolError,
                     ConfigError,
                     ValueError,
-                    TurnedAway,
+                    CallRejected,
                     trio.TooSlowError,
                 ) as error:
-                    anew = True
-                    if not quiet:
-                        log.warning(
-                            "discovery-lost version=%d: %s %s",
-                            endpoints.version,
-                            type(error).__name__,
-                            error,
-                        )
-                        quiet = True
-                    if isinstance(error, TurnedAway) or (failures and self.callers > 1):
-                        pause = pause_after(failures, self.callers, self._rng.random())
-                    failures = min(failures + 1, 10)
-                    if isinstance(error, TurnedAway):
-                        whole = whole and not (len(endpoints) and self._counted_by == address)
-                    elif isinstance(error, (ConfigError, ValueError)):
-                        whole = True  # nonsense among the changes: only the whole list can be trusted again
-                    if side is not None:
-                        side.connection.close()
-                        side = None
+                    pause = self._note_failure(session, error)
+                    session.close()
                     await trio.sleep(pause)
         finally:
-            if side is not None:
-                side.connection.close()
-
-    async def _call(self, side: ClientSide, whole: bool, hold: int) -> tuple[h11.Response, bytes]:
-        """Ask for the whole list, or for changes that may take so many milliseconds to come."""
-        target = PATH if whole else f"{PATH}?from={self._endpoints.version}&hold_ms={hold}"
+            session.close()
+
+    async def _poll(self, session: _Session) -> None:
+        """One call and its answer."""
+        whole = session.needs_whole_list
+        timeout = HOLD_MS / 1000.0 + ANSWER_GRACE_SECONDS
+        with trio.fail_after(RECOVERY_TIMEOUT_SECONDS if session.recovering else timeout):
+            if session.side is None:
+                with trio.fail_after(CONNECT_TIMEOUT_SECONDS):
+                    session.side = ClientSide(
+                        await Connection.open(session.address, ring=INPUT_BUFFER_BYTES)
+                    )
+            response, body = await self._call(
+                session.side, whole, RECOVERY_HOLD_MS if session.recovering else HOLD_MS
+            )
+        self._apply(response, body, whole)
+        self._note_success(session)
+        if not session.side.settled():
+            session.close()
+
+    def _note_success(self, session: _Session) -> None:
+        self._list_source = session.address
+        self.answered.set()
+        session.needs_whole_list = session.recovering = False
+        session.failures = 0
+        if session.lost:
+            log.info(
+                "discovery-back version=%d destinations=%d",
+                self._endpoints.version,
+                len(self._endpoints),
+            )
+            session.lost = False
+
+    def _note_failure(self, session: _Session, error: Exception) -> float:
+        """Take a failed call into account; returns the seconds to the next one."""
+        session.recovering = True
+        if not session.lost:
+            log.warning(
+                "discovery-lost version=%d: %s %s",
+                self._endpoints.version,
+                type(error).__name__,
+                error,
+            )
+            session.lost = True
+        pause = RETRY_PAUSE_SECONDS
+        rejected = isinstance(error, CallRejected)
+        if rejected or (session.failures and self.callers > 1):
+            pause = pause_after(session.failures, self.callers, self._rng.random())
+        session.failures = min(session.failures + 1, MAX_COUNTED_FAILURES)
+        if rejected:
+            current = len(self._endpoints) and self._list_source == session.address
+            session.needs_whole_list = session.needs_whole_list and not current
+        elif isinstance(error, (ConfigError, ValueError)):
+            session.needs_whole_list = True  # after malformed changes only the whole list is safe
+        return pause
+
+    async def _call(
+        self, side: ClientSide, whole: bool, hold_ms: int
+    ) -> tuple[h11.Response, bytes]:
+        """Ask for the whole list, or for changes that may take so long to come."""
+        target = PATH if whole else f"{PATH}?from={self._endpoints.version}&hold_ms={hold_ms}"
         await side.connection.send(side.encode("GET", target, [("Host", "discovery")]))
         response = await side.response()
-        return response, await side.body(MOST)
+        return response, await side.body(MAX_LIST_BYTES)
 
-    def _take(self, response: h11.Response, body: bytes, whole: bool) -> None:
-        """Take an answer to the list, or raise what it is instead of one."""
+    def _apply(self, response: h11.Response, body: bytes, whole: bool) -> None:
+        """Apply an answer to the list. Raises CallRejected, ConfigError or ValueError."""
         if response.status_code in (429, 503):
-            raise TurnedAway(f"status {response.status_code}")
+            raise CallRejected(f"status {response.status_code}")
         if response.status_code != 200:
             raise ConfigError(f"discovery: status {response.status_code}")
         answer = ujson.loads(body)
@@ -289,6 +194,6 @@
             and isinstance(version := answer.get("version"), int)
             and version < known
         ):
-            # It counts anew, so it would not tell of a change until it had counted up to where we are.
+            # Its versions begin anew, so a change would be missed until they had come up to ours.
             raise ConfigError(f"discovery.version: {version}, after {known}")
         self._endpoints.apply(answer)
--- /dev/null
+++ b/yewrill/net/endpoint_list.py
@@ -0,0 +1,153 @@
+"""The endpoints that this dispatcher knows: discovery's list, and what operators have detached from it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+
+from yewrill.config.reading import STATE_WORDS, TopologyNames, read_endpoints
+from yewrill.dispatch.engine import DecisionEngine, Endpoint
+from yewrill.policy import interface as api
+
+MAX_DETACHED = 10_000
+ATTACH_MEMORY_SECONDS = 60.0  # for which a new process learns that a worker was attached again
+
+
+class EndpointList:
+    """The endpoints known now; every change goes to the decision engine and to the subscribers too."""
+
+    def __init__(self, engine: DecisionEngine, topology: TopologyNames):
+        self._engine = engine
+        self.topology = topology
+        self._known: dict[str, Endpoint] = {}
+        self._detached: set[str] = set()  # by operators, listed or not
+        self._attached_at: dict[str, float] = {}  # lately, by the engine's clock, in ms
+        self.version = 0
+        self._change_subscribers: list[Callable[[Endpoint | None, str], None]] = []
+        self._list_subscribers: list[Callable[[], None]] = []
+
+    def __len__(self) -> int:
+        return len(self._known)
+
+    def subscribe_to_changes(self, callback: Callable[[Endpoint | None, str], None]) -> None:
+        """Call back with each endpoint that has changed, None for one that is gone, and its name."""
+        self._change_subscribers.append(callback)
+
+    def subscribe_to_lists(self, callback: Callable[[], None]) -> None:
+        """Call back whenever the list is another one."""
+        self._list_subscribers.append(callback)
+
+    @property
+    def names(self) -> list[str]:
+        """All names of the list."""
+        return list(self._known)
+
+    def get(self, name: str) -> Endpoint | None:
+        """The endpoint of this name, if it is listed."""
+        return self._known.get(name)
+
+    def may_send(self, name: str) -> bool:
+        """Whether new work may still go there: not once it drains, is gone or was detached."""
+        endpoint = self._known.get(name)
+        return endpoint is not None and endpoint.state == api.RUNNING and name not in self._detached
+
+    @property
+    def detached(self) -> list[str]:
+        """What operators have detached, listed or not."""
+        return sorted(self._detached)
+
+    @property
+    def recently_attached(self) -> dict[str, float]:
+        """What was attached again lately, and how long ago, in ms.
+
+        Whoever sends there for the first time must take it for a worker that is warming up.
+        """
+        now = self._engine.now()
+        oldest = now - ATTACH_MEMORY_SECONDS * 1000.0
+        self._attached_at = {name: at for name, at in self._attached_at.items() if at > oldest}
+        return {name: now - at for name, at in self._attached_at.items()}
+
+    def detach(self, name: str, listed: bool = True) -> bool:
+        """Send nothing more there, whatever lists say, until it is attached again.
+
+        Returns False if `listed` and no list has it, or if too many are detached.
+        """
+        if name not in self._detached:
+            if (listed and name not in self._known) or len(self._detached) >= MAX_DETACHED:
+                return False
+            self._detached.add(name)
+            self._attached_at.pop(name, None)
+            self._notify(name)
+        return True
+
+    def attach(self, name: str, age_ms: float = 0.0) -> bool:
+        """End that, so many ms ago; it may have been restarted meanwhile. False if the name is unknown."""
+        if name in self._detached:
+            self._detached.discard(name)
+            self._attached_at[name] = self._engine.now() - age_ms
+            self._notify(name)
+            self._engine.returned(name, age_ms)
+            return True
+        return name in self._known
+
+    def _notify(self, name: str) -> None:
+        endpoint = self._known.get(name)
+        if endpoint is not None:
+            self._notify_change(endpoint, name)
+            self._engine.update_endpoints([self._as_seen_by_policy(endpoint)], full=False)
+
+    def _notify_change(self, endpoint: Endpoint | None, name: str) -> None:
+        for callback in self._change_subscribers:
+            callback(endpoint, name)
+
+    def _as_seen_by_policy(self, endpoint: Endpoint) -> Endpoint:
+        """An endpoint as the policy is to see it: one that is detached drains."""
+        if endpoint.id in self._detached and endpoint.state == api.RUNNING:
+            return replace(endpoint, state=api.DRAINING)
+        return endpoint
+
+    def snapshot(self) -> dict[str, Any]:
+        """The list in discovery's form, for another process of this dispatcher."""
+        return {
+            "version": self.version,
+            "full": True,
+            "servers": [
+                {
+                    "id": endpoint.id,
+                    "addr": f"{endpoint.address[0]}:{endpoint.address[1]}",
+                    "zone": endpoint.zone,
+                    "kind": endpoint.kind,
+                    "cell": endpoint.cell,
+                    "state": STATE_WORDS[endpoint.state],
+                    "weight": endpoint.weight,
+                    "started_ms": endpoint.started_ms,
+                }
+                for endpoint in self._known.values()
+            ],
+        }
+
+    def apply(self, answer: dict[str, Any], cached: bool = False) -> None:
+        """Take an answer of discovery's. Raises ConfigError if it is malformed; the list stays then."""
+        endpoints = read_endpoints(answer, "discovery", self.topology)
+        version, full = answer["version"], cached or bool(answer.get("full"))
+        before = dict(self._known)
+        if full:
+            self._known = {}
+        for endpoint in endpoints:
+            if endpoint.state == api.GONE:
+                self._known.pop(endpoint.id, None)
+            else:
+                self._known[endpoint.id] = endpoint
+        self.version = version
+        for name in before.keys() | self._known.keys():
+            now = self._known.get(name)
+            if now != before.get(name):
+                self._notify_change(now, name)
+        if self._known != before:
+            for callback in self._list_subscribers:
+                callback()
+        if full or endpoints:
+            self._engine.update_endpoints(
+                map(self._as_seen_by_policy, endpoints), full=full, cached=cached
+            )
--- a/yewrill/net/worker_client.py
+++ b/yewrill/net/worker_client.py
@@ -21,7 +21,7 @@
 from yewrill.dispatch.engine import Attempt, DecisionEngine, Endpoint, Request
 from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.net.connection import OWN_SHORTAGE
-from yewrill.net.discovery import EndpointList
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import PeerEnded
 from yewrill.net.worker_connections import WorkerConnection, WorkerConnectionPool
 from yewrill.net.worker_protocol import MalformedResponse, WorkerCodec, WorkerMessage
--- a/yewrill/net/worker_connections.py
+++ b/yewrill/net/worker_connections.py
@@ -12,7 +12,7 @@
 
 from yewrill.dispatch.engine import Endpoint
 from yewrill.net.connection import Connection, Quiet
-from yewrill.net.discovery import EndpointList
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import ClientSide
 
 log = logging.getLogger("yewrill.destinations")
@@ -69,7 +69,7 @@
         self.open = 0
         self._ending: list[_EndingMessage] = []
         self._reuse_pauses: dict[str, _ReusePause] = {}
-        endpoints.on_change = self._endpoint_changed
+        endpoints.subscribe_to_changes(self._endpoint_changed)
 
     def reconfigure(self, connect_timeout: float, idle_limit: float) -> None:
         """In seconds: how long a connection may take to come up, and how long workers let it stay idle."""
--- a/yewrill/persistence/persistent_state.py
+++ b/yewrill/persistence/persistent_state.py
@@ -22,7 +22,7 @@
 from yewrill.config.reading import StateConfig
 from yewrill.dispatch.engine import Attempt, Request
 from yewrill.dispatch.outcome import AttemptOutcome
-from yewrill.net.discovery import REMEMBERED, EndpointList
+from yewrill.net.endpoint_list import ATTACH_MEMORY_SECONDS, EndpointList
 from yewrill.observability.metrics import Metrics
 from yewrill.persistence.attempts import (
     AttemptRecord,
@@ -148,12 +148,12 @@
         return state
 
     def _put_back_lately(self) -> Iterator[tuple[str, float]]:
-        """Workers that operators put back within `REMEMBERED`, and how long ago, in ms."""
+        """Workers that operators put back within `ATTACH_MEMORY_SECONDS`, and how long ago, in ms."""
         now = self.clocks()
         for name, value in self._disk.rows(BACK):
             with suppress(ValueError, TypeError, KeyError):
                 ago = least_age(Clocks.decode(value), now)
-                if ago < REMEMBERED * 1000.0:
+                if ago < ATTACH_MEMORY_SECONDS * 1000.0:
                     yield name, ago
 
     def recall_attempts(self) -> bool:
@@ -227,9 +227,9 @@
         batch = Batch()
         for key in await trio.to_thread.run_sync(self._operators_keys):
             batch.delete(key)
-        for name in self._endpoints.out:
+        for name in self._endpoints.detached:
             _note_out(batch, name)
-        for name, ago in self._endpoints.back.items():
+        for name, ago in self._endpoints.recently_attached.items():
             self._note_back(batch, name, ago)
         _note_lame(batch, self._lame)
         for job in self._jobs.values():
@@ -277,7 +277,7 @@
     def _note_back(self, batch: Batch, name: str, ago: float) -> Batch:
         now = self.clocks()
         at = Clocks(now.wall - ago, now.steady - ago, now.boot)
-        expires = int(now.wall + REMEMBERED * 1000.0 + EXPIRY_MARGIN_MS)
+        expires = int(now.wall + ATTACH_MEMORY_SECONDS * 1000.0 + EXPIRY_MARGIN_MS)
         return batch.put(BACK + name.encode(), ujson.dumps(at.encode()).encode(), expires)
 
     # -- a spool's batches
--- a/yewrill/service/management_calls.py
+++ b/yewrill/service/management_calls.py
@@ -14,7 +14,7 @@
 
 import ujson
 
-from yewrill.net.discovery import EndpointList
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import Reply
 from yewrill.net.management import Call
 from yewrill.service.metrics_report import MetricsReport
@@ -97,7 +97,7 @@
         return Reply(200, self._metrics_report.text().encode())
 
     async def _detach(self, name: str) -> Reply:
-        if not self._endpoints.take_out(name):
+        if not self._endpoints.detach(name):
             return NO_SUCH_WORKER
         log.info("detached worker=%s", name)
         state = self._persistent_state
@@ -106,7 +106,7 @@
         return _done(b"detached", stored)
 
     async def _attach(self, name: str) -> Reply:
-        if not self._endpoints.put_back(name):
+        if not self._endpoints.attach(name):
             return NO_SUCH_WORKER
         log.info("attached worker=%s", name)
         state = self._persistent_state
--- a/yewrill/service/metrics_report.py
+++ b/yewrill/service/metrics_report.py
@@ -8,7 +8,7 @@
 from yewrill.dispatch.engine import DecisionEngine
 from yewrill.dispatch.safety import CloseReason, HeldBack
 from yewrill.net.connection import Retries
-from yewrill.net.discovery import EndpointList
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.listener import Listener
 from yewrill.net.worker_client import WorkerClient
 from yewrill.observability.metrics import Metrics
--- a/yewrill/service/reload.py
+++ b/yewrill/service/reload.py
@@ -9,7 +9,8 @@
 
 from yewrill.config.reading import Config, ConfigError, check_succession, differing
 from yewrill.dispatch.engine import DecisionEngine
-from yewrill.net.discovery import EndpointList, Watch
+from yewrill.net.discovery import DiscoveryWatch
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.worker_connections import WorkerConnectionPool
 from yewrill.observability.metrics import Metrics
 
@@ -45,7 +46,7 @@
         front: PlatformFront | ProgressFront,
         engine: DecisionEngine,
         endpoints: EndpointList,
-        watch: Watch,
+        watch: DiscoveryWatch,
         worker_connections: WorkerConnectionPool,
         metrics: Metrics,
         tracing_hooks: TracingHooks | None,
--- a/yewrill/service/request_handler.py
+++ b/yewrill/service/request_handler.py
@@ -9,7 +9,7 @@
 from yewrill.dispatch.engine import DecisionEngine, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served, carry
 from yewrill.dispatch.safety import Rule
-from yewrill.net.discovery import EndpointList
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import BadRequest, HttpRequest, Reply
 from yewrill.net.listener import Client
 from yewrill.observability.logs import bind_request
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -21,7 +21,8 @@
 from yewrill.dispatch.lifecycle import AttemptRunner
 from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.frontends.platform import PlatformFront, Reader
-from yewrill.net.discovery import EndpointList, Watch
+from yewrill.net.discovery import DiscoveryWatch
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.listener import Listener
 from yewrill.net.worker_client import WorkerClient
 from yewrill.net.worker_connections import WorkerConnectionPool
@@ -75,7 +76,9 @@
         """What decides, and what carries requests to workers."""
         self.engine = DecisionEngine(config.settings, config.seed)
         self.endpoints = EndpointList(self.engine, config.topology)
-        self.watch = Watch(config.discovery, self.endpoints, config.seed, discovery_callers(config))
+        self.watch = DiscoveryWatch(
+            config.discovery, self.endpoints, config.seed, discovery_callers(config)
+        )
         self.metrics = Metrics()
         self.metrics.know(c.name for c in config.settings.classes)
         self.front = _front(config)
@@ -282,7 +285,7 @@
         self.tasks.start_supervised(self.watch.run)
         await self.hot_restart.joined.wait()
         with trio.move_on_after(FIRST_LIST_TIMEOUT_SECONDS):
-            await self.watch.heard.wait()
+            await self.watch.answered.wait()
         await self.hot_restart.ready()
 
     def _begin_serving(self, task_status: trio.TaskStatus[Service]) -> None:
--- a/yewrill/service/state_exchange.py
+++ b/yewrill/service/state_exchange.py
@@ -8,7 +8,8 @@
 import time
 from typing import Any
 
-from yewrill.net.discovery import REMEMBERED, EndpointList, Watch
+from yewrill.net.discovery import DiscoveryWatch
+from yewrill.net.endpoint_list import ATTACH_MEMORY_SECONDS, EndpointList
 from yewrill.service.open_requests import OpenRequests
 from yewrill.service.operator_drain import OperatorDrain
 from yewrill.service.socket_budget import SocketBudget
@@ -20,7 +21,7 @@
     def __init__(
         self,
         endpoints: EndpointList,
-        watch: Watch,
+        watch: DiscoveryWatch,
         operator_drain: OperatorDrain,
         open_requests: OpenRequests,
         socket_budget: SocketBudget,
@@ -37,8 +38,8 @@
         return {
             "ids": list(self._open_requests.ids),
             "lame": self._operator_drain.active,
-            "out": self._endpoints.out,
-            "back": _wall_times(self._endpoints.back),
+            "out": self._endpoints.detached,
+            "back": _wall_times(self._endpoints.recently_attached),
             "list": self._endpoints.snapshot(),
             "sockets": sockets,
         }
@@ -52,9 +53,9 @@
         elif "lame" in message:
             self._operator_drain.set(bool(message["lame"]))
         elif "out" in message:
-            self._endpoints.take_out(message["out"], listed=False)
+            self._endpoints.detach(message["out"], listed=False)
         elif "back" in message:
-            self._endpoints.put_back(message["back"])
+            self._endpoints.attach(message["back"])
 
     def disconnected(self) -> None:
         """No other process is left."""
@@ -64,12 +65,12 @@
         """Apply what another process knew: the operators' orders, and a list. `back` holds ages in ms."""
         self._operator_drain.set(bool(state["lame"]))
         for name in state["out"]:
-            self._endpoints.take_out(name, listed=False)
-        if state["list"] and not self._watch.heard.is_set():
+            self._endpoints.detach(name, listed=False)
+        if state["list"] and not self._watch.answered.is_set():
             self._endpoints.apply(state["list"], cached=True)
         for name, age_ms in state["back"].items():
-            self._endpoints.take_out(name, listed=False)
-            self._endpoints.put_back(name, age_ms)
+            self._endpoints.detach(name, listed=False)
+            self._endpoints.attach(name, age_ms)
 
 
 def _wall_times(ages_ms: dict[str, float]) -> dict[str, float]:
@@ -81,6 +82,6 @@
 def _ages(times_ms: dict[str, float]) -> dict[str, float]:
     """Wall clock times as ages, both in ms. A time that is in the future or too long ago counts as now."""
     now = time.time() * 1000.0
-    max_age = REMEMBERED * 1000.0
+    max_age = ATTACH_MEMORY_SECONDS * 1000.0
     ages = {name: now - at for name, at in times_ms.items()}
     return {name: age if 0.0 <= age <= max_age else 0.0 for name, age in ages.items()}
--- a/yewrill/service/state_startup.py
+++ b/yewrill/service/state_startup.py
@@ -8,7 +8,7 @@
 import trio
 
 from yewrill.config.reading import ConfigError
-from yewrill.net.discovery import EndpointList
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.persistence import PersistentState
 from yewrill.service.background_tasks import BackgroundTasks
 from yewrill.service.operator_drain import OperatorDrain
@@ -63,7 +63,7 @@
             except ConfigError as error:  # of another version's form, say
                 log.error("state-unreadable list: %s", error)
             self._state_exchange.apply({**restored, "list": None})
-        self._endpoints.on_applied = self._persistent_state.list_changed
+        self._endpoints.subscribe_to_lists(self._persistent_state.list_changed)
         if len(self._endpoints) and not (restored and restored["list"]):
             self._persistent_state.list_changed()  # the configuration's own
         self._tasks.start_supervised(self._persistent_state.run)
--- a/yewrill/service/subsystems.py
+++ b/yewrill/service/subsystems.py
@@ -17,7 +17,7 @@
     from yewrill.config.reading import Config
     from yewrill.dispatch.engine import DecisionEngine
     from yewrill.dispatch.lifecycle import AttemptRunner
-    from yewrill.net.discovery import EndpointList
+    from yewrill.net.endpoint_list import EndpointList
 
 
 @dataclass
