--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -23,7 +23,7 @@
 from yewrill.dispatch.engine import Attempt, DecisionEngine, Request
 from yewrill.leases import disk as voters_disk
 from yewrill.leases import raft_types
-from yewrill.net.discovery import EndpointList
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import HttpRequest
 from yewrill.observability.metrics import Metrics
 from yewrill.persistence import PersistentState
--- a/yewrill/leases/format.py
+++ b/yewrill/leases/format.py
@@ -17,7 +17,7 @@
     Snapshot,
 )
 from yewrill.membership.format import text, whole
-from yewrill.membership.parts import MalformedPayload
+from yewrill.membership.parts import MAX_FRAGMENT_BYTES, MAX_FRAGMENTS, MalformedPayload
 
 LOG, REQUEST, REPLY, SUBMIT, SUBMITTED = 0, 1, 2, 3, 4
 MAX_DATA_BYTES = 60_000  # bytes that a state machine is given, or gives back
@@ -182,7 +182,7 @@
     return tuple(_text(name) for name in value)
 
 
-def _bytes(value: Any, max_bytes: int = MOST_PART * MOST_PARTS) -> bytes:
+def _bytes(value: Any, max_bytes: int = MAX_FRAGMENT_BYTES * MAX_FRAGMENTS) -> bytes:
     if not isinstance(value, bytes) or len(value) > max_bytes:
         raise ValueError("bytes")
     return value
--- a/yewrill/persistence/attempt_journal.py
+++ b/yewrill/persistence/attempt_journal.py
@@ -17,7 +17,7 @@
 
 from yewrill.dispatch.engine import Attempt, Request
 from yewrill.dispatch.outcome import AttemptOutcome
-from yewrill.net.discovery import EndpointList
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.persistence.attempts import (
     AttemptRecord,
     Clocks,
--- a/yewrill/persistence/persistent_state.py
+++ b/yewrill/persistence/persistent_state.py
@@ -15,7 +15,7 @@
 import ujson
 
 from yewrill.config.schema import StateConfig
-from yewrill.net.discovery import EndpointList
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.observability.metrics import Metrics
 from yewrill.persistence.attempt_journal import AttemptJournal
 from yewrill.persistence.attempts import Clocks
@@ -149,9 +149,9 @@
         batch = Batch()
         for key in await trio.to_thread.run_sync(stored_worker_keys, self._disk):
             batch.delete(key)
-        for name in self._endpoints.out:
+        for name in self._endpoints.detached:
             put_detached(batch, name)
-        for name, age_ms in self._endpoints.back.items():
+        for name, age_ms in self._endpoints.recently_attached.items():
             put_reattached(batch, name, age_ms, self._clocks())
         put_operator_drain(batch, self._operator_drain)
         self.attempts.put_records(batch)
--- a/yewrill/service/reload.py
+++ b/yewrill/service/reload.py
@@ -11,7 +11,8 @@
 from yewrill.config.reload import changed_keys, check_reload
 from yewrill.config.schema import Config
 from yewrill.dispatch.engine import DecisionEngine
-from yewrill.net.discovery import EndpointList, Watch
+from yewrill.net.discovery import DiscoveryWatch
+from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.worker_connections import WorkerConnectionPool
 from yewrill.observability.metrics import Metrics
 
@@ -47,7 +48,7 @@
         front: PlatformFront | ProgressFront,
         engine: DecisionEngine,
         endpoints: EndpointList,
-        watch: Watch,
+        watch: DiscoveryWatch,
         worker_connections: WorkerConnectionPool,
         metrics: Metrics,
         tracing_hooks: TracingHooks | None,
