--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -3,7 +3,8 @@
     python benchmarks/fleet_count.py LOGS/n*.log [--workers]
 
 Each line of these logs begins with the seconds since the day's start, as the bench keeps them. Reads the
-lines `step`, `no` and `list` of `yewrill.dispatch.engine` (docs/on-call.md) and prints, for each second of
+lines `attempt_ended`, `request_not_served` and `endpoints_updated` of `yewrill.dispatch.engine`
+(docs/on-call.md) and prints, for each second of
 the day: attempts, how each ended, how many waited at their worker and for how long, the spread of
 attempts over workers, jobs refused by the module's ground, how many lists were told. With
 --workers: each worker's steps, endings and waits over the day, worst first. The last line is one JSON object.
@@ -18,11 +19,11 @@
 from pathlib import Path
 
 STEP = re.compile(
-    r" step worker=(\S+) outcome=(\w+) class=(\d+) attempt=(\d+) width=(\S+) sent=(\d+) "
+    r" attempt_ended worker=(\S+) outcome=(\w+) class=(\d+) attempt=(\d+) width=(\S+) sent=(\d+) "
     r"waited=(-?\d+) ran=(-?\d+)"
 )
-NO = re.compile(r"^(\S+) .* no class=(\d+) tries=(\d+) why=(.*)")
-LIST = re.compile(r"^(\S+) .* list form=(\w+)(.*)")
+NO = re.compile(r"^(\S+) .* request_not_served class=(\d+) attempts=(\d+) reason=(.*)")
+LIST = re.compile(r"^(\S+) .* endpoints_updated form=(\w+)(.*)")
 WAITED = (
     25  # ms between an attempt's send and its start notice from which it counts as having waited
 )
--- a/tests/fixture_simulator.py
+++ b/tests/fixture_simulator.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from yewrill.dispatch import load_report as loadreport
+from yewrill.dispatch import load_report
 from yewrill.policy import interface as api
 from yewrill.policy.settings_codec import decode_settings
 from yewrill.simulator.codec import decode_event, encode_action
@@ -393,6 +393,6 @@
 def load_reports() -> list[list[Any]]:
     """Headers, the fields asked for, and what is read of them."""
     return [
-        [header, list(fields), loadreport.read(loadreport.from_header(header), fields)]
+        [header, list(fields), load_report.read(load_report.from_header(header), fields)]
         for header, fields in REPORTS
     ]
--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -19,7 +19,8 @@
 from helper import SETTINGS
 
 from yewrill.config.reading import StateConfig, TopologyNames, read_config
-from yewrill.dispatch.engine import Attempt, DecisionEngine, Request
+from yewrill.dispatch.engine import DecisionEngine
+from yewrill.dispatch.request import Attempt, Request
 from yewrill.leases import disk as voters_disk
 from yewrill.leases import raft
 from yewrill.net.discovery import EndpointList
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -6,7 +6,7 @@
 from helper import Peer, done, story, world
 from machine_faults import SetClock
 
-from yewrill.dispatch.start_times import MEMORY_MS, MOST_STARTS, StartTimes
+from yewrill.dispatch.start_times import MAX_STARTS, MEMORY_MS, StartTimes
 
 HOUR = 3600.0
 WARM_AFTER_MS = 6000.0  # of the helper's settings
@@ -116,6 +116,6 @@
 
 def test_no_more_starts_are_remembered_than_the_bound():
     starts = StartTimes(1e12, 0.0)
-    for number in range(MOST_STARTS + 5):
+    for number in range(MAX_STARTS + 5):
         starts.started(f"w{number}", 1e12 - 5.0, 0.0)
-    assert len(starts._known) == MOST_STARTS
+    assert len(starts._known) == MAX_STARTS
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -745,13 +745,13 @@
 async def test_a_request_that_is_whole_only_after_the_last_call_is_not_taken(monkeypatch):
     peer = Peer("d1", done)
     async with world(peer, settings=ROOMY, timing={"linger_ms": 50, "grace_ms": 1400}) as w:
-        real = w.service.engine.give_up
+        real = w.service.engine.fail_all
 
         def gives_up():
             real()
             client.stream.socket._sock.send(raw_request("half")[60:])
 
-        monkeypatch.setattr(w.service.engine, "give_up", gives_up)
+        monkeypatch.setattr(w.service.engine, "fail_all", gives_up)
         held = Gate(w, monkeypatch)  # so that there is somebody to call
         client, other = await w.client(), await w.client()
         w.nursery.start_soon(w.service.drain)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -13,8 +13,8 @@
 from helper import Client, Peer, done, story, timed_story, world
 
 from yewrill.config.reading import read_config
-from yewrill.dispatch.engine import Request
 from yewrill.dispatch.outcome import AttemptOutcome
+from yewrill.dispatch.request import Request
 from yewrill.dispatch.safety import CloseReason, HeldBack, Rule
 from yewrill.net import listener
 from yewrill.net.management import ManagementListener
@@ -306,7 +306,7 @@
         attempt = await service.engine.pick(request)
         assert service.endpoints.take_out(attempt.worker)
         assert (await service.worker_connections.run_attempt(attempt))[0] is AttemptOutcome.NOT_SENT
-        assert (await service.worker_connections.probe("d1"))[0] is AttemptOutcome.TURNED_AWAY
+        assert (await service.worker_connections.probe("d1"))[0] is AttemptOutcome.REJECTED
         assert not one.exchanges
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,8 +10,10 @@
 import trio
 from helper import SETTINGS, Discovery, Peer, done, hang, story, timed_story, world
 
-from yewrill.dispatch.engine import Attempt, DecisionEngine, Endpoint, Rejection, Request
+from yewrill.dispatch.endpoint import Endpoint
+from yewrill.dispatch.engine import DecisionEngine
 from yewrill.dispatch.outcome import AttemptOutcome
+from yewrill.dispatch.request import Attempt, Rejection, Request
 from yewrill.net import listener
 from yewrill.net.connection import Connection
 from yewrill.policy import interface as api
@@ -595,7 +597,7 @@
         assert (
             await w.ask("/once")
         ).status == 503  # refused, which a class that ran would not allow
-        assert (await w.service.worker_connections.probe("d1"))[0] is AttemptOutcome.TURNED_AWAY
+        assert (await w.service.worker_connections.probe("d1"))[0] is AttemptOutcome.REJECTED
         monkeypatch.setattr(Connection, "open", real)
         began = trio.current_time()
         assert (await w.ask("/once", X_Request_ID="r2")).status == 200
@@ -616,7 +618,7 @@
     async with world(peer) as w:
         for script.status, outcome in (
             (200, AttemptOutcome.SERVED),
-            (503, AttemptOutcome.TURNED_AWAY),
+            (503, AttemptOutcome.REJECTED),
             (404, AttemptOutcome.FAILED),
         ):
             assert (await w.service.worker_connections.probe("d1"))[0] is outcome
@@ -758,7 +760,7 @@
 def test_every_ending_has_an_outcome_and_only_unsent_ones_prove_that_nothing_ran():
     never = {e for e in AttemptOutcome if e.policy_outcome in api.NEVER_RAN}
     assert never == {
-        AttemptOutcome.TURNED_AWAY,
+        AttemptOutcome.REJECTED,
         AttemptOutcome.UNREACHABLE,
         AttemptOutcome.STALE_UNREACHABLE,
         AttemptOutcome.NOT_SENT,
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -8,7 +8,7 @@
 import ujson
 from helper import Peer, done, hang, story, timed_story, world
 
-from yewrill.dispatch.engine import Attempt, Request
+from yewrill.dispatch.request import Attempt, Request
 from yewrill.frontends.progress import EventStreamParser, _Outlet, encode_event
 from yewrill.net import listener
 from yewrill.net.worker_connections import MalformedResponse
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from yewrill import Dispatcher, Settings
-from yewrill.dispatch import load_report as loadreport
+from yewrill.dispatch import load_report
 from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.policy import interface as api
 from yewrill.policy import rendezvous_hashing as rendezvous
@@ -38,15 +38,15 @@
     | st.dictionaries(st.sampled_from([*FIELDS, "odd"]), st.floats(-1.0, 2e6) | st.just(math.nan))
 )
 def test_a_report_is_taken_whole_and_sound_or_not_at_all(said):
-    report = loadreport.read(said, FIELDS)
+    report = load_report.read(said, FIELDS)
     if report is not None:
         assert tuple(report) == FIELDS and all(
-            0.0 <= value <= loadreport.MOST for value in report.values()
+            0.0 <= value <= load_report.MAX_VALUE for value in report.values()
         )
         assert report == {name: said[name] for name in FIELDS}
     elif isinstance(said, dict) and set(FIELDS) <= set(said):
         assert any(
-            type(v) not in (int, float) or not 0 <= v <= loadreport.MOST
+            type(v) not in (int, float) or not 0 <= v <= load_report.MAX_VALUE
             for name, v in said.items()
             if name in FIELDS
         )
@@ -57,8 +57,11 @@
     | st.from_regex(r"(x0|inflight|qps)=[-0-9.enai]{0,6}(,x0=1)?", fullmatch=True)
 )
 def test_no_header_is_too_odd_to_be_read_or_left(text):
-    found = loadreport.from_header(text)
-    assert loadreport.read(found, ("x0",)) is None or 0.0 <= float(found["x0"]) <= loadreport.MOST
+    found = load_report.from_header(text)
+    assert (
+        load_report.read(found, ("x0",)) is None
+        or 0.0 <= float(found["x0"]) <= load_report.MAX_VALUE
+    )
 
 
 REPORTING = {
--- a/tests/test_rules_checks.py
+++ b/tests/test_rules_checks.py
@@ -9,7 +9,7 @@
     Rule,
     SendFacts,
     check_attempt,
-    check_told,
+    check_timeout,
     may_send,
 )
 from yewrill.policy import interface as api
@@ -47,9 +47,9 @@
 
 
 def test_a_worker_is_never_told_more_than_is_left():
-    assert check_told(900, 0.0, 1000.0) is None
-    assert check_told(1, 1000.0, 1000.0) is None
-    assert check_told(1200, 0.0, 1000.0) is Rule.TOLD_TOO_LONG
+    assert check_timeout(900, 0.0, 1000.0) is None
+    assert check_timeout(1, 1000.0, 1000.0) is None
+    assert check_timeout(1200, 0.0, 1000.0) is Rule.TOLD_TOO_LONG
 
 
 @timed_story
@@ -71,7 +71,7 @@
         ids = [e.id for peer in peers for e in peer.exchanges]
         assert len(ids) == len(set(ids))
         assert w.service.engine.violations.counts[Rule.UNSAFE_REPEAT] > 0
-        assert "rule-violation rule=unsafe_repeat request=r" in caplog.text
+        assert "rule_violation rule=unsafe_repeat request=r" in caplog.text
 
 
 @story
--- a/tests/test_soak_oracle.py
+++ b/tests/test_soak_oracle.py
@@ -139,7 +139,7 @@
 
 
 def own_check(history):
-    history.violations.append("rule-violation rule=overlap request=a")
+    history.violations.append("rule_violation rule=overlap request=a")
 
 
 PLANTED = {
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -278,7 +278,7 @@
         assert w.service.endpoints.back["d1"] < 20_000.0  # milliseconds ago
         assert (await w.call("PUT /_lameduck/on")).status == 200
         await w.until(lambda: w.service.persistent_state._disk.store.get(b"list") is not None)
-        w.service.engine.give_up()
+        w.service.engine.fail_all()
         await trio.to_thread.run_sync(w.service.persistent_state.close_store)
     async with trio.open_nursery() as nursery:
         await nursery.start(peer.serve)
--- a/yewrill/config/reading.py
+++ b/yewrill/config/reading.py
@@ -10,7 +10,7 @@
 
 import ujson
 
-from yewrill.dispatch.engine import Endpoint
+from yewrill.dispatch.endpoint import Endpoint
 from yewrill.policy import interface as api
 from yewrill.policy.settings_codec import SettingsError, decode_settings
 
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -1,244 +1,153 @@
-"""The module in blocking style: pick a route step for an operation, report how it ended, tick the clock.
+"""The decision engine: adapter of the decision module for trio tasks, with a clock, timers, health checks.
 
-Nothing outside this file sees the module's events, actions, timers or probes. Times are milliseconds on the
-facade's own monotonic clock.
+The network code waits for the next choice of a request, reports how attempts ended, and tells what else
+happens; `run` hands all of it to the decision module, a moment at a time, and carries out its actions.
+Nothing
+outside this file sees the module's events and actions. Times are milliseconds on the engine's own clock.
 """
 
 from __future__ import annotations
 
 import logging
-import math
-import time
-from collections.abc import Awaitable, Callable, Iterable, Mapping
-from dataclasses import dataclass, field
-from heapq import heappop, heappush
+from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
 import trio
 
-from yewrill.dispatch import load_report as loadreport
+from yewrill.dispatch import load_report
 from yewrill.dispatch import safety as rules
+from yewrill.dispatch.clock import Clock, Timers
+from yewrill.dispatch.endpoint import Endpoint
+from yewrill.dispatch.health_checks import HealthChecks, Prober
 from yewrill.dispatch.outcome import AttemptOutcome
-from yewrill.dispatch.start_times import StartTimes
+from yewrill.dispatch.request import Attempt, Choice, Failure, Rejection, Request
 from yewrill.policy import Dispatcher
 from yewrill.policy import interface as api
 
-log = logging.getLogger("yewrill.facade")
-
-# The clock starts here, not at 0: a destination's start shortly before ours must come out above 0, which the
-# module reads as "long ago".
-CLOCK_START = 1_000_000.0
-# How long past an operation's deadline `pick` waits for the module before it answers by itself. It guards
-# against a module that lost the operation; the module's own clock is always earlier.
-BACKSTOP = 10.0
-
-
-@dataclass(eq=False, slots=True)
-class Request:
-    """A client's request, as the core and the module know it. `payload` belongs to the front."""
-
-    id: str
-    request_class: int
-    deadline: float
-    tenant: int = 0
-    width: float = 1.0
-    memory: float = 0.0
-    hint: float = 0.0
-    retry: bool = False
-    subject: str = (
-        ""  # what it concerns, where clients tell: destinations keep what jobs of one need
-    )
-    payload: Any = None
-    client_left: bool = False
-    # An attempt before a restart that may have run: how long ago it was sent, and where. -1: there is none.
-    ran_ago: float = -1.0
-    ran_zone: int = -1
-    ran_cell: int = -1
-    # What the checks go by: its class's effect and window, and when the first attempt that may have run was
-    # sent, on the module's clock.
-    idempotency: str = api.Idempotency.IDEMPOTENT
-    window: float = 0.0
-    ran_at: float | None = None
-    on_progress: Callable[[Attempt, float], None] | None = None
-    has_left: Callable[[], bool] | None = None  # a fresh look whether its client has gone
-    trace: Any = None
-    # The facade's own.
-    key: str = ""
-    attempt_count: int = 0
-    live: Attempt | None = None
-    choice: Attempt | Rejection | Failure | None = None
-    chosen: trio.Event | None = None
-    closed: bool = False  # nothing more is owed to the client
-
-
-@dataclass(eq=False, slots=True)
-class Attempt:
-    """One attempt of an operation at one destination."""
-
-    request: Request
-    number: int
-    worker: str
-    until: float  # when to stop waiting
-    trace: Any = None  # where tracing is on: told of every moment
-    sent: float = 0.0  # its first byte
-    written: bool = False  # its last byte: from then on it may run
-    began: float = 0.0  # when its start was told, if attempts are counted in the log
-    withdrawn: AttemptOutcome | None = None
-    load: Any = None  # the load report that came with its end, as it was sent
-    scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-
-    def withdraw(self, outcome: AttemptOutcome) -> None:
-        """Stop waiting; whoever carries the step closes its connection and reports this ending."""
-        self.withdrawn = outcome
-        self.scope.cancel()
-
-
-@dataclass(frozen=True, slots=True)
-class Rejection:
-    """Refused: trying again is harmless, best after `retry_after` milliseconds (0: no advice)."""
-
-    retry_after: float
-    reason: str = ""  # the module's ground
-
-
-@dataclass(frozen=True, slots=True)
-class Failure:
-    """Failed, with no promise about its effect."""
-
-    text: str = "failed"
-    reason: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class Endpoint:
-    """A line of the pool config."""
-
-    id: str
-    address: tuple[str, int]
-    zone: int = 0
-    kind: int = 0
-    cell: int = 0
-    state: str = api.WorkerState.RUNNING
-    weight: float = 1.0
-    started_ms: float = 0.0  # wall clock
-
-
-Prober = Callable[
-    [str], Awaitable[tuple[AttemptOutcome, Any]]
-]  # and the load report as it was sent
-
-
-def hanging(module: Dispatcher, now: float, after: float) -> dict[int, int]:
-    """By zone, the attempts that a module has at workers that run none of its own and have started none for
-    so long."""
+log = logging.getLogger(__name__)
+
+# How long past a request's deadline `pick` waits for the decision module before it answers by itself. It
+# guards against a module that lost the request; the module's own deadline is always earlier.
+DECISION_GRACE_MS = 10.0
+
+
+def stuck_attempts(module: Dispatcher, now: float, after: float) -> dict[int, int]:
+    """By zone, the attempts of a decision module at workers that run none of its own and have started none
+    for so long."""
     found: dict[int, int] = {}
     for worker in module.fleet.workers.values():
-        if worker.unstarted and worker.running_slots <= 0.0 and now - worker.waiting_since > after:
+        waited = now - worker.waiting_since
+        if worker.unstarted and worker.running_slots <= 0.0 and waited > after:
             found[worker.zone] = found.get(worker.zone, 0) + len(worker.unstarted)
     return found
 
 
 class DecisionEngine:
-    """One instance of the module and its clock."""
+    """One decision module and its clock. Not safe for use from several threads."""
 
     def __init__(self, settings: api.Settings, seed: int):
         self._module = Dispatcher(settings, seed)
-        self._fields = settings.report_fields
+        self._report_fields = settings.report_fields
         self._classes = settings.classes
         self.violations = rules.Violations()
-        self._base = trio.current_time() - CLOCK_START / 1000.0
-        self._starts = StartTimes(time.time() * 1000.0, self.now())
+        self._clock = Clock()
+        self._timers = Timers()
+        self._health_checks = HealthChecks(self._on_health_checked)
         self._events: list[api.Event] = []
-        self._timers: list[tuple[float, int]] = []
-        self._probes: list[str] = []
         self._requests: dict[str, Request] = {}
-        self._live: dict[str, Attempt] = {}  # steps that are out, those of closed operations too
+        self._live: dict[str, Attempt] = {}  # by request key, those of closed requests too
         self._count = 0
         self._wake = trio.Event()
-        self._counting = log.isEnabledFor(logging.DEBUG)  # a line for each step and each refusal
-
-    # -- time
+        # A line for each attempt and for each request that is not served.
+        self._logs_attempts = log.isEnabledFor(logging.DEBUG)
+        self._action_handlers: dict[type, Callable[[Any, float], None]] = {
+            api.Send: self._send,
+            api.Reject: self._reject,
+            api.Fail: self._fail,
+            api.SetTimer: self._set_timer,
+            api.Probe: self._request_health_check,
+            api.Cancel: self._cancel,
+            api.Log: self._log,
+        }
+
+    # -- time and state
 
     def now(self) -> float:
-        return (trio.current_time() - self._base) * 1000.0
+        """The time on the engine's clock."""
+        return self._clock.now()
 
     def loop_time(self, at: float) -> float:
-        """The event loop's time for a time of this clock."""
-        return self._base + at / 1000.0
+        """The event loop's time, in seconds, for a time of the engine's clock."""
+        return self._clock.loop_time(at)
 
     @property
     def reports_load(self) -> bool:
-        """Whether destinations report their load."""
-        return bool(self._fields)
+        """Whether workers report their load."""
+        return bool(self._report_fields)
 
     @property
     def pending(self) -> int:
-        """Operations without their final answer."""
+        """Requests without their final answer."""
         return len(self._requests)
 
     def capacity(self) -> dict[int, float]:
-        """Slots that the usable destinations of each zone are thought to have."""
+        """Slots that the usable workers of each zone are thought to have."""
         slots: dict[int, float] = {}
         for worker in self._module.fleet.workers.values():
             if worker.usable:
                 slots[worker.zone] = slots.get(worker.zone, 0.0) + worker.kind.slots
         return slots
 
-    def hanging(self, after: float) -> dict[int, int]:
-        """By zone, the attempts at destinations that run none of ours and have started none for so long."""
-        return hanging(self._module, self.now(), after)
-
-    def set_zone_weights(self, weights: Mapping[int, float]) -> None:
-        """The fleet's plan: the part of its normal new work that each zone gets; one not named gets all."""
-        self._put(api.ZoneTrafficWeights(dict(weights)))
+    def stuck_attempts(self, after: float) -> dict[int, int]:
+        """By zone, the attempts at workers that run none of ours and have started none for so long."""
+        return stuck_attempts(self._module, self.now(), after)
 
     def ejected(self) -> set[str]:
-        """The destinations that the module leaves out at present."""
+        """The workers that the decision module leaves out at present."""
         return self._module.ejected(self.now())
 
-    # -- what the network code calls
-
-    def take(self, request: Request) -> None:
-        """Tell the module of an operation: in the moment that its class and tenant were looked up, since
-        other settings may move their positions."""
-        if not request.key:
-            self._count += 1
-            # The client's own id is not the key: two clients may send the same one.
-            request.key = str(self._count)
-            self._requests[request.key] = request
-            spec = self._classes[request.request_class]
-            request.idempotency, request.window = spec.idempotency, spec.window
-            if request.ran_ago >= 0:
-                request.ran_at = self.now() - request.ran_ago
-            self._put(
-                api.RequestArrived(
-                    request.key,
-                    request.request_class,
-                    request.deadline,
-                    request.tenant,
-                    request.width,
-                    request.memory,
-                    request.hint,
-                    request.retry,
-                    request.ran_ago,
-                    request.ran_zone,
-                    request.ran_cell,
-                    request.subject,
-                )
+    # -- requests and attempts
+
+    def submit(self, request: Request) -> None:
+        """Hand a request to the decision module; without effect for one that it has.
+
+        To be called in the moment in which its class and tenant were looked up, since other settings may move
+        their positions."""
+        if request.key:
+            return
+        self._count += 1
+        # The client's own id is not the key: two clients may send the same one.
+        request.key = str(self._count)
+        self._requests[request.key] = request
+        spec = self._classes[request.request_class]
+        request.idempotency, request.window = spec.idempotency, spec.window
+        if request.ran_ago >= 0:
+            request.ran_at = self.now() - request.ran_ago
+        self._put(
+            api.RequestArrived(
+                request.key,
+                request.request_class,
+                request.deadline,
+                request.tenant,
+                request.width,
+                request.memory,
+                request.hint,
+                request.retry,
+                request.ran_ago,
+                request.ran_zone,
+                request.ran_cell,
+                request.subject,
             )
+        )
 
-    def reconfigure(self, settings: api.Settings) -> None:
-        """Other settings, for every operation taken from now on."""
-        self._fields = settings.report_fields
-        self._classes = settings.classes
-        self._put(api.SettingsChanged(settings))
+    async def pick(self, request: Request) -> Choice | None:
+        """Wait for the decision module's next choice for a request; None once its client has left.
 
-    async def pick(self, request: Request) -> Attempt | Rejection | Failure | None:
-        """Wait for the module's next choice for an operation; None once its client has left."""
-        self.take(request)
+        If cancelled, the request stays open, and a choice that has come is kept for the next call."""
+        self.submit(request)
         if request.choice is None and not request.closed:
             request.chosen = trio.Event()
-            with trio.move_on_at(self.loop_time(request.deadline + BACKSTOP)):
+            with trio.move_on_at(self.loop_time(request.deadline + DECISION_GRACE_MS)):
                 await request.chosen.wait()
             request.chosen = None
         choice, request.choice = request.choice, None
@@ -246,15 +155,19 @@
             if request.client_left:
                 return None
             if not request.closed:
-                log.error("no-decision request=%s: answered without the module", request.id)
-                self._close(request, tell=True)
+                log.error(
+                    "decision_missing request=%s waited_past_deadline_ms=%g answer=failed",
+                    request.id,
+                    DECISION_GRACE_MS,
+                )
+                self._close(request, notify=True)
             return Failure("no decision")
         if isinstance(choice, Attempt):
             request.live = self._live[request.key] = choice
         return choice
 
     def report(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Tell how a route step ended. A served one concludes its operation."""
+        """Report how an attempt ended. A served one concludes its request."""
         request = attempt.request
         if attempt.trace is not None:
             attempt.trace.end, attempt.trace.outcome = trio.current_time(), outcome.value
@@ -273,237 +186,250 @@
                 outcome.policy_outcome,
                 elapsed,
                 request.closed,
-                loadreport.read(attempt.load, self._fields),
+                load_report.read(attempt.load, self._report_fields),
                 outcome.stale_connection,
             )
         )
-        if self._counting:
-            waited = attempt.began - attempt.sent if attempt.began else -1.0
-            log.debug(
-                "step worker=%s outcome=%s class=%d attempt=%d width=%g sent=%.0f waited=%.0f "
-                "ran=%.0f",
-                attempt.worker,
-                outcome.name,
-                request.request_class,
-                attempt.number,
-                request.width,
-                self._starts.offset + (attempt.sent or self.now()),
-                waited,
-                elapsed - max(0.0, waited),
-            )
+        if self._logs_attempts:
+            self._log_attempt(attempt, outcome, elapsed)
 
     def started(self, attempt: Attempt) -> None:
-        if self._counting:
+        """A worker reports that it began to run an attempt."""
+        if self._logs_attempts:
             attempt.began = self.now()
         if attempt.trace is not None:
             attempt.trace.started = trio.current_time()
         self._put(api.AttemptStarted(attempt.request.key, attempt.number, attempt.worker))
 
-    def progress(self, attempt: Attempt, share: float) -> None:
+    def progress(self, attempt: Attempt, fraction: float) -> None:
+        """A worker reports how far an attempt is, 0 to 1."""
+        request = attempt.request
         if attempt.trace is not None:
-            attempt.trace.note_progress(trio.current_time(), share)
-        self._put(api.AttemptProgress(attempt.request.key, attempt.number, attempt.worker, share))
-        if attempt.request.on_progress is not None:
-            attempt.request.on_progress(attempt, share)
-
-    def left(self, request: Request) -> None:
-        """The client has gone: nothing more is owed. An attempt that is out runs on, for its end tells much;
-        one that is being written must not become whole, and a connection that comes up is kept."""
+            attempt.trace.note_progress(trio.current_time(), fraction)
+        self._put(api.AttemptProgress(request.key, attempt.number, attempt.worker, fraction))
+        if request.on_progress is not None:
+            request.on_progress(attempt, fraction)
+
+    def client_left(self, request: Request) -> None:
+        """The client has gone: no answer is due any more. An attempt that is out runs on, for its end tells
+        much; one that is being written must not become whole, and a connection that comes up is kept."""
         if request.trace is not None and not request.client_left:
             request.trace.event(trio.current_time(), "client-left")
             request.trace.decide(trio.current_time(), "left")
         request.client_left = True
-        if request.key and not request.closed:
-            self._close(request, tell=True)
-            attempt = request.choice
-            if isinstance(attempt, Attempt):  # chosen, not yet taken up
-                request.choice = None
-                self.report(attempt, AttemptOutcome.NOT_SENT)
-            if request.live is not None and request.live.sent and not request.live.written:
-                request.live.withdraw(AttemptOutcome.NOT_SENT)
-            if request.chosen is not None:
-                request.chosen.set()
-
-    def give_up(self) -> None:
-        """The program ends: every operation that is still open fails, and its attempt with it."""
+        if not request.key or request.closed:
+            return
+        self._close(request, notify=True)
+        choice = request.choice
+        if isinstance(choice, Attempt):  # chosen, not yet taken up
+            request.choice = None
+            self.report(choice, AttemptOutcome.NOT_SENT)
+        if request.live is not None and request.live.sent and not request.live.written:
+            request.live.withdraw(AttemptOutcome.NOT_SENT)
+        if request.chosen is not None:
+            request.chosen.set()
+
+    def fail_all(self) -> None:
+        """The program ends: every request that is still open fails, and its attempt with it."""
         for request in list(self._requests.values()):
             if not request.closed:
-                self._close(request, tell=True)
+                self._close(request, notify=True)
                 if request.live is not None:
                     request.live.withdraw(AttemptOutcome.CANCELLED)
                 self._choose(request, Failure("restarting"))
 
+    # -- settings and workers
+
+    def reconfigure(self, settings: api.Settings) -> None:
+        """Changed settings, for every request submitted from now on."""
+        self._report_fields = settings.report_fields
+        self._classes = settings.classes
+        self._put(api.SettingsChanged(settings))
+
+    def set_zone_weights(self, weights: Mapping[int, float]) -> None:
+        """The fleet's plan: the part of its normal new work that each zone gets; one not named gets all."""
+        self._put(api.ZoneTrafficWeights(dict(weights)))
+
     def update_endpoints(
         self, endpoints: Iterable[Endpoint], *, full: bool, cached: bool = False
     ) -> None:
-        """What discovery tells."""
-        self._starts.note(time.time() * 1000.0, self.now())
-        form = (
-            api.ListForm.CACHED if cached else api.ListForm.FULL if full else api.ListForm.CHANGES
-        )
-        if self._counting:
-            endpoints = list(endpoints)
+        """Changes of the endpoint list; `full`: the whole of it; `cached`: the whole as it was last known."""
+        self._clock.compare_with_wall_clock()
+        form = api.ListForm.CHANGES
+        if full:
+            form = api.ListForm.FULL
+        if cached:
+            form = api.ListForm.CACHED
+        endpoints = list(endpoints)
+        if self._logs_attempts:
             log.debug(
-                "list form=%s %s",
-                form,
-                " ".join(f"{d.id}:{d.state}:{d.started_ms:.0f}" for d in endpoints),
+                "endpoints_updated form=%s %s",
+                form.value,
+                " ".join(f"{e.id}:{e.state}:{e.started_ms:.0f}" for e in endpoints),
             )
-        self._put(
-            api.WorkerList(
-                form,
-                [
-                    api.WorkerEntry(
-                        d.id,
-                        d.zone,
-                        d.kind,
-                        d.cell,
-                        d.state,
-                        d.weight,
-                        self._launched(d),
-                    )
-                    for d in endpoints
-                ],
+        entries = [
+            api.WorkerEntry(
+                endpoint.id,
+                endpoint.zone,
+                endpoint.kind,
+                endpoint.cell,
+                endpoint.state,
+                endpoint.weight,
+                self._clock.worker_start(endpoint.id, endpoint.started_ms),
             )
-        )
+            for endpoint in endpoints
+        ]
+        self._put(api.WorkerList(form, entries))
 
     def returned(self, name: str, ago: float) -> None:
-        """Operators have put a destination back, so many ms ago."""
+        """Operators have put a worker back, so many milliseconds ago."""
         self._put(api.WorkerReturned(name, max(1.0, self.now() - ago)))
 
+    # -- the moments of the decision module
+
+    async def run(self, prober: Prober) -> None:
+        """Tick whenever something is ready or due, with health checks beside, until cancelled."""
+        async with trio.open_nursery() as nursery:
+            while True:
+                with trio.move_on_at(self.loop_time(self._timers.next_at)):
+                    await self._wake.wait()
+                # One more round of the loop: whatever else the same read of the sockets has made ready
+                # belongs to this moment, and one call of the module is cheaper than several.
+                await trio.lowlevel.checkpoint()
+                self._wake = trio.Event()
+                self.tick()
+                self._health_checks.start(nursery, prober)
+
     def tick(self) -> None:
         """Hand everything that is ready to the module, as one moment, and carry out what it decides."""
         now = self.now()
         events, self._events = self._events, []
-        while self._timers and self._timers[0][0] <= now:
-            events.append(api.TimerFired(heappop(self._timers)[1]))
+        events += [api.TimerFired(token) for token in self._timers.pop_due(now)]
         if not events:
             return
         try:
             actions = self._module.handle(now, events)
-            faulty = False
+            raised = False
         except Exception:
-            log.exception("module-fault events=%d", len(events))
-            actions, faulty = self._module.actions, True
+            log.exception("policy_raised events=%d open_requests_of_moment=failed", len(events))
+            actions, raised = self._module.actions, True
         for action in actions:
             try:
                 self._carry_out(action, now)
             except Exception:
-                log.exception("action-fault action=%r", action)
-        if faulty:
-            self._give_up_batch(events)
+                log.exception("policy_action_raised action=%r", action)
+        if raised:
+            self._fail_requests_of(events)
         for event in events:
             if type(event) is api.ClientLeft:
                 self._requests.pop(event.request_id, None)
 
-    async def run(self, probe: Prober) -> None:
-        """Tick whenever something is ready or due; probes run beside."""
-        async with trio.open_nursery() as nursery:
-            while True:
-                at = self.loop_time(self._timers[0][0]) if self._timers else math.inf
-                with trio.move_on_at(at):
-                    await self._wake.wait()
-                # One more round of the loop: whatever else the same read of the sockets has made ready
-                # belongs to this moment, and one call of the module is cheaper than several.
-                await trio.lowlevel.checkpoint()
-                self._wake = trio.Event()
-                self.tick()
-                probes, self._probes = self._probes, []
-                for worker in probes:
-                    nursery.start_soon(self._probe, probe, worker)
-
-    # -- inside
-
     def _put(self, event: api.Event) -> None:
         self._events.append(event)
         self._wake.set()
 
-    def _launched(self, worker: Endpoint) -> float:
-        """The module takes any change of this for a restart, and 0 for a start long ago."""
-        started = self._starts.started(worker.id, worker.started_ms, self.now())
-        return 0.0 if started is None else max(1.0, started)
-
-    def _close(self, request: Request, tell: bool = False) -> None:
-        if not request.closed:
-            request.closed = True
-            if (
-                tell
-            ):  # it stays known until the module has heard, for what the module may send before
-                self._put(api.ClientLeft(request.key))
-            else:
-                self._requests.pop(request.key, None)
-
-    def _choose(self, request: Request, choice: Attempt | Rejection | Failure) -> None:
-        request.choice = choice
-        if request.chosen is not None:
-            request.chosen.set()
+    def _fail_requests_of(self, events: list[api.Event]) -> None:
+        """After an error in the module no request of that moment can count on an answer from it."""
+        for event in events:
+            request = self._requests.get(getattr(event, "request_id", ""))
+            if request is not None and request.choice is None and request.live is None:
+                self._close(request, notify=True)
+                self._choose(request, Failure("internal fault"))
+
+    def _on_health_checked(self, worker: str, outcome: AttemptOutcome, load: Any) -> None:
+        report = load_report.read(load, self._report_fields)
+        self._put(api.ProbeEnded(worker, outcome.policy_outcome, report))
+
+    # -- actions
 
     def _carry_out(self, action: api.Action, now: float) -> None:
-        kind = type(action)
-        if kind is api.Send:
-            request = self._requests.get(action.request_id)
-            if request is None:
-                log.error("send-unknown job=%s", action.request_id)
-                return
-            until = request.deadline
-            if action.timeout:
-                until = min(until, now + action.timeout)
-            attempt = Attempt(request, request.attempt_count, action.worker, until)
-            request.attempt_count += 1
-            if request.trace is not None:
-                attempt.trace = request.trace.chosen(
-                    attempt.number,
-                    action.worker,
-                    action.candidates,
-                    action.delay_reason,
-                    trio.current_time(),
-                )
-            broken = rules.check_attempt(self._attempt_facts(request, now))
-            if broken is not None:
-                self.violations.note(
-                    broken, request=request.id, attempt=attempt.number, worker=action.worker
-                )
-                self._put(
-                    api.AttemptEnded(
-                        request.key, attempt.number, action.worker, api.PolicyOutcome.NOT_SENT, 0.0
-                    )
-                )
-            elif request.closed:  # it ended between the module's last moment and this one
-                self.report(attempt, AttemptOutcome.NOT_SENT)
-            else:
-                self._choose(request, attempt)
-        elif kind is api.Reject or kind is api.Fail:
-            request = self._requests.get(action.request_id)
-            if request is None or request.closed:
-                return
-            self._close(request)
-            if self._counting:
-                log.debug(
-                    "no class=%d tries=%d why=%s",
-                    request.request_class,
-                    request.attempt_count,
-                    action.reason,
-                )
-            if request.live is not None:
-                request.live.withdraw(AttemptOutcome.TIMED_OUT)
-            self._choose(
-                request,
-                Rejection(action.retry_after, action.reason)
-                if kind is api.Reject
-                else Failure(reason=action.reason),
+        handler = self._action_handlers.get(type(action))
+        if handler is not None:  # WatchList asks for nothing here: discovery always watches
+            handler(action, now)
+
+    def _send(self, action: api.Send, now: float) -> None:
+        request = self._requests.get(action.request_id)
+        if request is None:
+            log.error("policy_sent_unknown_request request=%s ignored=yes", action.request_id)
+            return
+        until = request.deadline
+        if action.timeout:
+            until = min(until, now + action.timeout)
+        attempt = Attempt(request, request.attempt_count, action.worker, until)
+        request.attempt_count += 1
+        if request.trace is not None:
+            attempt.trace = request.trace.chosen(
+                attempt.number,
+                action.worker,
+                action.candidates,
+                action.delay_reason,
+                trio.current_time(),
+            )
+        broken = rules.check_attempt(self._attempt_facts(request, now))
+        if broken is not None:
+            self.violations.note(
+                broken, request=request.id, attempt=attempt.number, worker=action.worker
+            )
+            not_sent = api.PolicyOutcome.NOT_SENT
+            self._put(api.AttemptEnded(request.key, attempt.number, action.worker, not_sent, 0.0))
+        elif request.closed:  # it ended between the module's last moment and this one
+            self.report(attempt, AttemptOutcome.NOT_SENT)
+        else:
+            self._choose(request, attempt)
+
+    def _reject(self, action: api.Reject, now: float) -> None:
+        self._answer(action, Rejection(action.retry_after, action.reason))
+
+    def _fail(self, action: api.Fail, now: float) -> None:
+        self._answer(action, Failure(reason=action.reason))
+
+    def _answer(self, action: api.Reject | api.Fail, answer: Rejection | Failure) -> None:
+        request = self._requests.get(action.request_id)
+        if request is None or request.closed:
+            return
+        self._close(request)
+        if self._logs_attempts:
+            log.debug(
+                "request_not_served class=%d attempts=%d reason=%s",
+                request.request_class,
+                request.attempt_count,
+                action.reason,
             )
-        elif kind is api.SetTimer:
-            heappush(self._timers, (now + action.delay, action.token))
-        elif kind is api.Probe:
-            self._probes.append(action.worker)
-        elif kind is api.Cancel:
-            attempt = self._live.get(
-                action.request_id
-            )  # its operation may be over, its client gone
-            if attempt is not None and attempt.number == action.attempt:
-                attempt.withdraw(AttemptOutcome.CANCELLED)
-        elif kind is api.Log:
-            log.info("module %s", action.text)
-        # WatchList asks for nothing here: discovery is always watched.
+        if request.live is not None:
+            request.live.withdraw(AttemptOutcome.TIMED_OUT)
+        self._choose(request, answer)
+
+    def _set_timer(self, action: api.SetTimer, now: float) -> None:
+        self._timers.set(now + action.delay, action.token)
+
+    def _request_health_check(self, action: api.Probe, now: float) -> None:
+        self._health_checks.request(action.worker)
+
+    def _cancel(self, action: api.Cancel, now: float) -> None:
+        attempt = self._live.get(action.request_id)  # its request may be over, its client gone
+        if attempt is not None and attempt.number == action.attempt:
+            attempt.withdraw(AttemptOutcome.CANCELLED)
+
+    def _log(self, action: api.Log, now: float) -> None:
+        log.info("policy_message text=%s", action.text)
+
+    # -- requests
+
+    def _close(self, request: Request, notify: bool = False) -> None:
+        """No other answer is due; `notify` the module, which does not know."""
+        if request.closed:
+            return
+        request.closed = True
+        if notify:
+            # It stays known until the module has taken the event, for what the module may send before.
+            self._put(api.ClientLeft(request.key))
+        else:
+            self._requests.pop(request.key, None)
+
+    def _choose(self, request: Request, choice: Choice) -> None:
+        request.choice = choice
+        if request.chosen is not None:
+            request.chosen.set()
 
     def _attempt_facts(self, request: Request, now: float) -> rules.AttemptFacts:
         return rules.AttemptFacts(
@@ -514,20 +440,17 @@
             ran_at=request.ran_at,
         )
 
-    def _give_up_batch(self, events: list[api.Event]) -> None:
-        """After a fault in the module no operation of that moment can count on an answer from it."""
-        for event in events:
-            request = self._requests.get(getattr(event, "request_id", ""))
-            if request is not None and request.choice is None and request.live is None:
-                self._close(request, tell=True)
-                self._choose(request, Failure("internal fault"))
-
-    async def _probe(self, probe: Prober, worker: str) -> None:
-        try:
-            outcome, load = await probe(worker)
-        except Exception:
-            log.exception("probe-fault worker=%s", worker)
-            outcome, load = AttemptOutcome.BROKEN, None
-        self._put(
-            api.ProbeEnded(worker, outcome.policy_outcome, loadreport.read(load, self._fields))
+    def _log_attempt(self, attempt: Attempt, outcome: AttemptOutcome, elapsed: float) -> None:
+        waited = attempt.began - attempt.sent if attempt.began else -1.0
+        log.debug(
+            "attempt_ended worker=%s outcome=%s class=%d attempt=%d width=%g sent=%.0f waited=%.0f "
+            "ran=%.0f",
+            attempt.worker,
+            outcome.name,
+            attempt.request.request_class,
+            attempt.number,
+            attempt.request.width,
+            self._clock.wall_time(attempt.sent or self.now()),
+            waited,
+            elapsed - max(0.0, waited),
         )
--- a/yewrill/dispatch/safety.py
+++ b/yewrill/dispatch/safety.py
@@ -1,9 +1,9 @@
-"""The one place that says whether something may be sent, repeated, closed or told now. Pure.
+"""Safety rules: whether an attempt may be sent, repeated or given so much time. Pure but for the log.
 
-Whoever sends or closes gathers the facts, asks here, and does as it is told; a reason comes back as an enum
-value, which goes to the log and the metrics. Some questions are never to be answered with no by a program
-without faults: those are checks, and a no from them is a violation. Violations are counted by rule, logged
-with the ids concerned, and what they are about is held back.
+Whoever sends or closes gathers the facts and asks here; a reason comes back as an enum member, which goes to
+the log and the metrics. The `check_` functions answer with a broken rule only where the program has a
+fault: a
+violation. Violations are counted by rule, logged with the ids concerned, and what they are about is not done.
 """
 
 from __future__ import annotations
@@ -13,16 +13,18 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from yewrill.policy import interface as api
+from yewrill.policy.interface import Idempotency
 
-log = logging.getLogger("yewrill.rules")
+log = logging.getLogger(__name__)
 
-KEYED_SLACK_MS = 50.0  # the protocol's, on sockets
-TOLD_SLACK_MS = 1.0  # a worker is told whole milliseconds
+WINDOW_SLACK_MS = 50.0  # the protocol's, on sockets
+TIMEOUT_SLACK_MS = 1.0  # a worker is given whole milliseconds
 
 
 class HeldBack(Enum):
-    """Why an attempt's first byte is not written now. No fault of anybody's: things change meanwhile."""
+    """Why an attempt's first byte is not written now: things have changed since it was chosen.
+
+    The names appear in metrics, as `held_back.<name>`."""
 
     DEADLINE_PASSED = "deadline passed"
     WORKER_UNAVAILABLE = "worker drains, is gone or was taken out"
@@ -31,22 +33,22 @@
 
 
 class Rule(Enum):
-    """What a check found broken."""
+    """A rule that a check found broken. The names appear in metrics, as `rule_violations.<name>`."""
 
     OVERLAP = "an attempt is out already"
-    UNSAFE_REPEAT = "an unsafe job may have run"
-    WINDOW_OVER = "a keyed job's window is over"
-    TOLD_TOO_LONG = "told more time than the client has left"
+    UNSAFE_REPEAT = "a non-idempotent request may have run"
+    WINDOW_OVER = "a request's deduplication window is over"
+    TOLD_TOO_LONG = "a worker is given more time than the client has left"
     CLOSED_UNANSWERED = "a request was read and is closed without an answer"
 
 
 class CloseReason(Enum):
-    """Why a client's connection ends."""
+    """Why a client's connection ends. The values appear in metrics, as `closed.<value>`."""
 
     CLIENT_ENDED = "client_ended"
     EVICTED = "evicted"  # idle, and its place was needed
-    DRAINED = "drained"  # let go, or closed after its answer, by a drain
-    CUT = "cut"  # it had no whole request at the last call
+    DRAINED = "drained"  # closed while idle, or after its answer, by a drain
+    CUT = "cut"  # it had no whole request when draining ended
     LAST_ANSWER = "last_answer"  # its protocol or its answer ends it
     BAD_REQUEST = "bad_request"
     FAULT = "fault"
@@ -54,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendFacts:
-    """What is known as an attempt's first byte is about to be written. Times in ms of the module's clock."""
+    """What is known as an attempt's first byte is about to be written. Milliseconds on the engine's clock."""
 
     now: float
     until: float
@@ -79,7 +81,7 @@
     """What is known as an attempt is chosen. `ran_at`: when the first attempt that may have run was sent."""
 
     now: float
-    idempotency: str
+    idempotency: Idempotency
     window: float
     attempt_out: bool
     ran_at: float | None
@@ -91,32 +93,32 @@
         return Rule.OVERLAP
     if facts.ran_at is None:
         return None
-    if facts.idempotency == api.Idempotency.NON_IDEMPOTENT:
+    if facts.idempotency == Idempotency.NON_IDEMPOTENT:
         return Rule.UNSAFE_REPEAT
     if (
-        facts.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY
-        and facts.now - facts.ran_at > facts.window + KEYED_SLACK_MS
+        facts.idempotency == Idempotency.IDEMPOTENT_BY_KEY
+        and facts.now - facts.ran_at > facts.window + WINDOW_SLACK_MS
     ):
         return Rule.WINDOW_OVER
     return None
 
 
-def check_told(told: float, now: float, deadline: float) -> Rule | None:
-    """Whether a worker may be told this many ms: None, or the rule that it would break."""
-    return Rule.TOLD_TOO_LONG if told > max(1.0, deadline - now) + TOLD_SLACK_MS else None
+def check_timeout(timeout: float, now: float, deadline: float) -> Rule | None:
+    """Whether a worker may be given so many ms: None, or the rule that it would break."""
+    return Rule.TOLD_TOO_LONG if timeout > max(1.0, deadline - now) + TIMEOUT_SLACK_MS else None
 
 
 class Violations:
-    """Counts what the checks found, and tells each with the ids concerned."""
+    """Counts what the checks found, and logs each with the ids concerned."""
 
     def __init__(self) -> None:
         self.counts: Counter[Rule] = Counter()
 
     def note(self, rule: Rule, **ids: object) -> None:
-        """A check has said no."""
+        """A check has found a rule broken."""
         self.counts[rule] += 1
-        told = " ".join(f"{name}={value}" for name, value in ids.items())
-        log.error("rule-violation rule=%s %s", rule.name.lower(), told)
+        concerned = " ".join(f"{name}={value}" for name, value in ids.items())
+        log.error("rule_violation rule=%s %s", rule.name.lower(), concerned)
 
     def metrics(self) -> dict[str, int]:
         """By rule, for the metrics."""
--- a/yewrill/frontends/platform.py
+++ b/yewrill/frontends/platform.py
@@ -9,8 +9,8 @@
 
 import ujson
 
-from yewrill.dispatch.engine import Attempt, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served
+from yewrill.dispatch.request import Attempt, Rejection, Request
 from yewrill.net.http import MAX_BODY, BadRequest, HttpRequest, Reply
 from yewrill.net.listener import Client
 from yewrill.net.worker_connections import MalformedResponse, Word
--- a/yewrill/frontends/progress.py
+++ b/yewrill/frontends/progress.py
@@ -13,8 +13,8 @@
 import trio
 import ujson
 
-from yewrill.dispatch.engine import Attempt, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served
+from yewrill.dispatch.request import Attempt, Rejection, Request
 from yewrill.frontends.platform import Carried, Closing, Reader, passed_on, word_of
 from yewrill.net.http import MAX_BODY, HttpRequest, Reply
 from yewrill.net.listener import Client
--- a/yewrill/lab/scale/hollow.py
+++ b/yewrill/lab/scale/hollow.py
@@ -34,7 +34,7 @@
         """No slots in any zone."""
         return {}
 
-    def hanging(self, _seconds: float) -> Mapping[int, int]:
+    def stuck_attempts(self, _seconds: float) -> Mapping[int, int]:
         """No attempt hangs."""
         return {}
 
--- a/yewrill/lab/soak/nodes.py
+++ b/yewrill/lab/soak/nodes.py
@@ -19,7 +19,7 @@
 from yewrill.lab.soak.shim import Shim
 
 READY = b" ready name="
-VIOLATION = b" rule-violation "
+VIOLATION = b" rule_violation "
 KEY = "7a" * 16
 CLASS_DEADLINE_MS, AIM_MS = 2500.0, 400.0
 SEVERAL = 3  # reloads in a row
--- a/yewrill/net/discovery.py
+++ b/yewrill/net/discovery.py
@@ -13,7 +13,8 @@
 import ujson
 
 from yewrill.config.reading import STATE_WORDS, ConfigError, TopologyNames, read_endpoints
-from yewrill.dispatch.engine import DecisionEngine, Endpoint
+from yewrill.dispatch.endpoint import Endpoint
+from yewrill.dispatch.engine import DecisionEngine
 from yewrill.net.connection import Connection
 from yewrill.net.http import ClientSide, PeerEnded
 from yewrill.policy import interface as api
--- a/yewrill/net/listener.py
+++ b/yewrill/net/listener.py
@@ -13,7 +13,7 @@
 import h11
 import trio
 
-from yewrill.dispatch.engine import Request
+from yewrill.dispatch.request import Request
 from yewrill.dispatch.safety import CloseReason
 from yewrill.net.backlog import Accepted, Backlog
 from yewrill.net.connection import NO_DESCRIPTORS, Connection, Quiet
--- a/yewrill/net/worker_connections.py
+++ b/yewrill/net/worker_connections.py
@@ -13,10 +13,12 @@
 import trio
 import ujson
 
-from yewrill.dispatch import load_report as loadreport
+from yewrill.dispatch import load_report
 from yewrill.dispatch import safety as rules
-from yewrill.dispatch.engine import Attempt, DecisionEngine, Endpoint, Request
+from yewrill.dispatch.endpoint import Endpoint
+from yewrill.dispatch.engine import DecisionEngine
 from yewrill.dispatch.outcome import AttemptOutcome
+from yewrill.dispatch.request import Attempt, Request
 from yewrill.net.connection import OWN_SHORTAGE, Connection, Quiet
 from yewrill.net.discovery import EndpointList
 from yewrill.net.http import ClientSide, PeerEnded
@@ -72,7 +74,7 @@
 _WORD_ENDINGS = {
     "done": AttemptOutcome.SERVED,
     "failed": AttemptOutcome.FAILED,
-    "returned": AttemptOutcome.TURNED_AWAY,
+    "returned": AttemptOutcome.REJECTED,
     "lost": AttemptOutcome.RESET,
 }
 
@@ -248,7 +250,7 @@
         return AttemptOutcome.NOT_SENT, None
 
     def _check_told(self, attempt: Attempt, wait: int) -> None:
-        broken = rules.check_told(wait, attempt.sent, attempt.request.deadline)
+        broken = rules.check_timeout(wait, attempt.sent, attempt.request.deadline)
         if broken is not None:
             self._engine.violations.note(
                 broken, request=attempt.request.id, attempt=attempt.number, told_ms=wait
@@ -261,9 +263,9 @@
             line.rests_until = trio.current_time() + REST
             for name, value in response.headers:
                 if name == b"x-server-load":
-                    attempt.load = loadreport.from_header(value.decode("latin-1"))
+                    attempt.load = load_report.from_header(value.decode("latin-1"))
             if status in (503, 504) and (b"x-not-processed", b"1") in list(response.headers):
-                return AttemptOutcome.TURNED_AWAY, None
+                return AttemptOutcome.REJECTED, None
             return AttemptOutcome.FAILED, None
         if self._codec.content_type:
             kinds = [value for name, value in response.headers if name == b"content-type"]
@@ -299,7 +301,7 @@
         destination alone for a while."""
         endpoint = self._endpoints.get(name)
         if endpoint is None or not self._endpoints.may_send(name):
-            return AttemptOutcome.TURNED_AWAY, None
+            return AttemptOutcome.REJECTED, None
         # On a new connection: how an old one fares says little of the destination.
         line: _Line | None = None
         keep = False
@@ -307,10 +309,10 @@
         try:
             with trio.fail_after(PROBE_TIMEOUT):
                 if not self._make_room():
-                    return AttemptOutcome.TURNED_AWAY, None
+                    return AttemptOutcome.REJECTED, None
                 line = await self._open(endpoint)
                 if not self._endpoints.may_send(name):  # opening took time
-                    return AttemptOutcome.TURNED_AWAY, None
+                    return AttemptOutcome.REJECTED, None
                 path = LOAD_PATH if self._engine.reports_load else PROBE_PATH
                 await line.http.connection.send(
                     line.http.encode("GET", path, [("Host", "destination")])
@@ -323,7 +325,7 @@
                 keep = True
         except (OSError, trio.TooSlowError, PeerEnded) as error:
             short = isinstance(error, OSError) and error.errno in OWN_SHORTAGE
-            return AttemptOutcome.TURNED_AWAY if short else AttemptOutcome.UNREACHABLE, None
+            return AttemptOutcome.REJECTED if short else AttemptOutcome.UNREACHABLE, None
         except h11.RemoteProtocolError:
             return AttemptOutcome.MALFORMED_RESPONSE, None
         finally:
@@ -332,7 +334,7 @@
                     self._give_back(name, line)
                 else:
                     self._drop(line)
-        endings = {200: AttemptOutcome.SERVED, 503: AttemptOutcome.TURNED_AWAY}
+        endings = {200: AttemptOutcome.SERVED, 503: AttemptOutcome.REJECTED}
         return endings.get(response.status_code, AttemptOutcome.FAILED), load
 
     # -- the pool
--- a/yewrill/persistence/persistent_state.py
+++ b/yewrill/persistence/persistent_state.py
@@ -20,8 +20,8 @@
 import ujson
 
 from yewrill.config.reading import StateConfig
-from yewrill.dispatch.engine import Attempt, Request
 from yewrill.dispatch.outcome import AttemptOutcome
+from yewrill.dispatch.request import Attempt, Request
 from yewrill.net.discovery import REMEMBERED, EndpointList
 from yewrill.observability.metrics import Metrics
 from yewrill.persistence.attempts import (
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -14,9 +14,10 @@
 import trio
 
 from yewrill.config.reading import Config, ConfigError, check_succession, differing
-from yewrill.dispatch.engine import Attempt, DecisionEngine, Rejection, Request
-from yewrill.dispatch.lifecycle import Answer, Served, carry
+from yewrill.dispatch.engine import DecisionEngine
+from yewrill.dispatch.lifecycle import Answer, Served, run_request
 from yewrill.dispatch.outcome import AttemptOutcome
+from yewrill.dispatch.request import Attempt, Rejection, Request
 from yewrill.dispatch.safety import Rule
 from yewrill.frontends.platform import PlatformFront, Reader
 from yewrill.net.discovery import REMEMBERED, EndpointList, Watch
@@ -297,7 +298,7 @@
         await trio.sleep_until(began + (grace - LAST_ANSWER) / 1000.0)
         if self.engine.pending:
             log.warning("last-call open=%d", self.engine.pending)
-            self.engine.give_up()
+            self.engine.fail_all()
         self.listener.cut()
 
     async def _take_last_requests(self, began: float) -> None:
@@ -488,9 +489,9 @@
             self._take_id(request.id)
             if self.persistent_state is not None or self.tracing_hooks is not None:
                 self._introduce(request, http_request, now)
-            self.engine.take(request)
+            self.engine.submit(request)
             request_class = self.config.settings.classes[request.request_class].name
-            client.request, client.on_left, client.proven = request, self.engine.left, True
+            client.request, client.on_left, client.proven = request, self.engine.client_left, True
             request.has_left = client.has_left
             try:
                 async with client.watched(self.nursery):
@@ -507,7 +508,7 @@
                 if (
                     not request.closed
                 ):  # whatever befell this exchange, the module is not left with it
-                    self.engine.left(request)
+                    self.engine.client_left(request)
                 self._free_id(request.id)
                 if self.persistent_state is not None:
                     self.persistent_state.closed(request)
@@ -518,7 +519,7 @@
 
     async def _carry(self, request: Request, request_class: str) -> Answer | None:
         """Carry an operation, and count its final answer."""
-        answer = await carry(request, self.engine, self._attempt)
+        answer = await run_request(request, self.engine, self._attempt)
         if answer is not None:
             if self.tracing_hooks is not None:
                 self.tracing_hooks.answered(request, answer)
--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -15,8 +15,8 @@
 
 from yewrill import __version__
 from yewrill.config.reading import Config, TracingConfig
-from yewrill.dispatch.engine import Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served
+from yewrill.dispatch.request import Rejection, Request
 from yewrill.net.http import HttpRequest
 from yewrill.policy.interface import RequestClass
 from yewrill.tracing.export import Exporter, StoreSpool, Target
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -10,8 +10,8 @@
 
 import trio
 
-from yewrill.dispatch.engine import Attempt
 from yewrill.dispatch.outcome import AttemptOutcome
+from yewrill.dispatch.request import Attempt
 from yewrill.membership import Members
 from yewrill.membership.link import ZONES
 from yewrill.membership.machine import DEAD, LEFT
@@ -30,9 +30,9 @@
 # Endings that say nothing of a zone: the job came back unseen, or we held it back or gave it up ourselves.
 _TELL_NOTHING = frozenset(
     {
-        AttemptOutcome.TURNED_AWAY,
+        AttemptOutcome.REJECTED,
         AttemptOutcome.NOT_SENT,
-        AttemptOutcome.BROKEN,
+        AttemptOutcome.INTERNAL_ERROR,
         AttemptOutcome.STALE_UNREACHABLE,
         AttemptOutcome.STALE_RESET,
     }
@@ -111,7 +111,9 @@
         }
 
     def _hanging(self) -> Mapping[str, int]:
-        return {self._name(zone): count for zone, count in self._engine.hanging(HANGING).items()}
+        return {
+            self._name(zone): count for zone, count in self._engine.stuck_attempts(HANGING).items()
+        }
 
     def _regions(self) -> Mapping[str, str]:
         """The region of each zone that has members, as these tell it."""
