--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -20,7 +20,8 @@
 
 from yewrill.config.reading import read_config
 from yewrill.config.schema import StateConfig, TopologyNames
-from yewrill.dispatch.engine import Attempt, DecisionEngine, Request
+from yewrill.dispatch.engine import DecisionEngine
+from yewrill.dispatch.request import Attempt, Request
 from yewrill.leases import disk as voters_disk
 from yewrill.leases import raft_types
 from yewrill.net.endpoint_list import EndpointList
--- a/tests/test_log_states.py
+++ b/tests/test_log_states.py
@@ -5,9 +5,9 @@
 
 from yewrill.lab.netsim import Path
 from yewrill.lab.ownnet import OwnNet
-from yewrill.leases.format import pack, unpack
+from yewrill.leases.format import Submit, Submitted, pack, unpack
 from yewrill.leases.lease_table import LeaseTable
-from yewrill.leases.node import MAX_PENDING_SUBMISSIONS, SNAPSHOT_AFTER_ENTRIES, Submit, Submitted
+from yewrill.leases.node import MAX_PENDING_SUBMISSIONS, SNAPSHOT_AFTER_ENTRIES
 from yewrill.leases.raft_types import (
     LEADER,
 )
--- a/yewrill/config/endpoints.py
+++ b/yewrill/config/endpoints.py
@@ -15,7 +15,7 @@
     read_object,
     read_text,
 )
-from yewrill.dispatch.engine import Endpoint
+from yewrill.dispatch.endpoint import Endpoint
 from yewrill.policy import interface as api
 
 STATES = {
--- a/yewrill/frontends/progress.py
+++ b/yewrill/frontends/progress.py
@@ -13,8 +13,8 @@
 import trio
 import ujson
 
-from yewrill.dispatch.engine import Attempt, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served
+from yewrill.dispatch.request import Attempt, Rejection, Request
 from yewrill.frontends.platform import Carried, Closing, Reader, parse_worker_message, passed_on
 from yewrill.net.http import MAX_BODY, HttpRequest, Reply
 from yewrill.net.listener import Client
--- a/yewrill/lab/viewnet.py
+++ b/yewrill/lab/viewnet.py
@@ -13,7 +13,8 @@
 from yewrill.lab.netsim import Path, Stopped
 from yewrill.membership.parts import MalformedPayload
 from yewrill.views.format import Parts, pack
-from yewrill.views.machine import Machine, Rules, Step
+from yewrill.views.machine import Machine, Step
+from yewrill.views.rules import Rules
 from yewrill.views.view import Entry, Kept, View
 
 HEAD = 20 + 45  # bytes of a datagram round its cargo: mark, code; name, runs, counter
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -18,8 +18,9 @@
 )
 from yewrill.leases.states import StateMachine
 from yewrill.membership import Members
-from yewrill.membership.link import OWNERSHIP, MembershipLink
+from yewrill.membership.link import MembershipLink
 from yewrill.membership.parts import FragmentAssembler, MalformedPayload, split_payload
+from yewrill.membership.transport import OWNERSHIP
 from yewrill.service.subsystems import SubsystemContext
 from yewrill.store import Store, StoreError
 
--- a/yewrill/net/endpoint_list.py
+++ b/yewrill/net/endpoint_list.py
@@ -8,7 +8,8 @@
 
 from yewrill.config.endpoints import STATE_NAMES, read_endpoints
 from yewrill.config.schema import TopologyNames
-from yewrill.dispatch.engine import DecisionEngine, Endpoint
+from yewrill.dispatch.endpoint import Endpoint
+from yewrill.dispatch.engine import DecisionEngine
 from yewrill.policy import interface as api
 
 MAX_DETACHED = 10_000
--- a/yewrill/net/worker_client.py
+++ b/yewrill/net/worker_client.py
@@ -18,8 +18,10 @@
 
 from yewrill.dispatch import load_report
 from yewrill.dispatch import safety as rules
-from yewrill.dispatch.engine import Attempt, DecisionEngine, Endpoint, Request
+from yewrill.dispatch.endpoint import Endpoint
+from yewrill.dispatch.engine import DecisionEngine
 from yewrill.dispatch.outcome import AttemptOutcome
+from yewrill.dispatch.request import Attempt, Request
 from yewrill.net.connection import OWN_SHORTAGE
 from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import PeerEnded
@@ -39,14 +41,12 @@
 _FINAL_STATES = {
     "done": AttemptOutcome.SERVED,
     "failed": AttemptOutcome.FAILED,
-    "returned": AttemptOutcome.TURNED_AWAY,
+    "returned": AttemptOutcome.REJECTED,
     "lost": AttemptOutcome.RESET,
 }
-_PROBE_STATUSES = {200: AttemptOutcome.SERVED, 503: AttemptOutcome.TURNED_AWAY}
+_PROBE_STATUSES = {200: AttemptOutcome.SERVED, 503: AttemptOutcome.REJECTED}
 # What an answer in order can mean; after any other outcome the connection is closed.
-_REUSABLE_AFTER = frozenset(
-    {AttemptOutcome.SERVED, AttemptOutcome.FAILED, AttemptOutcome.TURNED_AWAY}
-)
+_REUSABLE_AFTER = frozenset({AttemptOutcome.SERVED, AttemptOutcome.FAILED, AttemptOutcome.REJECTED})
 
 
 class _ConnectFailed(Exception):
@@ -222,7 +222,7 @@
 
     def _check_stated_time(self, attempt: Attempt, wait_ms: int) -> None:
         """Count a violation if the worker is given more time than the client has."""
-        broken = rules.check_told(wait_ms, attempt.sent, attempt.request.deadline)
+        broken = rules.check_timeout(wait_ms, attempt.sent, attempt.request.deadline)
         if broken is not None:
             self._engine.violations.note(
                 broken, request=attempt.request.id, attempt=attempt.number, told_ms=wait_ms
@@ -278,7 +278,7 @@
         """
         endpoint = self._endpoints.get(worker)
         if endpoint is None or not self._endpoints.may_send(worker):
-            return AttemptOutcome.TURNED_AWAY, None
+            return AttemptOutcome.REJECTED, None
         # On a new connection: how an old one fares says little of the worker.
         connection: WorkerConnection | None = None
         reusable = False
@@ -286,10 +286,10 @@
         try:
             with trio.fail_after(PROBE_TIMEOUT_SECONDS):
                 if not self._connections.make_room():
-                    return AttemptOutcome.TURNED_AWAY, None
+                    return AttemptOutcome.REJECTED, None
                 connection = await self._connections.connect(endpoint)
                 if not self._endpoints.may_send(worker):  # opening took time
-                    return AttemptOutcome.TURNED_AWAY, None
+                    return AttemptOutcome.REJECTED, None
                 path = LOAD_PATH if self._engine.reports_load else PROBE_PATH
                 await connection.http.connection.send(
                     connection.http.encode("GET", path, [("Host", "destination")])
@@ -302,7 +302,7 @@
                 reusable = True
         except (OSError, trio.TooSlowError, PeerEnded) as error:
             short = isinstance(error, OSError) and error.errno in OWN_SHORTAGE
-            return AttemptOutcome.TURNED_AWAY if short else AttemptOutcome.UNREACHABLE, None
+            return AttemptOutcome.REJECTED if short else AttemptOutcome.UNREACHABLE, None
         except h11.RemoteProtocolError:
             return AttemptOutcome.MALFORMED_RESPONSE, None
         finally:
@@ -324,5 +324,5 @@
         if name == b"x-server-load":
             attempt.load = load_report.from_header(value.decode("latin-1"))
     if response.status_code in (503, 504) and (b"x-not-processed", b"1") in list(response.headers):
-        return AttemptOutcome.TURNED_AWAY
+        return AttemptOutcome.REJECTED
     return AttemptOutcome.FAILED
--- a/yewrill/net/worker_connections.py
+++ b/yewrill/net/worker_connections.py
@@ -10,7 +10,7 @@
 import h11
 import trio
 
-from yewrill.dispatch.engine import Endpoint
+from yewrill.dispatch.endpoint import Endpoint
 from yewrill.net.connection import Connection, Quiet
 from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import ClientSide
--- a/yewrill/net/worker_protocol.py
+++ b/yewrill/net/worker_protocol.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from yewrill.dispatch.engine import Attempt
+from yewrill.dispatch.request import Attempt
 
 
 class MalformedResponse(Exception):
--- a/yewrill/persistence/attempt_journal.py
+++ b/yewrill/persistence/attempt_journal.py
@@ -15,8 +15,8 @@
 
 import ujson
 
-from yewrill.dispatch.engine import Attempt, Request
 from yewrill.dispatch.outcome import AttemptOutcome
+from yewrill.dispatch.request import Attempt, Request
 from yewrill.net.endpoint_list import EndpointList
 from yewrill.persistence.attempts import (
     AttemptRecord,
--- a/yewrill/service/request_handler.py
+++ b/yewrill/service/request_handler.py
@@ -6,8 +6,9 @@
 
 import trio
 
-from yewrill.dispatch.engine import DecisionEngine, Rejection, Request
-from yewrill.dispatch.lifecycle import Answer, Served, carry
+from yewrill.dispatch.engine import DecisionEngine
+from yewrill.dispatch.lifecycle import Answer, Served, run_request
+from yewrill.dispatch.request import Rejection, Request
 from yewrill.dispatch.safety import Rule
 from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import BadRequest, HttpRequest, Reply
@@ -79,7 +80,7 @@
             return False
         self._open_requests.add(request.id)
         self._begin_observing(request, http_request, now)
-        self._engine.take(request)
+        self._engine.submit(request)
         try:
             return await self._respond(client, request)
         finally:
@@ -94,7 +95,7 @@
 
     async def _respond(self, client: Client, request: Request) -> bool:
         request_class = self._front.reader.settings.classes[request.request_class].name
-        client.request, client.on_left, client.proven = request, self._engine.left, True
+        client.request, client.on_left, client.proven = request, self._engine.client_left, True
         request.has_left = client.has_left
         async with client.watched(self._tasks.nursery):
             if request.trace is not None:
@@ -109,7 +110,7 @@
     def _finish(self, client: Client, request: Request) -> None:
         client.request = None
         if not request.closed:  # however this exchange ended, the policy must not wait for it
-            self._engine.left(request)
+            self._engine.client_left(request)
         self._open_requests.discard(request.id)
         if self._persistent_state is not None:
             self._persistent_state.attempts.request_finished(request)
@@ -118,7 +119,7 @@
 
     async def _run_to_answer(self, request: Request, request_class: str) -> Answer | None:
         """Run a request to its final answer and count that. None if the client left before."""
-        answer = await carry(request, self._engine, self._context.run_attempt)
+        answer = await run_request(request, self._engine, self._context.run_attempt)
         if answer is None:
             return None
         if self._tracing_hooks is not None:
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -17,9 +17,10 @@
 import trio
 
 from yewrill.config.schema import Config
-from yewrill.dispatch.engine import Attempt, DecisionEngine
+from yewrill.dispatch.engine import DecisionEngine
 from yewrill.dispatch.lifecycle import AttemptRunner
 from yewrill.dispatch.outcome import AttemptOutcome
+from yewrill.dispatch.request import Attempt
 from yewrill.frontends.platform import PlatformFront, Reader
 from yewrill.net.discovery import DiscoveryWatch
 from yewrill.net.endpoint_list import EndpointList
--- a/yewrill/service/shutdown.py
+++ b/yewrill/service/shutdown.py
@@ -60,7 +60,7 @@
         await trio.sleep_until(began + (grace_ms - ANSWER_DEADLINE_MS) / 1000.0)
         if self._engine.pending:
             log.warning("last-call open=%d", self._engine.pending)
-            self._engine.give_up()
+            self._engine.fail_all()
         self._listener.cut()
 
     async def _take_last_requests(self, began: float) -> None:
--- a/yewrill/views/facade.py
+++ b/yewrill/views/facade.py
@@ -13,9 +13,10 @@
 import trio
 
 from yewrill.membership import Members
-from yewrill.membership.link import VIEWS, Address, MembershipLink
+from yewrill.membership.link import Address, MembershipLink
 from yewrill.membership.messages import DEAD, LEFT
 from yewrill.membership.parts import MalformedPayload
+from yewrill.membership.transport import VIEWS
 from yewrill.service.subsystems import SubsystemContext
 from yewrill.store import Batch, Store, StoreError, StorePoisoned
 from yewrill.views.config import ViewsConfig
