--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -175,7 +175,7 @@
             operation = _operation(number, request_class, key)
             persistent_state.attempts.begin_request(operation, classes[request_class], "acme")
             earlier.append([operation.ran_ago, operation.ran_zone, operation.ran_cell])
-        held, number = persistent_state.held_under(SPOOL)
+        held, number = persistent_state.usage_under(SPOOL)
         first = persistent_state.first(SPOOL)
         assert first is not None
         return [state, earlier, [held, number, first[0].hex(), first[1].hex()]]
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -1,4 +1,4 @@
-"""A disk that errs for a while: no attempt of an unsafe job goes out unless its record is on disk."""
+"""A disk that fails for a while: no non-idempotent attempt is sent unless its record is on disk."""
 
 import errno
 import shutil
@@ -14,13 +14,13 @@
 from yewrill.persistence.persistent_state import WRITE_INTERVAL_SECONDS
 from yewrill.store import Store
 
-PATIENCE_MS = 1000
+WRITE_TIMEOUT_MS = 1000
 
 
 def state(tmp_path) -> dict:
     return {
         "state_dir": str(tmp_path / "state"),
-        "state": {"patience_ms": PATIENCE_MS},
+        "state": {"patience_ms": WRITE_TIMEOUT_MS},
         "mgmt": "127.0.0.1:0",
     }
 
@@ -53,7 +53,7 @@
     ],
 )
 @story
-async def test_no_unsafe_attempt_is_sent_while_its_record_cannot_be_kept(
+async def test_no_non_idempotent_attempt_is_sent_while_its_record_cannot_be_written(
     error, calls, tmp_path, monkeypatch
 ):
     disk = FaultyDisk(monkeypatch, calls)
@@ -68,9 +68,7 @@
 
 
 @story
-async def test_a_store_whose_sync_failed_is_opened_anew_once_the_disk_is_well(
-    tmp_path, monkeypatch
-):
+async def test_a_store_whose_sync_failed_is_reopened_once_the_disk_works(tmp_path, monkeypatch):
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
     peer = Peer("d1", done)
     async with world(peer, **state(tmp_path)) as w:
@@ -92,7 +90,7 @@
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0, 2 * 3600.0])
 @story
-async def test_a_record_counts_for_its_window_whatever_is_done_to_the_wall_clock(
+async def test_a_record_is_valid_for_its_window_however_the_wall_clock_is_set(
     step, tmp_path, monkeypatch
 ):
     clock = SetClock(monkeypatch)
@@ -111,7 +109,7 @@
 
 
 @story
-async def test_records_that_cannot_be_read_at_the_start_are_read_later_and_nothing_unsafe_runs_before(
+async def test_unreadable_records_are_read_later_and_nothing_non_idempotent_runs_before(
     tmp_path, monkeypatch
 ):
     peer = Peer("d1", hang)
@@ -137,7 +135,7 @@
 
 
 @story
-async def test_an_end_that_could_not_be_written_is_written_later(tmp_path, monkeypatch):
+async def test_a_record_whose_deletion_failed_is_deleted_later(tmp_path, monkeypatch):
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
     gate = trio.Event()
 
@@ -171,7 +169,7 @@
 
 
 @story
-async def test_a_run_that_waits_for_the_store_has_its_attempts_recorded_by_the_run_that_holds_it(
+async def test_a_process_that_waits_for_the_store_has_its_attempts_recorded_by_the_one_that_has_it(
     tmp_path,
 ):
     peer = Peer("d1", hang)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -112,7 +112,9 @@
 
 @pytest.mark.parametrize("seed", range(20))
 @story
-async def test_killed_amid_jobs_and_calls_it_keeps_every_promise(seed, tmp_path):
+async def test_after_a_kill_amid_requests_and_management_calls_every_guarantee_holds(
+    seed, tmp_path
+):
     rng = random.Random(seed)
     rack = Rack(rng)
     async with trio.open_nursery() as nursery:
@@ -235,7 +237,7 @@
 
 
 @story
-async def test_a_store_that_fails_costs_no_plain_job_and_is_told_once(
+async def test_a_failing_store_affects_no_idempotent_request_and_is_logged_once(
     tmp_path, caplog, monkeypatch
 ):
     caplog.set_level("INFO")
@@ -273,7 +275,7 @@
 
 
 @story
-async def test_the_last_list_what_was_put_back_and_a_drain_serve_after_a_restart(tmp_path):
+async def test_endpoint_list_reattached_workers_and_operator_drain_survive_a_restart(tmp_path):
     config = state(tmp_path)
     peer = Peer("d1", done)
     async with world(peer, Peer("d2", done), Peer("d3", done), **config) as w:
@@ -314,7 +316,7 @@
 
 
 @story
-async def test_an_heir_takes_the_store_when_its_elder_is_gone(tmp_path, caplog):
+async def test_a_new_process_opens_the_store_when_the_old_one_has_exited(tmp_path, caplog):
     from test_operators import shared_world, start_heir
 
     caplog.set_level("INFO")
@@ -333,7 +335,9 @@
         ] == [b"out/d1"]
 
 
-def test_a_second_program_on_one_directory_is_refused_and_without_one_nothing_is_imported(tmp_path):
+def test_a_second_process_on_one_directory_is_rejected_and_without_one_nothing_is_imported(
+    tmp_path,
+):
     config = tmp_path / "config.json"
     config.write_text(
         ujson.dumps(
@@ -406,7 +410,7 @@
     ]
 
 
-def test_the_module_decides_on_a_repeat_by_what_an_earlier_run_sent():
+def test_the_policy_decides_on_a_repeat_by_what_an_earlier_run_sent():
     assert {type(action) for action in decided(api.NON_IDEMPOTENT, 10.0)} == {api.Fail}
     assert {type(action) for action in decided(api.IDEMPOTENT_BY_KEY, 7000.0)} == {
         api.Fail
@@ -442,7 +446,7 @@
         assert [type(a) for a in out if isinstance(a, (api.Send, api.Fail))] == [expected]
 
 
-def test_how_long_ago_is_never_taken_for_too_short():
+def test_the_max_age_is_never_underestimated():
     then = Clocks(1_000_000.0, 500.0, "a")
     for wall in (0.0, 1e9):  # one boot: whatever the wall clock says
         assert max_age_ms(then, Clocks(wall, 3500.0, "a")) == 3000.0
@@ -476,7 +480,7 @@
     )
 
 
-def test_how_long_ago_is_never_taken_for_too_long_where_records_are_forgotten():
+def test_the_min_age_is_never_overestimated_where_records_expire():
     then = Clocks(1_000_000.0, 500.0, "a")
     hour = 3_600_000.0
     # Over a reboot the wall clock may have been set by an hour; the boot's own clock can be believed.
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -19,10 +19,10 @@
     Batch,
     Conflict,
     Store,
-    StoreBusy,
     StoreClosed,
     StoreError,
     StorePoisoned,
+    StoreQueueFull,
     policy,
 )
 from yewrill.store import store as store_module
@@ -81,13 +81,13 @@
     trio.run(main)
 
 
-def test_a_full_queue_says_so_and_a_closed_store_too(monkeypatch):
+def test_a_full_queue_and_a_closed_store_raise_their_errors(monkeypatch):
     monkeypatch.setattr(store_module, "MAX_QUEUED_BATCHES", 4)
     disk, gate = SimulatedDisk(), threading.Event()
     disk.fail = lambda number, word, name: gate.wait(10) and None if word == "sync" else None
     store = Store(disk, reserve=0)
     results = []
-    with pytest.raises(StoreBusy):
+    with pytest.raises(StoreQueueFull):
         for i in range(20):
             store.submit(Batch().put(b"%d" % i, b""), results.append)
     gate.set()
@@ -111,7 +111,7 @@
         Store(SimulatedDisk(), mode="sometimes")
 
 
-def test_a_poisoned_store_refuses_writes_and_reads_on(caplog):
+def test_a_poisoned_store_rejects_writes_and_serves_reads(caplog):
     disk = SimulatedDisk()
     with Store(disk, reserve=0) as store:
         store.put(b"k", b"v")
@@ -141,7 +141,7 @@
         assert len(store.get(b"k" * 4096)) == 2**20
 
 
-def test_a_second_process_is_refused_and_told_who_has_it(tmp_path):
+def test_a_second_process_is_rejected_with_the_name_of_the_first(tmp_path):
     code = f"from yewrill.store import Store\ntry: Store({str(tmp_path)!r})\nexcept Exception as e: print(e)"
     with Store(tmp_path):
         import os
--- a/tests/test_store_crash.py
+++ b/tests/test_store_crash.py
@@ -51,7 +51,7 @@
             assert reopened(disk, now) == state_of(left, now), (name, cut)
         # And what an opening has mended, the next one finds sound.
         state = open_directory(disk)
-        assert not [f for f in state.findings if f.what in ("torn", "damage")] or name not in parts
+        assert not [f for f in state.findings if f.kind in ("torn", "damage")] or name not in parts
 
 
 def test_the_log_cut_at_every_byte_is_the_state_of_the_last_acknowledgement_before():
@@ -93,13 +93,13 @@
             e = engine(disk, 5)
             assert contents(e, now) == state_of(left, now), (name, at)
             if name in left and at >= parts[name][0][0] and len(left[name]) < len(parts[name]):
-                (finding,) = (f for f in e.findings if f.what in ("damage", "torn"))
+                (finding,) = (f for f in e.findings if f.kind in ("damage", "torn"))
                 assert finding.file == name and finding.start <= at < finding.end
                 kept = disk.dump()[f"{QUARANTINE}{name}.{finding.start}-{finding.end}"]
                 assert kept == bytes(flipped[finding.start : finding.end])
 
 
-def test_a_flip_behind_a_hint_is_told_by_the_reader_and_by_compaction():
+def test_a_flipped_bit_behind_a_hint_is_reported_by_the_reader_and_by_compaction():
     disk = SimulatedDisk()
     e = engine(disk, segment_size=10**6)
     for i in range(20):
@@ -178,7 +178,7 @@
 # -- the guards matter: each taken out, a test above fails
 
 
-def test_without_the_checksums_flipped_bytes_are_believed(monkeypatch):
+def test_without_checksums_flipped_bits_are_accepted(monkeypatch):
     monkeypatch.setattr(format, "extend", lambda crc, data: 7)
     monkeypatch.setattr(format, "crc32c", lambda data: 7)
     disk = SimulatedDisk()
@@ -266,7 +266,7 @@
     assert reopened(disk.after_kill())[b"e"] == b"5" * 100
 
 
-def test_a_full_disk_refuses_whole_batches_deletes_and_compacts_in_the_room_aside():
+def test_a_full_disk_refuses_whole_batches_deletes_and_compacts_in_the_space_reserve():
     disk = SimulatedDisk(capacity=50_000)
     e = engine(disk, reserve=16_000)
     model, full = Model(), 0
@@ -357,7 +357,7 @@
         disk = SimulatedDisk.of(given)
         e = engine(disk, 3)
         assert contents(e, now) == expected
-        assert {f.what for f in e.findings} == {"manifest", "later-format"}
+        assert {f.kind for f in e.findings} == {"manifest", "later-format"}
         e.commit([Batch().put(b"more", b"1")], now)
         while compacted(e, now, everything=True) and len(e.sealed()) > 1:
             pass
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -102,7 +102,7 @@
         else:
             self.disk = self.disk.after_kill() if how == "kill" else self.disk.after_crash(self.rng)
         self.engine = engine(self.disk, self.rng.randrange(2**16), segment_size=400, reserve=4096)
-        assert not [f for f in self.engine.findings if f.what != "torn"]
+        assert not [f for f in self.engine.findings if f.kind != "torn"]
 
     @precondition(lambda self: len(self.snapshots) < 3)
     @rule()
--- a/yewrill/persistence/disk.py
+++ b/yewrill/persistence/disk.py
@@ -16,7 +16,7 @@
 import ujson
 
 from yewrill.config.reading import StateConfig
-from yewrill.store import Batch, Store, StoreError, StoreHeld, StorePoisoned
+from yewrill.store import Batch, Store, StoreError, StoreLocked, StorePoisoned
 
 log = logging.getLogger("yewrill.state")
 
@@ -60,7 +60,7 @@
     def open(self) -> None:
         """Open the store. Blocks.
 
-        Raises StoreHeld while another run has it, OSError if it can't be created.
+        Raises StoreLocked while another run has it, OSError if it can't be created.
         """
         self._store = Store(
             self._config.path,
@@ -87,7 +87,7 @@
             try:
                 await trio.to_thread.run_sync(self.open)
                 return
-            except (StoreHeld, OSError):
+            except (StoreLocked, OSError):
                 await trio.sleep(LOCK_RETRY_SECONDS)
 
     async def write(self, batch: Batch) -> WriteFailure | None:
--- a/yewrill/persistence/persistent_state.py
+++ b/yewrill/persistence/persistent_state.py
@@ -75,7 +75,7 @@
     def open_store(self) -> None:
         """Open the store. Blocks.
 
-        Raises StoreHeld while another run has it, OSError if it can't be created.
+        Raises StoreLocked while another run has it, OSError if it can't be created.
         """
         self._disk.open()
 
@@ -188,7 +188,7 @@
 
     # -- values of other parts (the spool of traces)
 
-    def held_under(self, prefix: bytes) -> tuple[int, int]:
+    def usage_under(self, prefix: bytes) -> tuple[int, int]:
         """Return the bytes of all values under a prefix, and the number that ends the last key. Blocks."""
         size = number = 0
         if (store := self._disk.store) is not None:
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -390,11 +390,11 @@
         """What the last run has left, before anything goes out. None if another run still has the store."""
         if self.persistent_state is None:
             return None
-        from yewrill.store import StoreHeld
+        from yewrill.store import StoreLocked
 
         try:
             await trio.to_thread.run_sync(self.persistent_state.open_store)
-        except StoreHeld as error:
+        except StoreLocked as error:
             if self.hot_restart is None:
                 raise OSError(f"state_dir: {error}") from None
             log.info("persistent_state_waiting_for_store error=%s", error)
--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -28,7 +28,7 @@
 class StoreLike(Protocol):
     """What `state.StateKeeper` offers to a spool."""
 
-    def held_under(self, prefix: bytes) -> tuple[int, int]: ...
+    def usage_under(self, prefix: bytes) -> tuple[int, int]: ...
 
     def first(self, prefix: bytes) -> tuple[bytes, bytes] | None: ...
 
@@ -66,7 +66,7 @@
         """Batches that the collector does not take go there, and those that an earlier run left go out
         first."""
         if self._config.spool_mb and self._config.collector:
-            held, number = store.held_under(SPOOL)
+            held, number = store.usage_under(SPOOL)
             self.exporter.spool = StoreSpool(
                 store.keep,
                 store.first,
--- a/yewrill/store/__init__.py
+++ b/yewrill/store/__init__.py
@@ -16,12 +16,12 @@
 from yewrill.store.errors import (
     Conflict,
     DamagedValue,
-    StoreBusy,
     StoreClosed,
     StoreError,
     StoreFull,
-    StoreHeld,
+    StoreLocked,
     StorePoisoned,
+    StoreQueueFull,
     StoreReadOnly,
 )
 from yewrill.store.format import Batch
@@ -32,11 +32,11 @@
     "Conflict",
     "DamagedValue",
     "Store",
-    "StoreBusy",
+    "StoreQueueFull",
     "StoreClosed",
     "StoreError",
     "StoreFull",
-    "StoreHeld",
+    "StoreLocked",
     "StorePoisoned",
     "StoreReadOnly",
 ]
--- a/yewrill/store/commands.py
+++ b/yewrill/store/commands.py
@@ -136,17 +136,17 @@
     """How a store stands: keys, sizes, findings, quarantine. Changes nothing; works beside a running
     program."""
     with _exit_on_error():
-        figures = _stat_of(directory)
+        values = _stat_of(directory)
     if as_json:
-        click.echo(ujson.dumps(figures, escape_forward_slashes=False))
+        click.echo(ujson.dumps(values, escape_forward_slashes=False))
         return
-    for name, value in figures.items():
+    for name, value in values.items():
         if name not in ("findings", "quarantine", "later_format"):
             click.echo(f"{name:<14} {value}")
     for name in ("quarantine", "later_format"):
-        for file in figures[name]:
+        for file in values[name]:
             click.echo(f"{name:<14} {file}")
-    for finding in figures["findings"]:
+    for finding in values["findings"]:
         click.echo(f"{'finding':<14} {_finding_line(finding)}")
 
 
--- a/yewrill/store/compaction.py
+++ b/yewrill/store/compaction.py
@@ -14,7 +14,7 @@
 from yewrill.store import policy
 from yewrill.store.catalog import Catalog
 from yewrill.store.files import write_all, write_file
-from yewrill.store.findings import Finding, Findings
+from yewrill.store.findings import Finding, FindingKind, Findings
 from yewrill.store.frames import Frame, Gap, read_frames
 from yewrill.store.key_directory import KeyDirectory
 from yewrill.store.reader import is_expired
@@ -115,7 +115,7 @@
         """Write and sync the output, its hint and their names; return it, None if nothing lives."""
         with self._directory.lock:
             others = [s.lowest for s in self._directory.segments.values() if s not in inputs]
-        if self._catalog.later_format or self._findings.mentions("missing"):
+        if self._catalog.later_format or self._findings.mentions(FindingKind.MISSING):
             others.append(0)  # these may hold records of any number
         output = self._create_output(name, inputs, now)
         for source in inputs:
@@ -205,7 +205,9 @@
         lost = self._directory.remove_segments(inputs)
         if lost:
             note = "values that could not be read are gone from the index"
-            self._findings.append(Finding("damage", inputs[0].name.file, records=lost, note=note))
+            self._findings.append(
+                Finding(FindingKind.DAMAGE, inputs[0].name.file, records=lost, note=note)
+            )
         for segment in inputs:
             for file in (segment.name.file, segment.name.hint):
                 with suppress(OSError):  # what remains is removed by the next opening
@@ -216,7 +218,9 @@
             quarantine(self._files, segment, gap.start, gap.end)
         self._findings.add_damage(
             segment,
-            Finding("damage", segment.name.file, gap.start, gap.end, note="met by compaction"),
+            Finding(
+                FindingKind.DAMAGE, segment.name.file, gap.start, gap.end, note="met by compaction"
+            ),
         )
 
     # -- hints
--- a/yewrill/store/engine.py
+++ b/yewrill/store/engine.py
@@ -30,7 +30,7 @@
     StoreReadOnly,
 )
 from yewrill.store.files import Files, write_all, write_file
-from yewrill.store.findings import Findings
+from yewrill.store.findings import FindingKind, Findings
 from yewrill.store.key_directory import KeyDirectory
 from yewrill.store.reader import Found, Reader, Row, Snapshot, is_expired
 from yewrill.store.recovery import MANIFEST, open_directory
@@ -55,7 +55,7 @@
         segment_size: int = 32 * 1024 * 1024,
         reserve: int = 0,
     ):
-        """Open the directory, which must not be open elsewhere. Sizes in bytes. Raises StoreHeld, OSError."""
+        """Open the directory. Sizes in bytes. Raises StoreLocked if it is open elsewhere, OSError."""
         self.files = files
         self.rules = rules or policy.Rules()
         self.segment_size = segment_size
@@ -82,7 +82,9 @@
         self.syncs = self.written = 0
         self._active: Segment | None = None  # the segment that commits append to
         self._commit_lock = threading.RLock()
-        if not self.read_only and self.findings.mentions("manifest", "adopted", "missing"):
+        if not self.read_only and self.findings.mentions(
+            FindingKind.MANIFEST, FindingKind.ADOPTED, FindingKind.MISSING
+        ):
             with suppress(OSError):  # if not now, then with the next write
                 self._write_manifest()
         self.restore_reserve()
--- a/yewrill/store/errors.py
+++ b/yewrill/store/errors.py
@@ -7,7 +7,7 @@
     """Base of all errors of a store."""
 
 
-class StoreHeld(StoreError):
+class StoreLocked(StoreError):
     """Another process has locked the directory; the text names it."""
 
 
@@ -23,7 +23,7 @@
     """The directory can't be written. Reads work."""
 
 
-class StoreBusy(StoreError):
+class StoreQueueFull(StoreError):
     """The queue of batches is full."""
 
 
--- a/yewrill/store/files.py
+++ b/yewrill/store/files.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from yewrill.store.errors import StoreHeld
+from yewrill.store.errors import StoreLocked
 
 QUARANTINE = "quarantine/"
 LOCK = "LOCK"
@@ -73,7 +73,7 @@
         ...
 
     def lock(self) -> None:
-        """Take the directory for this process. Raises StoreHeld."""
+        """Take the directory for this process. Raises StoreLocked."""
         ...
 
     def unlock(self) -> None:
@@ -205,7 +205,7 @@
             os.close(fd)
 
     def lock(self) -> None:
-        """Lock the directory for this process. Raises StoreHeld."""
+        """Lock the directory for this process. Raises StoreLocked."""
         path = self.path / LOCK
         try:
             fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -221,7 +221,7 @@
         except OSError:
             holder = os.pread(fd, 200, 0).decode(errors="replace").strip() or "an unnamed process"
             os.close(fd)
-            raise StoreHeld(f"{self.path}: held by {holder}") from None
+            raise StoreLocked(f"{self.path}: held by {holder}") from None
         self._lock = fd
         with suppress(OSError):  # who holds it is a kindness; that it is held is not
             os.ftruncate(fd, 0)
--- a/yewrill/store/reader.py
+++ b/yewrill/store/reader.py
@@ -8,7 +8,7 @@
 
 from yewrill.store import format as fmt
 from yewrill.store.errors import DamagedValue
-from yewrill.store.findings import Finding, Findings
+from yewrill.store.findings import Finding, FindingKind, Findings
 from yewrill.store.key_directory import KeyDirectory
 from yewrill.store.segment import ENTRY, SLOT, Segment
 
@@ -62,7 +62,7 @@
             end = offset + fmt.op_size(key, size)
             self._findings.add_damage(
                 segment,
-                Finding("damage", segment.name.file, offset, end, 1, "met by a reader"),
+                Finding(FindingKind.DAMAGE, segment.name.file, offset, end, 1, "met by a reader"),
             )
             raise DamagedValue(key, segment.name.file, offset)
         return value
--- a/yewrill/store/recovery.py
+++ b/yewrill/store/recovery.py
@@ -26,7 +26,7 @@
 
 from yewrill.store import format as fmt
 from yewrill.store.files import QUARANTINE, Files, read_file, write_file
-from yewrill.store.findings import Finding
+from yewrill.store.findings import Finding, FindingKind
 from yewrill.store.frames import Frame, Gap, read_frames
 from yewrill.store.segment import ENTRY, TOMBSTONE, Segment
 
@@ -58,8 +58,8 @@
     read_only: bool = False
     highest: int = 0  # sequence number met
 
-    def add_finding(self, what: str, file: str, *args, **more) -> None:
-        self.findings.append(Finding(what, file, *args, **more))
+    def add_finding(self, kind: FindingKind, file: str, *args, **more) -> None:
+        self.findings.append(Finding(kind, file, *args, **more))
 
     def try_write(self, act: Callable[[], None], what: str) -> bool:
         """Do what can be left undone: a directory that can't be written is served as it is."""
@@ -74,7 +74,7 @@
                 errno.EACCES,
                 errno.EPERM,
             )
-            self.add_finding("unwritable", what, note=f"{error.strerror or error}")
+            self.add_finding(FindingKind.UNWRITABLE, what, note=f"{error.strerror or error}")
             return False
 
 
@@ -131,29 +131,35 @@
                 handle.read(min(handle.size(), MAX_HEADER_READ_BYTES), 0), name
             )
         except fmt.LaterFormat as error:
-            opening.add_finding("later-format", name.file, note=f"{error}: left alone")
+            opening.add_finding(FindingKind.LATER_FORMAT, name.file, note=f"{error}: left alone")
             later_format.append(name.file)
             del names[number]
         except fmt.Malformed as error:
             if handle.size() >= fmt.header_size(0):  # else it never held a record
-                opening.add_finding("header", name.file, 0, fmt.header_size(0), 0, note=str(error))
+                opening.add_finding(
+                    FindingKind.HEADER, name.file, 0, fmt.header_size(0), 0, note=str(error)
+                )
     return headers, later_format
 
 
 def _manifest(opening: _Opening, present: list[str], repair: bool) -> fmt.Manifest | None:
     if MANIFEST not in present:
         if any(file.endswith(".seg") for file in present):
-            opening.add_finding("manifest", MANIFEST, note="missing: made up from the segments")
+            opening.add_finding(
+                FindingKind.MANIFEST, MANIFEST, note="missing: made up from the segments"
+            )
         return None
     try:
         return fmt.decode_manifest(read_file(opening.files, MANIFEST))
     except (fmt.Malformed, fmt.LaterFormat) as error:
-        opening.add_finding("manifest", MANIFEST, note=f"{error}: made up from the segments")
+        opening.add_finding(
+            FindingKind.MANIFEST, MANIFEST, note=f"{error}: made up from the segments"
+        )
     if repair:
-        aside = next(
+        quarantine_name = next(
             name for i in range(10**6) if (name := f"{QUARANTINE}{MANIFEST}.{i}") not in present
         )
-        opening.try_write(lambda: opening.files.rename(MANIFEST, aside), MANIFEST)
+        opening.try_write(lambda: opening.files.rename(MANIFEST, quarantine_name), MANIFEST)
     return None
 
 
@@ -180,10 +186,10 @@
     opening: _Opening, manifest: fmt.Manifest, names: dict[int, fmt.SegmentName]
 ) -> set[int]:
     """Return the numbers of the manifest's segments that are there, and report the others."""
-    later_format = {f.file for f in opening.findings if f.what == "later-format"}
+    later_format = {f.file for f in opening.findings if f.kind == FindingKind.LATER_FORMAT}
     for name in manifest.segments:
         if name.number not in names and name.file not in later_format:
-            opening.add_finding("missing", name.file, note="named in the manifest")
+            opening.add_finding(FindingKind.MISSING, name.file, note="named in the manifest")
     return {name.number for name in manifest.segments} & names.keys()
 
 
@@ -207,7 +213,7 @@
         if _empty(opening, names[number], headers.get(number)):
             continue
         note = "holds records, not in the manifest"
-        opening.add_finding("adopted", names[number].file, note=note)
+        opening.add_finding(FindingKind.ADOPTED, names[number].file, note=note)
         adopted.add(number)
     return adopted
 
@@ -239,7 +245,7 @@
             segment.hinted = True
             return
         except (fmt.Malformed, OSError) as error:
-            opening.add_finding("hint", segment.name.hint, note=f"{error}: not used")
+            opening.add_finding(FindingKind.HINT, segment.name.hint, note=f"{error}: not used")
     _apply_entries(opening, segment, _scan_segment(opening, segment, repair))
 
 
@@ -260,7 +266,7 @@
         elif found.tail:
             cut = found.start
             if found.explained:
-                opening.add_finding("torn", segment.name.file, found.start, found.end, 0)
+                opening.add_finding(FindingKind.TORN, segment.name.file, found.start, found.end, 0)
             else:
                 _quarantine_file(opening, segment, found, None, repair)
         else:
@@ -290,7 +296,7 @@
     opening: _Opening, segment: Segment, gap: Gap, records: int | None, repair: bool
 ) -> None:
     segment.damaged = segment.damaged or not gap.tail
-    opening.add_finding("damage", segment.name.file, gap.start, gap.end, records)
+    opening.add_finding(FindingKind.DAMAGE, segment.name.file, gap.start, gap.end, records)
     if repair:
         opening.try_write(
             lambda: quarantine(opening.files, segment, gap.start, gap.end), segment.name.file
--- a/yewrill/store/simdisk.py
+++ b/yewrill/store/simdisk.py
@@ -17,7 +17,7 @@
 import random
 from collections.abc import Callable
 
-from yewrill.store.errors import StoreHeld
+from yewrill.store.errors import StoreLocked
 
 SHORT = -1
 SECTOR = 512  # a torn write is kept to a multiple of this, in the disk's own order
@@ -182,15 +182,15 @@
     def reserve(self, name: str, size: int) -> None:
         """Make a file of this size whose blocks are allocated. Raises OSError."""
         self.call("reserve", name)
-        held = len(self._names[name].data) if name in self._names else 0
-        if self.capacity is not None and size - held > self.capacity - self.used():
+        allocated = len(self._names[name].data) if name in self._names else 0
+        if self.capacity is not None and size - allocated > self.capacity - self.used():
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         self._change({name: _Node(bytes(size))})
 
     def lock(self) -> None:
-        """Lock the directory for this process. Raises StoreHeld."""
+        """Lock the directory for this process. Raises StoreLocked."""
         if self._locked:
-            raise StoreHeld("held by another")
+            raise StoreLocked("held by another")
         self._locked = True
 
     def unlock(self) -> None:
--- a/yewrill/store/store.py
+++ b/yewrill/store/store.py
@@ -23,7 +23,7 @@
 
 from yewrill.store import policy
 from yewrill.store.engine import Engine
-from yewrill.store.errors import StoreBusy, StoreClosed, StoreError, StorePoisoned
+from yewrill.store.errors import StoreClosed, StoreError, StorePoisoned, StoreQueueFull
 from yewrill.store.files import Files, RealFiles
 from yewrill.store.format import Batch
 from yewrill.store.reader import Found, Snapshot
@@ -103,7 +103,7 @@
         maintain: bool = True,
     ):
         """`interval` in seconds; sizes in bytes, `compaction_rate` in bytes a second (0: unbounded).
-        Raises StoreHeld if another process has the directory, OSError if there can be none."""
+        Raises StoreLocked if another process has the directory, OSError if there can be none."""
         if mode not in MODES:
             raise ValueError(f"mode: {mode!r} is not one of {', '.join(MODES)}")
         self.mode = mode
@@ -153,7 +153,7 @@
             if len(self._queue) >= MAX_QUEUED_BATCHES or (
                 self._queue and self._queued_bytes + batch.size > MAX_QUEUED_BYTES
             ):
-                raise StoreBusy(f"{len(self._queue)} batches wait already")
+                raise StoreQueueFull(f"{len(self._queue)} batches wait already")
             self._queue.append((batch, done))
             self._queued_bytes += batch.size
             if wake:
@@ -166,7 +166,7 @@
             try:
                 self._enqueue(batch, waiter.done, wake=False)
                 break
-            except StoreBusy:
+            except StoreQueueFull:
                 with self._queue_changed:
                     self._queue_changed.wait(0.1)
         # If no thread is committing, this one does, which spares two changes of threads. The lock is released
--- a/yewrill/store/verification.py
+++ b/yewrill/store/verification.py
@@ -7,7 +7,7 @@
 from yewrill.store import format as fmt
 from yewrill.store.errors import StoreError
 from yewrill.store.files import Files, Handle, read_file
-from yewrill.store.findings import Finding
+from yewrill.store.findings import Finding, FindingKind
 from yewrill.store.frames import Frame, read_frames
 from yewrill.store.recovery import MANIFEST, MAX_HEADER_READ_BYTES
 
@@ -35,8 +35,10 @@
                 self._check_segment(file, name)
         self._check_manifest(present)
 
-    def _add(self, what: str, file: str, start: int = 0, end: int = 0, note: str = "") -> None:
-        self.findings.append(Finding(what, file, start, end, None, note))
+    def _add(
+        self, kind: FindingKind, file: str, start: int = 0, end: int = 0, note: str = ""
+    ) -> None:
+        self.findings.append(Finding(kind, file, start, end, None, note))
 
     def _check_hint(self, file: str, name: fmt.SegmentName, present: list[str]) -> None:
         try:
@@ -44,9 +46,9 @@
             for _ in fmt.decode_hint(read_file(self._files, file), size):
                 pass
         except fmt.LaterFormat as error:
-            self._add("later-format", file, note=str(error))
+            self._add(FindingKind.LATER_FORMAT, file, note=str(error))
         except fmt.Malformed as error:
-            self._add("hint", file, note=str(error))
+            self._add(FindingKind.HINT, file, note=str(error))
 
     def _check_segment(self, file: str, name: fmt.SegmentName) -> None:
         handle = self._files.open(file)
@@ -55,10 +57,10 @@
             header = handle.read(min(size, MAX_HEADER_READ_BYTES), 0)
             _, start = fmt.decode_header(header, name)
         except fmt.LaterFormat as error:
-            self._add("later-format", file, note=str(error))
+            self._add(FindingKind.LATER_FORMAT, file, note=str(error))
             return
         except fmt.Malformed as error:
-            self._add("header", file, note=str(error))
+            self._add(FindingKind.HEADER, file, note=str(error))
             start = 0
         self._check_frames(file, handle, start, size, name.salt)
 
@@ -67,19 +69,19 @@
             if isinstance(found, Frame):
                 self._progress(found.end - found.offset)
             elif start or found.start:  # else it is the header, which is reported already
-                what = "torn" if found.tail and found.explained else "damage"
-                self._add(what, file, found.start, found.end)
+                kind = FindingKind.TORN if found.tail and found.explained else FindingKind.DAMAGE
+                self._add(kind, file, found.start, found.end)
 
     def _check_manifest(self, present: list[str]) -> None:
         if MANIFEST not in present:
             if any(file.endswith(".seg") for file in present):
-                self._add("manifest", MANIFEST, note="missing")
+                self._add(FindingKind.MANIFEST, MANIFEST, note="missing")
             return
         try:
             segments = fmt.decode_manifest(read_file(self._files, MANIFEST)).segments
         except StoreError as error:
-            self._add("manifest", MANIFEST, note=str(error))
+            self._add(FindingKind.MANIFEST, MANIFEST, note=str(error))
             return
         for name in segments:
             if name.file not in present:
-                self._add("missing", name.file, note="named in the manifest")
+                self._add(FindingKind.MISSING, name.file, note="named in the manifest")
