--- a/yewrill/service/state_startup.py
+++ b/yewrill/service/state_startup.py
@@ -13,7 +13,7 @@
 from yewrill.service.background_tasks import BackgroundTasks
 from yewrill.service.operator_drain import OperatorDrain
 from yewrill.service.state_exchange import StateExchange
-from yewrill.store import StoreHeld
+from yewrill.store import StoreLocked
 
 log = logging.getLogger("yewrill")
 
@@ -45,7 +45,7 @@
         """
         try:
             await trio.to_thread.run_sync(self._persistent_state.open_store)
-        except StoreHeld as error:
+        except StoreLocked as error:
             if not self._may_wait:
                 raise OSError(f"state_dir: {error}") from None
             log.info("persistent_state_waiting_for_store error=%s", error)
