--- a/yewrill/dispatch/endpoint.py
+++ b/yewrill/dispatch/endpoint.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass
 
-from yewrill.policy.interface import WorkerState
+from yewrill.dispatch.clock import Clock
+from yewrill.policy.interface import WorkerEntry, WorkerState
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,3 +20,10 @@
     state: WorkerState = WorkerState.RUNNING
     weight: float = 1.0
     started_ms: float = 0.0  # wall clock; 0: unknown
+
+    def worker_entry(self, clock: Clock) -> WorkerEntry:
+        """The same for the decision module, with the worker's start by its clock."""
+        launched = clock.worker_start(self.id, self.started_ms)
+        return WorkerEntry(
+            self.id, self.zone, self.kind, self.cell, self.state, self.weight, launched
+        )
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -31,17 +31,6 @@
 DECISION_GRACE_MS = 10.0
 
 
-def stuck_attempts(module: Dispatcher, now: float, after: float) -> dict[int, int]:
-    """By zone, the attempts of a decision module at workers that run none of its own and have started none
-    for so long."""
-    found: dict[int, int] = {}
-    for worker in module.fleet.workers.values():
-        waited = now - worker.waiting_since
-        if worker.unstarted and worker.running_slots <= 0.0 and waited > after:
-            found[worker.zone] = found.get(worker.zone, 0) + len(worker.unstarted)
-    return found
-
-
 class DecisionEngine:
     """One decision module and its clock. Not safe for use from several threads."""
 
@@ -92,15 +81,11 @@
 
     def capacity(self) -> dict[int, float]:
         """Slots that the usable workers of each zone are thought to have."""
-        slots: dict[int, float] = {}
-        for worker in self._module.fleet.workers.values():
-            if worker.usable:
-                slots[worker.zone] = slots.get(worker.zone, 0.0) + worker.kind.slots
-        return slots
+        return self._module.fleet.slots_by_zone()
 
     def stuck_attempts(self, after: float) -> dict[int, int]:
         """By zone, the attempts at workers that run none of ours and have started none for so long."""
-        return stuck_attempts(self._module, self.now(), after)
+        return self._module.fleet.stuck_attempts(self.now(), after)
 
     def ejected(self) -> set[str]:
         """The workers that the decision module leaves out at present."""
@@ -267,18 +252,7 @@
                 form.value,
                 " ".join(f"{e.id}:{e.state}:{e.started_ms:.0f}" for e in endpoints),
             )
-        entries = [
-            api.WorkerEntry(
-                endpoint.id,
-                endpoint.zone,
-                endpoint.kind,
-                endpoint.cell,
-                endpoint.state,
-                endpoint.weight,
-                self._clock.worker_start(endpoint.id, endpoint.started_ms),
-            )
-            for endpoint in endpoints
-        ]
+        entries = [endpoint.worker_entry(self._clock) for endpoint in endpoints]
         self._put(api.WorkerList(form, entries))
 
     def returned(self, name: str, ago: float) -> None:
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -10,7 +10,6 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from yewrill.dispatch.engine import stuck_attempts
 from yewrill.lab.netsim import Path
 from yewrill.lab.zonenet import Dispatcher as Member
 from yewrill.lab.zonenet import ZoneNet
@@ -131,7 +130,7 @@
         return member
 
     def _hanging(self, name: str) -> dict[str, int]:
-        found = stuck_attempts(self.modules[name], 1e3 * self.now, HANGING)
+        found = self.modules[name].fleet.stuck_attempts(1e3 * self.now, HANGING)
         return {f"z{zone}": count for zone, count in found.items()}
 
     def begin(self) -> Fleet:
--- a/yewrill/policy/fleet.py
+++ b/yewrill/policy/fleet.py
@@ -68,6 +68,24 @@
             self.reattached.append(worker)
         worker.mark_reattached(since)
 
+    def slots_by_zone(self) -> dict[int, float]:
+        """Slots that the usable workers of each zone are thought to have."""
+        slots: dict[int, float] = {}
+        for worker in self.workers.values():
+            if worker.usable:
+                slots[worker.zone] = slots.get(worker.zone, 0.0) + worker.kind.slots
+        return slots
+
+    def stuck_attempts(self, now: float, after: float) -> dict[int, int]:
+        """By zone, the attempts at workers that run none of ours and have started none for longer than
+        `after`."""
+        found: dict[int, int] = {}
+        for worker in self.workers.values():
+            waited = now - worker.waiting_since
+            if worker.unstarted and worker.running_slots <= 0.0 and waited > after:
+                found[worker.zone] = found.get(worker.zone, 0) + len(worker.unstarted)
+        return found
+
     # -- the endpoint list
 
     def apply_list(self, event: api.WorkerList) -> None:
