--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -66,7 +66,7 @@
         """Batches that the collector does not take go there, and those that an earlier run left go out
         first."""
         if self._config.spool_mb and self._config.collector:
-            used_bytes, number = store.held_under(SPOOL)
+            used_bytes, number = store.usage_under(SPOOL)
             self.exporter.spool = StoreSpool(
                 store.keep,
                 store.first,
