--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -23,9 +23,9 @@
     StoreError,
     StorePoisoned,
     StoreQueueFull,
+    group_commit,
     policy,
 )
-from yewrill.store import store as store_module
 from yewrill.store.policy import (
     Pacer,
     Rules,
@@ -82,7 +82,7 @@
 
 
 def test_a_full_queue_and_a_closed_store_raise_their_errors(monkeypatch):
-    monkeypatch.setattr(store_module, "MAX_QUEUED_BATCHES", 4)
+    monkeypatch.setattr(group_commit, "MAX_QUEUED_BATCHES", 4)
     disk, gate = SimulatedDisk(), threading.Event()
     disk.fail = lambda number, word, name: gate.wait(10) and None if word == "sync" else None
     store = Store(disk, reserve=0)
