--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -16,7 +16,8 @@
 from yewrill.policy import interface as api
 
 TRIP = 0.5  # one way between a dispatcher and a worker
-# share, mean run time, chances of 1, 2 and 4 slots, aim, stretch, worth
+# part of the traffic, mean run time, chances of 1, 2 and 4 slots, latency objective, its run time factor,
+# priority weight
 CLASSES = {
     "short": (0.49, 215.0, (1.0, 0.0, 0.0), 120.0, 1.75, 1.0),
     "day": (0.30, 425.0, (0.6, 0.25, 0.15), 100.0, 2.5, 5.0),
--- a/tests/test_basics.py
+++ b/tests/test_basics.py
@@ -7,7 +7,7 @@
 from yewrill.policy import interface as api
 
 
-def test_a_job_goes_to_a_known_worker_and_is_finished_by_its_answer():
+def test_a_request_goes_to_a_known_worker_and_is_finished_by_its_answer():
     settings = Settings(
         classes=[api.RequestClass("c", latency_objective=500.0, deadline=5000.0)], max_attempts=3
     )
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -46,7 +46,9 @@
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
 @story
-async def test_a_start_told_before_and_after_the_wall_clock_was_set_is_one_start(step, monkeypatch):
+async def test_a_start_listed_before_and_after_the_wall_clock_was_set_is_one_start(
+    step, monkeypatch
+):
     clock = SetClock(monkeypatch)
     peer = Peer("d1", done)
     async with world(peer) as w:
@@ -62,7 +64,7 @@
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
 @story
-async def test_a_start_before_the_step_that_is_told_after_it_is_taken_for_a_late_one(
+async def test_a_start_before_the_step_that_is_listed_after_it_is_taken_for_a_late_one(
     step, monkeypatch
 ):
     clock = SetClock(monkeypatch)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -185,7 +185,7 @@
 
 @pytest.mark.parametrize("case", DRAWS, ids=lambda case: case.__name__)
 @pytest.mark.parametrize("dispatchers", SIZES)
-def test_a_cold_workers_budget_holds_for_the_sum_of_all_dispatchers(dispatchers, case):
+def test_a_workers_slow_start_budget_holds_for_the_sum_of_all_dispatchers(dispatchers, case):
     for draw in DRAWS[case][: 1 if dispatchers == 200 else None]:
         world, new = case(random.Random(f"{case.__name__} {draw}"), dispatchers)
         for host in new:
@@ -194,5 +194,5 @@
 
 
 @pytest.mark.parametrize("dispatchers", [20, 30, 200])
-def test_cold_workers_under_a_flood_are_not_starved_by_parts_below_one_job(dispatchers):
+def test_workers_warming_up_under_a_flood_are_not_starved_by_parts_below_one_request(dispatchers):
     assert used(*held(random.Random("held 0"), dispatchers)) >= 0.15
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,14 +14,14 @@
 
 @pytest.mark.parametrize("key", ["instances", "index"])
 @pytest.mark.parametrize("value", [-1, 1.5, "3", True, None, [], float("nan"), float("inf")])
-def test_a_number_or_count_of_dispatchers_that_makes_no_sense_is_refused_by_its_key(key, value):
+def test_a_number_or_count_of_dispatchers_that_makes_no_sense_is_rejected_by_its_key(key, value):
     with pytest.raises(ConfigError, match=f"^settings.{key}: "):
         read_settings({**SETTINGS, key: value})
 
 
 @pytest.mark.parametrize("entries", [0, 1, 5000])
 @pytest.mark.parametrize("index", [-1, 0, 39, 400])
-def test_no_dispatcher_has_a_share_of_nothing_and_a_list_may_shrink_to_none(entries, index):
+def test_no_dispatcher_has_an_empty_subset_and_a_list_may_shrink_to_none(entries, index):
     d = Dispatcher(
         Settings(classes=[api.RequestClass("c", 500.0, 5000.0)], dispatchers=40, index=index), 7
     )
@@ -88,7 +88,7 @@
         assert len(set(after) - set(before)) <= 2
 
 
-def test_a_worker_gone_bad_costs_few_of_many_dispatchers_their_jobs():
+def test_a_faulty_worker_costs_few_of_many_dispatchers_their_requests():
     # Found on fleet days: each of 40 dispatchers lost a job or two to each bad worker before it knew.
     world = World(5, load=0.6)
     bad = next(iter(world.hosts.values()))
@@ -121,7 +121,7 @@
     assert took >= 0.35 * 20 * 5 * 6200 * 0.65, "the part of what cold ones can do that was used"
 
 
-def test_most_of_a_busy_fleet_replaced_at_once_gets_the_part_of_the_cold_budget_that_is_used():
+def test_most_of_a_busy_fleet_replaced_at_once_gets_the_used_part_of_the_slow_start_budget():
     world = World(3, load=1.0)
     world.run(3000.0)
     old = list(world.hosts.values())[:50]
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -31,7 +31,7 @@
     assert detect([100.0, 300.0], [0.05, 0.0], [0, 20], none, 10.0) == 2
 
 
-def test_condition_6_counts_jobs_that_will_become_urgent_together():
+def test_condition_6_counts_requests_that_will_become_urgent_together():
     # i = 2, k = 1: (N(T_2) - N(T_2 - T_1) + lambda_1 * min(T_1, T_2 - T_1)) * x = (n + 5) * 10 against 100.
     assert detect([100.0, 300.0], [0.05, 0.0], [0, 3], [[0, 0], [3, 0]], 10.0) == 0
     assert detect([100.0, 300.0], [0.05, 0.0], [0, 4], [[0, 0], [4, 0]], 10.0) == 1
@@ -68,7 +68,7 @@
     assert (c.level, c.gapped_levels) == (1, 1)
 
 
-def test_level_1_climbs_a_rung_every_x_and_recovery_lifts_them_one_by_one():
+def test_level_1_climbs_a_priority_level_every_x_and_recovery_lifts_them_one_by_one():
     c = controller()
     now = 10_000.0
     for _ in range(5):
@@ -93,14 +93,14 @@
     assert seen == [1, 0, 0, 0]
 
 
-def test_level_2_gaps_every_rung_at_once():
+def test_level_2_gaps_every_priority_level_at_once():
     c = controller()
     for _ in range(5):
         c.record_test(2, 5.0)
     assert (c.level, c.gapped_levels) == (2, 3)
 
 
-def test_gap_passes_one_job_an_interval_and_saves_up_five():
+def test_gap_passes_one_request_an_interval_and_saves_up_five():
     gap = CallGap()
     assert not gap.admits(0.0)  # nothing is guaranteed
     gap.rate = 0.01  # every 100 ms
@@ -137,7 +137,7 @@
     assert d.admission.classes[1].priority_level > d.admission.classes[0].priority_level > 0
 
 
-def test_jobs_leave_by_deadline_and_wait_while_no_slot_is_free():
+def test_requests_leave_by_deadline_and_wait_while_no_slot_is_free():
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     first = d.handle(1.0, [api.RequestArrived("a", 0, 9001.0)])
@@ -156,7 +156,7 @@
     assert sends == ["early", "a", "late"][: len(sends)] and sends
 
 
-def test_traffic_beyond_a_share_is_the_lowest_rung():
+def test_traffic_beyond_a_quota_has_the_lowest_priority_level():
     d = dispatcher(tenants=[api.Tenant("a", 1.0)], over_quota_weight=0.1)
     d.admission.controller.priority_levels = 3
     tenant = d.admission.tenants[0]
@@ -171,7 +171,7 @@
     assert [a.request_id for a in out if isinstance(a, api.Reject)] == ["over"]
 
 
-def test_utility_is_worth_over_run_time_or_worth_alone_where_work_is_counted():
+def test_utility_is_weight_over_run_time_or_weight_alone_where_work_is_counted():
     for by_work, higher in ((False, "short"), (True, "long")):
         short = api.RequestClass("short", 500.0, 9000.0, priority_weight=2.0)
         classes = [short, api.RequestClass("long", 500.0, 9000.0, priority_weight=3.0)]
@@ -196,7 +196,7 @@
     assert d.fleet.estimate.drain_time() == pytest.approx(300.0)
 
 
-def test_jobs_waiting_at_a_worker_count_until_their_start_is_told():
+def test_requests_waiting_at_a_worker_count_until_their_start_is_reported():
     # Found on overloaded days: jams in the workers' own queues were not seen by the controller.
     d = dispatcher(reports_start=True)
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
@@ -206,7 +206,7 @@
     assert not d.attempts.waiting and d.fleet.estimate.unstarted_slots == 0.0
 
 
-def test_the_cap_is_learned_from_full_answers():
+def test_the_most_slots_in_flight_are_learned_from_rejections():
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w = d.fleet.workers["w"]
@@ -219,7 +219,7 @@
     assert w.max_inflight_slots == 2.0 and w.estimated_free_slots() <= 0.0
 
 
-def test_a_job_goes_only_to_the_machine_kind_it_needs():
+def test_a_request_goes_only_to_the_machine_kind_it_needs():
     classes = [api.RequestClass("c", 500.0, 5000.0, kind=1)]
     d = Dispatcher(Settings(classes=classes, kinds=2, max_attempts=3), 1)
     entries = [api.WorkerEntry(f"w{i}", kind=int(i == 7)) for i in range(9)]
@@ -276,7 +276,7 @@
 
 
 @pytest.mark.parametrize("need", [{"width": 4.0}, {"memory": 4.0}])
-def test_a_wide_or_memory_heavy_job_waits_for_that_much_room(need):
+def test_a_wide_or_memory_heavy_request_waits_for_that_many_free_slots(need):
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w = d.fleet.workers["w"]
@@ -329,7 +329,7 @@
 
 
 @pytest.mark.parametrize("marked", [True, False])
-def test_a_late_retry_takes_nothing_from_its_tenants_share(marked):
+def test_a_late_retry_takes_nothing_from_its_tenants_quota(marked):
     # A storm of retries past their wanted time must not have the tenant's first tries refused as over share.
     d, late = a_storm_of_late_retries(marked)
     credit = d.admission.tenants[0].credit
@@ -338,7 +338,7 @@
     assert d.admission.tenants[0].credit == credit and d.admission.tenants[0].arrivals == 1
 
 
-def test_in_a_storm_of_late_retries_first_tries_are_still_told_from_them():
+def test_in_a_storm_of_late_retries_first_tries_are_still_recognized():
     d, late = a_storm_of_late_retries(marked=False)
     first = [api.RequestArrived(f"first{i}", 0, 5002.0) for i in range(100)]
     mixed = [job for pair in zip(late[:100], first, strict=True) for job in pair]
@@ -480,7 +480,7 @@
         assert not d.fleet.workers["w1"].ejection.failures  # its worker is well
 
 
-def test_a_running_attempt_without_a_word_for_too_long_is_given_up():
+def test_a_running_attempt_without_a_signal_for_too_long_is_cancelled():
     d = in_trouble(progress_interval=1000.0)
     send(d, "j", 1.0, "w1")
     d.handle(2.0, [api.AttemptStarted("j", 0, "w1")])
@@ -504,7 +504,7 @@
     assert d.fleet.workers["w1"].ejection.until <= 400.0
 
 
-def test_the_first_jobs_of_a_dispatcher_that_knows_no_slots_go_out_at_once_wide_ones_too():
+def test_the_first_requests_of_a_dispatcher_that_knows_no_slots_go_out_at_once_wide_ones_too():
     # A restarted dispatcher must not refuse its first seconds' jobs while it learns how many slots there are.
     d = in_trouble(latency_objective=200.0)
     d.fleet.estimate.residual_run_time = 2000.0  # a job without a slot would wait too long
@@ -514,7 +514,7 @@
 
 
 @pytest.mark.parametrize("width, capped", [(1.0, True), (4.0, False)])
-def test_a_worker_that_keeps_a_job_waiting_gets_no_more_than_it_runs(width, capped):
+def test_a_worker_that_keeps_a_request_waiting_gets_no_more_than_it_runs(width, capped):
     d = in_trouble(latency_objective=200.0)
     w = d.fleet.workers["w1"]
     for i in range(2):
@@ -538,7 +538,7 @@
         (False, False, False, False),  # without overload nobody is guessed to be late
     ],
 )
-def test_an_impatient_first_try_is_a_late_retry_only_where_unmarked_and_under_overload(
+def test_a_first_try_with_a_short_timeout_is_a_late_retry_only_where_unmarked_and_under_overload(
     marked, retry, overload, refused
 ):
     d = in_trouble(marks_retry=marked)
@@ -548,7 +548,7 @@
     assert any(isinstance(a, api.Reject) for a in out) is refused
 
 
-def test_the_usual_patience_is_that_of_first_tries_and_no_longer_than_the_settings_say():
+def test_the_usual_client_timeout_is_that_of_first_tries_and_no_longer_than_the_settings_say():
     known = ClientTimeoutEstimate(2500.0)
     for stated in [60_000.0] + [1000.0, 640.0, 310.0] * 20:
         known.record(stated)
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -10,7 +10,9 @@
 @pytest.mark.parametrize("longest", [60_000, CLASS_DEADLINE])
 @pytest.mark.parametrize("usual", [2000, 600])
 @story
-async def test_one_patient_client_has_no_others_refused_on_an_idle_fleet(longest, usual):
+async def test_one_client_with_a_long_timeout_has_no_others_rejected_on_an_idle_fleet(
+    longest, usual
+):
     peers = [Peer(f"d{i}", done) for i in range(3)]
     async with world(*peers) as w:
         for number in range(REQUESTS):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -120,7 +120,7 @@
 
 
 @story
-async def test_the_cookie_user_is_what_a_job_concerns_and_keeps_its_jobs_together():
+async def test_the_cookie_user_is_what_a_request_concerns_and_keeps_its_requests_together():
     peers = [Peer(f"d{i}", done) for i in range(6)]
     async with world(*peers, settings={"specifics": {"tells_start": True}}) as w:
         for i in range(12):
@@ -162,7 +162,7 @@
     )
 
 
-def test_slots_are_what_is_free_and_held_in_one_reading_up_and_down():
+def test_slots_are_the_free_and_used_ones_of_one_report_up_and_down():
     d = reporting()
     kind = d.fleet.estimate.kinds[0]
     for goal in (8.0, 4.0):  # only ever growing, they were taken for 7 where there were 4
@@ -175,7 +175,7 @@
     )  # the queue there, not just "none free"
 
 
-def test_the_same_reading_again_tells_nothing_of_what_was_sent_since():
+def test_the_same_report_again_says_nothing_of_what_was_sent_since():
     d = reporting()
     w = d.fleet.workers["w0"]
     again = {"qps": 1.0, "inflight": 1.0, "x0": 4.0}
@@ -216,7 +216,7 @@
     )
 
 
-def test_jobs_on_their_way_to_another_zone_are_no_queue_there():
+def test_requests_on_their_way_to_another_zone_are_no_queue_there():
     d = reporting(zone=1)
     now = 1000.0
     for i in range(80):  # each takes 50 ms there and is told at once
@@ -236,7 +236,7 @@
     assert not d.attempts.waiting and d.fleet.estimate.unstarted_slots == 0.0
 
 
-def test_jobs_that_wait_longer_than_expected_at_workers_make_it_queue_less_there():
+def test_requests_that_wait_longer_than_expected_at_workers_make_it_queue_less_there():
     def queued(wait):
         d = reporting(dispatchers=2)
         w = d.fleet.workers["w0"]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize("dispatchers", [1, 50])
-def test_all_dispatchers_together_keep_a_cold_workers_budget(dispatchers):
+def test_all_dispatchers_together_keep_a_workers_slow_start_budget(dispatchers):
     # Slots 4, multiple 3, start 0.2, window 2 s: 3 * 0.2 * 4 * 2 s = 4.8 s of work in the first window, and
     # no warmer than 0.2 + 0.8 * 2 / 10 = 0.36 in it: 3 * 0.36 * 4 * 2 s = 8.6 s.
     sent = 0
--- a/tests/test_rules_checks.py
+++ b/tests/test_rules_checks.py
@@ -46,14 +46,16 @@
     assert check_attempt(facts) is expected
 
 
-def test_a_worker_is_never_told_more_than_is_left():
+def test_a_worker_is_never_given_more_time_than_is_left():
     assert check_timeout(900, 0.0, 1000.0) is None
     assert check_timeout(1, 1000.0, 1000.0) is None
     assert check_timeout(1200, 0.0, 1000.0) is Rule.TOLD_TOO_LONG
 
 
 @timed_story
-async def test_an_attempt_that_would_break_a_rule_is_counted_told_and_not_sent(caplog, monkeypatch):
+async def test_an_attempt_that_would_break_a_rule_is_counted_logged_and_not_sent(
+    caplog, monkeypatch
+):
     async def breaks(exchange):
         exchange.reset()
 
@@ -75,7 +77,7 @@
 
 
 @story
-async def test_a_close_without_an_answer_is_counted_and_told(caplog, monkeypatch):
+async def test_a_close_without_an_answer_is_counted_and_logged(caplog, monkeypatch):
     async with world(Peer("d1", done), mgmt="127.0.0.1:0") as w:
 
         async def no_answer(client, request, carried, closing):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -43,7 +43,7 @@
     return [orjson.loads(line) for line in sink.getvalue().splitlines()]
 
 
-def test_a_job_is_assigned_and_every_reply_is_closed():
+def test_a_request_is_assigned_and_every_reply_is_closed():
     tick, end = {"what": "Tick", "sim_time": 10.0}, {"what": "End"}
     job = {
         "what": "Inbound",
