--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -4,6 +4,8 @@
 happens; `run` hands all of it to the decision module, a moment at a time, and carries out its actions.
 Nothing
 outside this file sees the module's events and actions. Times are milliseconds on the engine's own clock.
+
+Longer than most files: the calls of the network code, the moments and the actions change the same requests.
 """
 
 from __future__ import annotations
