--- a/yewrill/lab/cluster/rig.py
+++ b/yewrill/lab/cluster/rig.py
@@ -32,7 +32,7 @@
 _PLAN = re.compile(r"zones plan=(\d+) (.*?) \(")
 _VIEW = re.compile(r" view number=(\d+) digest=(\S+) members=(\S+)")
 _NO_VIEW = re.compile(r" view none last=(\d+) \((.*)\)")
-_OWNER = re.compile(r"owner duty=(\S+) number=(\d+) (is ours|is not ours any more)")
+_LEASE = re.compile(r"(lease_acquired|lease_lost) role=(\S+) number=(\d+)")
 
 
 @dataclass
@@ -274,12 +274,12 @@
         elif (found := _NO_VIEW.search(line)) is not None:
             one.view = None
             self.history.note(one.name, "no-view", last=int(found[1]), why=found[2])
-        elif (found := _OWNER.search(line)) is not None:
+        elif (found := _LEASE.search(line)) is not None:
             self.history.note(
                 one.name,
-                "owns" if found[3] == "is ours" else "owns-no-more",
-                duty=found[1],
-                number=int(found[2]),
+                "owns" if found[1] == "lease_acquired" else "owns-no-more",
+                duty=found[2],
+                number=int(found[3]),
             )
         elif line.startswith(WORD):
             self.history.put(one.name, "late", seconds=float(line.removeprefix(WORD)))
--- a/yewrill/leases/commands.py
+++ b/yewrill/leases/commands.py
@@ -17,42 +17,42 @@
     """See who owns the fleet's duties; have one given up."""
 
 
-def _ask(addresses: tuple[str, ...]) -> tuple[dict[str, dict], bool]:
-    """What each management listener says, and whether all said something."""
-    told, whole = {}, True
+def _fetch_status(addresses: tuple[str, ...]) -> tuple[dict[str, dict], bool]:
+    """The status of each dispatcher by address, and whether all have answered."""
+    replies, complete = {}, True
     for address, status, body in at.each(addresses, "GET", "/_ownership"):
         if status == 200:
-            told[address] = ujson.loads(body)
+            replies[address] = ujson.loads(body)
         else:
-            whole = False
+            complete = False
             click.echo(at.told(address, status, body), err=True)
-    return told, whole
+    return replies, complete
 
 
 @owners.command(name="list")
 @at.addresses_option
-def listed(addresses: tuple[str, ...]) -> None:
+def list_roles(addresses: tuple[str, ...]) -> None:
     """Each duty, its owner and number, as most of the management listeners know them."""
-    told, whole = _ask(addresses)
-    best: dict[str, dict] = {}
-    for said in told.values():
-        for duty in said["duties"]:
-            if duty["number"] >= best.get(duty["duty"], {"number": -1})["number"] and (
-                duty["owner"] or duty["duty"] not in best
+    replies, complete = _fetch_status(addresses)
+    latest: dict[str, dict] = {}
+    for reply in replies.values():
+        for role in reply["duties"]:
+            if role["number"] >= latest.get(role["duty"], {"number": -1})["number"] and (
+                role["owner"] or role["duty"] not in latest
             ):
-                best[duty["duty"]] = duty
-    for name, duty in sorted(best.items()):
-        click.echo(f"{name:<16} {duty['owner'] or 'nobody':<24} number {duty['number']}")
-    sys.exit(not whole)
+                latest[role["duty"]] = role
+    for name, role in sorted(latest.items()):
+        click.echo(f"{name:<16} {role['owner'] or 'nobody':<24} number {role['number']}")
+    sys.exit(not complete)
 
 
 @owners.command()
 @at.addresses_option
 def show(addresses: tuple[str, ...]) -> None:
     """What each dispatcher knows, and how the voters stand."""
-    told, whole = _ask(addresses)
-    for address, said in told.items():
-        voter = said.get("voter")
+    replies, complete = _fetch_status(addresses)
+    for address, reply in replies.items():
+        voter = reply.get("voter")
         state = (
             "no voter"
             if voter is None
@@ -68,23 +68,23 @@
             )
         )
         click.echo(f"{address}  {state}")
-        for duty in said["duties"]:
-            ours = " (ours)" if duty["ours"] else ""
+        for role in reply["duties"]:
+            ours = " (ours)" if role["ours"] else ""
             click.echo(
-                f"  {duty['duty']:<14} {duty['owner'] or 'nobody'}{ours}  number {duty['number']}  "
-                f"fence {duty['fence']}"
+                f"  {role['duty']:<14} {role['owner'] or 'nobody'}{ours}  number {role['number']}  "
+                f"fence {role['fence']}"
             )
-    sys.exit(not whole)
+    sys.exit(not complete)
 
 
 @owners.command()
-@click.argument("duty")
+@click.argument("role", metavar="DUTY")
 @at.addresses_option
-def move(duty: str, addresses: tuple[str, ...]) -> None:
+def move(role: str, addresses: tuple[str, ...]) -> None:
     """Have the owner, whichever of these dispatchers it is, give a duty up; another gets it."""
     failed = False
     for address, status, body in at.each(
-        addresses, "PUT", f"/_ownership/release?name={quote(duty, safe='')}"
+        addresses, "PUT", f"/_ownership/release?name={quote(role, safe='')}"
     ):
         if status != 200:
             failed = True
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -146,7 +146,9 @@
             try:
                 await self._store.awrite(on_disk.fence(role, number))
             except (StoreError, OSError) as error:
-                log.error("fence-not-kept duty=%s number=%d: %s", role, number, error)
+                log.error(
+                    "fencing_number_not_stored role=%s number=%d reason=%s", role, number, error
+                )
                 return False
         return True
 
@@ -191,7 +193,7 @@
         self._node = node
         self._woken.set()  # roles requested before the start are due now
         log.info(
-            "ownership name=%s voter=%s term=%d entries=%d",
+            "lease_node_started name=%s voter=%s term=%d entries=%d",
             me,
             me in voters,
             self._disk.term,
@@ -235,12 +237,11 @@
                 number = self.owns(role)
                 if number != owned.get(role, 0):
                     owned[role] = number
-                    log.info(
-                        "owner duty=%s number=%d %s",
-                        role,
-                        number or node.known_holders.get(role, KnownHolder("", 0, 0.0)).number,
-                        "is ours" if number else "is not ours any more",
-                    )
+                    if number:
+                        log.info("lease_acquired role=%s number=%d", role, number)
+                    else:
+                        known = node.known_holders.get(role, KnownHolder("", 0, 0.0))
+                        log.info("lease_lost role=%s number=%d", role, known.number)
 
     def _follow_views(self, node: LeaseNode, now: float) -> None:
         """Give up all roles while outside the group views; request them again once back in one."""
@@ -263,7 +264,7 @@
                 self._disk = output.save
             except (StoreError, OSError) as error:
                 node.fail(str(error))
-                log.error("voter-stands-down name=%s: %s", node.me, error)
+                log.error("voter_disabled name=%s reason=%s", node.me, error)
                 return
         out = []
         for name, what in output.messages:
