--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -63,7 +63,7 @@
     net = ZoneNet(seed, members, zones).run(5)
     net.loss["z0"] = 1.0
     began, bytes_before = net.now, sum(m.sent for m in net.members.values())
-    agreed = net.until(lambda: net.agreed() and max(net.share("z0")) < 0.5, 10, 0.05)
+    agreed = net.until(lambda: net.agreed() and max(net.traffic_weight("z0")) < 0.5, 10, 0.05)
     took = [next(at for at, version, _ in m.changes if version[0]) for m in net.living()]
     sent = sum(m.sent for m in net.members.values()) - bytes_before
     return {
@@ -78,7 +78,7 @@
 def false_leaves(seed: int, seconds: float) -> tuple[int, float]:
     """Plans made in a fleet whose zones are well, on a network that loses a fifth; and zone-hours."""
     net = ZoneNet(seed, 24, 3, path=Wire(delay=0.02, jitter=0.05, loss=0.2, twice=0.1)).run(seconds)
-    return sum(m.machine.counted.made for m in net.members.values()), 3 * seconds / 3600
+    return sum(m.machine.statistics.made for m in net.members.values()), 3 * seconds / 3600
 
 
 def main() -> None:
--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -180,18 +180,18 @@
 
 # -- zones
 
-PLAN = plan.Plan(
+PLAN = plan.FailoverPlan(
     3 * plan.EPOCH + 2,
-    {"north": plan.Entry(0, 3, False), "south": plan.Entry(200, 64, True)},
+    {"north": plan.ZoneEntry(0, 3, False), "south": plan.ZoneEntry(200, 64, True)},
 )
 ZONE_MESSAGES = (
-    ("digest", zones.Said(zones.DIGEST, PLAN.version)),
-    ("digest, no plan yet", zones.Said(zones.DIGEST, plan.Plan().version)),
-    ("ask", zones.Said(zones.ASK, PLAN.version, 2**32)),
+    ("digest", zones.ZoneMessage(zones.DIGEST, PLAN.version)),
+    ("digest, no plan yet", zones.ZoneMessage(zones.DIGEST, plan.FailoverPlan().version)),
+    ("ask", zones.ZoneMessage(zones.ASK, PLAN.version, 2**32)),
     (
         "tell",
-        zones.Said(
-            zones.TELL,
+        zones.ZoneMessage(
+            zones.ANSWER,
             PLAN.version,
             41,
             True,
@@ -200,9 +200,9 @@
             ("east", "west"),
         ),
     ),
-    ("plan", zones.Said(zones.PLAN, PLAN.version, plan=PLAN)),
-    ("get", zones.Said(zones.GET, PLAN.version)),
-    ("hint", zones.Said(zones.HINT, PLAN.version, dark=("south",))),
+    ("plan", zones.ZoneMessage(zones.PLAN, PLAN.version, plan=PLAN)),
+    ("get", zones.ZoneMessage(zones.GET, PLAN.version)),
+    ("hint", zones.ZoneMessage(zones.HINT, PLAN.version, dark=("south",))),
 )
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -14,20 +14,36 @@
 from yewrill.policy import Dispatcher
 from yewrill.policy import interface as api
 from yewrill.zone_failover.evidence import Evidence
-from yewrill.zone_failover.format import MOST_COUNT, TELL, Malformed, Said, pack, unpack
-from yewrill.zone_failover.machine import Machine, Member
-from yewrill.zone_failover.plan import EPOCH, WHOLE, Entry, Plan, least_share, up
+from yewrill.zone_failover.format import (
+    ANSWER,
+    MAX_ATTEMPT_COUNT,
+    Malformed,
+    ZoneMessage,
+    pack,
+    unpack,
+)
+from yewrill.zone_failover.machine import FailoverMachine, Member
+from yewrill.zone_failover.plan import (
+    EPOCH,
+    FULL_WEIGHT,
+    FailoverPlan,
+    ZoneEntry,
+    min_traffic_weight,
+    next_recovery_step,
+)
 
-ENTRY = st.builds(Entry, st.integers(0, WHOLE - 1), st.integers(1, 64), st.booleans())
+ENTRY = st.builds(ZoneEntry, st.integers(0, FULL_WEIGHT - 1), st.integers(1, 64), st.booleans())
 PLAN = st.builds(
-    Plan, st.integers(1, 2**48), st.dictionaries(st.text("abz", min_size=1), ENTRY, max_size=5)
+    FailoverPlan,
+    st.integers(1, 2**48),
+    st.dictionaries(st.text("abz", min_size=1), ENTRY, max_size=5),
 )
 
 
 # ------------------------------------------------------------------------------------------ plan and guards
 
 
-COUNT = st.integers(0, MOST_COUNT).flatmap(
+COUNT = st.integers(0, MAX_ATTEMPT_COUNT).flatmap(
     lambda ended: st.tuples(st.just(ended), st.integers(0, ended))
 )
 
@@ -38,13 +54,13 @@
     st.binary(max_size=40),
 )
 def test_what_is_said_comes_out_as_it_went_in_and_nothing_else_is_taken(plan, counts, noise):
-    assert unpack(pack(Said(3, plan.version, plan=plan))).plan.version == plan.version
-    told = Said(TELL, plan.version, 7, True, 2.5, counts, ("a",))
+    assert unpack(pack(ZoneMessage(3, plan.version, plan=plan))).plan.version == plan.version
+    told = ZoneMessage(ANSWER, plan.version, 7, True, 2.5, counts, ("a",))
     assert unpack(pack(told)) == told
     for data in (
         noise,
         pack(told)[:-1],
-        pack(Said(3, (plan.number + 1, plan.version[1]), plan=plan)),
+        pack(ZoneMessage(3, (plan.number + 1, plan.version[1]), plan=plan)),
     ):
         with pytest.raises(Malformed):
             unpack(data)
@@ -53,25 +69,31 @@
 @given(st.dictionaries(st.sampled_from("abcdef"), st.floats(0.1, 1e4), min_size=2), st.data())
 def test_a_zone_is_left_only_as_far_as_the_guards_allow(capacity, data):
     zones = sorted(capacity)
-    plan = Plan(1, data.draw(st.dictionaries(st.sampled_from(zones[1:]), ENTRY)))
+    plan = FailoverPlan(1, data.draw(st.dictionaries(st.sampled_from(zones[1:]), ENTRY)))
     zone, total = zones[0], sum(capacity.values())
     busy, most_out = data.draw(st.floats(0.0, 1.5)) * total, data.draw(st.floats(0.0, 1.0))
-    share = least_share(plan, zone, capacity, busy, most_out)
-    others = sum(c * plan.share(z) / WHOLE for z, c in capacity.items() if z != zone)
-    assert 0 <= share <= WHOLE
+    share = min_traffic_weight(plan, zone, capacity, busy, most_out)
+    others = sum(c * plan.traffic_weight(z) / FULL_WEIGHT for z, c in capacity.items() if z != zone)
+    assert 0 <= share <= FULL_WEIGHT
     if (
-        share < WHOLE
+        share < FULL_WEIGHT
     ):  # then what goes out is carried by the others, and no more than the stated part is out
-        assert busy - busy * capacity[zone] / total * share / WHOLE <= 0.95 * others + 0.001 * busy
-        assert total - others - capacity[zone] * share / WHOLE <= most_out * total + 0.001 * total
+        assert (
+            busy - busy * capacity[zone] / total * share / FULL_WEIGHT
+            <= 0.95 * others + 0.001 * busy
+        )
+        assert (
+            total - others - capacity[zone] * share / FULL_WEIGHT
+            <= most_out * total + 0.001 * total
+        )
 
 
 def test_the_way_back_ends_well_and_each_entry_has_a_next_step():
-    entry, steps = Entry(0, 3), []
+    entry, steps = ZoneEntry(0, 3), []
     while entry is not None:
-        entry = up(entry)
-        steps.append(WHOLE if entry is None else entry.share)
-    assert steps == [50, 200, 500, WHOLE]
+        entry = next_recovery_step(entry)
+        steps.append(FULL_WEIGHT if entry is None else entry.traffic_weight)
+    assert steps == [50, 200, 500, FULL_WEIGHT]
 
 
 @given(st.lists(st.tuples(st.floats(0, 5), st.sampled_from("ab"), st.booleans()), max_size=60))
@@ -91,11 +113,11 @@
 
 
 def left(net, zone):
-    return net.agreed() and max(net.share(zone)) < 0.5
+    return net.agreed() and max(net.traffic_weight(zone)) < 0.5
 
 
 def back(net, zone):
-    return net.agreed() and min(net.share(zone)) == 1.0
+    return net.agreed() and min(net.traffic_weight(zone)) == 1.0
 
 
 def never_back(net):
@@ -139,12 +161,14 @@
 
     def lie(data):
         said = unpack(data)
-        if said.kind == TELL:
-            counts = {zone: (MOST_COUNT, MOST_COUNT) for zone in net.zones}
-            return pack(Said(TELL, said.version, said.number, False, 1e9, counts, tuple(net.zones)))
+        if said.kind == ANSWER:
+            counts = {zone: (MAX_ATTEMPT_COUNT, MAX_ATTEMPT_COUNT) for zone in net.zones}
+            return pack(
+                ZoneMessage(ANSWER, said.version, said.number, False, 1e9, counts, tuple(net.zones))
+            )
         number = max(m.machine.plan.number for m in net.living()) + rng.choice((1, 2, 50, 10**6))
-        made = Plan(number, plan or {rng.choice(net.zones): Entry(0, 64)})
-        return pack(Said(3, made.version, plan=made))
+        made = FailoverPlan(number, plan or {rng.choice(net.zones): ZoneEntry(0, 64)})
+        return pack(ZoneMessage(3, made.version, plan=made))
 
     net.members[name].lie = lie
 
@@ -156,12 +180,12 @@
     net.run(20)
     honest = [m for m in net.living() if m.name != "m0001"]
     assert not any(m.machine.plan.zones for m in honest)
-    assert sum(m.machine.counted.polls for m in honest) < 20 * 2.6 * len(
+    assert sum(m.machine.statistics.polls for m in honest) < 20 * 2.6 * len(
         honest
     )  # nor are they kept busy
     net.loss["z0"] = 1.0
     net.run(6)
-    assert all(m.machine.shares().get("z0", 1.0) < 0.1 for m in honest if m.zone != "z0")
+    assert all(m.machine.traffic_weights().get("z0", 1.0) < 0.1 for m in honest if m.zone != "z0")
     assert all(set(m.machine.plan.zones) == {"z0"} for m in honest)
 
 
@@ -186,7 +210,7 @@
     assert net.until(lambda: left(net, "z0") and left(net, "z1"), 10) is not None
     net.loss["z2"] = 1.0
     net.run(6)
-    assert min(net.share("z2")) >= 0.9 or min(net.share("z0")) > 0.0
+    assert min(net.traffic_weight("z2")) >= 0.9 or min(net.traffic_weight("z0")) > 0.0
 
 
 @pytest.mark.parametrize(
@@ -199,12 +223,12 @@
     ],
 )
 def test_who_loses_most_zones_doubts_itself_unless_they_are_just_another_region(regions, doubts):
-    machine = Machine("a", "z0", list, random.Random(1), 0.0)
+    machine = FailoverMachine("a", "z0", list, random.Random(1), 0.0)
     machine.regions = lambda: regions
     for zone in ("z0", "z1", "z2"):
         for _ in range(4):
             machine.note(0.0, zone, zone != "z0")
-    assert machine.doubts() == doubts
+    assert machine.is_degraded() == doubts
 
 
 def test_who_is_cut_off_itself_blames_nobody():
@@ -220,7 +244,7 @@
     net.loss["z0"] = net.loss["z1"] = 1.0
     for _ in range(40):
         net.run(0.5)
-        out = [m.machine.shares() for m in net.living()]
+        out = [m.machine.traffic_weights() for m in net.living()]
         assert all(
             sum(1 - shares.get(zone, 1.0) for zone in net.zones) <= 0.5 * 3 + 0.01 for shares in out
         )
@@ -230,7 +254,7 @@
     net = ZoneNet(6, 24, 3, load=0.9).run(2)
     net.loss["z0"] = 1.0
     net.run(10)
-    assert min(net.share("z0")) > 0.8
+    assert min(net.traffic_weight("z0")) > 0.8
     for member in net.members.values():
         member.machine.busy *= 0.6  # there is room now
     assert net.until(lambda: left(net, "z0"), 6) is not None
@@ -244,7 +268,10 @@
     net.loss["z2"] = 1.0
     net.run(12)
     assert all(net.members[name].machine.plan.number == 0 for name in few)
-    assert all(net.members[f"m{i:04d}"].machine.shares().get("z2", 1.0) < 0.1 for i in range(8, 24))
+    assert all(
+        net.members[f"m{i:04d}"].machine.traffic_weights().get("z2", 1.0) < 0.1
+        for i in range(8, 24)
+    )
     net.run(20)
     assert net.until(lambda: left(net, "z2") or back(net, "z2"), 15) is not None and never_back(net)
 
@@ -287,7 +314,9 @@
         for m in net.members.values()
     )
     strikes = max(
-        m.machine.plan.zones["z0"].strikes for m in net.living() if "z0" in m.machine.plan.zones
+        m.machine.plan.zones["z0"].penalty_count
+        for m in net.living()
+        if "z0" in m.machine.plan.zones
     )
     assert strikes >= 3
     assert 1 <= leaves <= 6  # of the twelve failures
@@ -299,10 +328,10 @@
     net.loss["z0"] = 1.0
     net.until(lambda: left(net, "z0"), 5)
     net.loss["z0"] = 0.0
-    assert net.until(lambda: 0.2 <= min(net.share("z0")) < 1.0, 30) is not None
+    assert net.until(lambda: 0.2 <= min(net.traffic_weight("z0")) < 1.0, 30) is not None
     net.loss["z0"] = 1.0
-    assert net.until(lambda: net.agreed() and max(net.share("z0")) <= 0.05, 6) is not None
-    assert net.members["m0001"].machine.plan.zones["z0"].strikes == 2
+    assert net.until(lambda: net.agreed() and max(net.traffic_weight("z0")) <= 0.05, 6) is not None
+    assert net.members["m0001"].machine.plan.zones["z0"].penalty_count == 2
 
 
 def test_a_plan_is_agreed_on_while_nearly_all_restart():
@@ -321,22 +350,24 @@
     net.loss["z0"] = 1.0
     net.until(lambda: left(net, "z0"), 5)
     net.loss["z0"] = 0.0
-    assert net.until(lambda: net.agreed() and net.share("z0")[0] == 0.05, 20) is not None
+    assert net.until(lambda: net.agreed() and net.traffic_weight("z0")[0] == 0.05, 20) is not None
     start = net.now
     net.run(1.0)
     sent = sum(at >= start for at in net.attempts["z0"])
-    assert max(net.share("z0")) == 0.05 and sent <= 2 * 0.05 * 60 * 20 / 3
+    assert max(net.traffic_weight("z0")) == 0.05 and sent <= 2 * 0.05 * 60 * 20 / 3
 
 
 def test_without_news_a_plan_stands_for_its_time_only():
-    machine = Machine("a", "x", lambda: [Member("b", ("h", 1), "y", True)], random.Random(1), 0.0)
-    plan = Plan(1, {"y": Entry(0)})
-    machine._take(plan, "")
-    machine.receive(1.0, pack(Said(0, plan.version)), "b", ("h", 1))
+    machine = FailoverMachine(
+        "a", "x", lambda: [Member("b", ("h", 1), "y", True)], random.Random(1), 0.0
+    )
+    plan = FailoverPlan(1, {"y": ZoneEntry(0)})
+    machine._adopt(plan, "")
+    machine.receive(1.0, pack(ZoneMessage(0, plan.version)), "b", ("h", 1))
     machine.tick(10.0)
-    assert machine.shares() == {"y": 0.0}
+    assert machine.traffic_weights() == {"y": 0.0}
     machine.tick(11.5)
-    assert machine.shares() == {}
+    assert machine.traffic_weights() == {}
 
 
 def test_an_owner_alone_makes_plans_also_of_what_it_does_not_see_and_an_earlier_one_is_refused():
@@ -347,13 +378,15 @@
     net.spared = {"m0001"}
     net.loss["z0"] = 1.0
     assert net.until(lambda: left(net, "z0"), 6) is not None
-    assert [m.name for m in net.members.values() if m.machine.counted.made] == ["m0001"]
-    late = Plan(EPOCH + 9, {"z2": Entry(0)})  # of grant 1
+    assert [m.name for m in net.members.values() if m.machine.statistics.made] == ["m0001"]
+    late = FailoverPlan(EPOCH + 9, {"z2": ZoneEntry(0)})  # of grant 1
     for member in net.living():
         member.machine.receive(
-            net.now, pack(Said(3, late.version, plan=late)), "m0002", ("10.0.0.1", 1026)
+            net.now, pack(ZoneMessage(3, late.version, plan=late)), "m0002", ("10.0.0.1", 1026)
         )
-    assert not any(r.plan is late for m in net.living() for r in m.machine._pending.values())
+    assert not any(
+        r.plan is late for m in net.living() for r in m.machine._unconfirmed_plans.values()
+    )
 
 
 # -------------------------------------------------------------------------------- the module and the service
--- a/yewrill/lab/cluster/entry.py
+++ b/yewrill/lab/cluster/entry.py
@@ -180,19 +180,19 @@
 
 def _old_plan() -> None:
     """Whatever plan comes last is taken, and what was taken first is told again."""
-    from yewrill.zone_failover.machine import Machine
+    from yewrill.zone_failover.machine import FailoverMachine
 
     def hear(self: Any, plan: Any, sender: str, out: list) -> None:
         if plan.version != self.plan.version:  # what it has already would be told on for ever
-            self._take(plan, "told by another")
+            self._adopt(plan, "told by another")
 
     def forget(self: Any, now: float) -> list:
         if self.plan.number > 1:
-            self._take(type(self.plan)(1, self.plan.zones), "an old one")
+            self._adopt(type(self.plan)(1, self.plan.zones), "an old one")
         return tick(self, now)
 
-    tick = Machine.tick
-    Machine._hear, Machine.tick = hear, forget
+    tick = FailoverMachine.tick
+    FailoverMachine._receive_plan, FailoverMachine.tick = hear, forget
 
 
 def _again() -> None:
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -17,7 +17,7 @@
 from yewrill.policy import Dispatcher
 from yewrill.policy import interface as api
 from yewrill.zone_failover.facade import HANGING
-from yewrill.zone_failover.machine import Rules
+from yewrill.zone_failover.machine import FailoverRules
 
 TRIP = 0.0005  # seconds to a worker and back
 LOST = (api.TIMEOUT, api.NO_CONNECTION, api.CONNECTION_LOST, api.CANCELLED, api.ERROR)
@@ -76,7 +76,7 @@
         load: float = 0.6,
         plan: bool = True,
         model: Model | None = None,
-        rules: Rules | None = None,
+        rules: FailoverRules | None = None,
         path: Path | None = None,
     ):
         self.model = model or Model()
@@ -173,7 +173,9 @@
 
     def _work(self, member: Member) -> None:
         shares = (
-            {int(z[1:]): s for z, s in member.machine.shares().items()} if self.with_plan else {}
+            {int(z[1:]): s for z, s in member.machine.traffic_weights().items()}
+            if self.with_plan
+            else {}
         )
         module = self.modules[member.name]
         if shares != module.fleet.zone_weights:
--- a/yewrill/lab/zonenet.py
+++ b/yewrill/lab/zonenet.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from yewrill.lab.netsim import Path, Wires
-from yewrill.zone_failover.machine import Machine, Member, Rules
+from yewrill.zone_failover.machine import FailoverMachine, FailoverRules, Member
 
 
 @dataclass(eq=False)
@@ -20,7 +20,7 @@
     name: str
     address: tuple[str, int]
     zone: str
-    machine: Machine
+    machine: FailoverMachine
     rate: float  # jobs a second it sends
     dead: bool = False
     paused_until: float = -1.0
@@ -41,12 +41,12 @@
         rate: float = 20.0,
         load: float = 0.6,
         path: Path | None = None,
-        rules: Rules | None = None,
+        rules: FailoverRules | None = None,
         detect: float = 9.0,
         plan: bool = True,
     ):
         super().__init__(seed, path or Path(delay=0.005, jitter=0.002))
-        self.rules = rules or Rules()
+        self.rules = rules or FailoverRules()
         self.detect = detect
         self.with_plan = plan
         self.zones = [f"z{i}" for i in range(zones)]
@@ -70,7 +70,7 @@
 
     def start(self, name: str, address: tuple[str, int], zone: str, rate: float) -> Dispatcher:
         """Start a member, or start it anew without what it knew."""
-        machine = Machine(
+        machine = FailoverMachine(
             name,
             zone,
             lambda: self._view(name),
@@ -153,7 +153,7 @@
 
     def _work(self, member: Dispatcher) -> None:
         """What it sent since its last look, ended: parted by its plan's shares."""
-        shares = member.machine.shares() if self.with_plan else {}
+        shares = member.machine.traffic_weights() if self.with_plan else {}
         weights = [shares.get(zone, 1.0) for zone in self.zones]
         if not sum(weights):
             weights = [1.0] * len(weights)
@@ -168,7 +168,7 @@
     def _note(self, member: Dispatcher) -> None:
         version = member.machine.plan.version
         if not member.changes or member.changes[-1][1] != version:
-            member.changes.append((self.now, version, member.machine.shares()))
+            member.changes.append((self.now, version, member.machine.traffic_weights()))
 
     def _send(self, member: Dispatcher, out: list[tuple[tuple[str, int], bytes]]) -> None:
         for address, data in out:
@@ -202,9 +202,9 @@
     def living(self) -> list[Dispatcher]:
         return [m for m in self.members.values() if not m.dead and self.now >= m.paused_until]
 
-    def share(self, zone: str) -> list[float]:
+    def traffic_weight(self, zone: str) -> list[float]:
         """The share of a zone that each living member goes by."""
-        return [m.machine.shares().get(zone, 1.0) for m in self.living()]
+        return [m.machine.traffic_weights().get(zone, 1.0) for m in self.living()]
 
     def agreed(self) -> bool:
         """Whether all living members hold the same plan."""
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -17,12 +17,12 @@
 from yewrill.membership.machine import DEAD, LEFT
 from yewrill.membership.suspicion import MOST_DOUBT
 from yewrill.service.subsystems import SubsystemContext
-from yewrill.zone_failover.machine import Address, Machine, Member, Out, Rules
-from yewrill.zone_failover.plan import WHOLE
+from yewrill.zone_failover.machine import Address, FailoverMachine, FailoverRules, Member, Out
+from yewrill.zone_failover.plan import FULL_WEIGHT
 
 log = logging.getLogger("yewrill.zones")
 
-DUTY = "zones"
+ROLE = "zones"
 HANGING = (
     1000.0  # ms without a start, from which on what waits at a worker that runs none of ours hangs
 )
@@ -54,12 +54,12 @@
     name = "zones"
 
     def __init__(self, config: ZonesConfig):
-        self._rules = Rules(
+        self._rules = FailoverRules(
             hold=config.hold, step=config.step, most_out=config.most_out, stands=config.stands
         )
         self._orders: dict[str, str] = {}  # zone: what operators have ordered here
         self._told: dict[int, float] = {}
-        self._machine: Machine | None = None
+        self._machine: FailoverMachine | None = None
         self._woken = trio.Event()
         self._list: tuple[object, list[Member]] = (None, [])
         self.calls = {order: self._calling(order) for order in ("leave", "pin", "return")}
@@ -73,7 +73,7 @@
             self._views.watch(lambda: self._woken.set())  # noqa: PLW0108 - the event is replaced
         self._ownership = context.subsystems.get("ownership")
         if self._ownership is not None:
-            self._ownership.want(DUTY)
+            self._ownership.want(ROLE)
         self._carry = context.run_attempt
         context.run_attempt = self._attempt
 
@@ -131,7 +131,9 @@
         assert link is not None
         me = link.machine.me
         rng = random.Random(random.SystemRandom().getrandbits(64))
-        machine = Machine(me.name, me.zone, self._others, rng, trio.current_time(), self._rules)
+        machine = FailoverMachine(
+            me.name, me.zone, self._others, rng, trio.current_time(), self._rules
+        )
         machine.capacity, machine.hanging, machine.regions = (
             self._capacity,
             self._hanging,
@@ -148,7 +150,7 @@
             now = trio.current_time()
             if now >= machine.due:
                 outside = self._views is not None and self._views.view() is None
-                machine.distrust = MOST_DOUBT if outside else link.machine.health.doubt
+                machine.health_score = MOST_DOUBT if outside else link.machine.health.doubt
                 self._take_ownership(machine, now)
                 await link.say(ZONES, machine.tick(now))
             if machine.plan.version != version:
@@ -157,7 +159,8 @@
                     "zones plan=%d %s (%s)",
                     version[0],
                     " ".join(
-                        f"{zone}={entry.share / WHOLE:g}{':back' if entry.back else ''}"
+                        f"{zone}={entry.traffic_weight / FULL_WEIGHT:g}"
+                        f"{':back' if entry.is_recovering else ''}"
                         for zone, entry in sorted(machine.plan.zones.items())
                     )
                     or "all well",
@@ -165,10 +168,10 @@
                 )
             self._tell_module()
 
-    def _take_ownership(self, machine: Machine, now: float) -> None:
+    def _take_ownership(self, machine: FailoverMachine, now: float) -> None:
         """With owners, the one of this duty alone makes plans, while it is heard of."""
         if self._ownership is not None:
-            number, owner = self._ownership.seen(DUTY, now)
+            number, owner = self._ownership.seen(ROLE, now)
             machine.epoch = max(machine.epoch, number)
             machine.owner = "" if owner == machine.me else owner
 
@@ -221,7 +224,7 @@
     def shares(self) -> dict[str, float]:
         """What the module goes by: the plan, under the orders that were given here."""
         machine = self._machine
-        shares = {} if machine is None else dict(machine.shares())
+        shares = {} if machine is None else dict(machine.traffic_weights())
         for zone, order in list(self._orders.items()):
             if order == "leave":
                 shares[zone] = 0.0
@@ -254,13 +257,13 @@
             "plan": machine.plan.version[0],
             "digest": machine.plan.version[1],
             "why": machine.why,
-            "own_doubt": machine.doubts(),
+            "own_doubt": machine.is_degraded(),
             "regions": self._by_region(shares, capacity),
             "zones": [
                 {
                     "zone": name,
                     "share": shares.get(name, 1.0),
-                    "by_plan": machine.plan.share(name) / WHOLE,
+                    "by_plan": machine.plan.traffic_weight(name) / FULL_WEIGHT,
                     "order": self._orders.get(name, ""),
                     "slots": round(capacity.get(name, 0.0), 1),
                     "ended": counts.get(name, (0, 0))[0],
@@ -291,7 +294,7 @@
         """Counts since the start, by the names operators see."""
         if self._machine is None:
             return {}
-        counted = self._machine.counted
+        counted = self._machine.statistics
         return {
             "zones_polls": counted.polls,
             "zones_plans_made": counted.made,
--- a/yewrill/zone_failover/machine.py
+++ b/yewrill/zone_failover/machine.py
@@ -32,24 +32,36 @@
 
 from yewrill.zone_failover.evidence import Counts, Evidence
 from yewrill.zone_failover.format import (
+    ANSWER,
     ASK,
     DIGEST,
     GET,
     HINT,
     PLAN,
-    TELL,
     Malformed,
-    Said,
+    ZoneMessage,
     pack,
     unpack,
 )
-from yewrill.zone_failover.plan import EPOCH, STEPS, WHOLE, Entry, Plan, least_share, up
+from yewrill.zone_failover.plan import (
+    EPOCH,
+    FULL_WEIGHT,
+    RECOVERY_RAMP,
+    FailoverPlan,
+    ZoneEntry,
+    min_traffic_weight,
+    next_recovery_step,
+)
 
-MOST_PENDING = 8
-REFUSAL = 3.0  # seconds for which a plan that was spoken against is not looked at again
-RUMOUR = 4.0  # seconds in which a plan that was heard of has to be borne out
-MOST_JUMP = 64  # plans that we may have missed; a number further off needs a majority that holds it
-TOLERANCE = 150  # thousandths by which another's reckoning of the guards may differ from ours
+MAX_UNCONFIRMED_PLANS = 8
+REFUSAL_SECONDS = 3.0  # seconds for which a plan that was spoken against is not looked at again
+CONFIRMATION_SECONDS = 4.0  # seconds in which a plan that was heard of has to be borne out
+MAX_NUMBER_GAP = (
+    64  # plans that we may have missed; a number further off needs a majority that holds it
+)
+WEIGHT_TOLERANCE = (
+    150  # thousandths by which another's reckoning of the guards may differ from ours
+)
 
 Address = tuple[str, int]
 Out = tuple[Address, bytes]
@@ -65,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class FailoverRules:
     """Seconds, counts and parts."""
 
     tick: float = 0.25
@@ -89,10 +101,10 @@
 
 
 @dataclass(slots=True)
-class _Rumour:
+class _UnconfirmedPlan:
     """A newer plan that was heard of and not borne out yet."""
 
-    plan: Plan
+    plan: FailoverPlan
     until: float
 
 
@@ -103,7 +115,7 @@
     asked: dict[str, Address]
     again_at: float
     until: float
-    answers: dict[str, Said] = field(default_factory=dict)
+    answers: dict[str, ZoneMessage] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +130,7 @@
 
 
 @dataclass(slots=True)
-class Counted:
+class FailoverStatistics:
     """What happened, for figures."""
 
     polls: int = 0
@@ -131,17 +143,17 @@
 
 
 @dataclass
-class Machine:
+class FailoverMachine:
     me: str
     zone: str
     others: Callable[[], Sequence[Member]]  # all known but ourselves
     rng: random.Random
     now: float
-    rules: Rules = field(default_factory=Rules)
-    counted: Counted = field(default_factory=Counted)
+    rules: FailoverRules = field(default_factory=FailoverRules)
+    statistics: FailoverStatistics = field(default_factory=FailoverStatistics)
 
     def __post_init__(self) -> None:
-        self.plan = Plan()
+        self.plan = FailoverPlan()
         self.evidence = Evidence()
         self.capacity: Callable[[], Mapping[str, float]] = (
             dict  # slots of each zone, as discovery lists it
@@ -150,38 +162,42 @@
         # Attempts that are out at workers which start nothing of ours.
         self.hanging: Callable[[], Mapping[str, int]] = dict
         self.busy = 0.0  # slots of our own running work
-        self.distrust = 0  # of ourselves, by the membership; 4 and more: our own eyes don't count
+        self.health_score = (
+            0  # of ourselves, by the membership; 4 and more: our own eyes don't count
+        )
         self.epoch = 0  # the highest number under which the duty of making plans was granted
         self.owner = ""  # who else has that duty
-        self._hinted: dict[str, float] = {}  # zones that others see fail, since we have it
+        self._hinted_zones: dict[str, float] = {}  # zones that others see fail, since we have it
         self.why = ""  # the last change of the plan, in plain words
         self._since: dict[str, float] = {}  # when each zone's entry came into force here
-        self._struck: dict[
+        self._recovered_zones: dict[
             str, tuple[int, float]
         ] = {}  # strikes of zones well again, and since when
         self._verdicts: dict[str, Verdict] = {}
         self._before = self.plan  # the one that ours took the place of
-        self._pending: dict[str, _Rumour] = {}  # by who told them first
+        self._unconfirmed_plans: dict[str, _UnconfirmedPlan] = {}  # by who told them first
         self._refused: dict[tuple[int, str], float] = {}
         self._poll: _Poll | None = None
         self._polled: dict[str, float] = {}
-        self._hearsay_at = -1e9  # when another's plan alone was cause for a poll
+        self._unconfirmed_polled_at = -1e9  # when another's plan alone was cause for a poll
         self._number = 0
-        self._turn = 0.0  # seconds by which we let others make the next step first
-        self._fresh: dict[Plan, int] = {}  # plans that are still told, and in how many rounds
-        self._seen: tuple[Sequence[Member], list[Member], set[str]] = ([], [], set())
-        self._heard = self.now
-        self._doubt_until = -1.0
+        self._proposal_delay = 0.0  # seconds by which we let others make the next step first
+        self._plans_to_push: dict[
+            FailoverPlan, int
+        ] = {}  # plans that are still told, and in how many rounds
+        self._membership_cache: tuple[Sequence[Member], list[Member], set[str]] = ([], [], set())
+        self._last_received_at = self.now
+        self._degraded_until = -1.0
         self._digest_at = self.now + self.rng.random()
         self.due = self._ticked = self.now + self.rng.random() * self.rules.tick
 
     # -- what others see
 
-    def shares(self) -> dict[str, float]:
+    def traffic_weights(self) -> dict[str, float]:
         """The part of its normal work that each zone gets, where less than the whole; none without news."""
-        if self.now - self._heard > self.rules.stands:
+        if self.now - self._last_received_at > self.rules.stands:
             return {}
-        return {zone: entry.share / WHOLE for zone, entry in self.plan.zones.items()}
+        return {zone: entry.traffic_weight / FULL_WEIGHT for zone, entry in self.plan.zones.items()}
 
     def _counts(self) -> Mapping[str, Counts]:
         """Our own counts; of zones that get little by plan, over a longer time. What hangs counts as lost."""
@@ -191,9 +207,9 @@
             counts[zone] = ended + hanging, lost + hanging
         return counts
 
-    def doubts(self) -> bool:
+    def is_degraded(self) -> bool:
         """Whether our own counts are not to be believed."""
-        if self.distrust >= 4 or self.now < self._doubt_until:
+        if self.health_score >= 4 or self.now < self._degraded_until:
             return True
         counts = {z: c for z, c in self._counts().items() if c[0] >= 3}
         failing = [zone for zone, (ended, lost) in counts.items() if lost >= self.rules.bad * ended]
@@ -216,7 +232,7 @@
         ):
             return False
         entry = self.plan.zones.get(zone)
-        if entry is not None and not entry.back:
+        if entry is not None and not entry.is_recovering:
             return False
         ended, losses = self.evidence.counts(now, self.plan.zones)[zone]
         if ended < 2 or losses < self.rules.bad * ended:
@@ -231,129 +247,131 @@
         self.due = now + self.rules.tick
         out: list[Out] = []
         if late > 1.0:  # we slept: what we counted is old, and so may the plan be
-            self.counted.late += 1
+            self.statistics.late += 1
             self.evidence.forget()
             self._poll = None
-            self._doubt_until = now + 2.0
+            self._degraded_until = now + 2.0
             self._since = dict.fromkeys(self._since, now)
             self._digest_at = now
-        others, living, _ = self._look()
-        for sender, rumour in list(self._pending.items()):
-            if now > rumour.until:
-                del self._pending[sender]
+        others, living, _ = self._membership()
+        for sender, unconfirmed in list(self._unconfirmed_plans.items()):
+            if now > unconfirmed.until:
+                del self._unconfirmed_plans[sender]
         if self._poll is not None:
-            self._follow(self._poll, others, out)
-        if self._poll is None and now >= self._doubt_until and living:
-            self._begin(living, out)
-        for plan, rounds in list(self._fresh.items()):
-            self._tell(plan, out)
+            self._advance_poll(self._poll, others, out)
+        if self._poll is None and now >= self._degraded_until and living:
+            self._start_poll(living, out)
+        for plan, rounds in list(self._plans_to_push.items()):
+            self._push_plan(plan, out)
             if rounds > 1 and plan.version >= self.plan.version:
-                self._fresh[plan] = rounds - 1
+                self._plans_to_push[plan] = rounds - 1
             else:
-                del self._fresh[plan]
+                del self._plans_to_push[plan]
         if now >= self._digest_at and living:
             self._digest_at = now + 1.0
-            asleep = 5 if now < self._doubt_until else 1
+            asleep = 5 if now < self._degraded_until else 1
             out += [
-                (m.address, pack(Said(DIGEST, self.plan.version)))
-                for m in self._draw(living, asleep)
+                (m.address, pack(ZoneMessage(DIGEST, self.plan.version)))
+                for m in self._sample(living, asleep)
             ]
-        for zone, (_, since) in list(self._struck.items()):
+        for zone, (_, since) in list(self._recovered_zones.items()):
             if now - since > self.rules.longest:
-                del self._struck[zone]
+                del self._recovered_zones[zone]
         for version, at in list(self._refused.items()):
-            if now - at > REFUSAL:
+            if now - at > REFUSAL_SECONDS:
                 del self._refused[version]
         return out
 
-    def _look(self) -> tuple[Sequence[Member], list[Member], set[str]]:
+    def _membership(self) -> tuple[Sequence[Member], list[Member], set[str]]:
         """All others, the living ones, and the zones that have members none of whom we hear."""
         others = self.others()
-        if others is not self._seen[0]:
+        if others is not self._membership_cache[0]:
             living = [m for m in others if m.living]
             dark = {m.zone for m in others} - {m.zone for m in living} - {self.zone, ""}
-            self._seen = others, living, dark
-        return self._seen
+            self._membership_cache = others, living, dark
+        return self._membership_cache
 
-    def _tell(self, plan: Plan, out: list[Out]) -> None:
-        data = pack(Said(PLAN, plan.version, plan=plan))
-        out += [(m.address, data) for m in self._draw(self._look()[1], self.rules.fan)]
+    def _push_plan(self, plan: FailoverPlan, out: list[Out]) -> None:
+        data = pack(ZoneMessage(PLAN, plan.version, plan=plan))
+        out += [(m.address, data) for m in self._sample(self._membership()[1], self.rules.fan)]
 
-    def _draw(self, among: Sequence[Member], most: int) -> Sequence[Member]:
+    def _sample(self, among: Sequence[Member], most: int) -> Sequence[Member]:
         return among if len(among) <= most else self.rng.sample(among, most)
 
     # -- polls
 
-    def _begin(self, living: Sequence[Member], out: list[Out]) -> None:
+    def _start_poll(self, living: Sequence[Member], out: list[Out]) -> None:
         """Poll on the zone that most needs it, if one does."""
-        zone = self._in_question()
+        zone = self._zone_to_poll()
         if zone is None:
             return
         outside = [m for m in living if m.zone != zone]
-        asked = {m.name: m.address for m in self._draw(outside, self.rules.sample)}
-        self.counted.polls += 1
+        asked = {m.name: m.address for m in self._sample(outside, self.rules.sample)}
+        self.statistics.polls += 1
         self._number += 1
         self._polled[zone] = self.now
         wait = self.rules.wait
         self._poll = _Poll(zone, self._number, asked, self.now + wait / 2, self.now + wait)
-        data = pack(Said(ASK, self.plan.version, self._number))
+        data = pack(ZoneMessage(ASK, self.plan.version, self._number))
         out += [(address, data) for address in asked.values()]
 
-    def _in_question(self) -> str | None:
+    def _zone_to_poll(self) -> str | None:
         rules, zones, heard = self.rules, [], set()
-        if not self.doubts():
+        if not self.is_degraded():
             for zone, (ended, lost) in self._counts().items():
                 entry = self.plan.zones.get(zone)
                 if (
                     ended >= 2
                     and lost >= rules.bad * ended
                     and (
-                        entry is None or entry.back or (entry.share and lost >= rules.dead * ended)
+                        entry is None
+                        or entry.is_recovering
+                        or (entry.traffic_weight and lost >= rules.dead * ended)
                     )
                 ):
                     zones.append(zone)
             zones += [
                 zone
                 for zone, entry in self.plan.zones.items()
-                if self.now - self._since[zone] > self._span(entry) + self._turn
+                if self.now - self._since[zone] > self._min_duration(entry) + self._proposal_delay
             ]
-        for rumour in self._pending.values():
-            heard |= {*rumour.plan.differs(self.plan)}
-        heard |= {zone for zone, at in self._hinted.items() if self.now - at < 1.0}
+        for unconfirmed in self._unconfirmed_plans.values():
+            heard |= {*unconfirmed.plan.differs(self.plan)}
+        heard |= {zone for zone, at in self._hinted_zones.items() if self.now - at < 1.0}
         own = [zone for zone in zones if self.now - self._polled.get(zone, -1e9) >= rules.wait]
         # Polls for hearsay are what a liar can cost: few in all, and less often of each zone.
-        if not own and self.now - self._hearsay_at >= rules.wait:
+        if not own and self.now - self._unconfirmed_polled_at >= rules.wait:
             own = [
                 zone
                 for zone in heard
                 if self.now - self._polled.get(zone, -1e9) >= 2.0 * rules.wait
             ]
             if own:
-                self._hearsay_at = self.now
+                self._unconfirmed_polled_at = self.now
         return min(own, key=lambda z: (self._polled.get(z, -1e9), z), default=None)
 
-    def _span(self, entry: Entry) -> float:
+    def _min_duration(self, entry: ZoneEntry) -> float:
         """How long an entry is in force at the least, before the next step back."""
-        if entry.back:
+        if entry.is_recovering:
             return self.rules.step
-        return min(self.rules.longest, self.rules.hold * 2.0 ** (entry.strikes - 1))
+        return min(self.rules.longest, self.rules.hold * 2.0 ** (entry.penalty_count - 1))
 
-    def _follow(self, poll: _Poll, others: Sequence[Member], out: list[Out]) -> None:
+    def _advance_poll(self, poll: _Poll, others: Sequence[Member], out: list[Out]) -> None:
         missing = [a for name, a in poll.asked.items() if name not in poll.answers]
         if missing and self.now < poll.until:
             if self.now >= poll.again_at:
                 poll.again_at = poll.until
-                data = pack(Said(ASK, self.plan.version, poll.number))
+                data = pack(ZoneMessage(ASK, self.plan.version, poll.number))
                 out += [(address, data) for address in missing]
             return
         self._poll = None
         if 2 * len(poll.answers) < len(poll.asked):
-            self.counted.cut += 1  # rather we are cut off than they all
+            self.statistics.cut += 1  # rather we are cut off than they all
             return
         outside = [m for m in others if m.zone != poll.zone]
         mine = self.zone != poll.zone
         verdict = self._verdicts[poll.zone] = self._judge(poll)
-        self._consider(poll)
+        self._consider_unconfirmed(poll)
         if 2 * (sum(m.living for m in outside) + mine) > len(outside) + mine:
             self._propose(poll, verdict, out)
 
@@ -367,10 +385,10 @@
                 zone in said.dark or (held is not None and said.version >= held),
             )
             for said in poll.answers.values()
-            if not said.doubt
+            if not said.is_degraded
         ]
-        if self.zone != zone and not self.doubts():
-            told.append((self._counts().get(zone, (0, 0)), zone in self._look()[2]))
+        if self.zone != zone and not self.is_degraded():
+            told.append((self._counts().get(zone, (0, 0)), zone in self._membership()[2]))
         ended = lost = 0.0
         failing = voters = 0
         for (one_ended, one_lost), gone in told:
@@ -381,13 +399,17 @@
             if one_ended or gone:
                 voters += 1
                 failing += gone or one_lost >= rules.bad * one_ended
-        share = lost / ended if ended else 0.0
+        traffic_weight = lost / ended if ended else 0.0
         outside = sum(m.zone != zone for m in self.others()) + (self.zone != zone)
         needed = rules.few if zone in self.plan.zones else rules.least
-        enough = share >= rules.bad and ended >= needed if ended and held is None else True
+        enough = traffic_weight >= rules.bad and ended >= needed if ended and held is None else True
         fails = 2 * failing > voters and failing >= min(rules.voters, outside // 2 + 1) and enough
         return Verdict(
-            self.now, fails, ended >= rules.least and share <= rules.good, share, int(ended)
+            self.now,
+            fails,
+            ended >= rules.least and traffic_weight <= rules.good,
+            traffic_weight,
+            int(ended),
         )
 
     def _fleet_busy(self, poll: _Poll) -> float:
@@ -395,104 +417,134 @@
         told = sorted([self.busy, *(said.busy for said in poll.answers.values())])
         cut = len(told) // 4
         middle = told[cut : len(told) - cut]
-        return sum(middle) / len(middle) * (1 + len(self._look()[1]))
+        return sum(middle) / len(middle) * (1 + len(self._membership()[1]))
 
     # -- plans
 
     def _propose(self, poll: _Poll, verdict: Verdict, out: list[Out]) -> None:
         zone, entry = poll.zone, self.plan.zones.get(poll.zone)
-        if self.doubts():
+        if self.is_degraded():
             return
         if (
             self.owner
         ):  # it is the owner's to make plans, and it may see less of this zone than we do
-            if verdict.fails and (zone not in self.plan.zones or self.plan.zones[zone].back):
-                hint = pack(Said(HINT, self.plan.version, dark=(zone,)))
-                out += [(m.address, hint) for m in self._look()[1] if m.name == self.owner]
+            if verdict.fails and (
+                zone not in self.plan.zones or self.plan.zones[zone].is_recovering
+            ):
+                hint = pack(ZoneMessage(HINT, self.plan.version, dark=(zone,)))
+                out += [(m.address, hint) for m in self._membership()[1] if m.name == self.owner]
             return
-        if any(zone in rumour.plan.differs(self.plan) for rumour in self._pending.values()):
+        if any(
+            zone in unconfirmed.plan.differs(self.plan)
+            for unconfirmed in self._unconfirmed_plans.values()
+        ):
             return
         since = self._since.get(zone, -1e9)
         dead = verdict.lost >= self.rules.dead
-        if verdict.fails and (entry is None or entry.back or (entry.share and dead)):
-            strikes = entry.strikes if entry is not None else self._struck.get(zone, (0, 0.0))[0]
+        if verdict.fails and (
+            entry is None or entry.is_recovering or (entry.traffic_weight and dead)
+        ):
+            penalty_count = (
+                entry.penalty_count
+                if entry is not None
+                else self._recovered_zones.get(zone, (0, 0.0))[0]
+            )
             # A trial that failed was cheap. Only work that came back and was lost again makes it wait longer.
-            strikes = min(strikes + (entry is None or (entry.back and entry.share > STEPS[0])), 16)
-            share = self._least(poll)
-            if share < 0.9 * WHOLE and (entry is None or share < entry.share):
+            penalty_count = min(
+                penalty_count
+                + (
+                    entry is None
+                    or (entry.is_recovering and entry.traffic_weight > RECOVERY_RAMP[0])
+                ),
+                16,
+            )
+            traffic_weight = self._min_weight(poll)
+            if traffic_weight < 0.9 * FULL_WEIGHT and (
+                entry is None or traffic_weight < entry.traffic_weight
+            ):
                 why = f"{zone}: {verdict.lost:.0%} of {verdict.ended} attempts lost"
-                self._make(zone, Entry(share, strikes), why)
+                self._adopt_new_plan(zone, ZoneEntry(traffic_weight, penalty_count), why)
         elif (
             entry is not None
-            and self.now - since > self._span(entry)
+            and self.now - since > self._min_duration(entry)
             and not verdict.fails
-            and (entry.back or zone not in self._look()[2])
+            and (entry.is_recovering or zone not in self._membership()[2])
         ):
-            if not entry.back:
-                trial = replace(entry, share=max(STEPS[0], entry.share), back=True)
-                self._make(zone, trial, f"{zone}: tried again")
-            elif verdict.well or (self._thin(verdict) and self.now - since > self.rules.patience):
+            if not entry.is_recovering:
+                trial = replace(
+                    entry,
+                    traffic_weight=max(RECOVERY_RAMP[0], entry.traffic_weight),
+                    is_recovering=True,
+                )
+                self._adopt_new_plan(zone, trial, f"{zone}: tried again")
+            elif verdict.well or (
+                self._has_little_evidence(verdict) and self.now - since > self.rules.patience
+            ):
                 why = f"{zone}: a step back, {verdict.lost:.0%} of {verdict.ended} attempts lost"
-                self._make(zone, up(entry), why)
+                self._adopt_new_plan(zone, next_recovery_step(entry), why)
 
-    def _least(self, poll: _Poll) -> int:
-        return least_share(
+    def _min_weight(self, poll: _Poll) -> int:
+        return min_traffic_weight(
             self.plan, poll.zone, self.capacity(), self._fleet_busy(poll), self.rules.most_out
         )
 
-    def _make(self, zone: str, entry: Entry | None, why: str) -> None:
-        self.counted.made += 1
-        self._take(self.plan.with_entry(zone, entry, self.epoch), why)
+    def _adopt_new_plan(self, zone: str, entry: ZoneEntry | None, why: str) -> None:
+        self.statistics.made += 1
+        self._adopt(self.plan.with_entry(zone, entry, self.epoch), why)
 
-    def _take(self, plan: Plan, why: str) -> None:
+    def _adopt(self, plan: FailoverPlan, why: str) -> None:
         for zone in plan.differs(self.plan):
             entry, before = plan.zones.get(zone), self.plan.zones.get(zone)
             if entry is None:
                 self._since.pop(zone, None)
-                self._struck[zone] = (before.strikes if before else 0, self.now)
+                self._recovered_zones[zone] = (before.penalty_count if before else 0, self.now)
             else:
                 self._since[zone] = self.now
-                self._struck.pop(zone, None)
+                self._recovered_zones.pop(zone, None)
             self.evidence.forget(zone)  # it was counted under another share
             self._verdicts.pop(zone, None)
         self._before, self.plan, self.why = self.plan, plan, why
-        self._turn = self.rng.random() * (0.3 + min(2.0, len(self._look()[1]) / 200))
-        self._fresh[plan] = self.rules.pushes
-        self._pending = {s: r for s, r in self._pending.items() if r.plan.version > plan.version}
+        self._proposal_delay = self.rng.random() * (
+            0.3 + min(2.0, len(self._membership()[1]) / 200)
+        )
+        self._plans_to_push[plan] = self.rules.pushes
+        self._unconfirmed_plans = {
+            s: r for s, r in self._unconfirmed_plans.items() if r.plan.version > plan.version
+        }
 
-    def _consider(self, poll: _Poll) -> None:
+    def _consider_unconfirmed(self, poll: _Poll) -> None:
         """Take the highest newer plan that a majority holds, or that our own polls bear out."""
         highest_first = sorted(
-            self._pending.items(), key=lambda item: item[1].plan.version, reverse=True
+            self._unconfirmed_plans.items(), key=lambda item: item[1].plan.version, reverse=True
         )
-        for sender, rumour in highest_first:
-            plan = rumour.plan
+        for sender, unconfirmed in highest_first:
+            plan = unconfirmed.plan
             held = sum(said.version >= plan.version for said in poll.answers.values())
             if 2 * held > len(poll.asked) and len(poll.asked) > 1:
-                self._take(plan, "held by most of the others")
-            elif plan.number - max(self.plan.number, self.epoch * EPOCH) > MOST_JUMP:
+                self._adopt(plan, "held by most of the others")
+            elif plan.number - max(self.plan.number, self.epoch * EPOCH) > MAX_NUMBER_GAP:
                 continue
             else:
-                checks = [self._borne_out(plan, zone, poll) for zone in plan.differs(self.plan)]
+                checks = [self._is_confirmed(plan, zone, poll) for zone in plan.differs(self.plan)]
                 if any(check is False for check in checks):
-                    self.counted.refused += 1
+                    self.statistics.refused += 1
                     self._refused[plan.version] = self.now
-                    del self._pending[sender]
+                    del self._unconfirmed_plans[sender]
                 elif all(checks) and any(check is True for check in checks):
-                    self._take(plan, "made by another, and borne out by the others' counts")
+                    self._adopt(plan, "made by another, and borne out by the others' counts")
             if self.plan is plan:
-                self.counted.taken += 1
+                self.statistics.taken += 1
                 return
 
-    def _borne_out(self, plan: Plan, zone: str, poll: _Poll) -> bool | str | None:
+    def _is_confirmed(self, plan: FailoverPlan, zone: str, poll: _Poll) -> bool | str | None:
         """Whether what we know supports a zone's new entry. None: not known yet; a text: nothing against."""
         new, old = plan.zones.get(zone), self.plan.zones.get(zone)
         if plan.number == self.plan.number:  # made beside ours, from figures a little different
             if (
                 new is not None
                 and old is not None
-                and new.back == old.back
-                and abs(new.share - old.share) <= TOLERANCE
+                and new.is_recovering == old.is_recovering
+                and abs(new.traffic_weight - old.traffic_weight) <= WEIGHT_TOLERANCE
             ):
                 return True
             if new == self._before.zones.get(zone):
@@ -500,23 +552,27 @@
         verdict = self._verdicts.get(zone)
         if verdict is None or self.now - verdict.at > 2.0:
             return None
-        was = WHOLE if old is None else old.share
-        if new is not None and not new.back:
+        was = FULL_WEIGHT if old is None else old.traffic_weight
+        if new is not None and not new.is_recovering:
             if verdict.well:
                 return False
             fails = verdict.fails or (poll.zone == zone and self._judge(poll, plan.version).fails)
             return (
                 fails
-                and new.share >= self._least(poll) - TOLERANCE
-                and (old is None or old.back or new.share < old.share)
+                and new.traffic_weight >= self._min_weight(poll) - WEIGHT_TOLERANCE
+                and (old is None or old.is_recovering or new.traffic_weight < old.traffic_weight)
             ) or None
         if old is None or verdict.fails:
             return False
-        right = new == up(old) if old.back else new is not None and new.share <= max(STEPS[0], was)
-        ripe = self.now - self._since[zone] > 0.6 * self._span(old)
-        return right and (ripe and (verdict.well or self._thin(verdict)) or None)
+        right = (
+            new == next_recovery_step(old)
+            if old.is_recovering
+            else new is not None and new.traffic_weight <= max(RECOVERY_RAMP[0], was)
+        )
+        ripe = self.now - self._since[zone] > 0.6 * self._min_duration(old)
+        return right and (ripe and (verdict.well or self._has_little_evidence(verdict)) or None)
 
-    def _thin(self, verdict: Verdict) -> bool:
+    def _has_little_evidence(self, verdict: Verdict) -> bool:
         """Whether a verdict rests on next to nothing, and speaks against nothing."""
         return verdict.ended < self.rules.least and verdict.lost <= self.rules.good
 
@@ -528,64 +584,70 @@
         try:
             said = unpack(data)
         except Malformed:
-            self.counted.malformed += 1
+            self.statistics.malformed += 1
             return []
-        self._heard = self.now
+        self._last_received_at = self.now
         out: list[Out] = []
         mine = self.plan.version
         if said.kind == ASK:
-            out.append((address, pack(self._told(said.number))))
-        elif said.kind == TELL:
+            out.append((address, pack(self._answer(said.number))))
+        elif said.kind == ANSWER:
             poll = self._poll
             if poll is not None and said.number == poll.number and sender in poll.asked:
                 poll.answers.setdefault(sender, said)
                 if len(poll.answers) == len(poll.asked):
                     self.due = self.now  # judge at once
         elif said.kind == GET:
-            out.append((address, pack(Said(PLAN, mine, plan=self.plan))))
+            out.append((address, pack(ZoneMessage(PLAN, mine, plan=self.plan))))
         elif said.kind == HINT and not self.owner:
             for zone in said.dark[:1]:
-                self._hinted = {**dict(list(self._hinted.items())[-MOST_PENDING:]), zone: self.now}
+                self._hinted_zones = {
+                    **dict(list(self._hinted_zones.items())[-MAX_UNCONFIRMED_PLANS:]),
+                    zone: self.now,
+                }
         elif said.kind == PLAN and said.plan is not None:
-            self._hear(said.plan, sender, out)
+            self._receive_plan(said.plan, sender, out)
         if said.version < mine and said.kind in (DIGEST, ASK):
-            out.append((address, pack(Said(PLAN, mine, plan=self.plan))))
+            out.append((address, pack(ZoneMessage(PLAN, mine, plan=self.plan))))
         elif (
             said.version > mine
             and said.kind != PLAN
             and said.version not in self._refused
-            and all(r.plan.version != said.version for r in self._pending.values())
+            and all(r.plan.version != said.version for r in self._unconfirmed_plans.values())
         ):
-            out.append((address, pack(Said(GET, mine))))
+            out.append((address, pack(ZoneMessage(GET, mine))))
         return out
 
-    def _told(self, number: int) -> Said:
+    def _answer(self, number: int) -> ZoneMessage:
         counts: dict[str, Counts] = {}
         for zone, (ended, lost) in self._counts().items():
             part = min(1.0, 1000 / ended)
             counts[zone] = (int(ended * part), int(lost * part))
-        return Said(
-            TELL,
+        return ZoneMessage(
+            ANSWER,
             self.plan.version,
             number,
-            self.doubts(),
+            self.is_degraded(),
             float(self.busy),
             counts,
-            tuple(sorted(self._look()[2])),
+            tuple(sorted(self._membership()[2])),
         )
 
-    def _hear(self, plan: Plan, sender: str, out: list[Out]) -> None:
+    def _receive_plan(self, plan: FailoverPlan, sender: str, out: list[Out]) -> None:
         """A plan that is newer than ours goes on as a rumour at once, and is taken once it is borne out."""
         if plan.version <= self.plan.version or plan.version in self._refused:
             return
         # Of an owner that has been followed by another, or heard of already.
         if plan.number < self.epoch * EPOCH or any(
-            r.plan.version == plan.version for r in self._pending.values()
+            r.plan.version == plan.version for r in self._unconfirmed_plans.values()
         ):
             return
-        if sender in self._pending or len(self._pending) >= MOST_PENDING:
+        if (
+            sender in self._unconfirmed_plans
+            or len(self._unconfirmed_plans) >= MAX_UNCONFIRMED_PLANS
+        ):
             return
-        self._pending[sender] = _Rumour(plan, self.now + RUMOUR)
-        self._tell(plan, out)
-        self._fresh[plan] = self.rules.pushes - 1
+        self._unconfirmed_plans[sender] = _UnconfirmedPlan(plan, self.now + CONFIRMATION_SECONDS)
+        self._push_plan(plan, out)
+        self._plans_to_push[plan] = self.rules.pushes - 1
         self.due = self.now  # look at once
--- a/yewrill/zone_failover/plan.py
+++ b/yewrill/zone_failover/plan.py
@@ -11,68 +11,69 @@
 from dataclasses import dataclass, field, replace
 from functools import cached_property
 
-WHOLE = 1000
-STEPS = (50, 200, 500, WHOLE)  # the way back; the first is the trial
-MOST_ZONES = 64
+FULL_WEIGHT = 1000
+RECOVERY_RAMP = (50, 200, 500, FULL_WEIGHT)  # the way back; the first is the trial
+MAX_ZONES = 64
 EPOCH = 2**24  # plans of one owner; its grant's number counts in these
 FILL = 0.95  # the part of the other zones' capacity that may be spoken for
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class ZoneEntry:
     """One zone. A zone without an entry is well."""
 
-    share: int  # thousandths
-    strikes: int = (
+    traffic_weight: int  # thousandths
+    penalty_count: int = (
         1  # how often it was left in short order: each doubles the time until it is tried
     )
-    back: bool = False  # it is being taken back, step by step
+    is_recovering: bool = False  # it is being taken back, step by step
 
 
 @dataclass(frozen=True, eq=False)
-class Plan:
+class FailoverPlan:
     """Versions are ordered by number, and by digest among equal numbers; the higher one stands."""
 
     number: int = 0
-    zones: Mapping[str, Entry] = field(default_factory=dict)
+    zones: Mapping[str, ZoneEntry] = field(default_factory=dict)
 
     @cached_property
     def version(self) -> tuple[int, str]:
         if not self.number:
             return 0, ""
         text = ";".join(
-            f"{name}={e.share},{e.strikes},{e.back}" for name, e in sorted(self.zones.items())
+            f"{name}={e.traffic_weight},{e.penalty_count},{e.is_recovering}"
+            for name, e in sorted(self.zones.items())
         )
         return self.number, hashlib.blake2b(
             f"{self.number};{text}".encode(), digest_size=8
         ).hexdigest()
 
-    def share(self, zone: str) -> int:
+    def traffic_weight(self, zone: str) -> int:
         entry = self.zones.get(zone)
-        return WHOLE if entry is None else entry.share
+        return FULL_WEIGHT if entry is None else entry.traffic_weight
 
-    def differs(self, other: Plan) -> list[str]:
+    def differs(self, other: FailoverPlan) -> list[str]:
         """The zones whose entries are not the same in both."""
         return sorted(
             z for z in {*self.zones, *other.zones} if self.zones.get(z) != other.zones.get(z)
         )
 
-    def with_entry(self, zone: str, entry: Entry | None, epoch: int = 0) -> Plan:
+    def with_entry(self, zone: str, entry: ZoneEntry | None, epoch: int = 0) -> FailoverPlan:
         """The next plan, with another entry of a zone; None: it is well. `epoch`: its maker's grant."""
         zones = {name: e for name, e in self.zones.items() if name != zone}
         if entry is not None:
             zones[zone] = entry
-        return Plan(max(self.number, epoch * EPOCH) + 1, zones)
+        return FailoverPlan(max(self.number, epoch * EPOCH) + 1, zones)
 
 
-def up(entry: Entry) -> Entry | None:
+def next_recovery_step(entry: ZoneEntry) -> ZoneEntry | None:
     """The next step of the way back; None: there it is well."""
-    step = next((s for s in STEPS if s > entry.share), WHOLE)
-    return replace(entry, share=step, back=True) if step < WHOLE else None
+    step = next((s for s in RECOVERY_RAMP if s > entry.traffic_weight), FULL_WEIGHT)
+    return replace(entry, traffic_weight=step, is_recovering=True) if step < FULL_WEIGHT else None
 
 
-def least_share(
-    plan: Plan, zone: str, capacity: Mapping[str, float], busy: float, most_out: float
+def min_traffic_weight(
+    plan: FailoverPlan, zone: str, capacity: Mapping[str, float], busy: float, most_out: float
 ) -> int:
     """The least share at which a zone may be left, in thousandths: what the guards leave there.
 
@@ -82,12 +83,12 @@
     """
     own = capacity.get(zone, 0.0)
     total = sum(capacity.values())
-    others = {z: c * plan.share(z) / WHOLE for z, c in capacity.items() if z != zone}
+    others = {z: c * plan.traffic_weight(z) / FULL_WEIGHT for z, c in capacity.items() if z != zone}
     if own <= 0 or not others or sum(others.values()) <= 0:
-        return WHOLE
+        return FULL_WEIGHT
     keep = 0.0
     if busy > 1e-9:
         keep = (busy - FILL * sum(others.values())) / (busy * own / total)
     out = sum(capacity[z] - c for z, c in others.items())
     keep = max(keep, 1.0 - max(0.0, most_out * total - out) / own)
-    return min(WHOLE, max(0, round(WHOLE * keep)))
+    return min(FULL_WEIGHT, max(0, round(FULL_WEIGHT * keep)))
