--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,9 +18,9 @@
 from helper import SETTINGS, Client, Discovery, Exchange, Peer, done, story, timed_story, world
 from test_state import program
 
-from yewrill.net import listener
+from yewrill.net import client_connection, listener
+from yewrill.net.client_connection import ClientConnection as Served
 from yewrill.net.connection import RING, Connection
-from yewrill.net.listener import Client as Served
 from yewrill.net.worker_connections import WorkerConnectionPool
 from yewrill.policy import interface as api
 
@@ -212,7 +212,7 @@
         await opening.wait()
         hang_up(client)
         left = next(iter(w.service.listener.clients))
-        await w.until(lambda: left.gone)
+        await w.until(lambda: left.disconnected)
         go_on.set()
         await w.until(lambda: not w.service.listener.clients)
         assert (await w.ask(X_Request_ID="r2", **LONG)).status == 200
@@ -251,7 +251,7 @@
             send_all_that_goes(client)
         leave(client)
         await w.until(lambda: not w.service.listener.clients)
-        assert request.client_left and not Served.overrunning
+        assert request.client_left and not Served.overrunning_clients
         gate.open("d1")
         assert (await w.ask(X_Request_ID="r2", **LONG)).status == 200
         assert left_ones(peer) == []
@@ -270,7 +270,7 @@
 
     monkeypatch.setattr(Connection, "drop_now", counted)
     monkeypatch.setattr(
-        listener, "OVERRUN_SHARE", 1e9
+        client_connection, "OVERRUN_PAUSE_PER_CLIENT_SECONDS", 1e9
     )  # so that the pause after the first read has no end
     peer = Peer("d1", done)
     async with world(peer, settings=ROOMY) as w:
@@ -278,10 +278,10 @@
         [client] = await asking(w, 1)
         await w.until(lambda: gate.held == 1)
         await client.stream.send_all(b"x" * 9000)
-        await w.until(lambda: Served.overrunning == 1)
+        await w.until(lambda: Served.overrunning_clients == 1)
         send_all_that_goes(client)
         [sender] = w.service.listener.clients
-        sender._drop_some()
+        sender._drop_input()
         assert len(reads) == 1 and reads[0] <= 65536  # however much there is
         assert len(sender.connection.inbound) == RING
         gate.open("d1")
@@ -339,7 +339,7 @@
         await w.until(lambda: opened and opened[0].unsent)
         hang_up(client)
         [left] = w.service.listener.clients
-        await w.until(lambda: left.gone)
+        await w.until(lambda: left.disconnected)
         peer.reads.set()
         await peer.ended.wait()
         await w.until(lambda: not w.service.listener.clients)
@@ -362,7 +362,7 @@
                 crossed.append(connection)
                 # Room for all the rest at once.
                 connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 200_000)
-                left.leave()  # read in the same turn of the loop in which there is room again
+                left.disconnect()  # read in the same turn of the loop in which there is room again
 
         monkeypatch.setattr(Connection, "_ready", ready)
         client = await w.client()
@@ -389,7 +389,7 @@
         await w.until(lambda: peer.exchanges)
         hang_up(client)
         [left] = w.service.listener.clients
-        await w.until(lambda: left.gone)
+        await w.until(lambda: left.disconnected)
         assert len(peer.live) == 1
         go_on.set()
         await w.until(
@@ -422,7 +422,7 @@
         await w.until(lambda: request.choice is not None)  # the module has chosen a worker for it
         if leaves:
             hang_up(client)
-            await w.until(lambda: left.gone)
+            await w.until(lambda: left.disconnected)
         go_on.set()
         await w.until(lambda: not w.service.listener.clients)
         assert request.client_left
@@ -488,7 +488,7 @@
 
 @story
 async def test_an_eviction_passes_over_a_new_connection_whose_request_is_already_there(monkeypatch):
-    monkeypatch.setattr(listener, "SETTLED", -1.0)  # new ones may give way at once
+    monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", -1.0)  # new ones may give way at once
     async with world(Peer("d1", done), settings=ROOMY) as w:
         one, other = await w.client(), await w.client()
         await w.until(lambda: len(w.service.listener.clients) == 2)
@@ -546,7 +546,7 @@
 
 @story
 async def test_in_a_flood_an_answer_to_a_job_is_not_killed_by_what_its_client_sends(monkeypatch):
-    monkeypatch.setattr(listener, "PART_TIME", 10.0)
+    monkeypatch.setattr(listener, "LINGER_TIMEOUT_SECONDS", 10.0)
     async with world(Peer("d1", much), settings=ROOMY) as w:
         w.service.listener.limit(1)  # more than half of all places are taken
         w.service.run_state.closing_connections = (
@@ -570,7 +570,9 @@
         w.service.listener.limit(1)
         client = await narrow_client(w)
         await client.send(**LONG)
-        await w.until(lambda: any(c.proven and not c.answering for c in w.service.listener.clients))
+        await w.until(
+            lambda: any(c.has_sent_request and not c.answering for c in w.service.listener.clients)
+        )
         as_it_is_sent(monkeypatch, lambda: client.stream.socket._sock.send(b"x" * 30000))
         await client.stream.send_all(b"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n")
         await w.until(lambda: not w.service.listener.clients)
@@ -594,7 +596,9 @@
     async with world(peer, settings=ROOMY) as w:
         client = await narrow_client(w)
         await client.send(**LONG)
-        await w.until(lambda: any(c.proven and not c.answering for c in w.service.listener.clients))
+        await w.until(
+            lambda: any(c.has_sent_request and not c.answering for c in w.service.listener.clients)
+        )
         w.service.listener._evict()  # it is the only one to give way
         client.stream.socket._sock.send(raw_request("r2"))  # its next request crosses that
         assert len((await client.reply()).body) == len(WHOLE)
@@ -605,11 +609,13 @@
 
 @timed_story
 async def test_a_client_that_takes_nothing_of_its_answer_gives_way_in_the_end(monkeypatch):
-    monkeypatch.setattr(listener, "SEND_TIME", 0.3)
+    monkeypatch.setattr(client_connection, "SEND_TIMEOUT_SECONDS", 0.3)
     async with world(Peer("d1", much), settings=ROOMY) as w:
         client = await narrow_client(w)
         await client.send(**LONG)
-        await w.until(lambda: any(c.proven and not c.answering for c in w.service.listener.clients))
+        await w.until(
+            lambda: any(c.has_sent_request and not c.answering for c in w.service.listener.clients)
+        )
         await w.until(w.service.listener._evict)
         await client.stream.aclose()
 
@@ -637,7 +643,7 @@
 
 
 def release(w) -> None:
-    w.service.listener.release(0.0)
+    w.service.listener.close_idle(0.0)
 
 
 @pytest.mark.parametrize("let_go", [restart, release])
@@ -645,12 +651,14 @@
 async def test_a_request_that_crosses_a_resting_connections_end_kills_no_answer_and_is_not_served(
     let_go, monkeypatch
 ):
-    monkeypatch.setattr(listener, "PART_TIME", 10.0)
+    monkeypatch.setattr(listener, "LINGER_TIMEOUT_SECONDS", 10.0)
     peer = Peer("d1", much)
     async with world(peer, settings=ROOMY) as w:
         client = await narrow_client(w)
         await client.send(**LONG)
-        await w.until(lambda: any(c.proven and not c.answering for c in w.service.listener.clients))
+        await w.until(
+            lambda: any(c.has_sent_request and not c.answering for c in w.service.listener.clients)
+        )
         as_it_is_looked_at(monkeypatch, lambda: client.stream.socket._sock.send(raw_request("r2")))
         let_go(w)  # most of the answer is still here, and the next request has just come
         await trio.testing.wait_all_tasks_blocked()
@@ -664,7 +672,7 @@
 
 @story
 async def test_an_answer_written_as_a_drain_closes_is_not_killed_by_the_next_request(monkeypatch):
-    monkeypatch.setattr(listener, "PART_TIME", 10.0)
+    monkeypatch.setattr(listener, "LINGER_TIMEOUT_SECONDS", 10.0)
     peer = Peer("d1", much)
     async with world(peer, settings=ROOMY) as w:
         client = await narrow_client(w)
@@ -692,7 +700,9 @@
     async with world(peer, settings=ROOMY) as w:
         client = await w.client()
         assert (await client.ask(**LONG)).status == 200
-        await w.until(lambda: any(c.proven and not c.answering for c in w.service.listener.clients))
+        await w.until(
+            lambda: any(c.has_sent_request and not c.answering for c in w.service.listener.clients)
+        )
         client.stream.socket._sock.send(raw_request("r2"))
         restart(w)
         reply = await client.reply()
@@ -884,7 +894,7 @@
 
 @timed_story
 async def test_an_answer_that_is_not_taken_is_given_up_in_time_and_holds_no_place(monkeypatch):
-    monkeypatch.setattr(listener, "SEND_TIME", 0.3)
+    monkeypatch.setattr(client_connection, "SEND_TIMEOUT_SECONDS", 0.3)
     async with world(Peer("d1", much), settings=ROOMY) as w:
         client = await narrow_client(w)
         await w.until(lambda: w.service.listener.clients)
@@ -940,7 +950,7 @@
 @FRONTS
 @timed_story
 async def test_a_flood_of_half_requests_takes_no_place_from_those_that_work(front, monkeypatch):
-    monkeypatch.setattr(listener, "SETTLED", 0.05)
+    monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.05)
     async with world(Peer("d1", done), front=front, limits={"sockets": 80}) as w:
         flood = []
         for i in range(4):
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -143,7 +143,9 @@
             assert await client.stream.receive_some() == b""  # they go with their answers
             await client.stream.aclose()
         await w.ended.wait()
-        await w.until(lambda: new_process.listener._most == 541)  # 0.55 of all that are not spare
+        await w.until(
+            lambda: new_process.listener._max_clients == 541
+        )  # 0.55 of all that are not spare
 
 
 @story
@@ -152,7 +154,7 @@
         new_process = await start_heir(w)
         # The program that asked has nothing but the yes: by then the elder must know.
         assert new_process.run_state.serving and w.old_process.hot_restart.new_process_ready
-        assert w.old_process.listener._most + new_process.listener._most <= 541
+        assert w.old_process.listener._max_clients + new_process.listener._max_clients <= 541
 
 
 @story
@@ -212,18 +214,18 @@
 async def test_two_runs_side_by_side_part_the_descriptors_and_none_is_left_without(monkeypatch):
     """However many the elder has in use: the parts fill the whole, and what it uses it keeps."""
     monkeypatch.setattr(
-        listener, "SETTLED", 0.0
+        listener, "MIN_EVICTION_AGE_SECONDS", 0.0
     )  # each client is there for long, as on a slow machine
     async with shared_world(Peer("d1", done), limits={"sockets": 384}) as w:
         old_process, clients = w.service, []
         for used in (0, 30, 120, 200, 280, 384):
-            while len(old_process.listener.clients) < min(used, old_process.listener._most):
+            while len(old_process.listener.clients) < min(used, old_process.listener._max_clients):
                 clients.append(await w.client())
                 await clients[-1].send("/up", "GET")
                 await clients[-1].reply()
             old_process.worker_connections.open = max(0, used - len(old_process.listener.clients))
             new_processes = old_process.state_exchange.snapshot()["sockets"]
-            bounds = old_process.listener._most, old_process.worker_connections._max_open
+            bounds = old_process.listener._max_clients, old_process.worker_connections._max_open
             held = (
                 RESERVED_SOCKETS
                 + len(old_process.listener.clients)
@@ -243,12 +245,12 @@
 @story
 async def test_an_heir_that_dies_leaves_the_elder_as_it_was():
     async with shared_world(Peer("d1", done)) as w:
-        whole = w.old_process.listener._most
+        whole = w.old_process.listener._max_clients
         new_process = await start_heir(w)
-        assert w.old_process.listener._most < whole
+        assert w.old_process.listener._max_clients < whole
         new_process.tasks.nursery.cancel_scope.cancel()
         await w.until(lambda: not w.old_process.hot_restart.new_process_ready)
-        assert w.old_process.listener._most == whole
+        assert w.old_process.listener._max_clients == whole
         await start_heir(w)  # the next one finds the elder again
         assert w.old_process.hot_restart.new_process_ready
 
@@ -773,8 +775,8 @@
             await accept(self, sock)
 
         monkeypatch.setattr(HotRestart, "_accept", fails_once)
-        w.old_process.hot_restart._close_name()
-        w.old_process.hot_restart.take_name()
+        w.old_process.hot_restart._close_socket()
+        w.old_process.hot_restart.claim_path()
         with socket.socket(socket.AF_UNIX) as stray:
             directory = os.open(w.shared.directory, os.O_RDONLY)
             stray.connect(f"/proc/self/fd/{directory}/{w.shared.link().name}")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -660,7 +660,7 @@
 async def test_silence_and_half_a_request_end_in_time_and_a_kept_connection_does_not(
     front, monkeypatch
 ):
-    monkeypatch.setattr(listener, "REQUEST_TIME", 0.15)
+    monkeypatch.setattr(listener, "REQUEST_TIMEOUT_SECONDS", 0.15)
     async with world(Peer("d1", done), front=front) as w:
         kept, silent, half = await w.client(), await w.client(), await w.client()
         await kept.ask("/up", method="GET")
@@ -678,7 +678,7 @@
 async def test_a_flood_of_silent_connections_takes_no_place_from_those_that_work(
     front, monkeypatch
 ):
-    monkeypatch.setattr(listener, "SETTLED", 0.05)
+    monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.05)
     async with world(Peer("d1", done), front=front, limits={"sockets": 80}) as w:
         kept = await w.client()
         if front == "platform":
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -9,8 +9,8 @@
 from helper import Peer, done, hang, story, timed_story, world
 
 from yewrill.dispatch.engine import Attempt, Request
-from yewrill.frontends.progress import EventStreamParser, _Outlet, encode_event
-from yewrill.net import listener
+from yewrill.frontends.progress import EventStreamParser, _ProgressBuffer, encode_event
+from yewrill.net import client_connection
 from yewrill.net.worker_protocol import MalformedResponse
 
 FINAL = {"served", "refused", "failed"}
@@ -169,7 +169,7 @@
 
 @story
 async def test_a_slow_reader_is_dropped_without_growing_anything(monkeypatch):
-    monkeypatch.setattr(listener, "SEND_TIME", 0.3)
+    monkeypatch.setattr(client_connection, "SEND_TIMEOUT_SECONDS", 0.3)
 
     async def floods(exchange):
         while True:
@@ -185,7 +185,7 @@
         await client.send(X_Timeout_Ms="15000")
         await w.until(lambda: held.request is not None)
         request = held.request
-        await w.until(lambda: held.gone)
+        await w.until(lambda: held.disconnected)
         assert request.client_left and w.service.engine.now() < request.deadline - 5000.0
         assert len(held.connection.outbound) <= 8192
         await client.stream.aclose()
@@ -281,7 +281,7 @@
 async def test_progress_of_a_dead_attempt_is_dropped_and_only_the_latest_is_kept():
     request = Request("r1", 0, 0.0)
     dead, live = (Attempt(request, number, "d1", 0.0) for number in (0, 1))
-    outlet = _Outlet(request)
+    outlet = _ProgressBuffer(request)
     outlet.progress(dead, 0.9)  # never passed on before its attempt died
     request.live = live
     with trio.move_on_after(0.05) as waited:
--- a/yewrill/frontends/platform.py
+++ b/yewrill/frontends/platform.py
@@ -1,4 +1,4 @@
-"""The platform's protocol: requests to operations, answers to replies, route steps to destinations' words."""
+"""The platform's protocol: HTTP requests, replies to clients, attempts and the messages of workers."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 from yewrill.dispatch.engine import Attempt, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served
+from yewrill.net.client_connection import ClientConnection
 from yewrill.net.http import MAX_BODY, BadRequest, HttpRequest, Reply
-from yewrill.net.listener import Client
 from yewrill.net.worker_protocol import MalformedResponse, WorkerMessage
 from yewrill.policy.interface import Settings
 
-Carried = Callable[[], Awaitable[Answer | None]]
-Closing = Callable[[], bool]  # whether connections are to be closed after their answer
+RunToAnswer = Callable[[], Awaitable[Answer | None]]
+ClosesAfterAnswer = Callable[[], bool]  # whether connections are to be closed after their answer
 
 MAX_TARGET = 2048
-MOST_SUBJECT = 128  # characters of the cookie `user`
-# The headers that are passed on, and the form that each must have. A destination closes its connection on
-# what it can't read, which would count against the destination: so nothing else gets there.
+MAX_SUBJECT_CHARS = 128  # characters of the cookie `user`
+# The headers that are passed on, and the form that each must have. A worker closes its connection on
+# what it can't read, which would count against the worker: so nothing else gets there.
 _ID = re.compile(r"[A-Za-z0-9._~:/+=@-]{1,128}")
 _NAME = re.compile(r"[!-~]{1,128}")
 _TEXT = re.compile(r"[ -~]{1,1024}")
-_PASSED = {
+_FORWARDED_HEADERS = {
     b"x-request-id": _ID,
     b"idempotency-key": _ID,
     b"x-priority-class": _NAME,
@@ -44,7 +44,7 @@
 )
 
 
-# Python's own float() also takes spaces, underscores and words, which a destination may not.
+# Python's own float() also takes spaces, underscores and words, which a worker may not.
 _NUMBER = re.compile(r"[+-]?(?:[0-9]+(?:\.[0-9]*)?|\.[0-9]+)(?:[eE][+-]?[0-9]{1,3})?")
 
 
@@ -56,12 +56,13 @@
 
 
 class Reader:
-    """Turns a request's headers into an operation; used by every front."""
+    """Turns an HTTP request into a request; used by every frontend."""
 
     def __init__(self, settings: Settings, margin: float):
         self.reconfigure(settings, margin)
 
     def reconfigure(self, settings: Settings, margin: float) -> None:
+        """Take up settings; `margin`: ms of the client's timeout that are kept for the answer."""
         self.settings = settings
         self.margin = margin
         self._classes = {c.name: i for i, c in enumerate(settings.classes)}
@@ -86,9 +87,12 @@
         return self._classes[first]
 
     def read_request(self, http_request: HttpRequest, now: float) -> Request:
-        """`now` is the time at which the request's first byte was read, on the module's clock."""
+        """`now`: when the request's first byte was read, by the decision engine's clock, in ms.
+
+        Raises BadRequest.
+        """
         request_class = self.request_class(http_request)
-        http_request.passed = self._passed(http_request)
+        http_request.passed = self._forwarded_headers(http_request)
         id = http_request.one(b"x-request-id")
         if not id:
             raise BadRequest(400, "X-Request-ID is missing")
@@ -98,11 +102,11 @@
             if name not in self._tenants:
                 raise BadRequest(400, "unknown tenant in X-Tenant-Id")
             tenant = self._tenants[name]
-        patience = http_request.one(b"x-timeout-ms")
-        if patience is None:
+        client_timeout = http_request.one(b"x-timeout-ms")
+        if client_timeout is None:
             wait = self.settings.classes[request_class].deadline
-        elif patience.isascii() and patience.isdigit():
-            wait = _number(patience, "X-Timeout-Ms", 1, 86_400_000)
+        elif client_timeout.isascii() and client_timeout.isdigit():
+            wait = _number(client_timeout, "X-Timeout-Ms", 1, 86_400_000)
         else:
             raise BadRequest(400, "bad number in X-Timeout-Ms")
         retried = http_request.one(b"x-retried")
@@ -113,7 +117,7 @@
         return Request(
             id,
             request_class,
-            # Short patience keeps at least half of its time, however wide the margin.
+            # A short timeout keeps at least half of its time, however wide the margin.
             now + max(wait - self.margin, wait * 0.5),
             tenant,
             width=attributes.get("width", attributes.get("slots", 1.0)),
@@ -127,10 +131,10 @@
         )
 
     @staticmethod
-    def _passed(http_request: HttpRequest) -> list[tuple[bytes, bytes]]:
-        """The headers that go on to a destination, each there once and of its form."""
+    def _forwarded_headers(http_request: HttpRequest) -> list[tuple[bytes, bytes]]:
+        """The headers that go on to a worker, each there once and well-formed."""
         passed = []
-        for name, form in _PASSED.items():
+        for name, form in _FORWARDED_HEADERS.items():
             value = http_request.one(name)
             if value is not None:
                 if not form.fullmatch(value):
@@ -144,7 +148,7 @@
         for cookie in (cookies or "").split(";"):
             name, _, value = cookie.strip().partition("=")
             if name == "user":
-                return value if len(value) <= MOST_SUBJECT else ""
+                return value if len(value) <= MAX_SUBJECT_CHARS else ""
         return ""
 
     @staticmethod
@@ -158,15 +162,15 @@
                 raise BadRequest(400, "malformed X-Attrs")
             if name in ("width", "slots", "memory", "expected"):
                 attributes[name] = _number(value, f"X-Attrs {name}", 0, 1e9)
-            else:  # a figure the module has no use for, but the destination may
+            else:  # a number that the policy has no use for, but the worker may
                 attributes[name] = _number(value, f"X-Attrs {name}", -1e18, 1e18)
         return attributes
 
 
-def passed_on(
+def forwarded_request(
     attempt: Attempt, wait_ms: int, accept: str = ""
 ) -> tuple[str, str, list[tuple], bytes]:
-    """The client's request as it goes to a destination: what was checked is as it came, the rest is new."""
+    """The client's request as it goes to a worker: what was checked is as it came, the rest is new."""
     http_request: HttpRequest = attempt.request.payload
     headers: list[tuple] = [("Host", "destination")]
     headers += http_request.passed
@@ -180,11 +184,11 @@
 
 
 def parse_worker_message(text: bytes | str) -> WorkerMessage:
-    """One JSON object of a destination's."""
+    """One JSON object of a worker's answer. Raises MalformedResponse."""
     try:
-        said = ujson.loads(text)
-        share = said.get("share", 0.0)
-        state = said["state"]
+        message = ujson.loads(text)
+        share = message.get("share", 0.0)
+        state = message["state"]
         if (
             not isinstance(state, str)
             or isinstance(share, bool)
@@ -194,13 +198,16 @@
         if not 0.0 <= share <= 1.0:  # not a number fails too
             raise MalformedResponse("share out of bounds")
         if state == "done":
-            body_of(said["result"])  # a result that can't be written to a client is none
-        return WorkerMessage(said["id"], state, float(share), said.get("result"), said.get("load"))
+            body_of(message["result"])  # a result that can't be written to a client is none
+        return WorkerMessage(
+            message["id"], state, float(share), message.get("result"), message.get("load")
+        )
     except (ValueError, KeyError, AttributeError, TypeError, OverflowError) as error:
         raise MalformedResponse(f"not a job's line: {type(error).__name__}") from None
 
 
 def body_of(result: Any) -> bytes:
+    """A result as the client gets it. Raises ValueError or OverflowError for what JSON can't hold."""
     return (
         result.encode()
         if isinstance(result, str)
@@ -209,26 +216,28 @@
 
 
 def retry_after(answer: Rejection) -> str:
+    """The value of Retry-After, in seconds."""
     return f"{answer.retry_after / 1000.0:.3f}".rstrip("0").rstrip(".")
 
 
-class _Lines:
-    """Destinations' lines of JSON, in whatever pieces they come."""
+class _JsonLinesDecoder:
+    """A worker's lines of JSON, in whatever pieces they come."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_incomplete",)
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> list[WorkerMessage]:
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) > MAX_BODY:
+        """Take the next bytes. Raises MalformedResponse."""
+        *lines, self._incomplete = (self._incomplete + data).split(b"\n")
+        if len(self._incomplete) > MAX_BODY:
             raise MalformedResponse("line too long")
         return [parse_worker_message(line) for line in lines if line.strip()]
 
 
 class PlatformFront:
-    """One job, one request, one reply."""
+    """One request, one reply."""
 
     content_type = ""
     takes_while_draining = True
@@ -237,26 +246,33 @@
         self.reader = reader
 
     def encode_request(self, attempt: Attempt, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
-        return passed_on(attempt, wait_ms)
+        """The request as it goes to a worker."""
+        return forwarded_request(attempt, wait_ms)
 
-    def decoder(self) -> _Lines:
-        return _Lines()
+    def decoder(self) -> _JsonLinesDecoder:
+        """A decoder for one answer."""
+        return _JsonLinesDecoder()
 
-    def turned_back(self, http_request: HttpRequest) -> Reply | None:
-        """A reply to what is no job, though it looks like one."""
+    def early_reply(self, http_request: HttpRequest) -> Reply | None:
+        """A reply to what is no request, though it looks like one; here there is none."""
         return None
 
     async def respond(
-        self, client: Client, request: Request, carried: Carried, closing: Closing
+        self,
+        client: ClientConnection,
+        request: Request,
+        run_to_answer: RunToAnswer,
+        closes_after_answer: ClosesAfterAnswer,
     ) -> bool:
-        """Carry an operation and reply; whether the connection may carry another request."""
-        answer = await carried()
-        if answer is None or client.gone:
+        """Run a request and reply. Returns whether the connection may carry another."""
+        answer = await run_to_answer()
+        if answer is None or client.disconnected:
             return False
-        close = closing()
+        close = closes_after_answer()
         return await client.send(client.http.whole(self.reply(answer), close)) and not close
 
     def reply(self, answer: Answer) -> Reply:
+        """The HTTP reply to a final answer."""
         if isinstance(answer, Served):
             return Reply(200, body_of(answer.result), content_type="application/octet-stream")
         if isinstance(answer, Rejection):
--- a/yewrill/frontends/progress.py
+++ b/yewrill/frontends/progress.py
@@ -1,7 +1,7 @@
 """Server-sent events (WHATWG event-stream format): progress to the client, and exactly one final event.
 
 Requests are the platform's. The reply is a stream of `progress` events and then one `served`, `refused` or
-`failed`, after which it closes. Destinations are asked for the same format; each event's data is one of the
+`failed`, after which it closes. Workers are asked for the same format; each event's data is one of the
 platform's JSON objects.
 """
 
@@ -15,9 +15,15 @@
 
 from yewrill.dispatch.engine import Attempt, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served
-from yewrill.frontends.platform import Carried, Closing, Reader, parse_worker_message, passed_on
+from yewrill.frontends.platform import (
+    ClosesAfterAnswer,
+    Reader,
+    RunToAnswer,
+    forwarded_request,
+    parse_worker_message,
+)
+from yewrill.net.client_connection import ClientConnection
 from yewrill.net.http import MAX_BODY, HttpRequest, Reply
-from yewrill.net.listener import Client
 from yewrill.net.worker_protocol import MalformedResponse, WorkerMessage
 
 CONTENT_TYPE = "text/event-stream"
@@ -30,6 +36,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
+    """One event of a stream."""
+
     type: str
     data: str
     id: str = ""
@@ -42,13 +50,13 @@
 
 
 class EventStreamParser:
-    """Reads an event stream in whatever pieces it comes; an event cut off at the end is never told."""
+    """Reads an event stream in whatever pieces it comes; an event cut off at the end is dropped."""
 
     _ENDS = re.compile(rb"\r\n|\n|\r")
 
-    def __init__(self, most: int = MAX_BODY):
-        self._most = most
-        self._rest = b""
+    def __init__(self, max_bytes: int = MAX_BODY):
+        self._max_bytes = max_bytes
+        self._incomplete = b""
         self._begun = False
         self._type = ""
         self._data: list[str] = []
@@ -56,10 +64,11 @@
         self._id = ""
 
     def feed(self, data: bytes) -> list[Event]:
-        buffer = self._rest + data
+        """Take the next bytes; returns the events that are whole. Raises MalformedResponse."""
+        buffer = self._incomplete + data
         if not self._begun:
             if len(buffer) < 3 and b"\xef\xbb\xbf".startswith(buffer):
-                self._rest = buffer
+                self._incomplete = buffer
                 return []
             buffer = buffer.removeprefix(b"\xef\xbb\xbf")
             self._begun = True
@@ -70,8 +79,8 @@
                 break  # it may be the first half of CR LF
             self._line(buffer[at : end.start()].decode("utf-8", "replace"), events)
             at = end.end()
-        self._rest = buffer[at:]
-        if len(self._rest) + self._size > self._most:
+        self._incomplete = buffer[at:]
+        if len(self._incomplete) + self._size > self._max_bytes:
             raise MalformedResponse("event too long")
         return events
 
@@ -86,17 +95,17 @@
         if name == "data":
             self._data.append(value)
             self._size += len(value) + 1
-            if self._size > self._most:
+            if self._size > self._max_bytes:
                 raise MalformedResponse("event too long")
         elif name == "event":
             self._type = value
         elif name == "id" and "\0" not in value:
             self._id = value
-        # A comment (no name), `retry` and unknown fields say nothing about a job.
+        # A comment (no name), `retry` and unknown fields say nothing about a request.
 
 
-class _Events:
-    """A destination's event stream as words on a job."""
+class _EventStreamDecoder:
+    """A worker's event stream as its messages on a request."""
 
     __slots__ = ("_parser",)
 
@@ -104,98 +113,108 @@
         self._parser = EventStreamParser()
 
     def feed(self, data: bytes) -> list[WorkerMessage]:
+        """Take the next bytes. Raises MalformedResponse."""
         return [parse_worker_message(event.data) for event in self._parser.feed(data)]
 
 
-class _Outlet:
+class _ProgressBuffer:
     """What waits to be written to a client: the latest progress only, so a slow reader holds up no memory."""
 
     def __init__(self, request: Request):
         self._request = request
         self._latest: tuple[Attempt, float] | None = None
-        self._news = trio.Event()
+        self._changed = trio.Event()
         self._ended = False
         self.answer: Answer | None = None
 
     def progress(self, attempt: Attempt, share: float) -> None:
+        """Note the share of an attempt's work that is done."""
         self._latest = (attempt, share)
-        self._news.set()
+        self._changed.set()
 
     def end(self, answer: Answer | None) -> None:
+        """There is no more progress; None if the client has left."""
         self.answer = answer
         self._ended = True
-        self._news.set()
+        self._changed.set()
 
     async def next(self) -> tuple[int, float] | None:
-        """The next progress worth telling, as attempt number and share; None at the end."""
+        """The next progress to send, as attempt number and share; None at the end."""
         while not self._ended:
             latest, self._latest = self._latest, None
-            # What an attempt said before it died is stale, even if it was never passed on.
+            # Progress of an attempt that has ended is stale, even if it was never sent on.
             if latest is not None and self._request.live is latest[0]:
                 return latest[0].number, latest[1]
-            self._news = trio.Event()
-            await self._news.wait()
+            self._changed = trio.Event()
+            await self._changed.wait()
         return None
 
 
 class ProgressFront:
+    """One request, one event stream."""
+
     content_type = CONTENT_TYPE
     takes_while_draining = False
 
     def __init__(self, reader: Reader):
         self.reader = reader
 
-    # -- towards destinations
-
     def encode_request(self, attempt: Attempt, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
-        return passed_on(attempt, wait_ms, accept=CONTENT_TYPE)
-
-    def decoder(self) -> _Events:
-        return _Events()
+        """The request as it goes to a worker."""
+        return forwarded_request(attempt, wait_ms, accept=CONTENT_TYPE)
 
-    # -- towards clients
+    def decoder(self) -> _EventStreamDecoder:
+        """A decoder for one answer."""
+        return _EventStreamDecoder()
 
-    def turned_back(self, http_request: HttpRequest) -> Reply | None:
-        """A reader that reconnects by itself would submit its job again: 204 tells it to stop."""
+    def early_reply(self, http_request: HttpRequest) -> Reply | None:
+        """A reader that reconnects by itself would send its request again: 204 tells it to stop."""
         return Reply(204) if http_request.one(b"last-event-id") is not None else None
 
     async def respond(
-        self, client: Client, request: Request, carried: Carried, closing: Closing
+        self,
+        client: ClientConnection,
+        request: Request,
+        run_to_answer: RunToAnswer,
+        closes_after_answer: ClosesAfterAnswer,
     ) -> bool:
-        """Open the stream, pass progress on, write the one final event. The connection ends with it."""
+        """Open the stream, send progress on, write the one final event. The connection ends with it."""
         head = client.http.head(200, HEADERS, close=True)
         if not await client.send(head + client.http.part(b": taken\n\n")):
-            client.leave()
-        outlet = _Outlet(request)
-        request.on_progress = outlet.progress
+            client.disconnect()
+        buffer = _ProgressBuffer(request)
+        request.on_progress = buffer.progress
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._write, client, request, outlet)
+            nursery.start_soon(self._write, client, request, buffer)
             answer: Answer | None = None
             try:
-                answer = await carried()
+                answer = await run_to_answer()
             finally:
                 request.on_progress = None
-                outlet.end(answer)
+                buffer.end(answer)
         return False
 
-    async def _write(self, client: Client, request: Request, outlet: _Outlet) -> None:
-        told = 0
-        while (progress := await outlet.next()) is not None:
+    async def _write(
+        self, client: ClientConnection, request: Request, buffer: _ProgressBuffer
+    ) -> None:
+        events_sent = 0
+        while (progress := await buffer.next()) is not None:
             number, share = progress
-            told += 1
+            events_sent += 1
             event = encode_event(
-                "progress", {"id": request.id, "attempt": number, "share": share}, f"{told}"
+                "progress", {"id": request.id, "attempt": number, "share": share}, f"{events_sent}"
             )
             if not await client.send(client.http.part(event)):
                 # Gone, or not reading: an event that is half written can't be followed by another.
-                client.leave()
+                client.disconnect()
                 return
-        if outlet.answer is not None and not client.gone:
-            final = client.http.part(final_event(request, outlet.answer, f"{told + 1}"))
+        if buffer.answer is not None and not client.disconnected:
+            final = client.http.part(final_event(request, buffer.answer, f"{events_sent + 1}"))
             await client.send(final + client.http.end())
 
 
 def final_event(request: Request, answer: Answer, id: str) -> bytes:
+    """The event that ends a stream."""
     if isinstance(answer, Served):
         return encode_event("served", {"id": request.id, "result": answer.result}, id)
     if isinstance(answer, Rejection):
--- a/yewrill/lab/cluster/entry.py
+++ b/yewrill/lab/cluster/entry.py
@@ -144,14 +144,14 @@
 
 def _answer_twice() -> None:
     """Each answer goes out two times."""
-    from yewrill.net.listener import Client
+    from yewrill.net.client_connection import ClientConnection
 
-    send = Client.send
+    send = ClientConnection.send
 
     async def twice(self: Any, data: bytes) -> bool:
         return await send(self, data + data if data.startswith(b"HTTP/1.1 200") else data)
 
-    Client.send = twice
+    ClientConnection.send = twice
 
 
 def _drain() -> None:
--- a/yewrill/net/management.py
+++ b/yewrill/net/management.py
@@ -1,4 +1,4 @@
-"""The management listener: a small one, one call to a connection. What a call does is told it."""
+"""The management listener, with one call to a connection; what the calls do is given to it."""
 
 from __future__ import annotations
 
@@ -6,17 +6,18 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qsl
 
+from yewrill.net.client_connection import ClientConnection
 from yewrill.net.http import BadRequest, HttpRequest, Reply
-from yewrill.net.listener import Client, Listener
+from yewrill.net.listener import Listener
 
-PLACES = 24  # callers at once, of the spare descriptors
-PATIENCE = 1.0  # seconds for a caller to have said its call
+MAX_CALLERS = 24  # at once, of the reserved descriptors
+REQUEST_TIMEOUT_SECONDS = 1.0  # for a whole call to come
 NAME = "name"  # the parameter that names what a call is about
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One thing that operators may ask. One that is `named` is told what it is about."""
+    """One call of operators. If it is `named`, its action gets the name that the call states."""
 
     method: str
     act: Callable[..., Awaitable[Reply]]
@@ -28,7 +29,13 @@
 
     def __init__(self, address: tuple[str, int], calls: Mapping[str, Call]):
         self._calls = calls
-        self._listener = Listener(address, self._handle, PLACES, patience=PATIENCE, part="door")
+        self._listener = Listener(
+            address,
+            self._handle,
+            MAX_CALLERS,
+            request_timeout=REQUEST_TIMEOUT_SECONDS,
+            log_name="door",
+        )
 
     @property
     def address(self) -> tuple[str, int]:
@@ -43,7 +50,7 @@
         """Take no more calls."""
         self._listener.stop_accepting()  # nobody is left to serve it
 
-    async def _handle(self, client: Client, http_request: HttpRequest) -> bool:
+    async def _handle(self, client: ClientConnection, http_request: HttpRequest) -> bool:
         await client.send(client.http.whole(await self._reply(http_request), close=True))
         return False
 
--- a/yewrill/service/hot_restart.py
+++ b/yewrill/service/hot_restart.py
@@ -1,7 +1,7 @@
-"""The link between two runs of one dispatcher: a new version (the heir) joins the old one (the elder).
+"""The link of a hot restart: a new process of a dispatcher joins the old one.
 
-Both tell each other, as JSON lines over a Unix socket, every change of what must hold across the two. What
-that is belongs to the service; this file knows names, links and their ends.
+Both send each other, as JSON lines over a Unix socket, every change of what must hold across the two. What
+that is belongs to `PeerState`; this module knows the socket's path, the links and their ends.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import logging
 import os
 import socket
-from collections.abc import Awaitable, Callable, Iterator
+from collections.abc import AsyncIterator, Awaitable, Callable, Iterator
 from contextlib import contextmanager, suppress
 from pathlib import Path
 from typing import Any, Protocol
@@ -22,23 +22,23 @@
 
 log = logging.getLogger("yewrill.handover")
 
-PATIENCE = 0.5  # seconds that a silent elder, or a leftover of one, may cost a start
-MOST_LINE = 4 * 1024 * 1024
-MOST_UNSENT = 8 * 1024 * 1024  # a peer that reads nothing is let go
-MOST_LINKS = 4
-MOST_PATH = 100  # bytes: a Unix address holds 107
+PEER_TIMEOUT_SECONDS = 0.5  # that a silent old process, or what is left of one, may cost a start
+MAX_LINE_BYTES = 4 * 1024 * 1024
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # a peer that reads nothing is disconnected
+MAX_LINKS = 4
+MAX_PATH_BYTES = 100  # a Unix address holds 107
 
 
 def link_path(directory: str, name: str, address: tuple[str, int]) -> Path:
-    """One name for all runs of one dispatcher, and for no other that shares the directory."""
+    """One path for all processes of one dispatcher, and for no other that shares the directory."""
     key = hashlib.sha256(f"{name}\n{address[0]}:{address[1]}".encode()).hexdigest()[:16]
     return Path(directory) / f"yewrill-{key}.link"
 
 
 @contextmanager
-def _short(path: Path) -> Iterator[str]:
+def _address_of(path: Path) -> Iterator[str]:
     """The path as a Unix address can hold it, however deep its directory lies."""
-    if len(os.fsencode(path)) <= MOST_PATH:
+    if len(os.fsencode(path)) <= MAX_PATH_BYTES:
         yield str(path)
         return
     directory = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
@@ -48,14 +48,14 @@
         os.close(directory)
 
 
-def _file(path: Path) -> tuple[int, ...]:
-    """Tells whether a path still leads to the same file."""
+def _file_identity(path: Path) -> tuple[int, ...]:
+    """What is equal as long as a path leads to the same file."""
     found = os.stat(path)
     return found.st_dev, found.st_ino, found.st_mtime_ns
 
 
-class _Awaited:
-    """An answer that is waited for."""
+class _PendingReply:
+    """The reply to a numbered message."""
 
     def __init__(self) -> None:
         self.event = trio.Event()
@@ -63,49 +63,53 @@
 
 
 class _Link:
+    """A connection to another process of this dispatcher."""
+
     def __init__(self, connection: Connection, old_process: bool):
         self.connection = connection
-        self.old_process = old_process  # whether the other side is the elder
-        self.told = False  # an elder that has told what it knows
-        self.ready = False  # an heir that serves
-        self.ids: set[str] = set()  # open there
+        self.old_process = old_process  # whether the other side is that
+        self.state_received = False  # an old process's state
+        self.ready = False  # a new process that serves
+        self.ids: set[str] = set()  # of requests open there
         # Numbered messages that the other side is yet to answer.
-        self.awaited: dict[int, _Awaited] = {}
-        self._pending = bytearray()
-        self._news = trio.Event()
+        self.pending: dict[int, _PendingReply] = {}
+        self._unsent = bytearray()
+        self._has_unsent = trio.Event()
         self._count = 0
 
-    def tell(self, message: dict[str, Any]) -> None:
-        self._pending += ujson.dumps(message).encode() + b"\n"
-        if len(self._pending) > MOST_UNSENT:
+    def send(self, message: dict[str, Any]) -> None:
+        self._unsent += ujson.dumps(message).encode() + b"\n"
+        if len(self._unsent) > MAX_UNSENT_BYTES:
             self.connection.close()
-        self._news.set()
+        self._has_unsent.set()
 
-    async def agree(self, message: dict[str, Any]) -> dict[str, Any] | None:
-        """Tell, and wait for the answer; None if the link broke before."""
+    async def send_and_confirm(self, message: dict[str, Any]) -> dict[str, Any] | None:
+        """Send, and wait for the reply; None if the link broke before."""
         self._count += 1
         number = self._count
-        awaited = self.awaited[number] = _Awaited()
+        pending = self.pending[number] = _PendingReply()
         try:
-            self.tell({**message, "number": number})
-            await awaited.event.wait()
-            return awaited.answer
+            self.send({**message, "number": number})
+            await pending.event.wait()
+            return pending.answer
         finally:
-            self.awaited.pop(number, None)
+            self.pending.pop(number, None)
 
     async def write(self) -> None:
+        """Write what is sent until cancelled. Raises OSError."""
         while True:
-            await self._news.wait()
+            await self._has_unsent.wait()
             await trio.lowlevel.checkpoint()  # what else happens in this moment goes along
-            self._news = trio.Event()
-            data, self._pending = bytes(self._pending), bytearray()
+            self._has_unsent = trio.Event()
+            data, self._unsent = bytes(self._unsent), bytearray()
             await self.connection.send(data)
 
-    async def lines(self):
-        rest = b""
+    async def messages(self) -> AsyncIterator[dict[str, Any]]:
+        """Messages until the other side closes. Raises OSError or ValueError."""
+        incomplete = b""
         while data := await self.connection.receive():
-            *lines, rest = (rest + data).split(b"\n")
-            if len(rest) > MOST_LINE:
+            *lines, incomplete = (incomplete + data).split(b"\n")
+            if len(incomplete) > MAX_LINE_BYTES:
                 raise ValueError("line too long")
             for line in lines:
                 message = ujson.loads(line)
@@ -128,6 +132,8 @@
 
 
 class HotRestart:
+    """Joins an old process, and serves new ones."""
+
     def __init__(
         self,
         path: Path,
@@ -138,34 +144,37 @@
         self._keep_for_another = keep_for_another
         self._peer_state: PeerState  # set by `run`
         self._links: set[_Link] = set()
-        self._named: tuple[int, ...] = ()  # the file that is our name for heirs
+        self._own_file: tuple[int, ...] = ()  # the socket's file that this process made
         self._sock: socket.socket | None = None
-        self.joined = trio.Event()  # there is no elder, or it has told all, or it had its time
+        self.joined = trio.Event()  # there is no old process, or it sent its state or timed out
         self._nursery: trio.Nursery
 
     @property
     def new_process_ready(self) -> bool:
+        """Whether a new process serves."""
         return any(link.ready for link in self._links if not link.old_process)
 
     def open_elsewhere(self, id: str) -> bool:
+        """Whether a request of this id is under way in another process."""
         return any(id in link.ids for link in self._links)
 
-    def tell(self, message: dict[str, Any]) -> None:
+    def send(self, message: dict[str, Any]) -> None:
+        """Send a change to all other processes."""
         for link in self._links:
-            link.tell(message)
+            link.send(message)
 
-    async def agree(self, message: dict[str, Any]) -> None:
-        """Tell, and wait a little until the other runs have taken it."""
-        with trio.move_on_after(PATIENCE):
+    async def send_and_confirm(self, message: dict[str, Any]) -> None:
+        """Send, and wait until the other processes have applied it, within the timeout."""
+        with trio.move_on_after(PEER_TIMEOUT_SECONDS):
             for link in list(self._links):
-                await link.agree(message)
+                await link.send_and_confirm(message)
 
     async def keep_elsewhere(self, key: str, value: str) -> bool:
-        """Have the run that holds the store keep a record, and wait for that a little; whether it does."""
-        with trio.move_on_after(PATIENCE):
+        """Have the process that holds the store keep a record; whether it did within the timeout."""
+        with trio.move_on_after(PEER_TIMEOUT_SECONDS):
             for link in list(self._links):
                 if link.old_process:
-                    answer = await link.agree({"keep": key, "value": value})
+                    answer = await link.send_and_confirm({"keep": key, "value": value})
                     return bool(answer and answer.get("kept"))
         return False
 
@@ -175,44 +184,44 @@
         async with trio.open_nursery() as self._nursery:
             if (
                 self.joined.is_set()
-            ):  # anew after a fault: whoever has the name now is no elder of ours
-                self._close_name()
-                self.take_name()
-            elif (connection := await self._find()) is None:
+            ):  # started again after an exception: whoever has the path now is not older
+                self._close_socket()
+                self.claim_path()
+            elif (connection := await self._connect_to_old_process()) is None:
                 self.joined.set()
             else:
-                self._nursery.start_soon(self._follow, _Link(connection, old_process=True))
-                with trio.move_on_after(PATIENCE):
+                self._nursery.start_soon(self._run_link, _Link(connection, old_process=True))
+                with trio.move_on_after(PEER_TIMEOUT_SECONDS):
                     await self.joined.wait()
                 if not self.joined.is_set():
                     log.warning("elder-silent: started without what it knows")
                     self.joined.set()
             await trio.sleep_forever()
 
-    async def _find(self) -> Connection | None:
+    async def _connect_to_old_process(self) -> Connection | None:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         connection = Connection(sock)
         try:
-            with _short(self._path) as address:
+            with _address_of(self._path) as address:
                 sock.connect(address)
-        except OSError:  # none, a leftover, or one too busy to be asked
+        except OSError:  # none, the file of one that is gone, or one that is too busy
             connection.close()
             return None
         return connection
 
-    async def _follow(self, link: _Link) -> None:
-        if len(self._links) >= MOST_LINKS:
+    async def _run_link(self, link: _Link) -> None:
+        if len(self._links) >= MAX_LINKS:
             link.connection.close()
             return
         self._links.add(link)
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(link.write)
-                link.tell(
+                link.send(
                     {"hello": 1} if link.old_process else {"state": self._peer_state.snapshot()}
                 )
-                async for message in link.lines():
-                    self._take(link, message)
+                async for message in link.messages():
+                    self._receive(link, message)
                 nursery.cancel_scope.cancel()
         except* (OSError, ValueError, trio.BrokenResourceError) as errors:
             log.info("link-broken: %s", errors.exceptions[0])
@@ -220,31 +229,31 @@
             link.connection.close()
             self._links.discard(link)
         log.info("%s-gone", "elder" if link.old_process else "heir")
-        for awaited in link.awaited.values():
-            awaited.event.set()
+        for pending in link.pending.values():
+            pending.event.set()
         if link.old_process:
             self.joined.set()
         if not link.old_process and not any(not other.old_process for other in self._links):
-            self.take_name()  # it may have taken the name along
+            self.claim_path()  # it may have removed the path
         if not self._links:
             self._peer_state.disconnected()
 
-    def _take(self, link: _Link, message: dict[str, Any]) -> None:
+    def _receive(self, link: _Link, message: dict[str, Any]) -> None:
         if "open" in message:
             link.ids.add(str(message["open"]))
         elif "shut" in message:
             link.ids.discard(str(message["shut"]))
         elif "noted" in message:
-            if (awaited := link.awaited.get(message["noted"])) is not None:
-                awaited.answer = message
-                awaited.event.set()
+            if (pending := link.pending.get(message["noted"])) is not None:
+                pending.answer = message
+                pending.event.set()
         elif "keep" in message:
             self._nursery.start_soon(self._keep, link, message)
         else:
-            self._take_news(link, message)
+            self._receive_state(link, message)
 
-    def _take_news(self, link: _Link, message: dict[str, Any]) -> None:
-        """A state, a change, or that an heir is ready."""
+    def _receive_state(self, link: _Link, message: dict[str, Any]) -> None:
+        """Apply a state, a change, or that a new process is ready."""
         try:
             if "ready" in message:
                 link.ready = True
@@ -252,12 +261,12 @@
             if "state" in message:
                 link.ids.update(map(str, message["state"].get("ids", ())))
             self._peer_state.receive(message)
-        except Exception:  # another version may say what we can't read: the rest goes on
+        except Exception:  # another version may send what is unknown here: the link goes on
             log.exception("handover-fault")
         if "number" in message:
-            link.tell({"noted": message["number"]})
+            link.send({"noted": message["number"]})
         if "state" in message:
-            link.told = True
+            link.state_received = True
             self.joined.set()
 
     async def _keep(self, link: _Link, message: dict[str, Any]) -> None:
@@ -265,48 +274,51 @@
         try:
             if self._keep_for_another is not None:
                 kept = await self._keep_for_another(str(message["keep"]), str(message["value"]))
-        except Exception:  # another version may say what we can't read
+        except Exception:  # another version may send what is unknown here
             log.exception("handover-fault")
-        link.tell({"noted": message.get("number"), "kept": kept})
-
-    # -- the name under which heirs find us
+        link.send({"noted": message.get("number"), "kept": kept})
 
     async def ready(self) -> None:
-        """We serve: a new run is to find this one, and the elder is to know it before anyone stops it."""
-        self.take_name()
+        """Announce that this process serves.
+
+        New ones are to find it, and the old one is to know before it is stopped.
+        """
+        self.claim_path()
         for link in list(self._links):
-            if link.old_process and link.told:
-                with trio.move_on_after(PATIENCE):
-                    await link.agree({"ready": True})
+            if link.old_process and link.state_received:
+                with trio.move_on_after(PEER_TIMEOUT_SECONDS):
+                    await link.send_and_confirm({"ready": True})
             elif link.old_process:
-                link.tell({"ready": True})  # one that has been silent is not waited for twice
+                link.send({"ready": True})  # one that timed out is not waited for twice
 
-    def take_name(self) -> None:
+    def claim_path(self) -> None:
+        """Listen for new processes, unless this one does already."""
         try:
             if self._sock is None:
                 self._listen()
             else:
                 with suppress(FileNotFoundError):
-                    if _file(self._path) == self._named:
+                    if _file_identity(self._path) == self._own_file:
                         return
-                self._close_name()
+                self._close_socket()
                 self._listen()
         except OSError as error:
             log.warning("no-link %s: a new version will start without what this one knows", error)
 
     def _listen(self) -> None:
-        # Bound beside and moved over the name: at no moment is there none, and a leftover doesn't matter.
-        aside = self._path.with_name(f"{self._path.name}.{os.getpid()}")
+        # Bound beside and moved over the path: at no moment is there none, and what an old process left there
+        # does not matter.
+        temporary = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         with suppress(FileNotFoundError):
-            aside.unlink()
+            temporary.unlink()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
-            with _short(aside) as address:
+            with _address_of(temporary) as address:
                 sock.bind(address)
-            sock.listen(MOST_LINKS)
-            self._named = _file(aside)
-            os.rename(aside, self._path)
+            sock.listen(MAX_LINKS)
+            self._own_file = _file_identity(temporary)
+            os.rename(temporary, self._path)
         except BaseException:
             sock.close()
             raise
@@ -322,31 +334,31 @@
                 continue
             except OSError as error:
                 log.warning("no-link %s", error)
-                await trio.sleep(PATIENCE)
+                await trio.sleep(PEER_TIMEOUT_SECONDS)
                 continue
-            self._nursery.start_soon(self._greet, Connection(new_process))
+            self._nursery.start_soon(self._welcome, Connection(new_process))
 
-    async def _greet(self, connection: Connection) -> None:
-        """An heir says hello first, within its time."""
-        with trio.move_on_after(PATIENCE), suppress(OSError):
+    async def _welcome(self, connection: Connection) -> None:
+        """A new process sends its hello first, within the timeout."""
+        with trio.move_on_after(PEER_TIMEOUT_SECONDS), suppress(OSError):
             if (await connection.receive()).startswith(b'{"hello"'):
                 log.info("heir-joins")
-                self._nursery.start_soon(self._follow, _Link(connection, old_process=False))
+                self._nursery.start_soon(self._run_link, _Link(connection, old_process=False))
                 return
         connection.close()
 
-    def _close_name(self) -> None:
+    def _close_socket(self) -> None:
         if self._sock is not None:
             sock, self._sock = self._sock, None
             trio.lowlevel.notify_closing(sock)
             sock.close()
 
     def close(self) -> None:
-        """Leave: the name goes too, unless an heir has it."""
+        """Close all links. The path is removed too, unless a new process has it."""
         if self._sock is not None:
-            self._close_name()
+            self._close_socket()
             with suppress(OSError):
-                if _file(self._path) == self._named:
+                if _file_identity(self._path) == self._own_file:
                     self._path.unlink()
         for link in self._links:
             link.connection.close()
--- a/yewrill/service/management_calls.py
+++ b/yewrill/service/management_calls.py
@@ -102,7 +102,7 @@
         log.info("detached worker=%s", name)
         state = self._persistent_state
         stored = state is None or await state.taken_out(name)
-        await self._tell_other_process({"out": name})
+        await self._send_to_other_process({"out": name})
         return _done(b"detached", stored)
 
     async def _attach(self, name: str) -> Reply:
@@ -111,20 +111,20 @@
         log.info("attached worker=%s", name)
         state = self._persistent_state
         stored = state is None or await state.put_back(name)
-        await self._tell_other_process({"back": name, "at": time.time() * 1000.0})
+        await self._send_to_other_process({"back": name, "at": time.time() * 1000.0})
         return _done(b"attached", stored)
 
     async def _drain(self, on: bool, answer: bytes) -> Reply:
         self._operator_drain.set(on)
         state = self._persistent_state
         stored = state is None or await state.operator_drain(on)
-        await self._tell_other_process({"lame": on})
+        await self._send_to_other_process({"lame": on})
         return _done(answer, stored)
 
-    async def _tell_other_process(self, message: dict[str, Any]) -> None:
+    async def _send_to_other_process(self, message: dict[str, Any]) -> None:
         """What operators order holds for the dispatcher, so for both processes of a hot restart."""
         if self._hot_restart is not None:
-            await self._hot_restart.agree(message)
+            await self._hot_restart.send_and_confirm(message)
 
 
 def _done(answer: bytes, stored: bool) -> Reply:
--- a/yewrill/service/open_requests.py
+++ b/yewrill/service/open_requests.py
@@ -24,10 +24,10 @@
         """Reserve an id, and notify the other process."""
         self.ids.add(id)
         if self._hot_restart is not None:
-            self._hot_restart.tell({"open": id})
+            self._hot_restart.send({"open": id})
 
     def discard(self, id: str) -> None:
         """Free an id, and notify the other process."""
         self.ids.discard(id)
         if self._hot_restart is not None:
-            self._hot_restart.tell({"shut": id})
+            self._hot_restart.send({"shut": id})
--- a/yewrill/service/operator_drain.py
+++ b/yewrill/service/operator_drain.py
@@ -62,5 +62,5 @@
             self._state.closing_connections = True
             await trio.sleep_until(began + CLOSE_IDLE_AFTER_SECONDS)
             while True:
-                self._listener.release(MIN_IDLE_SECONDS)
+                self._listener.close_idle(MIN_IDLE_SECONDS)
                 await trio.sleep(MIN_IDLE_SECONDS / RELEASES_PER_IDLE_PERIOD)
--- a/yewrill/service/request_handler.py
+++ b/yewrill/service/request_handler.py
@@ -9,9 +9,9 @@
 from yewrill.dispatch.engine import DecisionEngine, Rejection, Request
 from yewrill.dispatch.lifecycle import Answer, Served, carry
 from yewrill.dispatch.safety import Rule
+from yewrill.net.client_connection import ClientConnection
 from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import BadRequest, HttpRequest, Reply
-from yewrill.net.listener import Client
 from yewrill.observability.logs import bind_request
 from yewrill.observability.metrics import ERROR, OVERLOAD, SUCCESS, Metrics
 from yewrill.service.background_tasks import BackgroundTasks
@@ -59,7 +59,7 @@
         self._persistent_state = persistent_state
         self._tracing_hooks = tracing_hooks
 
-    async def handle(self, client: Client, http_request: HttpRequest) -> bool:
+    async def handle(self, client: ClientConnection, http_request: HttpRequest) -> bool:
         """Answer one request. Returns whether the connection may carry another.
 
         Raises BadRequest, to which the listener sends the answer. On cancellation the decision engine is
@@ -74,8 +74,8 @@
         if request.id in self._open_requests:
             # Still at a client or out at a worker: two of one id can't be told apart there.
             raise BadRequest(409, "X-Request-ID is in use")
-        if (rejection := self._front.turned_back(http_request)) is not None:
-            await client.send(client.http.whole(rejection, close=True))
+        if (early_reply := self._front.early_reply(http_request)) is not None:
+            await client.send(client.http.whole(early_reply, close=True))
             return False
         self._open_requests.add(request.id)
         self._begin_observing(request, http_request, now)
@@ -85,16 +85,16 @@
         finally:
             self._finish(client, request)
 
-    async def _answer_readiness(self, client: Client, http_request: HttpRequest) -> bool:
+    async def _answer_readiness(self, client: ClientConnection, http_request: HttpRequest) -> bool:
         if http_request.method != "GET":
             raise BadRequest(405, "GET only", (("Allow", "GET"),))
         reply = self._readiness()
         close = self._closes_after_answer(client)
         return await client.send(client.http.whole(reply, close)) and not close
 
-    async def _respond(self, client: Client, request: Request) -> bool:
+    async def _respond(self, client: ClientConnection, request: Request) -> bool:
         request_class = self._front.reader.settings.classes[request.request_class].name
-        client.request, client.on_left, client.proven = request, self._engine.left, True
+        client.request, client.on_left, client.has_sent_request = request, self._engine.left, True
         request.has_left = client.has_left
         async with client.watched(self._tasks.nursery):
             if request.trace is not None:
@@ -106,7 +106,7 @@
                 lambda: self._closes_after_answer(client),
             )
 
-    def _finish(self, client: Client, request: Request) -> None:
+    def _finish(self, client: ClientConnection, request: Request) -> None:
         client.request = None
         if not request.closed:  # however this exchange ended, the policy must not wait for it
             self._engine.left(request)
@@ -138,11 +138,11 @@
         if self._tracing_hooks is not None:
             self._tracing_hooks.begin(request, http_request, spec, tenant, now)
 
-    def _closes_after_answer(self, client: Client) -> bool:
+    def _closes_after_answer(self, client: ClientConnection) -> bool:
         return (
             self._run_state.closing_connections
             or self._operator_drain.closing_connections
-            or client.ahead
+            or client.has_pipelined_input
         )
 
     def _readiness(self) -> Reply:
@@ -155,7 +155,7 @@
             return Reply(503, b"no pool config yet\n")
         return Reply(200, b"up\n")
 
-    def closed_unanswered(self, client: Client) -> None:
+    def closed_unanswered(self, client: ClientConnection) -> None:
         """Count a connection that closed although its request had no answer: a broken rule."""
         request = client.request.id if client.request is not None else ""
         self._engine.violations.note(Rule.CLOSED_UNANSWERED, request=request, connection=id(client))
--- a/yewrill/service/shutdown.py
+++ b/yewrill/service/shutdown.py
@@ -61,7 +61,7 @@
         if self._engine.pending:
             log.warning("last-call open=%d", self._engine.pending)
             self._engine.give_up()
-        self._listener.cut()
+        self._listener.close_without_request()
 
     async def _take_last_requests(self, began: float) -> None:
         """Serve the backlog and the open connections for as long as there is time to answer."""
@@ -78,4 +78,4 @@
             await trio.sleep_until(began + config.linger_ms / 1000.0)
             await self._listener.drain_backlog(request_deadline)
         with trio.move_on_at(request_deadline):
-            await self._listener.emptied()
+            await self._listener.wait_until_empty()
