--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -70,7 +70,7 @@
 
     def __init__(self, path: Path, pool: EndpointList, clocks: Clocks, run: str = RUN):
         figures = Metrics()
-        figures.know_state()
+        figures.register_persistent_state()
         # With patience for a busy machine: what is not written in time is not in the fixture.
         super().__init__(
             StateConfig(str(path), patience_ms=10_000.0),
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -58,7 +58,7 @@
 
     async def ask(self, *args, management: bool = False, **kwargs):
         address = await self.said(
-            ("door " if management else " ready .*") + r"listen=([\d.]+):(\d+)"
+            ("management_listening " if management else " ready .*") + r"listen=([\d.]+):(\d+)"
         )
         stream = await trio.open_tcp_stream(address[1], int(address[2]))
         async with stream:
