--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -39,7 +39,7 @@
     fleet.fail(0, mode)
     fleet.run(10)
     mended = fleet.now
-    fleet.mend(0)
+    fleet.restart_workers(0)
     fleet.run(15)
     full = next(
         (
@@ -54,7 +54,7 @@
         "worth": fleet.served_weight(began, mended),
         "worth_after": fleet.served_weight(mended, mended + 15),
         "back_s": full,
-        "cold": fleet.cold_over(),
+        "cold": fleet.max_slow_start_budget_used(),
     }
 
 
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -164,7 +164,7 @@
                     for attempt in [*w.running, *w.queue]:
                         self._end(attempt, api.PolicyOutcome.CONNECTION_LOST)
 
-    def mend(self, zone: int) -> None:
+    def restart_workers(self, zone: int) -> None:
         """The zone's workers start anew, cold, and lists tell it."""
         for w in self.workers.values():
             if w.zone == zone:
@@ -313,7 +313,7 @@
     def served_weight(self, since: float, until: float) -> float:
         return sum(served_weight for at, _, served_weight in self.answered if since <= at < until)
 
-    def cold_over(self) -> float:
+    def max_slow_start_budget_used(self) -> float:
         """The most work that a cold worker was sent within the window, over its budget (1: all of it)."""
         model, worst = self.model, 0.0
         for w in self.workers.values():
