--- a/yewrill/policy/admission.py
+++ b/yewrill/policy/admission.py
@@ -1,7 +1,7 @@
-"""Admission: the gate's priority levels and guaranteed rates, over the controller's load levels.
+"""Admission control: priority levels, guaranteed rates and time constraints of the request classes.
 
-Equation numbers are those of Andersson, Nyberg and Kihl (ITCom 2003). Times are milliseconds, rates
-requests a millisecond.
+Equation numbers are those of Andersson, Nyberg and Kihl (ITCom 2003). Times are milliseconds, rates requests
+per millisecond.
 """
 
 from __future__ import annotations
@@ -23,24 +23,26 @@
 from yewrill.policy.interface import RejectionReason
 from yewrill.policy.requests import ClassState, PendingRequest
 
-LOAD_BOUND = 0.95  # (1): the guaranteed rates fill at most this part of the slots
-QUOTA_MEMORY_MS = 30000.0  # how slowly this dispatcher's part of a tenant's quota is learned
-MAX_EXPECTED_LOAD = 0.8  # of the slots, that lambda_k may stand for in the tests
-MIN_IDLE_PART = 0.2  # of the slots; with fewer idle the fleet may be at the edge of overload
-MIN_CONSTRAINT = 0.25  # the least time constraint of a class, in parts of its latency objective
+MAX_GUARANTEED_LOAD = 0.95  # (1): the guaranteed rates take at most this fraction of the slots
+QUOTA_LEARNING_MS = 30000.0  # time constant of learning this dispatcher's part of a tenant's quota
+# The largest load, as a fraction of the slots, that lambda_k represents in the tests.
+MAX_EXPECTED_LOAD = 0.8
+MIN_IDLE_FRACTION = 0.2  # of the slots; with fewer idle slots the fleet may be close to overload
+# Least time constraint of a class, as a fraction of its latency objective.
+MIN_CONSTRAINT_FRACTION = 0.25
 NEVER = -1.0
-MAX_LEVEL_CHANGES = 64  # kept for whoever logs them
+MAX_LEVEL_CHANGES = 64  # buffered until they are logged
 
 
 class Admission:
-    """Classes and tenants as the settings have them, and the gate between them and the selector."""
+    """Request classes and tenants of the settings, and the gate in front of the selector."""
 
     def __init__(self, settings: api.Settings, rng: random.Random, fleet: FleetEstimate):
         self.fleet = fleet
         self.classes: list[ClassState] = []
         self.tenants: list[TenantState] = []
         self.controller = Controller(rng)
-        self.by_constraint: list[ClassState] = []  # the tightest time constraint first
+        self.by_constraint: list[ClassState] = []  # in ascending order of time constraint
         self.refreshed_at = NEVER
         self._changes_seen = 0
         self.level_changes: deque[LevelChange] = deque(maxlen=MAX_LEVEL_CHANGES)  # not yet logged
@@ -48,7 +50,7 @@
         self.refreshed_at = NEVER
 
     def reconfigure(self, settings: api.Settings, now: float) -> None:
-        """Other settings. Classes and tenants are known by their names and keep what was learned of them."""
+        """Applies changed settings; classes and tenants whose names remain keep their estimates."""
         self.settings = settings
         known_classes = {state.spec.name: state for state in self.classes}
         known_tenants = {tenant.spec.name: tenant for tenant in self.tenants}
@@ -65,16 +67,16 @@
 
     @property
     def tightest_constraint(self) -> float:
-        """T_1."""
+        """T_1, the shortest time constraint of all classes."""
         return self.by_constraint[0].time_constraint
 
     @property
     def overloaded(self) -> bool:
-        """Whether the controller sees overload, or has traffic gapped since it last did."""
+        """Whether the load level is above normal or priority levels are still gapped."""
         return bool(self.controller.level) or self.controller.gapped_levels > 0
 
     def admit(self, request: PendingRequest, now: float) -> RejectionReason | None:
-        """Charge a new request to its class, tenant and gap: why it is rejected, or None."""
+        """Charges a new request to its class, tenant and gap; returns why it is rejected, or None."""
         known = request.tenant < len(self.tenants)
         tenant = self.tenants[request.tenant] if known else self.tenants[0]
         state = request.class_state
@@ -92,16 +94,16 @@
         return RejectionReason.GAPPED
 
     def run_controller(self, queues: list[list], now: float) -> None:
-        """Run the controller's tests, at an arrival or a departure.
+        """Runs the controller's tests when a request arrives or leaves a queue.
 
-        The queues are sorted by latest start: requests queued here, and those that wait at a worker; one
-        whose start was reported has left the queue."""
+        `queues` holds the requests queued here and those waiting at workers, each list sorted by latest
+        start. A request whose start was reported is in none of them."""
         constraints = [state.time_constraint for state in self.by_constraint]
         counts = [0] * len(constraints)
         between = [[0] * len(constraints) for _ in constraints]
         for queue in queues:
             for i, t_i in enumerate(constraints):
-                n = bisect_left(queue, (now + t_i,))  # its part of N(T_i)
+                n = bisect_left(queue, (now + t_i,))  # this queue's part of N(T_i)
                 counts[i] += n
                 for k in range(i):
                     between[i][k] += n - bisect_left(queue, (now + t_i - constraints[k],))
@@ -114,15 +116,16 @@
             self._note_level_change(counts, drain_time)
 
     def _expected_rates(self, drain_time: float) -> list[float]:
-        """lambda_k for the tests, in the order of the constraints.
+        """Returns lambda_k for the tests, in the order of the constraints.
 
-        They were bounded by the drain time of the last refresh, which moves, and is unknown before the
-        first run: while slots stand idle, more than the slots can do is not expected."""
+        The guaranteed rates were bounded by the drain time at the last refresh, which is out of date, or was
+        unknown if no run time had been measured. Therefore, while enough slots are idle, the rates are
+        bounded again by the present drain time."""
         rates = [state.guaranteed_rate for state in self.by_constraint]
         load = sum(rates) * drain_time
         if (
             load <= MAX_EXPECTED_LOAD
-            or self.fleet.idle_slots() < MIN_IDLE_PART * self.fleet.available_slots()
+            or self.fleet.idle_slots() < MIN_IDLE_FRACTION * self.fleet.available_slots()
         ):
             return rates
         return [rate * MAX_EXPECTED_LOAD / load for rate in rates]
@@ -144,7 +147,7 @@
         self.level_changes.append(change)
 
     def report(self) -> AdmissionReport:
-        """What the estimates and the gate are at now, for operators."""
+        """Returns the present estimates and state of the gate, for operators."""
         return AdmissionReport(
             self.controller.level,
             self.controller.gapped_levels,
@@ -164,7 +167,7 @@
         )
 
     def refresh(self, now: float) -> None:
-        """Work out rates, time constraints, priority levels and guaranteed rates anew."""
+        """Recomputes time constraints, priority levels, quotas and guaranteed rates."""
         period = now - self.refreshed_at if self.refreshed_at >= 0 else 0.0
         self.refreshed_at = now
         for state in self.classes:
@@ -174,14 +177,14 @@
             self.fleet.bound_run_time_quantile(max(means))
         self.by_constraint = sorted(self.classes, key=lambda c: (c.time_constraint, c.index))
         self.controller.x = self.tightest_constraint
-        # Level 0, the lowest, is traffic beyond the quotas; the classes stand above it by utility.
+        # Level 0, the lowest, is traffic above the quotas; the classes follow in order of utility.
         ranked = sorted(self.classes, key=lambda c: (c.utility, -c.index))
         for position, state in enumerate(ranked):
             state.priority_level = position + 1
         self.controller.priority_levels = len(ranked) + 1
         if period <= 0:
             return
-        weight = min(1.0, period / QUOTA_MEMORY_MS)
+        weight = min(1.0, period / QUOTA_LEARNING_MS)
         for tenant in self.tenants:
             tenant.learn_quota(period, weight, self.settings.dispatchers)
         self._guarantee_rates(ranked)
@@ -190,24 +193,26 @@
     def _refresh_class(self, state: ClassState) -> None:
         spec, mean = state.spec, state.mean_run_time
         objective = spec.latency_objective + spec.objective_run_factor * mean
-        # A class whose runs take up its objective is not in time, which tells nothing of the load.
-        least = MIN_CONSTRAINT * spec.latency_objective
+        # Run times as long as the objective make requests late at any load. Without a lower bound the time
+        # constraint would be about 0, and the tests would take this for overload.
+        least = MIN_CONSTRAINT_FRACTION * spec.latency_objective
         state.time_constraint = max(1.0, least, min(objective, spec.deadline) - mean)
         state.client_timeout.refresh(spec.deadline)
-        # (2); where weight counts by the unit of work, run time is already in the revenue.
+        # (2); where weight counts per unit of work, the revenue already includes the run time.
         weight = spec.priority_weight
         state.utility = weight if self.settings.weight_by_work else weight / mean
 
     def _guarantee_rates(self, ranked: list[ClassState]) -> None:
-        """(1): guaranteed rates in order of utility until the slots are spoken for."""
-        slots = self.fleet.available_slots() * LOAD_BOUND
+        """Sets guaranteed rates by (1), in order of utility until all slots are assigned."""
+        slots = self.fleet.available_slots() * MAX_GUARANTEED_LOAD
         total = 0
         for state in self.classes:
             total += state.arrivals
         mix = [
             state.arrivals / total if total else 1.0 / len(self.classes) for state in self.classes
         ]
-        # Dispatchers that gap together shed too much.
+        # Many dispatchers that gap at the same time reject more than is needed. So the least fraction of its
+        # rate that a class keeps grows with their number.
         min_scale = min(0.35, 0.1 + 0.00125 * self.settings.dispatchers)
         quota = sum(tenant.quota for tenant in self.tenants)
         for state in reversed(ranked):
@@ -222,8 +227,8 @@
             state.guaranteed_rate = rate * scale
 
     def _bound_rates(self) -> None:
-        """Keep the rates that the tests expect within what the slots can do."""
-        # Before any run time is known, as by the first guesses.
+        """Bounds the guaranteed rates that the tests expect by the capacity of the slots."""
+        # Before any run time is known, the drain time follows from the initial estimates.
         longest = max(state.mean_run_time for state in self.classes)
         drain_time = self.fleet.drain_time() or longest / self.fleet.available_slots()
         load = sum(state.guaranteed_rate for state in self.classes) * drain_time
--- a/yewrill/policy/admission_report.py
+++ b/yewrill/policy/admission_report.py
@@ -1,7 +1,4 @@
-"""What the admission tells operators: estimates, the gate, and what was not served and why.
-
-Plain values, taken at a moment. Times are milliseconds.
-"""
+"""Snapshots of the admission control for metrics and logs. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -14,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassReport:
-    """What is estimated of a request class, and its requests without a result by reason."""
+    """Estimates of one request class, and its requests that were not served, counted by reason."""
 
     name: str
     mean_run_time: float
@@ -24,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionReport:
-    """The controller's state, the fleet's estimates that it goes by, and the classes."""
+    """State of the controller, the fleet estimates that it depends on, and the request classes."""
 
     load_level: LoadLevel
     gapped_levels: int
-    level_changes: int  # since the process began
+    level_changes: int  # since the process started
     drain_time: float  # x
     available_slots: float
     idle_slots: float
@@ -37,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConstraintTest:
-    """One time constraint at the moment of a test, and how many requests are due within it."""
+    """One time constraint at the time of a test, and the number of requests that must start within it."""
 
     request_class: str
     time_constraint: float
@@ -53,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelChange:
-    """The load level or the number of gapped levels has changed, and what the test had found."""
+    """A change of the load level or of the number of gapped levels, with the values of the test."""
 
     load_level: LoadLevel
     gapped_levels: int
--- a/yewrill/policy/call_gapping.py
+++ b/yewrill/policy/call_gapping.py
@@ -1,4 +1,7 @@
-"""Call gapping and tenant quotas at this dispatcher. Times are milliseconds, rates requests a millisecond."""
+"""Call gapping and tenant quotas of one dispatcher.
+
+Times are milliseconds, rates requests per millisecond.
+"""
 
 from __future__ import annotations
 
@@ -7,27 +10,27 @@
 from yewrill.policy import interface as api
 from yewrill.policy.requests import ClassState
 
-# Intervals that a gap may save up; at 1 a random stream loses a third of its guaranteed rate.
-SAVED_INTERVALS = 5.0
-QUOTA_BURST_MS = 3000.0  # a tenant may run ahead of its quota by this much traffic
-QUOTA_BURST_REQUESTS = 2.0  # and by so many requests
+# Burst size of a gap, in intervals: with 1, random arrivals get only two thirds of the guaranteed rate.
+MAX_SAVED_INTERVALS = 5.0
+# Burst size of a tenant's token bucket: this time at its quota, plus this number of requests.
+QUOTA_BURST_MS = 3000.0
+QUOTA_BURST_REQUESTS = 2.0
 UNKNOWN_QUOTA = -1.0
 
 
 @dataclass(slots=True)
 class CallGap:
-    """Call gapping of one tenant's requests of one class: one every 1/rate, a few intervals may be saved
-    up."""
+    """Call gap for the requests of one tenant and class: admits one every 1/rate, with a limited burst."""
 
     rate: float = 0.0  # d
     next_at: float = 0.0
 
     def admits(self, now: float) -> bool:
-        """Whether a request passes now; if so, it is charged."""
+        """Returns whether a request passes now, and charges it if so."""
         if self.rate <= 0.0:
             return False
         interval = 1.0 / self.rate
-        start = max(self.next_at, now - (SAVED_INTERVALS - 1.0) * interval)
+        start = max(self.next_at, now - (MAX_SAVED_INTERVALS - 1.0) * interval)
         if start > now:
             return False
         self.next_at = start + interval
@@ -36,24 +39,25 @@
 
 @dataclass(eq=False)
 class TenantState:
-    """A tenant's quota here: its token bucket says which of its traffic is beyond the quota."""
+    """Token bucket and call gaps of one tenant; traffic beyond the bucket is above the quota."""
 
     updated_at: float = 0.0
     arrivals: int = 0
-    even_quota: float = UNKNOWN_QUOTA  # an even part for each dispatcher
+    even_quota: float = UNKNOWN_QUOTA  # the tenant's quota divided evenly among the dispatchers
     gaps: dict[ClassState, CallGap] = field(default_factory=dict)
 
     def reconfigure(self, spec: api.Tenant, classes: list[ClassState], dispatchers: int) -> None:
-        """Take up changed settings; the bucket is filled anew where the quota has changed."""
+        """Applies changed settings; if the quota has changed, the bucket is refilled."""
         self.spec = spec
         self.gaps = {state: self.gaps.get(state) or CallGap() for state in classes}
         even_quota = spec.quota_per_s / 1000.0 / dispatchers
         if even_quota != self.even_quota:
-            self.even_quota = self.quota = even_quota  # our part, which is learned
+            # This dispatcher's part, adjusted by `learn_quota`.
+            self.even_quota = self.quota = even_quota
             self.credit = even_quota * QUOTA_BURST_MS + QUOTA_BURST_REQUESTS
 
     def over_quota(self, now: float) -> bool:
-        """Whether a request that arrives now is beyond the quota; if not, it is charged."""
+        """Returns whether a request that arrives now is above the quota, and charges it if not."""
         if self.spec.quota_per_s <= 0.0:
             return False
         full = self.quota * QUOTA_BURST_MS + QUOTA_BURST_REQUESTS
@@ -65,10 +69,10 @@
         return False
 
     def learn_quota(self, period: float, weight: float, dispatchers: int) -> None:
-        """Learn this dispatcher's part of the quota from the arrivals of the period that ends.
+        """Adjusts this dispatcher's part of the quota to the arrivals of the period that ends now.
 
-        A tenant that reaches few dispatchers sends each of them more than an even part. The part is learned
-        slowly, so that a burst is not taken for it."""
+        A tenant whose traffic reaches few dispatchers sends each of them more than an even part. The part is
+        adjusted slowly, so that a burst does not raise it."""
         rate = min(self.arrivals / period, self.even_quota * dispatchers)
         self.quota = max(self.even_quota, self.quota + weight * (rate - self.quota))
         self.arrivals = 0
--- a/yewrill/policy/client_timeout.py
+++ b/yewrill/policy/client_timeout.py
@@ -1,11 +1,10 @@
-"""How long the clients of a class usually wait for their answer. No I/O, no clock, no randomness.
-
-Where clients do not mark their retries, a retry still shows itself: its client gives up at the same moment as
-at its first try, so it states less time than the class's first tries do. In a storm of retries, every client
-still has its first try, so the longest timeouts among recent requests are those of first tries. A high
-quantile
-stands for them, not the longest one: a single client's timeout, however long, says nothing of the others.
-Times are milliseconds.
+"""Estimate of the usual client timeout of a request class. Times are milliseconds.
+
+Where clients do not mark their retries, a retry can be recognized by its timeout: the client gives up at the
+same time as it would have for its first try, so a retry has less time left than the first tries of its class.
+Even in a retry storm each client sends a first try, so the longest timeouts among the recent requests are
+those of first tries. The estimate is a high quantile and not the maximum, because a single client with a long
+timeout says nothing about the others.
 """
 
 from __future__ import annotations
@@ -13,12 +12,12 @@
 from collections import deque
 
 RECENT_REQUESTS = 64
-MIN_REQUESTS = 8  # before so many are seen, the settings alone count
-QUANTILE = 0.8  # more than a fifth of the requests are first tries, however often clients retry
+MIN_REQUESTS = 8  # with fewer recent requests the configured deadline is the estimate
+QUANTILE = 0.8  # even in a retry storm more than a fifth of the requests are first tries
 
 
 class ClientTimeoutEstimate:
-    """The usual timeout of a class's first tries; never more than its deadline in the settings."""
+    """Usual timeout of the first tries of a class; at most the configured deadline of the class."""
 
     __slots__ = ("_recent", "usual")
 
@@ -27,11 +26,11 @@
         self.usual = deadline
 
     def record(self, timeout: float) -> None:
-        """Count a request with this timeout."""
+        """Records the timeout of one request."""
         self._recent.append(timeout)
 
     def refresh(self, deadline: float) -> None:
-        """Work out the usual timeout anew from what was recorded."""
+        """Recomputes the usual timeout from the recent requests."""
         self.usual = deadline
         if len(self._recent) >= MIN_REQUESTS:
             first_tries = sorted(self._recent)[int(QUANTILE * len(self._recent))]
--- a/yewrill/policy/requests.py
+++ b/yewrill/policy/requests.py
@@ -1,4 +1,4 @@
-"""Requests, their attempts, and what is learned of a request class. Times are milliseconds."""
+"""Open requests, their attempts, and the estimates for each request class. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -10,17 +10,20 @@
 from yewrill.policy.trial_requests import TrialRequests
 from yewrill.policy.worker_estimate import WorkerEstimate
 
-MAX_OBJECTIVES = 4.0  # a class's mean run time is hardly above so many of its latency objectives
-MIN_RUN_TIMES = 6  # run times seen of a class before its mean tells anything of a worker's speed
-REPEAT_MARGIN = 0.9  # of the deduplication window in which a repeat is still decided on
-REPEAT_AT_MARGIN = 0.95  # and in which a worker may still get one
-# Members under module names: each access through the class costs a function call in Python 3.11.
+MAX_RUN_TIME_OBJECTIVES = 4.0  # assumed bound of a class's mean run time, in latency objectives
+# Run times of a class needed before its mean serves to judge the speed of a worker.
+MIN_RUN_TIMES = 6
+# Fractions of the deduplication window: within the first a retry may be queued, within the second a queued
+# one may still be sent, so that it has some time to wait for a worker.
+REPEAT_QUEUE_FRACTION = 0.9
+REPEAT_SEND_FRACTION = 0.95
+# Module-level aliases: accessing a member through its enum class costs a function call in Python 3.11.
 _IDEMPOTENT, _IDEMPOTENT_BY_KEY, _NON_IDEMPOTENT = api.Idempotency
 
 
 @dataclass(eq=False, slots=True)
 class ClassState:
-    """What is learned of a class: run time, time constraint, rates."""
+    """Settings and estimates of one request class: run time, time constraint, rates."""
 
     spec: api.RequestClass
     index: int
@@ -34,24 +37,24 @@
     time_constraint: float = 0.0  # T_k
     guaranteed_rate: float = 0.0  # lambda_k, requests a millisecond
     not_served: Counter[api.RejectionReason] = field(default_factory=Counter)
-    # Of the mean run time, and of the ratio to what clients state.
+    # Trials of requests whose run time is expected by `mean_run_time`, and by the client's hint.
     mean_trials: TrialRequests = field(default_factory=TrialRequests)
     hint_trials: TrialRequests = field(default_factory=TrialRequests)
 
     def __post_init__(self) -> None:
-        # Until run times are seen.
+        # Initial values, used until run times have been measured.
         self.mean_run_time = max(1.0, min(self.spec.latency_objective, self.spec.deadline / 2) / 2)
         self.time_constraint = self.spec.latency_objective
         self.client_timeout = ClientTimeoutEstimate(self.spec.deadline)
 
     def trials(self, hinted: bool) -> TrialRequests:
-        """The trials of the estimate that a request's run time is expected by."""
+        """Returns the trials for requests with or without a hint of their work."""
         return self.hint_trials if hinted else self.mean_trials
 
     def record_run_time(
         self, run_time: float, hint: float, now: float, trial: bool = False
     ) -> None:
-        """A request was served; `hint`: how much work its client had said to expect, 0 where unknown."""
+        """Records the run time of a served request; `hint` is the work its client stated, 0 if unknown."""
         trials = self.trials(hint > 0)
         if trial:
             self.run_times_seen = min(self.run_times_seen, trials.confidence(now))
@@ -60,13 +63,14 @@
         weight = max(0.02, 1.0 / self.run_times_seen)
         self.mean_run_time = max(1.0, self.mean_run_time + weight * (run_time - self.mean_run_time))
         if hint > 0:
-            # Against the ratio as it is now: others may have moved it since this request came.
+            # The error is taken against the current ratio, which other requests may have changed since this
+            # one arrived; otherwise concurrent requests would all apply the same correction.
             ratio = self.hint_ratio + weight * (run_time / hint - self.hint_ratio)
             self.hint_ratio = max(1e-6, ratio)
 
 
 class PendingRequest:
-    """A request taken and not yet finally answered (or answered with attempts still out)."""
+    """A request; it is kept until its final answer is given and its last attempt has ended."""
 
     __slots__ = (
         "arrived_at",
@@ -110,7 +114,7 @@
     ):
         self.id = event.request_id
         self.class_state = class_state
-        # What it began with: other settings may come while it is open.
+        # Kept from the arrival: the settings may change while the request is open.
         self.spec = class_state.spec
         self.max_attempts = settings.max_attempts
         self.tenant = event.tenant
@@ -118,34 +122,35 @@
         self.slots_needed = max(event.width, event.memory, 1e-3)
         self.hint = event.hint
         self.expected_run_time = expected_run_time  # on an average worker
-        # Whether that is more than a guess.
+        # Whether `expected_run_time` is based on measurements.
         self.run_time_known = class_state.run_times_seen >= MIN_RUN_TIMES
         self.deadline = event.deadline
         self.arrived_at = now
         self.presumed_retry = False
         self._set_due(self._first_asked(event, now, settings))
         self.over_quota = False
-        self.trial = False  # sent to learn how long its class runs now
+        self.trial = False  # sent to measure the present run time of its class
         self.attempt_count = 0
         self.live_attempts: dict[int, Attempt] = {}
         self.queued = False
         self.finished = False
-        self.delay_reason = ""  # why it was not sent when it was last looked at
-        self.expected_wait = 0.0  # at the worker that was last chosen
-        # Send time of the first attempt that may have run, None: none may have. One before a restart counts,
-        # and may lie before this clock's start.
+        self.delay_reason = ""  # why the last worker selection found no worker
+        self.expected_wait = 0.0  # at the worker selected last
+        # Send time of the first attempt that may have run, None if there is none. An attempt from before a
+        # restart counts; its time may lie before the start of this process's clock.
         self.ran_at = now - event.ran_ago if event.ran_ago >= 0 else None
         self.ran_zone, self.ran_cell = event.ran_zone, event.ran_cell
         self.last_failed_worker: WorkerEstimate | None = None
         self.sequence = 0
 
     def _first_asked(self, event: api.RequestArrived, now: float, settings: api.Settings) -> float:
-        """When the client first asked. A marked retry is due by its first try, which had the class's
-        deadline."""
+        """Returns when the client sent its first try.
+
+        For a marked retry this follows from its deadline, as the first try had the deadline of the class."""
         asked = min(now, event.deadline - self.spec.deadline) if event.retry else now
         if not settings.marks_retry:
-            # Less time than first tries usually have may be what is left of one, or it is a first try of an
-            # impatient client.
+            # A shorter timeout than usual is either the rest of a first try's timeout, which makes this a
+            # retry, or the timeout of a first try whose client waits less than others.
             usual = self.class_state.client_timeout
             usual.record(event.deadline - now)
             asked = min(asked, event.deadline - usual.usual)
@@ -153,7 +158,7 @@
         return asked
 
     def _set_due(self, first_asked_at: float) -> None:
-        """Work out by when it must be answered and started, first asked for at this time."""
+        """Sets the time of the objective and the latest start, counted from the first try."""
         spec = self.spec
         self.first_asked_at = first_asked_at
         self.objective_at = min(
@@ -162,62 +167,62 @@
             + spec.objective_run_factor * self.expected_run_time,
             self.deadline,
         )
-        # T_k after the first asking: the latest start for the full worth.
+        # T_k after the first try: the latest start with which the answer has its full weight.
         self.latest_start = self.objective_at - self.expected_run_time
 
     def treat_as_first_try(self) -> None:
-        """Give up the guess that it is a retry: it is due as if its client had not asked before."""
+        """Discards the presumption that the request is a retry and counts its times from its arrival."""
         self.presumed_retry = False
         self._set_due(self.arrived_at)
 
     @property
     def hinted(self) -> bool:
-        """Whether its client has said how much work to expect."""
+        """Whether the client has stated how much work to expect."""
         return self.hint > 0
 
     def late_by_estimate(self, now: float) -> bool:
-        """Whether it is late only if it runs as long as expected."""
+        """Returns whether only the expected run time makes the request late: a short run would be in time."""
         latest_finish = min(self.first_asked_at + self.spec.latency_objective, self.deadline)
         return self.latest_start <= now < latest_finish
 
     def begin_trial(self) -> None:
-        """Let it start whatever its expected run time, as long as a short run would be in time."""
+        """Makes the request a trial: it may start as long as a short run would be in time."""
         self.trial = True
         self.latest_start = min(self.first_asked_at + self.spec.latency_objective, self.deadline)
 
     def slow_start_work(self) -> float:
-        """What the budget of a worker that warms up is charged.
+        """Returns the work that is charged to the slow start budget of a worker.
 
-        A first guess of run times may be a tenth of them: until enough are seen, a mean as long as the
-        class's terms let it be counts as one of them."""
+        The initial estimate may be a tenth of the true run times. Therefore the longest mean that the
+        settings of the class allow counts as one measured run time."""
         run_time = self.expected_run_time if self.hinted else self.class_state.mean_run_time
         longest = min(
-            MAX_OBJECTIVES * (self.spec.latency_objective or self.spec.deadline),
+            MAX_RUN_TIME_OBJECTIVES * (self.spec.latency_objective or self.spec.deadline),
             self.spec.deadline / 2,
         )
         missing = max(0.0, longest - run_time) / (1 + self.class_state.run_times_seen)
         return self.slots_needed * (run_time + missing)
 
     def must_not_repeat(self, now: float) -> bool:
-        """Whether it may have run, and may not run again."""
+        """Returns whether the request may have run and must not run again."""
         spec = self.spec
         return self.ran_at is not None and (
             spec.idempotency == _NON_IDEMPOTENT
             or (
                 spec.idempotency == _IDEMPOTENT_BY_KEY
-                and now - self.ran_at > spec.window * REPEAT_MARGIN
+                and now - self.ran_at > spec.window * REPEAT_QUEUE_FRACTION
             )
         )
 
     def may_repeat_at(self, worker: WorkerEstimate, now: float) -> bool:
-        """Whether a request that may have run may run at this worker too."""
+        """Returns whether this worker may get a retry of a request that may have run."""
         spec = self.spec
         if spec.idempotency == _IDEMPOTENT:
             return True
         if (
             spec.idempotency != _IDEMPOTENT_BY_KEY
             or self.ran_at is None
-            or now - self.ran_at > spec.window * REPEAT_AT_MARGIN
+            or now - self.ran_at > spec.window * REPEAT_SEND_FRACTION
         ):
             return False
         if spec.group == "all":
@@ -227,7 +232,7 @@
         return worker.cell == self.ran_cell
 
     def may_reject(self) -> bool:
-        """Whether a rejection, which promises that a retry does no harm, would be true."""
+        """Returns whether a rejection is allowed: it promises the client that a retry is safe."""
         spec = self.spec
         return not self.live_attempts and (
             self.ran_at is None
@@ -238,7 +243,7 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One sending of a request to one worker."""
+    """One attempt to have a request served by a worker."""
 
     request: PendingRequest
     number: int
@@ -248,8 +253,9 @@
     sequence: int
     last_signal_at: float
     started_at: float = 0.0
-    # It must be at its worker by now, and its start was not reported.
+    # It must have reached its worker by now, and its start has not been reported.
     waiting_at_worker: bool = False
-    warm_up_progress: float = 1.0  # the part of its capacity its worker had at least
-    overtaken_at: float = 0.0  # when a later attempt at the same worker was first seen to start
-    presumed_lost: bool = False  # given up for its silence
+    warm_up_progress: float = 1.0  # least fraction of its capacity that the worker had at the send
+    # When a later attempt at the same worker was first reported to have started.
+    overtaken_at: float = 0.0
+    presumed_lost: bool = False  # cancelled because its worker sent no sign of it in time
--- a/yewrill/policy/settings_codec.py
+++ b/yewrill/policy/settings_codec.py
@@ -1,5 +1,7 @@
-"""The operators' and the simulator's form of the settings, read into `Settings`. Pure; the outer names
-stay here."""
+"""Decodes the settings, in the form of the settings file and of the simulator, into `Settings`.
+
+The names of that form are used in this module only.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +18,14 @@
 
 
 class SettingsError(Exception):
-    """A value of the settings that is none of those allowed."""
+    """A setting has a value that is not one of the allowed ones."""
 
 
 def decode_settings(config: Mapping[str, Any]) -> Settings:
-    """Read the settings; unknown keys are skipped and absent ones keep their defaults.
+    """Decodes the settings; unknown keys are ignored and absent ones get their defaults.
 
-    Raises `SettingsError` for an unknown repeat class, `ValueError` where the values contradict each other,
-    and `TypeError` or `AttributeError` for values of another shape."""
+    Raises `SettingsError` for an unknown value of `repeat`, `ValueError` for inconsistent values, and
+    `TypeError` or `AttributeError` for values of a wrong type."""
     specifics = config.get("specifics", {})
     limits = config.get("limits", {})
     rules = config.get("rules", {})
@@ -101,7 +103,7 @@
 
 
 def _free_slots_field(fields: Any, specifics: Mapping[str, Any]) -> str:
-    """The last of the fields that is stated to count free slots; empty if there is none."""
+    """Returns the last report field that is declared to count free slots, or "" if there is none."""
     found = ""
     for name in fields:
         if specifics.get(f"report_{name}") == "free slots":
@@ -110,7 +112,7 @@
 
 
 def _at(values: Any, position: int, default: Any) -> Any:
-    """The value at a position of a list that may be absent or short (its last serves for the rest)."""
+    """Returns the value at a position of a list: past its end the last one, for no list the default."""
     if not values:
         return default
     return values[position] if position < len(values) else values[-1]
