--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -275,8 +275,10 @@
     gone = data.draw(st.sampled_from(sorted(names)))
     numbers = {name: rendezvous.number(name) for name in names}
     for key in ("a", "b", "7f3a9c21e0b4d655", ""):
-        before = rendezvous.homes(key, sorted(names), 3, numbers.__getitem__)
-        after = rendezvous.homes(key, sorted(names - {gone}, reverse=True), 3, numbers.__getitem__)
+        before = rendezvous.top_nodes(key, sorted(names), 3, numbers.__getitem__)
+        after = rendezvous.top_nodes(
+            key, sorted(names - {gone}, reverse=True), 3, numbers.__getitem__
+        )
         kept = [name for name in before if name != gone]
         assert after[: len(kept)] == kept
 
@@ -284,7 +286,7 @@
 def test_keys_are_spread_evenly():
     names = [f"s-{random.Random(i).getrandbits(32):08x}" for i in range(16)]
     homes = Counter(
-        rendezvous.homes(f"{i:x}", names, 1, rendezvous.number)[0] for i in range(16_000)
+        rendezvous.top_nodes(f"{i:x}", names, 1, rendezvous.number)[0] for i in range(16_000)
     )
     assert (
         len(homes) == 16 and max(homes.values()) < 1.15 * 1000 and min(homes.values()) > 0.85 * 1000
--- a/yewrill/policy/attempts.py
+++ b/yewrill/policy/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that are out: what they show of their workers, how they end, and which are lost in silence.
+"""Outstanding attempts: starts, progress, outcomes, and detection of attempts lost without notice.
 
 Times are milliseconds.
 """
@@ -14,17 +14,17 @@
 from yewrill.policy.requests import Attempt, PendingRequest
 from yewrill.policy.worker_estimate import WorkerEstimate
 
-# Attempts sent within this time of each other may reach a worker in another order.
+# Attempts sent within this time of each other may reach a worker in a different order.
 REORDERING_MS = 20.0
-# An attempt sent before one that started this long ago, and not started itself, is lost.
+# An unstarted attempt is lost if a later attempt at the same FIFO worker started this long ago.
 OVERTAKEN_MS = 25.0
-# A worker that runs none of our requests and starts none of those waiting for this long is silent.
-STUCK_MS = 600.0
-# How long after a sure sign of lost attempts less sure signs are taken for it too.
+# A worker is stalled if it runs none of this dispatcher's requests and starts no waiting one for this long.
+STALLED_WORKER_MS = 600.0
+# After an attempt was certainly lost (overtaken), attempts at stalled workers count as lost for this long.
 SILENT_LOSSES_MS = 10000.0
-MAX_PROGRESS_INTERVALS = 1.5  # a running request without a sign for longer is lost
-MAX_RUN_TIME_RATIO = 20.0
-# Members under module names: each access through the class costs a function call in Python 3.11.
+MAX_PROGRESS_INTERVALS = 1.5  # a running request without a progress report for longer is lost
+MAX_RUN_TIME_RATIO = 20.0  # limits the effect of a single outlier
+# Module-level aliases: accessing a member through its enum class costs a function call in Python 3.11.
 _SERVED = PolicyOutcome.SERVED
 _ERROR = PolicyOutcome.ERROR
 _REJECTED = PolicyOutcome.REJECTED
@@ -36,22 +36,22 @@
 
 
 class Attempts:
-    """Attempts by request and number, and the slots that they hold at workers."""
+    """Attempts by request and number, and the worker slots that they hold."""
 
     def __init__(self, fleet: Fleet):
         self.fleet = fleet
         self.estimate = fleet.estimate
         self.outstanding: dict[tuple[str, int], Attempt] = {}
-        # By when they must be at their workers.
+        # Heap of attempts by the time at which they have reached their worker.
         self.in_transit: list[tuple[float, int, Attempt]] = []
-        # Latest starts of those there whose start was not reported.
+        # Latest starts of the attempts that wait at a worker, in ascending order.
         self.waiting: list[tuple[float, int]] = []
-        # Ended without an answer: until when their slots may still be held.
+        # Heap of attempts that ended without an answer, by the time until which they may still hold slots.
         self.lost: list[tuple[float, int, Attempt]] = []
         self._sequence = 0
 
     def send(self, request: PendingRequest, worker: WorkerEstimate) -> None:
-        """Book a new attempt of a request at a worker."""
+        """Records a new attempt of a request at a worker."""
         now = self.estimate.now
         self._sequence += 1
         attempt = Attempt(
@@ -82,7 +82,7 @@
             attempt.warm_up_progress = worker.warm_up_progress()
 
     def update_in_transit(self) -> None:
-        """Count those that must have reached their workers by now among the waiting."""
+        """Moves the unstarted attempts that have reached their workers by now to the waiting ones."""
         while self.in_transit and self.in_transit[0][0] <= self.estimate.now:
             attempt = heappop(self.in_transit)[2]
             if attempt in attempt.worker.unstarted:
@@ -91,7 +91,7 @@
                 self.estimate.unstarted_slots += attempt.request.slots_needed
 
     def record_start(self, event: api.AttemptStarted | api.AttemptProgress) -> None:
-        """A worker reports that it began to run one of them."""
+        """Records that a worker has started to run an attempt."""
         attempt = self.outstanding.get((event.request_id, event.attempt))
         if attempt is None or attempt.started_at:
             return
@@ -108,11 +108,11 @@
         worker.running_slots += attempt.request.slots_needed
         kind = worker.kind
         if estimate.without_load_reports and worker.running_slots > kind.slots:
-            kind.slots += 0.3 * (worker.running_slots - kind.slots)  # it runs that many of ours
+            kind.slots += 0.3 * (worker.running_slots - kind.slots)  # it has at least that many
         self.fleet.mark_alive(worker)
 
     def record_progress(self, event: api.AttemptProgress) -> None:
-        """A worker reports how far a request is, and so that it has started."""
+        """Records a progress report, which also shows that the attempt has started."""
         attempt = self.outstanding.get((event.request_id, event.attempt))
         if attempt is not None:
             attempt.last_signal_at = self.estimate.now
@@ -129,7 +129,7 @@
             del self.waiting[position]
 
     def record_end(self, event: api.AttemptEnded) -> Attempt | None:
-        """Take an attempt's end into what is believed of its worker; None if it is not known."""
+        """Records the end of an attempt and updates the estimates; returns None for an unknown attempt."""
         attempt = self.outstanding.pop((event.request_id, event.attempt), None)
         if attempt is None:
             return None
@@ -144,7 +144,7 @@
         if event.report:
             worker.apply_report(event.report)
         if event.outcome not in api.NEVER_RAN and request.ran_at is None:
-            # Once set, this stands: a later attempt that never ran proves nothing of an earlier one.
+            # Never reset: a later attempt that never ran does not show that this one did not run.
             request.ran_at = attempt.sent_at
             request.ran_zone, request.ran_cell = worker.zone, worker.cell
         return attempt
@@ -152,7 +152,7 @@
     def _release_or_keep_slots(self, attempt: Attempt, event: api.AttemptEnded) -> None:
         worker = attempt.worker
         if event.outcome in MAY_STILL_RUN and worker.usable and not event.stale_connection:
-            # It may still run: it keeps its slot for the time it was expected to take.
+            # It may still run, so it holds its slots for its expected run time.
             self._sequence += 1
             until = self.estimate.now + attempt.expected_run_time
             heappush(self.lost, (until, self._sequence, attempt))
@@ -161,7 +161,7 @@
             worker.free_slots += attempt.request.slots_needed
 
     def _learn(self, attempt: Attempt, event: api.AttemptEnded) -> None:
-        """What the outcome says of the worker, the class and the fleet."""
+        """Updates the estimates of the worker, the class and the fleet from the outcome."""
         worker, outcome = attempt.worker, event.outcome
         if outcome == _SERVED:
             self._learn_run_time(attempt, event.elapsed)
@@ -170,7 +170,7 @@
         elif outcome == _REJECTED:
             worker.record_rejection(attempt.request.expected_run_time)
         elif event.stale_connection:
-            pass  # that tells of the connection only
+            pass  # this says nothing about the worker
         elif outcome == _NO_CONNECTION:
             worker.record_loss(refused=True)
         elif outcome in (_CONNECTION_LOST, _TIMEOUT) or (
@@ -192,7 +192,7 @@
         self.estimate.record_run_time(run_time)
 
     def release_lost_slots(self) -> bool:
-        """Give back the slots of lost attempts that must be over by now; whether there were any."""
+        """Releases the slots of lost attempts whose expected run time is over; returns whether any were."""
         before = len(self.lost)
         while self.lost and self.lost[0][0] <= self.estimate.now:
             attempt = heappop(self.lost)[2]
@@ -200,7 +200,7 @@
         return len(self.lost) < before
 
     def find_silent(self) -> list[Attempt]:
-        """Those newly found lost in silence."""
+        """Returns the attempts that are newly presumed lost without notice, and marks them as such."""
         found = [
             attempt
             for attempt in self.outstanding.values()
@@ -211,7 +211,7 @@
         return found
 
     def _is_silent(self, attempt: Attempt) -> bool:
-        """Whether an attempt is past the time at which its worker should have said something of it."""
+        """Returns whether the worker should have reported a start or progress of the attempt by now."""
         estimate, worker = self.estimate, attempt.worker
         settings, now = estimate.settings, estimate.now
         if attempt.started_at:
@@ -228,5 +228,5 @@
         return (
             now < estimate.silent_losses_until
             and worker.running_slots <= 0.0
-            and waited > max(STUCK_MS, 2.0 * estimate.run_time_quantile)
+            and waited > max(STALLED_WORKER_MS, 2.0 * estimate.run_time_quantile)
         )
--- a/yewrill/policy/ejection.py
+++ b/yewrill/policy/ejection.py
@@ -1,29 +1,31 @@
-"""Ejection of a worker after failures in a row (outlier ejection), with a backoff that grows.
-Milliseconds."""
+"""Outlier ejection of a worker after consecutive failures, with exponential backoff.
+
+Times are milliseconds.
+"""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 
-MAX_FAILURES = 5  # more in a row make the backoff no longer
-MAX_REJECTIONS = 6
-BACKOFF_MS = 125.0  # doubled for each failure
+MAX_FAILURES = 5  # further consecutive failures do not lengthen the backoff
+MAX_REJECTIONS = 6  # further consecutive rejections do not lengthen the ejection
+BACKOFF_MS = 125.0  # doubled for each consecutive failure
 
 
 @dataclass(eq=False, slots=True)
 class Ejection:
-    """Failures and rejections in a row, and until when nothing is sent."""
+    """Consecutive failures and rejections of a worker, and the end of its ejection."""
 
     until: float = 0.0
     failures: int = 0
-    rejections: int = 0  # in a row, without a sign of life between
-    connection_refused: bool = False  # among the failures was a connection that did not come up
+    rejections: int = 0  # since the worker last started or served a request
+    connection_refused: bool = False  # whether one of the failures was a refused connection
 
     def record_failure(self, now: float, rng: random.Random, refused: bool) -> None:
-        """Eject after an attempt was lost, or its connection refused; for longer each time.
+        """Ejects the worker after a lost attempt or a refused connection, for longer each time.
 
-        One lost connection is not a faulty worker: only a second loss in a row counts."""
+        A single lost attempt does not show a faulty worker: only from the second in a row is it ejected."""
         if not refused and not self.failures:
             self.failures = 1
             return
@@ -32,15 +34,15 @@
         self.until = now + BACKOFF_MS * 2**self.failures * (0.75 + 0.5 * rng.random())
 
     def record_rejection(self, now: float, slot_time: float) -> None:
-        """Eject for the mean time until one of its slots is free; for twice as long each time."""
+        """Ejects the worker for the mean time until a slot becomes free, twice as long each time."""
         self.rejections = min(self.rejections + 1, MAX_REJECTIONS)
         self.until = max(self.until, now + slot_time * 2.0 ** (self.rejections - 1))
 
     def end(self, now: float) -> None:
-        """The worker has shown that it works."""
+        """Ends the ejection, after the worker has started or served a request."""
         self.forget_failures()
         self.until = min(self.until, now)
 
     def forget_failures(self) -> None:
-        """Nothing known of failures holds any more."""
+        """Resets the failure count; the end of a running ejection does not change."""
         self.failures, self.connection_refused = 0, False
--- a/yewrill/policy/fleet.py
+++ b/yewrill/policy/fleet.py
@@ -1,4 +1,4 @@
-"""The workers as the endpoint list has them, and which of them this dispatcher uses first."""
+"""Workers of the endpoint list, grouped by machine kind, zone and subset."""
 
 from __future__ import annotations
 
@@ -8,68 +8,71 @@
 from yewrill.policy import interface as api
 from yewrill.policy import rendezvous_hashing as rendezvous
 from yewrill.policy.fleet_estimate import FleetEstimate
-from yewrill.policy.subset import MIN_SUBSET_SIZE, SHARERS, worker_subset
+from yewrill.policy.subset import MIN_SUBSET_SIZE, SUBSETS_PER_WORKER, worker_subset
 from yewrill.policy.worker_estimate import WorkerEstimate
 
-HOMES = 4  # workers looked at for a key, besides those that any request looks at
-MAX_KEYS = 4096  # keys whose homes are remembered
+PREFERRED_WORKERS = 4  # candidates added for a request with a key
+MAX_CACHED_KEYS = 4096  # keys whose preferred workers are cached
 ANY_KIND = -1
-# Members under module names: each access through the class costs a function call in Python 3.11.
+# Module-level aliases: accessing a member through its enum class costs a function call in Python 3.11.
 _CHANGES = api.ListForm.CHANGES
 _RUNNING = api.WorkerState.RUNNING
 _REMOVED = api.WorkerState.REMOVED
 
 
 class Fleet:
-    """Workers by name and by group; groups are lists by machine kind, `ANY_KIND` included."""
+    """All known workers by name, and the usable ones in groups by machine kind (including `ANY_KIND`)."""
 
     def __init__(self, settings: api.Settings, seed: int, rng: random.Random):
         self.estimate = FleetEstimate(settings, rng)
-        # Place of our subset in the ring, where the settings give us no number.
+        # Position of this dispatcher's subset in the ring where the settings give no dispatcher index.
         self.ring_position = random.Random(seed).random()
         self.workers: dict[str, WorkerEstimate] = {}
         kinds = sorted({spec.kind for spec in settings.classes})
-        # Usable workers in our zone and in others; of the near ones, our subset and the rest.
+        # `near`: usable workers of this zone, or of all zones where crossing zones costs nothing; `far`: the
+        # others. `subset`: the near workers that this dispatcher uses first; `rest`: the other near ones.
         self.near, self.far, self.subset, self.rest = (
             {kind: list[WorkerEstimate]() for kind in kinds} for _ in range(4)
         )
-        self.reattached: list[WorkerEstimate] = []  # without a sign of life since
-        self.zone_weights: Mapping[int, float] = {}  # of new requests, by the fleet's plan
-        self._homes: dict[tuple[int, str], list[WorkerEstimate]] = {}  # until the list changes
+        self.reattached: list[WorkerEstimate] = []  # have not started or served a request since
+        # Fraction of new requests by zone, from the zone plan.
+        self.zone_weights: Mapping[int, float] = {}
+        # Cleared whenever the groups change.
+        self._preferred_by_key: dict[tuple[int, str], list[WorkerEstimate]] = {}
 
     def hold_slots(self, worker: WorkerEstimate, slots: float) -> None:
-        """Our attempts hold so many slots more at a worker (negative: fewer)."""
+        """Adds to the slots that this dispatcher's attempts hold at a worker (negative: releases slots)."""
         worker.inflight_slots += slots
         worker.kind.inflight_slots += slots
         self.estimate.inflight_slots += slots
 
-    def homes_of(self, key: str, kind: int) -> list[WorkerEstimate]:
-        """Where requests of a key go first. All dispatchers that use the same workers find the same ones."""
-        found = self._homes.get((kind, key))
+    def preferred_workers(self, key: str, kind: int) -> list[WorkerEstimate]:
+        """Returns the preferred workers for a key; dispatchers with the same workers find the same ones."""
+        found = self._preferred_by_key.get((kind, key))
         if found is None:
-            if len(self._homes) >= MAX_KEYS:
-                self._homes.clear()
-            found = rendezvous.homes(
-                key, self.subset[kind] + self.far[kind], HOMES, lambda w: w.name_hash
+            if len(self._preferred_by_key) >= MAX_CACHED_KEYS:
+                self._preferred_by_key.clear()
+            found = rendezvous.top_nodes(
+                key, self.subset[kind] + self.far[kind], PREFERRED_WORKERS, lambda w: w.name_hash
             )
-            self._homes[kind, key] = found
+            self._preferred_by_key[kind, key] = found
         return found
 
     def mark_alive(self, worker: WorkerEstimate) -> None:
-        """A worker gave a sign of life."""
+        """Records that a worker has started or served a request."""
         if worker.reattached_at >= 0:
             worker.reattached_at = -1.0
             self.reattached.remove(worker)
         worker.mark_alive()
 
     def mark_reattached(self, worker: WorkerEstimate, since: float) -> None:
-        """Operators have put a worker back that they had taken out."""
+        """Records that an operator has reattached a worker that had been detached."""
         if worker.reattached_at < 0:
             self.reattached.append(worker)
         worker.mark_reattached(since)
 
     def slots_by_zone(self) -> dict[int, float]:
-        """Slots that the usable workers of each zone are thought to have."""
+        """Returns the estimated slots of the usable workers by zone."""
         slots: dict[int, float] = {}
         for worker in self.workers.values():
             if worker.usable:
@@ -77,8 +80,10 @@
         return slots
 
     def stuck_attempts(self, now: float, after: float) -> dict[int, int]:
-        """By zone, the attempts at workers that run none of ours and have started none for longer than
-        `after`."""
+        """Returns the number of unstarted attempts at stalled workers by zone.
+
+        A worker is stalled if it runs none of this dispatcher's requests and has started none of those
+        waiting for longer than `after` milliseconds."""
         found: dict[int, int] = {}
         for worker in self.workers.values():
             waited = now - worker.waiting_since
@@ -89,7 +94,7 @@
     # -- the endpoint list
 
     def apply_list(self, event: api.WorkerList) -> None:
-        """Take changes of the list, or the whole of it."""
+        """Applies changed entries or a whole list."""
         if event.form != _CHANGES:
             for worker in self.workers.values():
                 worker.listed = False
@@ -122,33 +127,33 @@
         return worker
 
     def regroup(self) -> None:
-        """Count the usable workers, and sort them by kind and zone."""
+        """Rebuilds the groups and counts the usable workers of each machine kind."""
         settings = self.estimate.settings
         for kind in self.estimate.kinds:
             kind.worker_count = 0
         for kind_index in {spec.kind for spec in settings.classes} | set(self.near):
             self.near[kind_index] = []
             self.far[kind_index] = []
-        self._homes.clear()
-        zones_cost_nothing = settings.fees.get("cross_zone", 0.0) <= 0
+        self._preferred_by_key.clear()
+        zone_crossing_is_free = settings.fees.get("cross_zone", 0.0) <= 0
         for worker in self.workers.values():
             if worker.usable:
                 worker.kind.worker_count += self.zone_weights.get(worker.zone, 1.0)
-                is_near = zones_cost_nothing or worker.zone == settings.zone
+                is_near = zone_crossing_is_free or worker.zone == settings.zone
                 side = self.near if is_near else self.far
                 for kind_index in (ANY_KIND, worker.kind_index):
                     if kind_index in side:
                         side[kind_index].append(worker)
-        self._divide()
+        self._assign_subset()
 
-    def _divide(self) -> None:
-        """Part the near workers into our subset and the rest."""
+    def _assign_subset(self) -> None:
+        """Divides the near workers into this dispatcher's subset and the rest."""
         settings = self.estimate.settings
         dispatchers = settings.dispatchers
         for worker in self.workers.values():
-            worker.capacity_fraction = 1.0 / dispatchers  # of far ones; near ones follow
+            worker.capacity_fraction = 1.0 / dispatchers  # for far workers; near ones are set below
         for kind, side in self.near.items():
-            if len(side) > MIN_SUBSET_SIZE and dispatchers > SHARERS:
+            if len(side) > MIN_SUBSET_SIZE and dispatchers > SUBSETS_PER_WORKER:
                 side.sort(key=lambda worker: worker.name)
             self.subset[kind], self.rest[kind] = worker_subset(
                 side, dispatchers, settings.index, self.ring_position
--- a/yewrill/policy/rendezvous_hashing.py
+++ b/yewrill/policy/rendezvous_hashing.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing: which of some nodes a key belongs to, the same for all who know the same nodes.
+"""Rendezvous (highest random weight) hashing of keys to nodes.
 
 Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (IEEE/ACM Transactions on
-Networking, 1998). A node that comes or goes moves only the keys that it gains or had. Pure: no I/O, no state,
-and the same results on every machine.
+Networking, 1998). All callers that know the same nodes get the same result, on every machine. Adding or
+removing a node moves only the keys of that node.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 
 def number(name: str) -> int:
-    """A name as a number of 32 bits."""
+    """Returns a 32-bit hash of a name."""
     return crc32(name.encode())
 
 
 def weight(key: int, node: int) -> int:
-    """How much a key belongs to a node, both as `number`s: 64 bits, by the finaliser of splitmix64."""
+    """Returns the 64-bit weight of a node for a key, both given by `number`: the splitmix64 finalizer."""
     x = (key << 32 | node) * 0x9E3779B97F4A7C15 & _MASK
     x = (x ^ x >> 30) * 0xBF58476D1CE4E5B9 & _MASK
     x = (x ^ x >> 27) * 0x94D049BB133111EB & _MASK
     return x ^ x >> 31
 
 
-def homes(
+def top_nodes(
     key: str, nodes: Iterable[Node], count: int, number_of: Callable[[Node], int]
 ) -> list[Node]:
-    """The first `count` of the nodes that a key belongs to, the foremost first."""
-    of_key = number(key)
-    return nlargest(count, nodes, key=lambda node: weight(of_key, number_of(node)))
+    """Returns the `count` nodes with the highest weights for a key, in descending order of weight."""
+    key_number = number(key)
+    return nlargest(count, nodes, key=lambda node: weight(key_number, number_of(node)))
--- a/yewrill/policy/subset.py
+++ b/yewrill/policy/subset.py
@@ -1,9 +1,9 @@
-"""Deterministic subsetting: which workers a dispatcher of a large fleet uses first. Pure arithmetic.
+"""Deterministic subsetting: the workers that a dispatcher of a large fleet uses first.
 
-A subset is a range of a ring of all workers, placed evenly by the dispatcher's number. Each worker is in
-about
-SHARERS subsets. So few dispatchers soon know how a worker of theirs fares, and one that fails costs few
-of them a request. One worker more or less moves a range by one.
+All workers form a ring, and a subset is a range of it, placed evenly by the index of the dispatcher. Each
+worker is in about SUBSETS_PER_WORKER subsets, so the few dispatchers that use a worker get enough samples to
+estimate its state soon, and a failing worker costs only few dispatchers a request. Adding or removing a
+worker moves a range by one position.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from typing import TypeVar
 
-SHARERS = 4  # so many dispatchers use a worker first, where there are more
+SUBSETS_PER_WORKER = 4  # where there are at least that many dispatchers
 MIN_SUBSET_SIZE = 6
 
 Item = TypeVar("Item")
@@ -20,12 +20,12 @@
 def worker_subset(
     ring: Sequence[Item], dispatchers: int, index: int, position: float
 ) -> tuple[list[Item], list[Item]]:
-    """The items of a ring that are this dispatcher's, and the others.
+    """Returns the items of a ring that are in this dispatcher's subset, and the others.
 
-    `index` is its number among all `dispatchers`, or below 0 where it is unknown: then `position` in the
-    ring, 0 to 1, stands in."""
+    `index` is the index of this dispatcher among all `dispatchers`. If it is unknown (below 0), the subset
+    starts at `position` in the ring, 0 to 1."""
     size = len(ring)
-    width = min(size, max(MIN_SUBSET_SIZE, -(-size * SHARERS // dispatchers)))
+    width = min(size, max(MIN_SUBSET_SIZE, -(-size * SUBSETS_PER_WORKER // dispatchers)))
     if width == size:
         return list(ring), []
     start = index % dispatchers * size // dispatchers if index >= 0 else int(position * size)
--- a/yewrill/policy/worker_estimate.py
+++ b/yewrill/policy/worker_estimate.py
@@ -1,6 +1,6 @@
-"""Worker state estimate: free slots, speed, errors, warm-up and silence, from what its attempts show.
+"""Estimate of one worker's state: free slots, speed, error rate, slow start and ejection.
 
-Knows no other worker; what holds of all together comes from the `FleetEstimate`. Times are milliseconds.
+Averages over other workers come from the `FleetEstimate`. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -10,31 +10,33 @@
 
 from yewrill.policy.ejection import Ejection
 from yewrill.policy.fleet_estimate import LONG_AGO, FleetEstimate, MachineKind
-from yewrill.policy.slow_start import BUDGET_USED, SlowStart
+from yewrill.policy.slow_start import BUDGET_FRACTION_USED, SlowStart
 
 if TYPE_CHECKING:
     from yewrill.policy.requests import Attempt
 
-REPORT_LAG_MS = 200.0  # sends younger than this are taken not to be in a worker's report yet
-NEW_REPORT_WEIGHT = 0.6  # against what is known of all workers
-MIN_REPORT_FADE_MS = 200.0  # until a report counts no more, where run times are short
-START_OVERDUE_MS = 60.0  # a start notice later than this means that the request waits at the worker
-KEYS_PER_SLOT = 1.0  # keys that a worker is thought to keep
-ERROR_FADE_MS = 4000.0  # half-life of the error rate
-CONFIRMING_RUN_TIMES = 8.0  # more than these make a worker's run time ratio no surer
-FAILURES_OF_RESTART = 3  # so many in a row, refused connections among them: it has started anew
+REPORT_LAG_MS = 200.0  # a load report does not include requests sent less than this time ago
+NEW_REPORT_WEIGHT = 0.6  # weight of a new load report against the average of the machine kind
+MIN_REPORT_FADE_MS = 200.0  # least time until a load report has no weight any more
+START_OVERDUE_MS = 60.0  # without a reported start after this time, the request waits at the worker
+KEYS_PER_SLOT = 1.0  # keys that a worker is assumed to cache, per slot
+ERROR_HALF_LIFE_MS = 4000.0  # half-life of the error rate
+MAX_RATIO_SAMPLES = 8.0  # number of run times over which the run time ratio is averaged
+# Consecutive failures, one of them a refused connection, that suggest a restart.
+RESTART_FAILURES = 3
 
 
 @dataclass(eq=False, slots=True)
 class WorkerEstimate:
-    """What is believed of one worker, and the attempts of ours that it has not started."""
+    """Estimated state of one worker, and the attempts of this dispatcher that it has not started."""
 
     name: str
     kind: MachineKind
     kind_index: int
     launched: float
     fleet: FleetEstimate
-    # Most slots of it that we fill: lost requests of a restarted dispatcher may still run there.
+    # Limit of `inflight_slots`. Fewer than the worker's slots may be usable: lost requests of a restarted
+    # dispatcher may still run there.
     max_inflight_slots: float
     zone: int = 0
     cell: int = 0
@@ -42,45 +44,51 @@
     listed: bool = False
     slow_start: SlowStart = field(default_factory=SlowStart)
     ejection: Ejection = field(default_factory=Ejection)
-    # Slots held by our attempts, lost ones included for their expected time.
+    # Slots held by this dispatcher's attempts, including lost ones for their expected run time.
     inflight_slots: float = 0.0
-    free_slots: float = 0.0  # by its last report, less what was sent since
+    free_slots: float = 0.0  # by its last load report, less what was sent since
     free_slots_at: float = LONG_AGO
-    running_slots: float = 0.0  # of our attempts whose start was reported
-    # Attempts not known to run, in the order of their sends.
+    running_slots: float = 0.0  # held by attempts whose start was reported
+    # Attempts whose start was not reported, in the order of sending.
     unstarted: list[Attempt] = field(default_factory=list)
     waiting_since: float = 0.0
-    run_time_ratio: float = 1.0  # run times here over the class's mean
+    run_time_ratio: float = 1.0  # run times here relative to the mean of the class
     run_times_seen: float = 0.0
     error_rate: float = 0.0
     error_rate_at: float = 0.0
     probe_pending: bool = False
     last_sent_at: float = LONG_AGO
     last_report: tuple[float, ...] = ()
-    # The part of it that is this dispatcher's; 0: others have it, and we only what they leave.
+    # This dispatcher's part of the worker; 0 if it is not in the subset, and only its spare slots are used.
     capacity_fraction: float = 1.0
     name_hash: int = 0
-    recent_keys: dict[str, None] = field(default_factory=dict)  # of our last requests, latest last
-    reattached_at: float = -1.0  # since when it has been back from operators without a sign of life
+    # Keys of the last requests sent to it, most recent last.
+    recent_keys: dict[str, None] = field(default_factory=dict)
+    # When it was reattached; -1 once it has started or served a request since.
+    reattached_at: float = -1.0
 
     # -- free slots
 
     def start_overdue(self) -> float:
-        """How long the first unstarted attempt has waited; 0 if no longer than its start notice may take."""
+        """Returns how long the first unstarted attempt has waited, or 0 if its start may yet be reported."""
         waited = self.fleet.now - self.waiting_since
         allowed = START_OVERDUE_MS + self.fleet.zone_delay(self.zone)
         return waited if waited > allowed else 0.0
 
     def estimated_free_slots(self) -> float:
-        """Free slots it is thought to have: its last report, fading into its kind's average."""
+        """Returns the estimated free slots: a weighted mean of its load report and its kind's average.
+
+        The weight of the load report decreases with its age."""
         fleet, kind, now = self.fleet, self.kind, self.fleet.now
-        # Without a fresh report, what we have there ourselves against what we have on its peers tells most.
+        # Without a recent report, the best indication is this dispatcher's slots in flight here, compared
+        # with its average at workers of the same kind.
         even = kind.inflight_slots / (kind.worker_count if kind.worker_count > 1 else 1)
         if fleet.without_load_reports:
-            # One slot more than is known of is tried: only so is a larger worker learned of.
+            # One slot more than is known is tried, as otherwise the estimate could never grow.
             free = max(1.0, kind.free_slots) + even - self.inflight_slots
         else:
-            # Reports average what was true seconds ago: our even part of it is ours all the same.
+            # The average of the reports may be seconds old, so this dispatcher may always use its even part
+            # of the slots.
             free = max(kind.free_slots + even, kind.slots * self.capacity_fraction)
             free -= self.inflight_slots
         age = now - self.free_slots_at
@@ -99,10 +107,10 @@
         return free
 
     def _free_slots_while_overdue(self, free: float) -> float:
-        """A start notice is missing past a round trip: the worker is full, or takes requests and does
-        nothing."""
+        """Lowers the estimate for an overdue start: the worker is full, or accepts requests and stalls."""
         fleet, kind = self.fleet, self.kind
-        # Only while attempts are being lost in silence may one more request go there, to tell which it is.
+        # Only while attempts are getting lost without notice may one more request go there, which shows
+        # whether the worker is full or has lost the first one.
         running = self.running_slots * fleet.settings.dispatchers
         if (
             len(self.unstarted) > 1
@@ -110,14 +118,16 @@
             or running > 0.5 * kind.slots
         ):
             free = min(free, 0.0) - len(self.unstarted)
-            # As a rejection tells; a wide request may not fit where a narrow one would.
+            # The same inference as from a rejection. It holds only if the waiting request needs a single
+            # slot: a wide request may have to wait although some slots are free.
             if self.unstarted[0].request.slots_needed <= 1.0 <= self.running_slots:
                 self.max_inflight_slots = min(self.max_inflight_slots, self.running_slots + 1.0)
         return free
 
     def expected_wait(self, spare: float) -> float:
-        """How long a request would wait here, with so many slots to spare after it (negative: short of
-        them)."""
+        """Returns the expected wait of a request here.
+
+        `spare` is the number of free slots left with the request running; negative if some are missing."""
         wait = (
             self.fleet.residual_run_time
             / self.kind.slots
@@ -126,7 +136,7 @@
         return wait + self.start_overdue() if self.unstarted else wait
 
     def apply_report(self, report: dict[str, float]) -> None:
-        """Take a load report. The same one again is no news: what was sent and ended since then counts."""
+        """Applies a load report. A repeated report is ignored, as it does not reflect later attempts."""
         values = tuple(report.values())
         if values == self.last_report:
             return
@@ -142,8 +152,9 @@
         self.free_slots = free - 1.0 if sent_lately else free
 
     def _reported_free_slots(self, report: dict[str, float]) -> float | None:
-        """Free slots by a report (negative: requests that wait), None if it does not tell; learns the kind's
-        slots from it."""
+        """Returns the free slots by a report (negative: waiting requests), None if it does not tell them.
+
+        Also updates the estimated slots of the machine kind."""
         kind = self.kind
         free = report.get(self.fleet.settings.free_slots_field)
         inflight = report.get("inflight")
@@ -151,11 +162,10 @@
             if inflight is None:
                 kind.slots += 0.3 * max(0.0, free - kind.slots)
             elif free < 0.5:
-                free = min(0.0, kind.slots - inflight)  # the requests that wait
+                free = min(0.0, kind.slots - inflight)  # minus the number of waiting requests
             else:
-                kind.slots += 0.1 * (
-                    free + inflight - kind.slots
-                )  # of one moment: right, up or down
+                # Both values are of the same instant, so the estimate follows their sum up and down.
+                kind.slots += 0.1 * (free + inflight - kind.slots)
             return free
         if inflight is not None:
             return kind.slots - inflight
@@ -164,8 +174,7 @@
         return None
 
     def record_key(self, key: str) -> None:
-        """A request of this key goes there, and pushes out the key that was asked for the longest time
-        ago."""
+        """Records that a request with this key is sent here; drops the least recently used key if full."""
         self.recent_keys.pop(key, None)
         self.recent_keys[key] = None
         if len(self.recent_keys) > KEYS_PER_SLOT * self.kind.slots:
@@ -174,17 +183,18 @@
     # -- speed and errors
 
     def run_time_factor(self) -> float:
-        """Run time here over the class's mean: its own, leaning on its kind's while little is seen."""
+        """Returns the ratio of run times here to the class mean; with few samples mostly that of the kind."""
         seen = self.run_times_seen
         return (seen * self.run_time_ratio + 4.0 * self.kind.run_time_ratio) / (seen + 4.0)
 
     def record_run_time(self, ratio: float, known: bool) -> None:
-        """A request was served, in so many times its expected run time; `known`: which was more than a
-        guess."""
+        """Records a served request by the ratio of its run time to the expected one.
+
+        `known` tells whether the expected run time was based on measurements."""
         kind = self.kind
-        if known:  # against a guess, every worker looks slow
+        if known:  # compared with an initial estimate every worker would seem slow
             kind.run_time_ratio += 0.02 * (ratio - kind.run_time_ratio)
-            seen = min(CONFIRMING_RUN_TIMES, self.run_times_seen + 1.0)
+            seen = min(MAX_RATIO_SAMPLES, self.run_times_seen + 1.0)
             self.run_time_ratio += (ratio - self.run_time_ratio) / seen
             self.run_times_seen = seen
         if self.error_rate:
@@ -193,12 +203,12 @@
             self.max_inflight_slots = min(self.max_inflight_slots + 0.25, kind.slots + 2.0)
 
     def excess_error_rate(self) -> float:
-        """Errors beyond what all workers show, fading so that a few requests try it again."""
-        fade = 0.5 ** ((self.fleet.now - self.error_rate_at) / ERROR_FADE_MS)
+        """Returns the error rate above that of the fleet; it decays, so that the worker is tried again."""
+        fade = 0.5 ** ((self.fleet.now - self.error_rate_at) / ERROR_HALF_LIFE_MS)
         return max(0.0, self.error_rate * fade - 2.0 * self.fleet.error_rate)
 
     def record_error(self) -> None:
-        """It answered a request with an error."""
+        """Records an error answer."""
         self.error_rate = 0.4 + 0.6 * self.excess_error_rate()
         self.error_rate_at = self.fleet.now
         self.fleet.record_error()
@@ -207,35 +217,34 @@
 
     @property
     def warming_up(self) -> bool:
-        """Whether it is in its slow start."""
+        """Whether the worker is in its slow start."""
         return self.slow_start.started_at >= 0
 
     def begin_slow_start(self, started_at: float) -> None:
-        """It started at this time: it is warming up, unless that is long ago, and keeps nothing of any
-        key."""
+        """Clears the key cache and begins a slow start, unless the worker started long ago."""
         fleet = self.fleet
         self.recent_keys.clear()
         if fleet.now - started_at < fleet.settings.warm_after:
-            # Each dispatcher's part of the budget is often below one request: a random start of its account
-            # lets the right number of dispatchers go first, without their agreeing.
+            # A dispatcher's part of the budget is often less than one request. A random initial credit lets
+            # the right number of dispatchers send a request first, without coordination.
             longest = max(spec.deadline for spec in fleet.settings.classes)
             self.slow_start.begin(fleet.now, started_at, fleet.rng.random() * longest)
 
     def warm_up_progress(self) -> float:
-        """The part of its capacity it has at least; 1 ends its slow start."""
+        """Returns the least fraction of its capacity that the worker has now; at 1 the slow start ends."""
         return self.slow_start.progress(self.fleet.now, self.fleet.settings)
 
     def has_slow_start_budget(self, work: float, progress: float) -> bool:
-        """Whether this dispatcher's part of its slow start budget has room for so much work."""
+        """Returns whether `work` fits in this dispatcher's part of the worker's slow start budget."""
         fleet = self.fleet
         rate = fleet.settings.slow_start_multiple * progress * self.kind.slots
-        rate = rate * BUDGET_USED * self.capacity_fraction
+        rate = rate * BUDGET_FRACTION_USED * self.capacity_fraction
         return self.slow_start.has_budget(fleet.now, fleet.settings, work, rate)
 
-    # -- signs of life and their absence
+    # -- failures, restarts and recovery
 
     def record_rejection(self, run_time: float) -> None:
-        """It sent a request back unstarted: no more of ours fit than are there now."""
+        """Records a request returned unstarted: no more slots are available than are in flight now."""
         now = self.fleet.now
         self.max_inflight_slots = max(1.0, self.inflight_slots)
         self.free_slots = min(self.free_slots, 0.0)
@@ -243,20 +252,22 @@
         self.ejection.record_rejection(now, run_time / self.kind.slots)
 
     def record_loss(self, refused: bool = False) -> None:
-        """An attempt there was lost, or its connection refused."""
+        """Records a lost attempt or a refused connection."""
         self.ejection.record_failure(self.fleet.now, self.fleet.rng, refused)
 
     def mark_alive(self) -> None:
-        """It gave a sign of life: its ejection ends, and it warms up if it seems to have started anew."""
+        """Records that it started or served a request: its ejection ends.
+
+        After failures that suggest a restart, its slow start begins."""
         ejection = self.ejection
         ejection.rejections = 0
         if ejection.failures:
-            if ejection.connection_refused and ejection.failures >= FAILURES_OF_RESTART:
+            if ejection.connection_refused and ejection.failures >= RESTART_FAILURES:
                 self.begin_slow_start(self.fleet.now)
             ejection.end(self.fleet.now)
 
     def mark_restarted(self, launched: float) -> None:
-        """The list tells another start of it."""
+        """Records a new start time from the endpoint list."""
         self.launched = launched
         self.begin_slow_start(launched)
         self.free_slots_at = LONG_AGO
@@ -264,7 +275,7 @@
         self.ejection.failures = 0
 
     def mark_reattached(self, since: float) -> None:
-        """Back from operators' hands, most likely as another process: nothing learned of it holds."""
+        """Resets the estimates of a reattached worker, which is most likely a new process."""
         self.ejection.until = self.error_rate = self.run_times_seen = 0.0
         self.ejection.forget_failures()
         self.run_time_ratio = 1.0
--- a/yewrill/policy/worker_selection.py
+++ b/yewrill/policy/worker_selection.py
@@ -1,4 +1,4 @@
-"""Which worker, if any, gets a request now: the earliest expected finish among a few with free slots.
+"""Worker selection: among a few candidates with free slots, the one with the earliest expected finish.
 
 Times are milliseconds.
 """
@@ -14,37 +14,38 @@
 from yewrill.policy.requests import PendingRequest
 from yewrill.policy.worker_estimate import WorkerEstimate
 
-SAMPLE_SIZE = 8  # workers drawn at random for each choice, where there are more
-# The part of the tightest time constraint that a request may queue at a worker.
+SAMPLE_SIZE = 8  # candidates drawn at random from larger groups
+# Time that a request may be expected to wait at a worker, as a fraction of the tightest time constraint.
 QUEUE_FRACTION = 0.3
-# What a request's key costs at a worker that is not thought to have it, in run times.
+# Cost of loading what a request's key needs, at a worker that does not have it cached, in run times.
 KEY_SETUP_RUN_TIMES = 0.8
-ERROR_COST_RUN_TIMES = 8.0
-MIN_ERROR_RATE = 0.05  # lower ones cost nothing
-# A worker back from operators' hands gets a request by then, even one that will be late.
+ERROR_COST_RUN_TIMES = 8.0  # cost of an error rate of 1, in run times
+MIN_ERROR_RATE = 0.05  # lower error rates cost nothing
+# After this time a reattached worker gets a request even if the answer will be late.
 REATTACHED_WAIT_MS = 1500.0
-# And another one after this time without a sign of life.
+# If it does not start that one, it gets the next one after this time.
 REATTACHED_RETRY_MS = 500.0
-REATTACHED_BONUS_MS = 1e9  # one that warms up would wait for its turn until the others are full
-# Multiples of it, less their whole parts, fill the range to 1 evenly.
+# Larger than any expected finish: otherwise a warming-up worker would get nothing before the others are full.
+REATTACHED_BONUS_MS = 1e9
+# The fractional parts of its multiples are spread evenly over the range 0 to 1.
 GOLDEN_RATIO = 0.6180339887
 NO_FINISH = 1e18
-# Members under module names: each access through the class costs a function call in Python 3.11.
+# Module-level aliases: accessing a member through its enum class costs a function call in Python 3.11.
 _NO_WORKER, _NO_FREE_SLOT, _SLOW_START = DelayReason
 
 
 @dataclass(slots=True)
 class SearchTerms:
-    """What holds for all workers in one choice."""
+    """Parameters of one selection that are the same for all candidates."""
 
     slots_needed: float
-    max_wait: float  # at a worker without a free slot
-    homes: list[WorkerEstimate]  # of the request's key
+    max_wait: float  # longest expected wait at a worker without a free slot
+    preferred: list[WorkerEstimate]  # for the request's key
     closed_zones: set[int]
 
 
 class WorkerSelection:
-    """Chooses workers; `candidate_count` tells how many the last choice looked at."""
+    """Selects workers; `candidate_count` is the number of candidates of the last selection."""
 
     def __init__(self, fleet: Fleet, admission: Admission):
         self.fleet = fleet
@@ -53,9 +54,9 @@
         self.candidate_count = 0
 
     def worker_for(self, request: PendingRequest, slots_needed: float) -> WorkerEstimate | None:
-        """The best worker thought to have so many free slots, if there is one.
+        """Returns the best worker with enough free slots by estimate, or None.
 
-        Sets the request's expected wait there, or else the reason of its delay."""
+        Sets `expected_wait` of the request if a worker is found, else its `delay_reason`."""
         fleet = self.fleet
         kind = request.spec.kind
         slack = max(1.0, request.latest_start - request.arrived_at)
@@ -73,20 +74,20 @@
         ]
         candidates += self._sample(fleet.subset[kind])
         candidates += self._sample(far) if crosses_zones else []
-        homes = fleet.homes_of(request.key, kind) if request.key else []
-        if homes:  # a fetch costs more than another zone
-            candidates = list(dict.fromkeys(candidates + homes))
+        preferred = fleet.preferred_workers(request.key, kind) if request.key else []
+        if preferred:  # in any zone: a cache miss costs more than crossing zones
+            candidates = list(dict.fromkeys(candidates + preferred))
         if closed_zones and self._all_closed(kind, closed_zones):
-            closed_zones.clear()  # there is nowhere else
+            closed_zones.clear()  # no other worker is left
         max_wait = self._max_wait(request, used_slack)
-        terms = SearchTerms(slots_needed, max_wait, homes, closed_zones)
+        terms = SearchTerms(slots_needed, max_wait, preferred, closed_zones)
         best = self._best(request, candidates, terms)
-        if best is None and fleet.rest[kind]:  # ours have no free slots: whoever has
+        if best is None and fleet.rest[kind]:  # workers outside of the subset come last
             best = self._best(request, self._sample(fleet.rest[kind]), terms)
         return best
 
     def _closed_zones(self, request: PendingRequest) -> set[int]:
-        """The zones that the fleet's plan closes to this request."""
+        """Returns the zones that the zone plan closes to this request."""
         weights = self.fleet.zone_weights
         if not weights:
             return set()
@@ -98,7 +99,7 @@
         return all(worker.zone in closed_zones for side in sides for worker in side[kind])
 
     def _crossing_pays(self, spec: api.RequestClass, used_slack: float) -> bool:
-        """Crossing zones costs a fee; it pays once so much of the slack is used up."""
+        """Returns whether enough of the slack is used up to justify the fee for crossing zones."""
         settings = self.estimate.settings
         classes = settings.classes
         gain = spec.priority_weight * (1.0 - spec.late_weight_fraction)
@@ -110,11 +111,11 @@
         return fee >= 0 and used_slack >= min(0.8, fee / max(gain, 1e-9))
 
     def _max_wait(self, request: PendingRequest, used_slack: float) -> float:
-        """How long the request may be expected to wait at a worker without a free slot.
+        """Returns the longest acceptable expected wait at a worker without a free slot.
 
-        What is known of slots is stale, so a request may queue at a worker for part of the tightest time
-        constraint. Past half of its slack ever less: what is thought of queues is too little, and a request
-        queued here for long would end late after waiting there."""
+        Estimates of free slots are out of date, so a request may queue at a worker for a fraction of the
+        tightest time constraint. The limit falls once half of the slack is used up: waits at workers are
+        underestimated, and a request that has been queued here for long would be late after another wait."""
         if request.over_quota:
             return -1.0
         fraction = QUEUE_FRACTION + request.spec.late_weight_fraction
@@ -133,13 +134,13 @@
         best = None
         best_finish = NO_FINISH
         reason = _NO_WORKER
-        run_time, homes = request.expected_run_time, terms.homes
+        run_time, preferred = request.expected_run_time, terms.preferred
         without_load_reports = self.estimate.without_load_reports
         self.candidate_count = len(candidates)
         for worker in self._eligible(request, candidates, terms.closed_zones):
             spare = worker.estimated_free_slots() - terms.slots_needed
             if without_load_reports and worker.inflight_slots <= 0.0:
-                # Nothing of ours is there: no worker is better, however wide the request.
+                # None of this dispatcher's requests is there, so no worker is better for a wide request.
                 spare = max(spare, 0.0)
             wait = worker.expected_wait(spare)
             if spare < 0 and wait > terms.max_wait:
@@ -154,8 +155,8 @@
                     continue
                 factor /= progress
             finish = wait + run_time * factor
-            if homes or worker.error_rate > MIN_ERROR_RATE or worker.reattached_at >= 0:
-                finish = self._with_costs(request, worker, homes, finish)
+            if preferred or worker.error_rate > MIN_ERROR_RATE or worker.reattached_at >= 0:
+                finish = self._with_costs(request, worker, preferred, finish)
             if finish < best_finish:
                 best, best_finish, request.expected_wait = worker, finish, wait
         if best is None:
@@ -168,7 +169,7 @@
         candidates: list[WorkerEstimate],
         closed_zones: set[int],
     ) -> list[WorkerEstimate]:
-        """The candidates that may get the request at all, free slots aside."""
+        """Returns the candidates that may get the request, regardless of free slots."""
         now = self.estimate.now
         excluded = request.last_failed_worker if len(candidates) > 1 else None
         eligible = [
@@ -187,12 +188,12 @@
         self,
         request: PendingRequest,
         worker: WorkerEstimate,
-        homes: list[WorkerEstimate],
+        preferred: list[WorkerEstimate],
         finish: float,
     ) -> float:
-        """The expected finish, later for a missing key or errors, and sooner for a worker put back."""
+        """Returns the finish with costs for a key not cached and for errors, and a bonus if reattached."""
         now, run_time = self.estimate.now, request.expected_run_time
-        if homes and worker is not homes[0] and request.key not in worker.recent_keys:
+        if preferred and worker is not preferred[0] and request.key not in worker.recent_keys:
             finish += KEY_SETUP_RUN_TIMES * (self.estimate.run_time_quantile or run_time)
         if worker.error_rate > MIN_ERROR_RATE:
             finish += worker.excess_error_rate() * run_time * ERROR_COST_RUN_TIMES
