--- a/tests/test_calm_start.py
+++ b/tests/test_calm_start.py
@@ -20,19 +20,19 @@
     )
 
 
-@pytest.mark.parametrize("quiet", [0.0, 500.0, 1000.0, 1500.0, 10000.0])
+@pytest.mark.parametrize("idle_time", [0.0, 500.0, 1000.0, 1500.0, 10000.0])
 @pytest.mark.parametrize("quota", [1e5, 0.0])
 @pytest.mark.parametrize("objectives", [(400.0, 400.0, 400.0), (400.0, 800.0)])
-def test_requests_that_come_some_time_after_the_start_are_all_served(objectives, quota, quiet):
+def test_requests_that_come_some_time_after_the_start_are_all_served(objectives, quota, idle_time):
     # Guards against rates that are worked out before any run time is known, and then count as expected.
     traffic = [Traffic(27.0 / len(objectives), 60.0, CLIENT_TIMEOUTS, WEIGHTS)] * len(objectives)
     world = OverloadWorld(
-        settings(objectives, quota, dispatchers=3), traffic, workers=5, quiet=quiet
+        settings(objectives, quota, dispatchers=3), traffic, workers=5, idle_time=idle_time
     )
-    world.run_until(quiet + WATCHED + 3000.0)
-    assert len(world.answers_between(quiet, quiet + WATCHED)) > 150
-    assert not world.not_served_between(quiet, quiet + WATCHED)
-    assert world.module.admission.controller.changes == 0
+    world.run_until(idle_time + WATCHED + 3000.0)
+    assert len(world.answers_between(idle_time, idle_time + WATCHED)) > 150
+    assert not world.not_served_between(idle_time, idle_time + WATCHED)
+    assert world.dispatcher.admission.controller.changes == 0
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -41,7 +41,12 @@
     traffic = [Traffic(9.0, 60.0, CLIENT_TIMEOUTS, WEIGHTS)] * 3
     first = [350.0, 390.0, 360.0, 380.0]
     world = OverloadWorld(
-        settings(dispatchers=3), traffic, workers=5, seed=seed, first_run_times=first, quiet=1500.0
+        settings(dispatchers=3),
+        traffic,
+        workers=5,
+        seed=seed,
+        first_run_times=first,
+        idle_time=1500.0,
     )
     world.run_until(1500.0 + WATCHED + 3000.0)
     assert not world.not_served_between(1500.0, 1500.0 + WATCHED)
--- a/tests/test_shut_out.py
+++ b/tests/test_shut_out.py
@@ -73,7 +73,7 @@
         settings(reports_start, tour()),
         [requests(60.0)],
         first_run_times=[run_time],
-        first_alone=True,
+        first_request_alone=True,
     )
     recovered = run_time + RECOVERY
     world.run_until(recovered + WATCHED + 4000.0)
@@ -118,7 +118,7 @@
     # Guards against a ratio that each of them moves by what it was when they came.
     world = OverloadWorld(settings(True, tour(2.0)), [requests(150.0, 105.0, hint=hint)], slots=8)
     world.run_until(WELL)
-    assert world.module.admission.classes[0].hint_ratio == pytest.approx(105.0 / hint, rel=0.15)
+    assert world.dispatcher.admission.classes[0].hint_ratio == pytest.approx(105.0 / hint, rel=0.15)
     world.run_until(WELL + WATCHED + 4000.0)
     assert not world.not_served_between(WELL, WELL + WATCHED)
 
@@ -133,4 +133,4 @@
     world = OverloadWorld(settings(True, spec), traffic, [episode], slots=5, seed=seed)
     world.run_until(WELL + 8000.0 + 15000.0)
     for number in slow_ones:
-        assert world.module.fleet.workers[f"w{number}"].last_sent_at > world.now - 5000.0
+        assert world.dispatcher.fleet.workers[f"w{number}"].last_sent_at > world.now - 5000.0
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -1,7 +1,8 @@
-"""A virtual fleet of whole dispatchers: real decision modules and zone machines, against modelled workers.
+"""Simulation of a fleet: real decision modules and zone failover machines with simulated workers.
 
-What `zonenet.py` leaves out is here: slots and queues, run times, cold workers, deadlines and retries, each
-choice the real module's. Seeded, in virtual time. Seconds outside the module, milliseconds in it.
+It adds to `zonenet.py` what that leaves out: slots and queues, run times, slow starts, deadlines and retries.
+All decisions are made by the real module. Seeded, in virtual time. Times are seconds, except those passed to
+and from the decision module, which are milliseconds.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 from yewrill.zone_failover.facade import HANGING
 from yewrill.zone_failover.machine import FailoverRules
 
-TRIP = 0.0005  # seconds to a worker and back
-LOST = (
+WORKER_DELAY_S = 0.0005  # from sending an attempt until it reaches its worker
+LOST_OUTCOMES = (
     api.PolicyOutcome.TIMEOUT,
     api.PolicyOutcome.NO_CONNECTION,
     api.PolicyOutcome.CONNECTION_LOST,
@@ -30,38 +31,44 @@
 
 @dataclass(eq=False)
 class Attempt:
+    """An attempt of a member at a worker; `run` is its run time at full capacity."""
+
     member: Member
-    job: str
+    request_id: str
     number: int
     worker: Worker
     sent: float
     run: float
-    over: bool = False
+    ended: bool = False
 
 
 @dataclass(eq=False)
 class Worker:
+    """A worker with its running and queued attempts.
+
+    In mode "gone" it breaks every connection, in mode "mute" it accepts requests and runs none, and in mode
+    "failing" it answers each with an error."""
+
     name: str
     zone: int
     slots: int
-    mode: str = "well"  # gone: breaks every connection; mute: takes work, does none; failing
-    cold_from: float = -1e9
-    launched: float = 0.0  # clock time of its start, 0: long ago
+    mode: str = "well"
+    slow_start_at: float = -1e9
+    launched: float = 0.0  # time of its start, 0: long ago
     running: set[Attempt] = field(default_factory=set)
     queue: deque[Attempt] = field(default_factory=deque)
-    begun: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # when cold: time, and work in seconds
+    # Arrival time and work in seconds of each request received during the slow start.
+    slow_start_work: list[tuple[float, float]] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """The workers and the work. Seconds."""
+    """Parameters of the workers and the requests. Times are seconds."""
 
-    workers: int = 4  # a zone
+    workers: int = 4  # per zone
     slots: int = 5
     run: float = 0.2
-    aim: float = 0.6
+    latency_objective: float = 0.6
     deadline: float = 3.0
     start_capacity: float = 0.3
     warm_after: float = 4.0
@@ -70,7 +77,7 @@
 
 
 class Fleet(ZoneNet):
-    """Members each with a module of its own; `load` is the part of all slots that the work asks for."""
+    """Members with a decision module each; `load` is the offered load as a fraction of all slots."""
 
     def __init__(
         self,
@@ -92,8 +99,8 @@
             for i in range(model.workers)
         }
         self.modules: dict[str, Dispatcher] = {}
-        self.jobs: dict[tuple[str, str], dict[str, Any]] = {}
-        self.answered: list[tuple[float, str, float]] = []  # when, how, the part of its worth
+        self.requests: dict[tuple[str, str], dict[str, Any]] = {}
+        self.answered: list[tuple[float, str, float]] = []  # time, result, served weight
         self.lost_at: dict[int, list[float]] = {z: [] for z in range(zones)}
         self.sent_at: dict[int, list[float]] = {z: [] for z in range(zones)}
         rate = load * zones * model.workers * model.slots / model.run / members
@@ -103,11 +110,12 @@
         )
         self.capacity = dict.fromkeys(self.zones, float(model.workers * model.slots))
         for member in self.members.values():
-            self._come(member)
+            self._schedule_arrival(member)
 
     def start(self, name: str, address: tuple[str, int], zone: str, rate: float) -> Member:
+        """Starts a member with a new decision module."""
         model, index = self.model, len(self.modules)
-        spec = api.RequestClass("job", 1e3 * model.aim, 1e3 * model.deadline)
+        spec = api.RequestClass("job", 1e3 * model.latency_objective, 1e3 * model.deadline)
         settings = api.Settings(
             [spec],
             [api.Tenant("acme", 1.2 * self.total)],
@@ -134,7 +142,7 @@
         return {f"z{zone}": count for zone, count in found.items()}
 
     def begin(self) -> Fleet:
-        """Tell every module how many they are, and the list."""
+        """Gives each module the number of dispatchers and the worker list."""
         for name, module in self.modules.items():
             settings = api.Settings(
                 **{
@@ -142,7 +150,7 @@
                     "dispatchers": len(self.modules),
                 }
             )
-            self._feed(self.members[name], api.SettingsChanged(settings), self._list())
+            self._deliver(self.members[name], api.SettingsChanged(settings), self._list())
         return self
 
     def _list(self) -> api.WorkerList:
@@ -157,6 +165,7 @@
     # -- faults
 
     def fail(self, zone: int, mode: str = "gone") -> None:
+        """Puts all workers of a zone into a fault mode."""
         for w in self.workers.values():
             if w.zone == zone:
                 w.mode = mode
@@ -165,16 +174,16 @@
                         self._end(attempt, api.PolicyOutcome.CONNECTION_LOST)
 
     def restart_workers(self, zone: int) -> None:
-        """The zone's workers start anew, cold, and lists tell it."""
+        """Restarts all workers of a zone, which begins their slow start, and publishes the new list."""
         for w in self.workers.values():
             if w.zone == zone:
                 for attempt in [*w.running, *w.queue]:
                     self._end(attempt, api.PolicyOutcome.CONNECTION_LOST)
-                w.mode, w.cold_from, w.launched = "well", self.now, self.now
+                w.mode, w.slow_start_at, w.launched = "well", self.now, self.now
         for member in self.living():
-            self._feed(member, self._list())
+            self._deliver(member, self._list())
 
-    # -- work
+    # -- requests
 
     def _work(self, member: Member) -> None:
         shares = (
@@ -184,25 +193,25 @@
         )
         module = self.modules[member.name]
         if shares != module.fleet.zone_weights:
-            self._feed(member, api.ZoneTrafficWeights(shares))
+            self._deliver(member, api.ZoneTrafficWeights(shares))
 
-    def _come(self, member: Member) -> None:
-        def come() -> None:
+    def _schedule_arrival(self, member: Member) -> None:
+        def arrive() -> None:
             if not member.dead:
-                name = f"j{len(self.jobs)}"
-                self.jobs[member.name, name] = {
+                name = f"j{len(self.requests)}"
+                self.requests[member.name, name] = {
                     "at": self.now,
                     "live": None,
                     "run": self.model.run * (0.5 + self.rng.random()),
                 }
-                self._feed(
+                self._deliver(
                     member, api.RequestArrived(name, 0, 1e3 * (self.now + self.model.deadline))
                 )
-                self._come(member)
+                self._schedule_arrival(member)
 
-        self.at(self.now + self.rng.expovariate(member.rate), come)
+        self.at(self.now + self.rng.expovariate(member.rate), arrive)
 
-    def _feed(self, member: Member, *events: api.Event) -> None:
+    def _deliver(self, member: Member, *events: api.Event) -> None:
         if member.dead or self.now < member.paused_until:
             return
         for action in self.modules[member.name].handle(1e3 * self.now, list(events)):
@@ -210,12 +219,12 @@
             if kind is api.SetTimer:
                 self.at(
                     self.now + action.delay / 1e3,
-                    lambda token=action.token: self._feed(member, api.TimerFired(token)),
+                    lambda token=action.token: self._deliver(member, api.TimerFired(token)),
                 )
             elif kind is api.Send:
-                self._send_job(member, action)
+                self._send_request(member, action)
             elif kind is api.Cancel:
-                attempt = self.jobs[member.name, action.request_id]["live"]
+                attempt = self.requests[member.name, action.request_id]["live"]
                 if attempt is not None and attempt.number == action.attempt:
                     self.at(
                         self.now,
@@ -223,31 +232,31 @@
                     )
             elif kind is api.Reject or kind is api.Fail:
                 self.answered.append((self.now, "refused" if kind is api.Reject else "failed", 0.0))
-                attempt = self.jobs[member.name, action.request_id]["live"]
+                attempt = self.requests[member.name, action.request_id]["live"]
                 if attempt is not None:
                     self.at(
                         self.now,
                         lambda attempt=attempt: self._end(attempt, api.PolicyOutcome.TIMEOUT),
                     )
 
-    def _send_job(self, member: Member, action: api.Send) -> None:
-        job = self.jobs[member.name, action.request_id]
+    def _send_request(self, member: Member, action: api.Send) -> None:
+        request = self.requests[member.name, action.request_id]
         attempt = Attempt(
             member,
             action.request_id,
-            job.get("tries", 0),
+            request.get("tries", 0),
             self.workers[action.worker],
             self.now,
-            job["run"],
+            request["run"],
         )
-        job["live"], job["tries"] = attempt, attempt.number + 1
+        request["live"], request["tries"] = attempt, attempt.number + 1
         member.machine.busy += 1.0
         self.sent_at[attempt.worker.zone].append(self.now)
-        self.at(self.now + TRIP, lambda: self._reach(attempt))
+        self.at(self.now + WORKER_DELAY_S, lambda: self._arrive_at_worker(attempt))
 
-    def _reach(self, attempt: Attempt) -> None:
+    def _arrive_at_worker(self, attempt: Attempt) -> None:
         w = attempt.worker
-        if attempt.over:
+        if attempt.ended:
             return
         if w.mode == "gone":
             self._end(attempt, api.PolicyOutcome.CONNECTION_LOST)
@@ -255,46 +264,51 @@
             self.at(self.now + 0.005, lambda: self._end(attempt, api.PolicyOutcome.ERROR))
         else:
             w.queue.append(attempt)
-            if self.now - w.cold_from < self.model.warm_after:
-                w.begun.append((self.now, attempt.run))
+            if self.now - w.slow_start_at < self.model.warm_after:
+                w.slow_start_work.append((self.now, attempt.run))
             self._serve(w)
 
     def _serve(self, w: Worker) -> None:
         while w.queue and len(w.running) < w.slots and w.mode == "well":
             attempt = w.queue.popleft()
             w.running.add(attempt)
-            self._feed(attempt.member, api.AttemptStarted(attempt.job, attempt.number, w.name))
-            age = self.now - w.cold_from
+            self._deliver(
+                attempt.member, api.AttemptStarted(attempt.request_id, attempt.number, w.name)
+            )
+            age = self.now - w.slow_start_at
             start = self.model.start_capacity
-            warmth = min(1.0, start + (1.0 - start) * age / self.model.warm_after)
-            self.at(self.now + attempt.run / warmth, lambda attempt=attempt: self._finish(attempt))
+            warm_up_progress = min(1.0, start + (1.0 - start) * age / self.model.warm_after)
+            self.at(
+                self.now + attempt.run / warm_up_progress,
+                lambda attempt=attempt: self._finish(attempt),
+            )
 
     def _finish(self, attempt: Attempt) -> None:
-        if not attempt.over and attempt.worker.mode == "well":
-            job = self.jobs[attempt.member.name, attempt.job]
-            late = self.now - job["at"] > self.model.aim
+        if not attempt.ended and attempt.worker.mode == "well":
+            request = self.requests[attempt.member.name, attempt.request_id]
+            late = self.now - request["at"] > self.model.latency_objective
             self.answered.append((self.now, "served", 0.0 if late else 1.0))
             self._end(attempt, api.PolicyOutcome.SERVED)
 
     def _end(self, attempt: Attempt, outcome: str) -> None:
-        if attempt.over:
+        if attempt.ended:
             return
-        attempt.over = True
+        attempt.ended = True
         w, member = attempt.worker, attempt.member
         w.running.discard(attempt)
         if attempt in w.queue:
             w.queue.remove(attempt)
-        self.jobs[member.name, attempt.job]["live"] = None
+        self.requests[member.name, attempt.request_id]["live"] = None
         machine = member.machine
         machine.busy -= 1.0
-        if outcome in LOST:
+        if outcome in LOST_OUTCOMES:
             self.lost_at[w.zone].append(self.now)
-        if machine.note(self.now + member.clock, f"z{w.zone}", outcome in LOST):
+        if machine.note(self.now + member.clock, f"z{w.zone}", outcome in LOST_OUTCOMES):
             self._look_again(member)
-        self._feed(
+        self._deliver(
             member,
             api.AttemptEnded(
-                attempt.job,
+                attempt.request_id,
                 attempt.number,
                 w.name,
                 outcome,
@@ -304,26 +318,31 @@
         )
         self._serve(w)
 
-    # -- figures
+    # -- results
 
     def attempts_at(self, zone: int, since: float, until: float) -> list[float]:
-        """When attempts were sent to a zone."""
+        """Returns the send times of the attempts at a zone's workers between two times."""
         return [at for at in self.sent_at[zone] if since <= at < until]
 
     def served_weight(self, since: float, until: float) -> float:
-        return sum(served_weight for at, _, served_weight in self.answered if since <= at < until)
+        """Returns the number of requests served within their latency objective between two times."""
+        return sum(weight for at, _, weight in self.answered if since <= at < until)
 
     def max_slow_start_budget_used(self) -> float:
-        """The most work that a cold worker was sent within the window, over its budget (1: all of it)."""
+        """Returns the largest fraction of its slow start budget that a worker received within a window."""
         model, worst = self.model, 0.0
         for w in self.workers.values():
-            for i, (first, _) in enumerate(w.begun):
+            for i, (first, _) in enumerate(w.slow_start_work):
                 window = [
-                    (at, run) for at, run in w.begun[i:] if at < first + model.slow_start_window
+                    (at, run)
+                    for at, run in w.slow_start_work[i:]
+                    if at < first + model.slow_start_window
                 ]
-                age = window[-1][0] - w.cold_from
+                age = window[-1][0] - w.slow_start_at
                 start = model.start_capacity
-                warmth = min(1.0, start + (1.0 - start) * age / model.warm_after)
-                budget = model.slow_start_multiple * warmth * w.slots * model.slow_start_window
+                warm_up_progress = min(1.0, start + (1.0 - start) * age / model.warm_after)
+                budget = (
+                    model.slow_start_multiple * warm_up_progress * w.slots * model.slow_start_window
+                )
                 worst = max(worst, sum(run for _, run in window) / budget)
         return worst
--- a/yewrill/lab/overload_world.py
+++ b/yewrill/lab/overload_world.py
@@ -1,8 +1,8 @@
-"""One decision module in virtual time, before workers that slow down, fail, hang, vanish and are well again.
+"""Simulation of one decision module and its workers in virtual time, with episodes of worker faults.
 
-Pure but for its seeded random generator: the same arguments give the same history. Workers have slots and
-start waiting requests in order; a request whose attempt was given up still runs. Clients give up after their
-timeout and do not ask again. Times are milliseconds.
+Deterministic: the same arguments, including the seed, give the same history. Workers have slots and start
+waiting requests in order; a request whose attempt was cancelled or timed out still runs. Clients give up
+after their timeout and do not retry. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from yewrill.policy import interface as api
 
 ONE_WAY_MS = 0.5  # between the dispatcher and a worker
-START_MS = 1_000.0  # the clock's time at which a world begins
+START_MS = 1_000.0  # clock time at the start of a simulation
 
 
 class Condition(Enum):
-    """What befalls workers for a while."""
+    """Fault condition of workers during an episode."""
 
     SLOW = "runs take a multiple of their time"
     ERRORS = "requests are answered with an error"
@@ -34,30 +34,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Episode:
-    """Some workers are in a condition from one time on (after the start) until another."""
+    """A time span, relative to the start, in which some workers are in a fault condition."""
 
     condition: Condition
     begins: float
     ends: float
     workers: frozenset[int]
-    run_time_factor: float = 1.0  # where they are slow
+    run_time_factor: float = 1.0  # for Condition.SLOW
 
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """Requests of one class: how many a second, how long they run, how long their clients wait."""
+    """Requests of one class: arrival rate, run times and client timeouts."""
 
     rate_per_s: float
     run_time: float
     client_timeouts: Sequence[float]
     client_timeout_weights: Sequence[float] | None = None
-    hint: float = 0.0  # the work that clients state, 0: none
-    spread: float = 0.3  # run times lie up to this part of them around the mean
+    hint: float = 0.0  # expected work as stated by the clients, 0 for none
+    spread: float = 0.3  # largest deviation of run times from the mean, as a fraction of it
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A request's final answer; `reason` where it was not served."""
+    """Final answer of a request; `reason` is set if it was not served."""
 
     request_class: int
     arrived_at: float
@@ -68,13 +68,13 @@
 
 @dataclass(eq=False, slots=True)
 class _Attempt:
-    """An attempt, as its worker has it."""
+    """An attempt at a worker."""
 
     request: _Request
     number: int
     worker: _Worker
     sent_at: float
-    reported: bool = False  # its end
+    end_reported: bool = False
 
 
 @dataclass(eq=False, slots=True)
@@ -94,11 +94,12 @@
     position: int
     free_slots: int
     waiting: deque[_Attempt] = field(default_factory=deque)
-    held_ends: list[_Attempt] = field(default_factory=list)  # over while it hangs
+    # Attempts whose run time ended during a hang; they finish when the hang is over.
+    suspended: list[_Attempt] = field(default_factory=list)
 
 
 class OverloadWorld:
-    """A dispatcher, its workers and its traffic. `answers` holds what each request came to."""
+    """A dispatcher, its workers and its traffic; `answers` holds the final answers of all requests."""
 
     def __init__(
         self,
@@ -109,27 +110,30 @@
         slots: int = 4,
         seed: int = 1,
         first_run_times: Sequence[float] = (),
-        first_alone: bool = False,
-        quiet: float = 0.0,
+        first_request_alone: bool = False,
+        idle_time: float = 0.0,
     ):
-        """`first_run_times`: of the first requests; `first_alone`: the second one waits for the first's
-        end; `quiet`: so long after the list of workers the first one comes."""
+        """Starts the dispatcher and the traffic.
+
+        `first_run_times` are the run times of the first requests. With `first_request_alone` the traffic
+        starts after the end of the first request. `idle_time` passes between the worker list and the first
+        request."""
         self.settings, self.traffic, self.episodes = settings, traffic, episodes
         self.rng = random.Random(seed)
         self.now = START_MS
         self.answers: list[Answer] = []
-        self.module = Dispatcher(settings, seed)
+        self.dispatcher = Dispatcher(settings, seed)
         self.workers = {f"w{i}": _Worker(f"w{i}", i, slots) for i in range(workers)}
         self._first_run_times = deque(first_run_times)
         self._requests: dict[str, _Request] = {}
-        self._agenda: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = count()
+        self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
+        self._sequence = count()
         entries = [api.WorkerEntry(name) for name in self.workers]
-        self._hand(api.WorkerList(api.ListForm.CACHED, entries))
-        self.run_until(quiet)
-        if first_alone:
-            self._ask(0)
-            self.run_until(quiet + 2 * ONE_WAY_MS + first_run_times[0])
+        self._deliver(api.WorkerList(api.ListForm.CACHED, entries))
+        self.run_until(idle_time)
+        if first_request_alone:
+            self._send_request(0)
+            self.run_until(idle_time + 2 * ONE_WAY_MS + first_run_times[0])
         for request_class in range(len(traffic)):
             self._schedule_arrival(request_class)
         for episode in episodes:
@@ -138,29 +142,29 @@
             self._at(START_MS + episode.ends, lambda e=episode: self._end_episode(e))
 
     def run_until(self, elapsed: float) -> OverloadWorld:
-        """Go on until so long after the start."""
+        """Advances the simulation to `elapsed` after the start."""
         end = START_MS + elapsed
-        while self._agenda and self._agenda[0][0] <= end:
-            self.now, _, act = heappop(self._agenda)
-            act()
+        while self._scheduled and self._scheduled[0][0] <= end:
+            self.now, _, callback = heappop(self._scheduled)
+            callback()
         self.now = end
         return self
 
     def answers_between(self, begin: float, end: float) -> list[Answer]:
-        """The answers to the requests that arrived in a span, given after the start."""
+        """Returns the answers to the requests that arrived between two times, relative to the start."""
         first, last = START_MS + begin, START_MS + end
         return [answer for answer in self.answers if first <= answer.arrived_at < last]
 
     def not_served_between(self, begin: float, end: float) -> Counter[tuple[int, str]]:
-        """What was not served of the requests that arrived in a span, by class and reason."""
+        """Counts by class and reason the requests that arrived between two times and were not served."""
         return Counter(
             (answer.request_class, answer.reason)
             for answer in self.answers_between(begin, end)
             if not answer.served
         )
 
-    def _at(self, when: float, act: Callable[[], None]) -> None:
-        heappush(self._agenda, (when, next(self._numbers), act))
+    def _at(self, when: float, callback: Callable[[], None]) -> None:
+        heappush(self._scheduled, (when, next(self._sequence), callback))
 
     # -- clients
 
@@ -168,25 +172,25 @@
         rate = self.traffic[request_class].rate_per_s / 1000.0
         if rate > 0:
             at = self.now + self.rng.expovariate(rate)
-            self._at(at, lambda: self._arrive(request_class))
+            self._at(at, lambda: self._arrive_request(request_class))
 
-    def _arrive(self, request_class: int) -> None:
+    def _arrive_request(self, request_class: int) -> None:
         self._schedule_arrival(request_class)
-        self._ask(request_class)
+        self._send_request(request_class)
 
-    def _ask(self, request_class: int) -> None:
+    def _send_request(self, request_class: int) -> None:
         traffic = self.traffic[request_class]
         timeout = self._client_timeout(traffic)
         run_time = traffic.run_time * self.rng.uniform(1.0 - traffic.spread, 1.0 + traffic.spread)
         if self._first_run_times:
             run_time = self._first_run_times.popleft()
-        name = f"r{next(self._numbers)}"
+        name = f"r{next(self._sequence)}"
         request = _Request(name, request_class, self.now, self.now + timeout, run_time)
         self._requests[name] = request
-        self._hand(api.RequestArrived(name, request_class, request.deadline, hint=traffic.hint))
+        self._deliver(api.RequestArrived(name, request_class, request.deadline, hint=traffic.hint))
 
     def _client_timeout(self, traffic: Traffic) -> float:
-        """The very first client waits the longest, so that its request's end is seen."""
+        """Returns a random client timeout; the longest for the first client, so that its request ends."""
         if not self.answers and not self._requests:
             return max(traffic.client_timeouts)
         return self.rng.choices(traffic.client_timeouts, traffic.client_timeout_weights)[0]
@@ -202,21 +206,21 @@
         for attempt in request.attempts:
             self._report_end(attempt, api.PolicyOutcome.TIMEOUT)
 
-    # -- the module
+    # -- decision module
 
-    def _hand(self, event: api.Event) -> None:
-        for action in self.module.handle(self.now, [event]):
-            self._carry_out(action)
+    def _deliver(self, event: api.Event) -> None:
+        for action in self.dispatcher.handle(self.now, [event]):
+            self._execute(action)
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
             due = self.now + max(self.settings.tick, action.delay)
-            self._at(due, lambda: self._hand(api.TimerFired(action.token)))
+            self._at(due, lambda: self._deliver(api.TimerFired(action.token)))
         elif isinstance(action, api.Send):
             self._send(self._requests[action.request_id], self.workers[action.worker])
         elif isinstance(action, api.Reject | api.Fail):
             request = self._requests.get(action.request_id)
-            if request is not None:  # else it was served in this very moment
+            if request is not None:  # None: served at the same point in time
                 self._answer(request, False, action.reason)
         elif isinstance(action, api.Probe):
             self._probe(self.workers[action.worker])
@@ -227,15 +231,15 @@
     def _send(self, request: _Request, worker: _Worker) -> None:
         attempt = _Attempt(request, len(request.attempts), worker, self.now)
         request.attempts.append(attempt)
-        self._at(self.now + ONE_WAY_MS, lambda: self._reach(attempt))
+        self._at(self.now + ONE_WAY_MS, lambda: self._arrive_at_worker(attempt))
         timed_out = api.PolicyOutcome.TIMEOUT
         self._at(request.deadline, lambda: self._report_end(attempt, timed_out))
 
     def _report_end(self, attempt: _Attempt, outcome: api.PolicyOutcome) -> None:
-        """Tell the module of an attempt's end, once; a served one concludes its request."""
-        if attempt.reported:
+        """Reports the end of an attempt to the dispatcher, once; a served attempt answers its request."""
+        if attempt.end_reported:
             return
-        attempt.reported = True
+        attempt.end_reported = True
         request = attempt.request
         served = outcome is api.PolicyOutcome.SERVED
         if served:
@@ -245,20 +249,20 @@
         event = api.AttemptEnded(
             request.name, attempt.number, worker, outcome, elapsed, request.answered
         )
-        self._at(self.now, lambda: self._hand(event))
+        self._at(self.now, lambda: self._deliver(event))
 
     def _probe(self, worker: _Worker) -> None:
-        if self._in(Condition.HANGS, worker):
+        if self._active_episode(Condition.HANGS, worker):
             outcome, delay = api.PolicyOutcome.TIMEOUT, 1000.0
-        elif self._in(Condition.VANISHED, worker):
+        elif self._active_episode(Condition.VANISHED, worker):
             outcome, delay = api.PolicyOutcome.NO_CONNECTION, 2 * ONE_WAY_MS
         else:
             outcome, delay = api.PolicyOutcome.SERVED, 2 * ONE_WAY_MS
-        self._at(self.now + delay, lambda: self._hand(api.ProbeEnded(worker.name, outcome)))
+        self._at(self.now + delay, lambda: self._deliver(api.ProbeEnded(worker.name, outcome)))
 
     # -- workers
 
-    def _in(self, condition: Condition, worker: _Worker) -> Episode | None:
+    def _active_episode(self, condition: Condition, worker: _Worker) -> Episode | None:
         elapsed = self.now - START_MS
         for episode in self.episodes:
             if (
@@ -269,13 +273,13 @@
                 return episode
         return None
 
-    def _reach(self, attempt: _Attempt) -> None:
+    def _arrive_at_worker(self, attempt: _Attempt) -> None:
         worker = attempt.worker
-        if self._in(Condition.VANISHED, worker):
+        if self._active_episode(Condition.VANISHED, worker):
             self._report_later(attempt, api.PolicyOutcome.NO_CONNECTION)
-        elif self._in(Condition.BUSY, worker):
+        elif self._active_episode(Condition.BUSY, worker):
             self._report_later(attempt, api.PolicyOutcome.REJECTED)
-        elif self._in(Condition.ERRORS, worker):
+        elif self._active_episode(Condition.ERRORS, worker):
             self._report_later(attempt, api.PolicyOutcome.ERROR)
         else:
             worker.waiting.append(attempt)
@@ -285,31 +289,35 @@
         self._at(self.now + ONE_WAY_MS, lambda: self._report_end(attempt, outcome))
 
     def _start_waiting(self, worker: _Worker) -> None:
-        while worker.waiting and worker.free_slots and not self._in(Condition.HANGS, worker):
+        while (
+            worker.waiting
+            and worker.free_slots
+            and not self._active_episode(Condition.HANGS, worker)
+        ):
             attempt = worker.waiting.popleft()
             worker.free_slots -= 1
-            slow = self._in(Condition.SLOW, worker)
+            slow = self._active_episode(Condition.SLOW, worker)
             run_time = attempt.request.run_time * (slow.run_time_factor if slow else 1.0)
-            if self.settings.reports_start and not attempt.reported:
+            if self.settings.reports_start and not attempt.end_reported:
                 self._at(self.now + ONE_WAY_MS, lambda a=attempt: self._report_start(a))
             self._at(self.now + run_time, lambda a=attempt: self._finish(a))
 
     def _report_start(self, attempt: _Attempt) -> None:
-        if not attempt.reported:
+        if not attempt.end_reported:
             name, number = attempt.request.name, attempt.number
-            self._hand(api.AttemptStarted(name, number, attempt.worker.name))
+            self._deliver(api.AttemptStarted(name, number, attempt.worker.name))
 
     def _finish(self, attempt: _Attempt) -> None:
         worker = attempt.worker
-        if self._in(Condition.HANGS, worker):
-            worker.held_ends.append(attempt)
+        if self._active_episode(Condition.HANGS, worker):
+            worker.suspended.append(attempt)
             return
         worker.free_slots += 1
         self._report_later(attempt, api.PolicyOutcome.SERVED)
         self._start_waiting(worker)
 
     def _vanish(self, episode: Episode) -> None:
-        """Whatever waits at these workers is lost; what runs ends unseen."""
+        """Reports the attempts that wait at the workers of the episode as lost."""
         for worker in self.workers.values():
             if worker.position in episode.workers:
                 lost, worker.waiting = worker.waiting, deque()
@@ -319,7 +327,7 @@
     def _end_episode(self, episode: Episode) -> None:
         for worker in self.workers.values():
             if worker.position in episode.workers:
-                held, worker.held_ends = worker.held_ends, []
-                for attempt in held:
+                suspended, worker.suspended = worker.suspended, []
+                for attempt in suspended:
                     self._finish(attempt)
                 self._start_waiting(worker)
--- a/yewrill/policy/requests.py
+++ b/yewrill/policy/requests.py
@@ -35,7 +35,7 @@
     utility: float = 0.0
     priority_level: int = 0
     time_constraint: float = 0.0  # T_k
-    guaranteed_rate: float = 0.0  # lambda_k, requests a millisecond
+    guaranteed_rate: float = 0.0  # lambda_k, requests per millisecond
     not_served: Counter[api.RejectionReason] = field(default_factory=Counter)
     # Trials of requests whose run time is expected by `mean_run_time`, and by the client's hint.
     mean_trials: TrialRequests = field(default_factory=TrialRequests)
