--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -34,7 +34,7 @@
         self.attempts = 0
 
 
-class Host:
+class Worker:
     """One worker."""
 
     def __init__(self, name, slots, speed, launched=0.0, slow=1.0, errs=0.0, zone=0):
@@ -110,34 +110,38 @@
             )
             | settings
         )
-        self.hosts = {}
+        self.workers = {}
         for _ in range(workers):
-            self.add_host()
+            self.add_worker()
         self.modules = [
             Dispatcher(Settings(**self.places[i], **self.settings), self.rng.getrandbits(64))
             for i in range(dispatchers)
         ]
         for i in range(dispatchers):
-            self.tell(
+            self.deliver(
                 i,
-                [api.WorkerList(api.ListForm.CACHED, [self.entry(h) for h in self.hosts.values()])],
+                [
+                    api.WorkerList(
+                        api.ListForm.CACHED, [self.entry(h) for h in self.workers.values()]
+                    )
+                ],
             )
         self.rate = load * workers * slots / self.work
         self.used: list[set[str]] = [set() for _ in range(dispatchers)]
         self.requests = {}
         self.next_arrival()
 
-    def add_host(self, launched=0.0, slow=1.0, errs=0.0):
-        host = Host(
+    def add_worker(self, launched=0.0, slow=1.0, errs=0.0):
+        host = Worker(
             f"s-{self.rng.getrandbits(32):08x}",
             self.slots,
             self.rng.gauss(1.0, 0.1),
             launched,
             slow,
             errs,
-            len(self.hosts) % self.zones,
+            len(self.workers) % self.zones,
         )
-        self.hosts[host.name] = host
+        self.workers[host.name] = host
         return host
 
     def entry(self, host, state=api.WorkerState.RUNNING):
@@ -146,12 +150,12 @@
     def at(self, when, what, *args):
         heappush(self.heap, (when, next(self.number), what, args))
 
-    def tell_all(self, entries, spread=50.0):
+    def deliver_list_changes(self, entries, spread=50.0):
         """Changes of the list, at a moment of its own at each dispatcher."""
         for i in range(len(self.modules)):
             self.at(
                 self.now + self.rng.random() * spread,
-                self.tell,
+                self.deliver,
                 i,
                 [api.WorkerList(api.ListForm.CHANGES, list(entries))],
             )
@@ -161,8 +165,8 @@
         self.modules[i] = Dispatcher(
             Settings(**self.places[i], **self.settings), self.rng.getrandbits(64)
         )
-        self.tell(
-            i, [api.WorkerList(api.ListForm.CACHED, [self.entry(h) for h in self.hosts.values()])]
+        self.deliver(
+            i, [api.WorkerList(api.ListForm.CACHED, [self.entry(h) for h in self.workers.values()])]
         )
 
     def run(self, span):
@@ -189,9 +193,9 @@
         run = mean * self.rng.lognormvariate(*self.spread)
         need = self.rng.choices((1, 2, 4), widths)[0]
         job = self.requests[name] = Job(name, cls, self.now, run, need, self.now + self.deadline)
-        self.tell(i, [api.RequestArrived(name, cls, job.deadline, 0, float(need))])
+        self.deliver(i, [api.RequestArrived(name, cls, job.deadline, 0, float(need))])
 
-    def tell(self, i, events):
+    def deliver(self, i, events):
         module = self.modules[i]
         for action in module.handle(self.now, events):
             kind = type(action)
@@ -201,7 +205,7 @@
                 job = self.requests[action.request_id]
                 number, job.attempts = job.attempts, job.attempts + 1
                 self.used[i].add(action.worker)
-                self.at(self.now + TRIP, self.reach, i, job, number, action.worker)
+                self.at(self.now + TRIP, self.arrive_at_worker, i, job, number, action.worker)
             elif kind is api.Cancel:
                 self.back(
                     i,
@@ -213,10 +217,10 @@
 
     def ring(self, i, module, token):
         if self.modules[i] is module:  # a timer ends with the dispatcher that set it
-            self.tell(i, [api.TimerFired(token)])
+            self.deliver(i, [api.TimerFired(token)])
 
-    def reach(self, i, job, number, name):
-        host = self.hosts[name]
+    def arrive_at_worker(self, i, job, number, name):
+        host = self.workers[name]
         if host.launched:
             host.cold_work.append((self.now, job.run * job.need))
         host.queue.append((i, job, number))
@@ -233,11 +237,11 @@
                 )
                 continue
             told = self.now + TRIP
-            self.at(told, self.tell, i, [api.AttemptStarted(job.name, number, host.name)])
+            self.at(told, self.deliver, i, [api.AttemptStarted(job.name, number, host.name)])
             for second in range(1, int(run // 1000) + 1):
                 self.at(
                     told + 1000.0 * second,
-                    self.tell,
+                    self.deliver,
                     i,
                     [api.AttemptProgress(job.name, number, host.name, 0.5)],
                 )
@@ -256,7 +260,7 @@
         self.at(self.now + TRIP, self.back, i, job, number, host.name, outcome)
 
     def back(self, i, job, number, name, outcome):
-        self.tell(
+        self.deliver(
             i,
             [
                 api.AttemptEnded(
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -48,15 +48,15 @@
     """From here on twice the work that cold workers may take comes in, besides what the old ones can do."""
     terms = world.settings
     world.rate = (
-        world.slots * len(world.hosts) * (1.0 + 2.0 * terms["slow_start_multiple"]) / world.work
+        world.slots * len(world.workers) * (1.0 + 2.0 * terms["slow_start_multiple"]) / world.work
     )
 
 
 def appear(world, errs=0.0):
     """Cold workers take the place of the old ones: what comes can go nowhere else."""
-    old = list(world.hosts.values())
-    new = [world.add_host(launched=world.now, errs=errs) for _ in old]
-    world.tell_all(
+    old = list(world.workers.values())
+    new = [world.add_worker(launched=world.now, errs=errs) for _ in old]
+    world.deliver_list_changes(
         [*map(world.entry, new), *(world.entry(h, api.WorkerState.DRAINING) for h in old)]
     )
     return new
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -92,7 +92,7 @@
 def test_a_faulty_worker_costs_few_of_many_dispatchers_their_requests():
     # Found on fleet days: each of 40 dispatchers lost a job or two to each bad worker before it knew.
     world = World(5, load=0.6)
-    bad = next(iter(world.hosts.values()))
+    bad = next(iter(world.workers.values()))
     bad.slow = 40.0
     world.run(8000.0)
     hurt = sum(bad.name in used for used in world.used)
@@ -105,11 +105,11 @@
     # Found on fleet days: each of 40 had a budget below one job; new workers idled while old ones jammed.
     world = World(3, load=0.6)
     world.run(4000.0)
-    old = list(world.hosts.values())[:20]
-    new = [world.add_host(launched=world.now) for _ in old]
-    world.tell_all([world.entry(h) for h in new])
+    old = list(world.workers.values())[:20]
+    new = [world.add_worker(launched=world.now) for _ in old]
+    world.deliver_list_changes([world.entry(h) for h in new])
     world.run(500.0)
-    world.tell_all([world.entry(h, api.WorkerState.DRAINING) for h in old])
+    world.deliver_list_changes([world.entry(h, api.WorkerState.DRAINING) for h in old])
     world.run(6000.0)
     warm = [0.31 + 0.69 * k / 62 for k in range(62)]
     for host in new:
@@ -125,9 +125,9 @@
 def test_most_of_a_busy_fleet_replaced_at_once_gets_the_used_part_of_the_slow_start_budget():
     world = World(3, load=1.0)
     world.run(3000.0)
-    old = list(world.hosts.values())[:50]
-    new = [world.add_host(launched=world.now) for _ in old]
-    world.tell_all(
+    old = list(world.workers.values())[:50]
+    new = [world.add_worker(launched=world.now) for _ in old]
+    world.deliver_list_changes(
         [*map(world.entry, new), *(world.entry(h, api.WorkerState.DRAINING) for h in old)]
     )
     world.run(3100.0)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -383,7 +383,7 @@
     expected arrivals came to be bounded by the present drain time; those of overload are older."""
     digest = hashlib.sha256()
     fleet = World(seed, dispatchers=6, workers=12, load=load, warm_after=warm_after)
-    tell = fleet.tell
+    tell = fleet.deliver
 
     def told(i, events, tell=tell, fleet=fleet):
         handle = fleet.modules[i].handle
@@ -400,11 +400,11 @@
         finally:
             fleet.modules[i].handle = handle
 
-    fleet.tell = told
+    fleet.deliver = told
     fleet.run(1500.0)
-    old = list(fleet.hosts.values())[:4]
-    new = [fleet.add_host(launched=fleet.now) for _ in old]
-    fleet.tell_all(
+    old = list(fleet.workers.values())[:4]
+    new = [fleet.add_worker(launched=fleet.now) for _ in old]
+    fleet.deliver_list_changes(
         [*map(fleet.entry, new), *(fleet.entry(h, api.WorkerState.DRAINING) for h in old)]
     )
     fleet.run(2500.0)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -70,7 +70,7 @@
     fleet = World(seed, dispatchers=dispatchers, workers=12, load=0.3)
     arrived: list[list[float]] = [[] for _ in range(dispatchers)]
     sent: list[list[float]] = [[] for _ in range(dispatchers)]
-    tell, reach = fleet.tell, fleet.reach
+    tell, reach = fleet.deliver, fleet.arrive_at_worker
 
     def telling(index, events):
         arrived[index] += [fleet.now for event in events if isinstance(event, api.RequestArrived)]
@@ -80,8 +80,8 @@
         sent[index].append(fleet.now)
         reach(index, job, number, name)
 
-    fleet.tell, fleet.reach = telling, reaching
-    for host in fleet.hosts.values():
+    fleet.deliver, fleet.arrive_at_worker = telling, reaching
+    for host in fleet.workers.values():
         host.launched = fleet.now
     for index in range(dispatchers):
         fleet.restart(index)  # each knows the list, and has learned nothing
