--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -1,8 +1,9 @@
-"""A fleet in virtual time: many instances of the module before many workers, in one seeded loop.
+"""Simulation of many decision modules that share many workers, in virtual time with a seeded generator.
 
-It knows the least that shows harm in sum: workers of a few slots that start jobs in the order in which they
-came (wide ones too, at the head until they fit), start notices, cold workers, changes of the list that come
-to each dispatcher at its own moment, dispatchers that start anew. Times in milliseconds.
+It shows effects of the sum of all dispatchers. Workers have a few slots and start requests in order of
+arrival; a wide request waits at the head of the queue until enough slots are free. Workers report the starts
+of requests, and warm up after their own start. Changes of the endpoint list reach each dispatcher at a
+different time. Dispatchers may restart. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -15,19 +16,22 @@
 from yewrill import Dispatcher, Settings
 from yewrill.policy import interface as api
 
-TRIP = 0.5  # one way between a dispatcher and a worker
-# part of the traffic, mean run time, chances of 1, 2 and 4 slots, latency objective, its run time factor,
-# priority weight
+ONE_WAY_MS = 0.5  # between a dispatcher and a worker
+# Request classes: fraction of the traffic, mean run time, probabilities of needing 1, 2 and 4 slots, latency
+# objective, run time factor of the objective, priority weight.
 CLASSES = {
     "short": (0.49, 215.0, (1.0, 0.0, 0.0), 120.0, 1.75, 1.0),
     "day": (0.30, 425.0, (0.6, 0.25, 0.15), 100.0, 2.5, 5.0),
     "pass": (0.12, 850.0, (0.6, 0.25, 0.15), 200.0, 1.75, 5.0),
     "save": (0.09, 105.0, (0.8, 0.2, 0.0), 80.0, 2.0, 3.0),
 }
-SPREAD = (-0.8, 1.265)  # mu and sigma of run times over their mean, log-normal: cv 2
+# Mu and sigma of the log-normal distribution of run times relative to the mean: coefficient of variation 2.
+SPREAD = (-0.8, 1.265)
 
 
-class Job:
+class Request:
+    """A request of class `cls` that runs for `run` at a worker of speed 1 and holds `need` slots."""
+
     def __init__(self, name, cls, arrived, run, need, deadline):
         self.name, self.cls, self.arrived, self.run, self.need = name, cls, arrived, run, need
         self.deadline = deadline
@@ -35,7 +39,10 @@
 
 
 class Worker:
-    """One worker."""
+    """A worker.
+
+    Run times are divided by `speed` and multiplied by `slow`. The fraction `errs` of its requests ends with
+    an error after a tenth of the run time."""
 
     def __init__(self, name, slots, speed, launched=0.0, slow=1.0, errs=0.0, zone=0):
         self.name, self.slots, self.speed, self.launched, self.slow = (
@@ -46,17 +53,16 @@
             slow,
         )
         self.zone = zone
-        self.errs = (
-            errs  # the part of its jobs that end in an error, after a tenth of their run time
-        )
+        self.errs = errs
         self.free = float(slots)
         self.queue = deque()
-        self.cold_work: list[
-            tuple[float, float]
-        ] = []  # when and how much was sent while it was cold
+        # Arrival time and work of each request received since the last start, if that is known.
+        self.received_work: list[tuple[float, float]] = []
 
 
 class World:
+    """The simulated fleet; `load` is the offered load as a fraction of all slots."""
+
     def __init__(
         self,
         seed,
@@ -74,10 +80,10 @@
         self.rng = random.Random(seed)
         self.number = count()
         self.now = 1_000_000.0
-        self.heap = []
+        self.scheduled = []
         self.slots, self.load = slots, load
         self.classes, self.spread, self.deadline, self.zones = classes, spread, deadline, zones
-        # The index and zone that each dispatcher is told of itself; workers are in zones by turns.
+        # Index and zone in the settings of each dispatcher; workers are assigned to zones in turn.
         self.places = places or [{"index": i} for i in range(dispatchers)]
         self.work = sum(
             c[0] * c[1] * (c[2][0] + 2 * c[2][1] + 4 * c[2][2]) for c in classes.values()
@@ -132,7 +138,7 @@
         self.next_arrival()
 
     def add_worker(self, launched=0.0, slow=1.0, errs=0.0):
-        host = Worker(
+        worker = Worker(
             f"s-{self.rng.getrandbits(32):08x}",
             self.slots,
             self.rng.gauss(1.0, 0.1),
@@ -141,17 +147,17 @@
             errs,
             len(self.workers) % self.zones,
         )
-        self.workers[host.name] = host
-        return host
+        self.workers[worker.name] = worker
+        return worker
 
-    def entry(self, host, state=api.WorkerState.RUNNING):
-        return api.WorkerEntry(host.name, host.zone, state=state, launched=host.launched)
+    def entry(self, worker, state=api.WorkerState.RUNNING):
+        return api.WorkerEntry(worker.name, worker.zone, state=state, launched=worker.launched)
 
     def at(self, when, what, *args):
-        heappush(self.heap, (when, next(self.number), what, args))
+        heappush(self.scheduled, (when, next(self.number), what, args))
 
     def deliver_list_changes(self, entries, spread=50.0):
-        """Changes of the list, at a moment of its own at each dispatcher."""
+        """Delivers changes of the endpoint list to each dispatcher at a random time within `spread`."""
         for i in range(len(self.modules)):
             self.at(
                 self.now + self.rng.random() * spread,
@@ -161,7 +167,7 @@
             )
 
     def restart(self, i):
-        """A dispatcher starts anew: nothing learned, nothing held, the list as it was last known."""
+        """Restarts a dispatcher, which loses its estimates and requests and gets the cached list."""
         self.modules[i] = Dispatcher(
             Settings(**self.places[i], **self.settings), self.rng.getrandbits(64)
         )
@@ -171,8 +177,8 @@
 
     def run(self, span):
         end = self.now + span
-        while self.heap and self.heap[0][0] <= end:
-            self.now, _, what, args = heappop(self.heap)
+        while self.scheduled and self.scheduled[0][0] <= end:
+            self.now, _, what, args = heappop(self.scheduled)
             what(*args)
         self.now = end
         return self
@@ -182,32 +188,36 @@
 
     def arrive(self):
         self.next_arrival()
-        self.ask()
+        self.send_request()
 
-    def ask(self):
-        """A job comes to one of the dispatchers."""
+    def send_request(self):
+        """Sends a request to a random dispatcher."""
         i = self.rng.randrange(len(self.modules))
         name = f"j{next(self.number)}"
         cls = self.rng.choices(range(len(self.classes)), [c[0] for c in self.classes.values()])[0]
         _, mean, widths, *_ = list(self.classes.values())[cls]
         run = mean * self.rng.lognormvariate(*self.spread)
         need = self.rng.choices((1, 2, 4), widths)[0]
-        job = self.requests[name] = Job(name, cls, self.now, run, need, self.now + self.deadline)
-        self.deliver(i, [api.RequestArrived(name, cls, job.deadline, 0, float(need))])
+        request = self.requests[name] = Request(
+            name, cls, self.now, run, need, self.now + self.deadline
+        )
+        self.deliver(i, [api.RequestArrived(name, cls, request.deadline, 0, float(need))])
 
     def deliver(self, i, events):
         module = self.modules[i]
         for action in module.handle(self.now, events):
             kind = type(action)
             if kind is api.SetTimer:
-                self.at(self.now + max(2.0, action.delay), self.ring, i, module, action.token)
+                self.at(self.now + max(2.0, action.delay), self.fire_timer, i, module, action.token)
             elif kind is api.Send:
-                job = self.requests[action.request_id]
-                number, job.attempts = job.attempts, job.attempts + 1
+                request = self.requests[action.request_id]
+                number, request.attempts = request.attempts, request.attempts + 1
                 self.used[i].add(action.worker)
-                self.at(self.now + TRIP, self.arrive_at_worker, i, job, number, action.worker)
+                self.at(
+                    self.now + ONE_WAY_MS, self.arrive_at_worker, i, request, number, action.worker
+                )
             elif kind is api.Cancel:
-                self.back(
+                self.report_end(
                     i,
                     self.requests[action.request_id],
                     action.attempt,
@@ -215,60 +225,73 @@
                     api.PolicyOutcome.CANCELLED,
                 )
 
-    def ring(self, i, module, token):
-        if self.modules[i] is module:  # a timer ends with the dispatcher that set it
+    def fire_timer(self, i, module, token):
+        if self.modules[i] is module:  # a restarted dispatcher does not get the timers set before
             self.deliver(i, [api.TimerFired(token)])
 
-    def arrive_at_worker(self, i, job, number, name):
-        host = self.workers[name]
-        if host.launched:
-            host.cold_work.append((self.now, job.run * job.need))
-        host.queue.append((i, job, number))
-        self.fill(host)
+    def arrive_at_worker(self, i, request, number, name):
+        worker = self.workers[name]
+        if worker.launched:
+            worker.received_work.append((self.now, request.run * request.need))
+        worker.queue.append((i, request, number))
+        self.start_waiting(worker)
 
-    def fill(self, host):
-        while host.queue and host.queue[0][1].need <= host.free:
-            i, job, number = host.queue.popleft()
-            host.free -= job.need
-            run = job.run * host.slow / (host.speed * self.warmth(host, self.now))
-            if host.errs and self.rng.random() < host.errs:
+    def start_waiting(self, worker):
+        while worker.queue and worker.queue[0][1].need <= worker.free:
+            i, request, number = worker.queue.popleft()
+            worker.free -= request.need
+            run = (
+                request.run * worker.slow / (worker.speed * self.warm_up_progress(worker, self.now))
+            )
+            if worker.errs and self.rng.random() < worker.errs:
                 self.at(
-                    self.now + 0.1 * run, self.finish, host, i, job, number, api.PolicyOutcome.ERROR
+                    self.now + 0.1 * run,
+                    self.finish,
+                    worker,
+                    i,
+                    request,
+                    number,
+                    api.PolicyOutcome.ERROR,
                 )
                 continue
-            told = self.now + TRIP
-            self.at(told, self.deliver, i, [api.AttemptStarted(job.name, number, host.name)])
+            reported_at = self.now + ONE_WAY_MS
+            self.at(
+                reported_at,
+                self.deliver,
+                i,
+                [api.AttemptStarted(request.name, number, worker.name)],
+            )
             for second in range(1, int(run // 1000) + 1):
                 self.at(
-                    told + 1000.0 * second,
+                    reported_at + 1000.0 * second,
                     self.deliver,
                     i,
-                    [api.AttemptProgress(job.name, number, host.name, 0.5)],
+                    [api.AttemptProgress(request.name, number, worker.name, 0.5)],
                 )
-            self.at(self.now + run, self.finish, host, i, job, number)
+            self.at(self.now + run, self.finish, worker, i, request, number)
 
-    def warmth(self, host, at):
-        """The part of its capacity that a worker has at a moment."""
+    def warm_up_progress(self, worker, at):
+        """Returns the fraction of its capacity that a worker has at a time."""
         start, span = self.settings["start_capacity"], self.settings["warm_after"]
-        if not host.launched or at - host.launched >= span:
+        if not worker.launched or at - worker.launched >= span:
             return 1.0
-        return start + (1.0 - start) * (at - host.launched) / span
+        return start + (1.0 - start) * (at - worker.launched) / span
 
-    def finish(self, host, i, job, number, outcome=api.PolicyOutcome.SERVED):
-        host.free += job.need
-        self.fill(host)
-        self.at(self.now + TRIP, self.back, i, job, number, host.name, outcome)
+    def finish(self, worker, i, request, number, outcome=api.PolicyOutcome.SERVED):
+        worker.free += request.need
+        self.start_waiting(worker)
+        self.at(self.now + ONE_WAY_MS, self.report_end, i, request, number, worker.name, outcome)
 
-    def back(self, i, job, number, name, outcome):
+    def report_end(self, i, request, number, name, outcome):
         self.deliver(
             i,
             [
                 api.AttemptEnded(
-                    job.name,
+                    request.name,
                     number,
                     name,
                     outcome,
-                    self.now - job.arrived,
+                    self.now - request.arrived,
                     outcome == api.PolicyOutcome.SERVED,
                 )
             ],
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,7 +1,9 @@
-"""Cold workers under the sum of all dispatchers, which share nothing: the budget holds for all together.
+"""The slow start budget of a worker holds for the sum of all dispatchers, which do not coordinate.
 
-The rule: of requests of mean work, a cold worker may get N in a window, N = multiple x its capacity at the
-time x window / mean work; beyond N only 2 * sqrt(N) + 2 is chance, with however many dispatchers.
+In any window, a worker that has just started may get N requests of mean work: N = slow start multiple x its
+capacity at the time x window / mean work. Up to 2 * sqrt(N) + 2 more are within random variation, however
+many dispatchers there are. The tests guard against dispatchers that each stay within their own part of the
+budget but exceed it together.
 """
 
 import random
@@ -13,14 +15,15 @@
 from yewrill.policy import interface as api
 
 SIZES = (1, 5, 20, 30, 200)
-OLD = 3  # workers long there; as many appear, cold
+WORKERS = 3  # workers at the beginning; the same number of new ones replaces them
 MEANS = (100.0, 215.0, 600.0, 1500.0, 3500.0)  # run times
 
 
-def drawn(rng, dispatchers, workers=OLD, means=MEANS, **fleet):
-    """A fleet with the cold terms, slots and classes that a site's settings may have."""
+def random_fleet(rng, dispatchers, workers=WORKERS, means=MEANS, **fleet):
+    """Returns a fleet with random slow start settings, slots and request classes."""
     mean = rng.choice(means) * rng.uniform(0.8, 1.0)
-    # Aims tell little of run times: the module's first guess may be a tenth of them.
+    # The latency objective may be far below the run time: the module's initial estimate, which follows from
+    # it, may be a tenth of the run time.
     aim = mean * rng.uniform(0.2, 1.0)
     widths = (0.85, 0.15, 0.0)
     classes = {
@@ -44,16 +47,19 @@
     )
 
 
-def flood(world):
-    """From here on twice the work that cold workers may take comes in, besides what the old ones can do."""
-    terms = world.settings
+def overload(world):
+    """Raises the offered load to the capacity of the present workers plus twice the slow start budget."""
+    settings = world.settings
     world.rate = (
-        world.slots * len(world.workers) * (1.0 + 2.0 * terms["slow_start_multiple"]) / world.work
+        world.slots
+        * len(world.workers)
+        * (1.0 + 2.0 * settings["slow_start_multiple"])
+        / world.work
     )
 
 
-def appear(world, errs=0.0):
-    """Cold workers take the place of the old ones: what comes can go nowhere else."""
+def replace_workers(world, errs=0.0):
+    """Replaces all workers by new ones, so that new requests have no other workers; returns the new ones."""
     old = list(world.workers.values())
     new = [world.add_worker(launched=world.now, errs=errs) for _ in old]
     world.deliver_list_changes(
@@ -63,40 +69,40 @@
 
 
 def held(rng, dispatchers):
-    """Many jobs are held when the workers appear, and more come."""
-    world = drawn(rng, dispatchers).run(3000.0)
-    flood(world)
-    new = appear(world.run(1500.0))
+    """Many requests are queued when the new workers start, and more arrive."""
+    world = random_fleet(rng, dispatchers).run(3000.0)
+    overload(world)
+    new = replace_workers(world.run(1500.0))
     return world.run(world.settings["warm_after"]), new
 
 
 def quiet(rng, dispatchers):
-    """Nothing comes while budgets can be saved up; then all at once."""
-    world = drawn(rng, dispatchers).run(4000.0)
+    """No request arrives while unused budget is saved up; then many arrive at once."""
+    world = random_fleet(rng, dispatchers).run(4000.0)
     world.rate = 1e-6
-    new = appear(world)
+    new = replace_workers(world)
     world.run(rng.uniform(0.3, 0.8) * world.settings["warm_after"])
     for _ in range(
         int(
             3
             * world.settings["slow_start_multiple"]
             * world.slots
-            * OLD
+            * WORKERS
             * world.settings["slow_start_window"]
             / world.work
         )
         + 2 * dispatchers
     ):
-        world.at(world.now + 20.0 * world.rng.random(), world.ask)
-    flood(world)
+        world.at(world.now + 20.0 * world.rng.random(), world.send_request)
+    overload(world)
     return world.run(world.settings["warm_after"]), new
 
 
 def restarted(rng, dispatchers):
-    """Under a flood, dispatchers start anew in the middle of the warm-up, each at its own moment."""
-    world = drawn(rng, dispatchers).run(3000.0)
-    flood(world)
-    new = appear(world.run(500.0))
+    """Dispatchers restart under overload in the middle of the slow start, each at a different time."""
+    world = random_fleet(rng, dispatchers).run(3000.0)
+    overload(world)
+    new = replace_workers(world.run(500.0))
     for i in range(dispatchers):
         if dispatchers == 1 or rng.random() < 0.7:
             world.at(
@@ -106,40 +112,41 @@
 
 
 def begun(rng, dispatchers):
-    """All dispatchers and the workers start together, under a flood: nobody has seen a run time yet."""
-    world = drawn(rng, dispatchers)
-    flood(world)
-    new = appear(world)
+    """All dispatchers and workers start together under overload, before any run time is known."""
+    world = random_fleet(rng, dispatchers)
+    overload(world)
+    new = replace_workers(world)
     return world.run(world.settings["warm_after"]), new
 
 
 def erring(rng, dispatchers):
-    """Cold workers that fail half their jobs: each goes again."""
-    world = drawn(rng, dispatchers).run(3000.0)
-    flood(world)
-    new = appear(world.run(500.0), errs=0.5)
+    """The new workers answer half of their requests with an error, and these are retried."""
+    world = random_fleet(rng, dispatchers).run(3000.0)
+    overload(world)
+    new = replace_workers(world.run(500.0), errs=0.5)
     return world.run(world.settings["warm_after"]), new
 
 
 def parted(rng, dispatchers):
-    """A fleet large enough for windows, placed unevenly: indexes untold, or told in blocks by zone."""
+    """A fleet large enough for subsets that are placed unevenly: no indexes, or indexes in blocks by zone."""
     zones = rng.randint(1, 3)
-    first = rng.uniform(0.4, 0.8) * dispatchers  # so many in a zone, while they last
+    first = rng.uniform(0.4, 0.8) * dispatchers  # dispatchers per zone; the last zone has the rest
     places = [
         {"index": i if zones > 1 else -1, "zone": min(zones - 1, int(i / first))}
         for i in range(dispatchers)
     ]
-    world = drawn(
+    world = random_fleet(
         rng, dispatchers, 12, MEANS[2:], zones=zones, places=places, fees={"cross_zone": 0.1}
     )
     world.run(3000.0)
-    flood(world)
-    new = appear(world.run(500.0))
+    overload(world)
+    new = replace_workers(world.run(500.0))
     return world.run(world.settings["warm_after"]), new
 
 
-# Draws, of the first ten, that broke the rule before its mend at one size or another, or (the second of
-# `restarted`) with half of the mend; the large fleet plays the first of each.
+# Draws, of the first ten of each case, that exceed the budget at some number of dispatchers if the budget is
+# not kept for the sum, or (the second one of `restarted`) is kept only in part. The largest fleet runs only
+# the first draw of each.
 DRAWS = {
     held: (0, 5),
     quiet: (7, 2, 8),
@@ -150,20 +157,20 @@
 }
 
 
-def excess(world, host):
-    """The most by which any window of its warm-up is over N and chance, in requests; and that N."""
-    terms, sent = world.settings, host.cold_work
-    window, worst, of = terms["slow_start_window"], -1e9, 0.0
+def excess(world, worker):
+    """Returns the largest excess over N and random variation in a window of the slow start, and that N."""
+    settings, sent = world.settings, worker.received_work
+    window, worst, of = settings["slow_start_window"], -1e9, 0.0
     first, work = 0, 0.0
     for at, more in sent:
-        if at - host.launched >= terms["warm_after"]:
+        if at - worker.launched >= settings["warm_after"]:
             break
         work += more
         while sent[first][0] <= at - window:
             work -= sent[first][1]
             first += 1
-        capacity = world.slots * world.warmth(host, at)
-        n = terms["slow_start_multiple"] * capacity * window / world.work
+        capacity = world.slots * world.warm_up_progress(worker, at)
+        n = settings["slow_start_multiple"] * capacity * window / world.work
         over = work / world.work - n - 2.0 * sqrt(n) - 2.0
         if over > worst:
             worst, of = over, n
@@ -171,28 +178,32 @@
 
 
 def used(world, new):
-    """The part of what cold workers may take in all, at their own capacity, that they were sent."""
-    terms = world.settings
-    capacity = len(new) * world.slots * (1.0 + terms["start_capacity"]) / 2.0 * terms["warm_after"]
+    """Returns the fraction of their slow start budget that the new workers received during the slow start."""
+    settings = world.settings
+    capacity = (
+        len(new) * world.slots * (1.0 + settings["start_capacity"]) / 2.0 * settings["warm_after"]
+    )
     sent = sum(
         work
-        for host in new
-        for at, work in host.cold_work
-        if at - host.launched < terms["warm_after"]
+        for worker in new
+        for at, work in worker.received_work
+        if at - worker.launched < settings["warm_after"]
     )
-    return sent / (terms["slow_start_multiple"] * capacity)
+    return sent / (settings["slow_start_multiple"] * capacity)
 
 
 @pytest.mark.parametrize("case", DRAWS, ids=lambda case: case.__name__)
 @pytest.mark.parametrize("dispatchers", SIZES)
-def test_a_workers_slow_start_budget_holds_for_the_sum_of_all_dispatchers(dispatchers, case):
+def test_slow_start_budget_is_kept_by_the_sum_of_all_dispatchers(dispatchers, case):
     for draw in DRAWS[case][: 1 if dispatchers == 200 else None]:
         world, new = case(random.Random(f"{case.__name__} {draw}"), dispatchers)
-        for host in new:
-            over, n = excess(world, host)
-            assert over <= 0.0, f"draw {draw}: {over:.1f} over N = {n:.1f} and chance"
+        for worker in new:
+            over, n = excess(world, worker)
+            assert over <= 0.0, (
+                f"draw {draw}: {over:.1f} requests above N = {n:.1f} and its variation"
+            )
 
 
 @pytest.mark.parametrize("dispatchers", [20, 30, 200])
-def test_workers_warming_up_under_a_flood_are_not_starved_by_parts_below_one_request(dispatchers):
+def test_slow_start_budget_is_used_where_the_part_of_a_dispatcher_is_below_one_request(dispatchers):
     assert used(*held(random.Random("held 0"), dispatchers)) >= 0.15
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What is harmless at one dispatcher and harmful when all of a large fleet do it."""
+"""Behaviour that is harmless in one dispatcher and harmful if all dispatchers of a large fleet have it."""
 
 import random
 from collections import Counter
@@ -15,18 +15,21 @@
 
 @pytest.mark.parametrize("key", ["instances", "index"])
 @pytest.mark.parametrize("value", [-1, 1.5, "3", True, None, [], float("nan"), float("inf")])
-def test_a_number_or_count_of_dispatchers_that_makes_no_sense_is_rejected_by_its_key(key, value):
+def test_settings_with_an_invalid_dispatcher_index_or_count_are_rejected_and_name_the_key(
+    key, value
+):
     with pytest.raises(ConfigError, match=f"^settings.{key}: "):
         read_settings({**SETTINGS, key: value})
 
 
 @pytest.mark.parametrize("entries", [0, 1, 5000])
 @pytest.mark.parametrize("index", [-1, 0, 39, 400])
-def test_no_dispatcher_has_an_empty_subset_and_a_list_may_shrink_to_none(entries, index):
+def test_subset_is_empty_only_if_the_worker_list_is(entries, index):
     d = Dispatcher(
         Settings(classes=[api.RequestClass("c", 500.0, 5000.0)], dispatchers=40, index=index), 7
     )
-    whole = [api.WorkerEntry(f"w{i % 4999}") for i in range(entries)]  # one of 5,000 is there twice
+    # 5000 entries have a duplicate.
+    whole = [api.WorkerEntry(f"w{i % 4999}") for i in range(entries)]
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, whole)])
     out = d.handle(1.0, [api.RequestArrived("a", 0, 5001.0)])
     assert sum(type(action) is api.Send for action in out) == min(1, entries)
@@ -38,8 +41,8 @@
     assert [a.worker for a in out if type(a) is api.Send][:1] == ["w9999"]
 
 
-def test_dispatchers_without_a_number_do_not_all_take_the_same_window():
-    # One configuration copied to forty places would have all of them at six workers.
+def test_subsets_of_dispatchers_without_an_index_differ():
+    # Guards against one configuration copied to 40 dispatchers that has all of them use the same six workers.
     firsts = set()
     for seed in range(40):
         d = Dispatcher(
@@ -53,13 +56,13 @@
     assert len(firsts) > 20
 
 
-def windows(dispatchers, names):
-    """What each dispatcher uses first, and its part of each of these."""
+def subsets(dispatchers, names):
+    """Returns, for each dispatcher, the workers of its subset and its part of the capacity of each."""
     found = []
     for i in range(dispatchers):
         request_class = api.RequestClass("c", 500.0, 5000.0)
         d = Dispatcher(Settings(classes=[request_class], dispatchers=dispatchers, index=i), i)
-        # Where crossing zones costs nothing, those of another zone are as near as ours.
+        # Crossing zones costs nothing here, so the workers of both zones count as near.
         entries = [api.WorkerEntry(n, zone=int(n[-1], 16) % 2) for n in names]
         d.handle(0.0, [api.WorkerList(api.ListForm.FULL, entries)])
         ours = {w.name for w in d.fleet.workers.values() if w.capacity_fraction > 0.0}
@@ -71,38 +74,41 @@
 @pytest.mark.parametrize(
     "dispatchers,workers", [(1, 10), (2, 14), (3, 20), (7, 7), (40, 60), (40, 10), (60, 1)]
 )
-def test_windows_cover_every_worker_evenly_and_their_parts_of_it_make_one(dispatchers, workers):
+def test_subsets_cover_all_workers_evenly_and_the_parts_of_a_worker_add_up_to_one(
+    dispatchers, workers
+):
     rng = random.Random(dispatchers * workers)
     names = [f"s-{rng.getrandbits(32):08x}" for _ in range(workers)]
-    found = windows(dispatchers, rng.sample(names, workers))
-    sharers = Counter(name for window in found for name in window)
-    assert set(sharers) == set(names) and max(sharers.values()) - min(sharers.values()) <= 2
+    found = subsets(dispatchers, rng.sample(names, workers))
+    users = Counter(name for subset in found for name in subset)
+    assert set(users) == set(names) and max(users.values()) - min(users.values()) <= 2
     if dispatchers <= 6:
-        assert all(len(window) == workers for window in found)
+        assert all(len(subset) == workers for subset in found)
     elif workers > 10:
-        assert max(sharers.values()) <= 8
-    # All dispatchers together keep to one cold budget, a third over it at most where windows part unevenly.
+        assert max(users.values()) <= 8
+    # The parts of a worker add up to one slow start budget, within a third where subsets overlap unevenly.
     for name in names:
-        assert 0.66 <= sum(window.get(name, 0.0) for window in found) <= 1.34
-    # One worker less changes little of what each dispatcher knows.
-    for before, after in zip(found, windows(dispatchers, names[1:]), strict=True):
+        assert 0.66 <= sum(subset.get(name, 0.0) for subset in found) <= 1.34
+    # Removing a worker changes at most two workers of each subset.
+    for before, after in zip(found, subsets(dispatchers, names[1:]), strict=True):
         assert len(set(after) - set(before)) <= 2
 
 
-def test_a_faulty_worker_costs_few_of_many_dispatchers_their_requests():
-    # Found on fleet days: each of 40 dispatchers lost a job or two to each bad worker before it knew.
+def test_slow_worker_affects_only_the_few_dispatchers_that_have_it_in_their_subset():
+    # Guards against each of 40 dispatchers losing a request or two to each slow worker before it avoids it.
     world = World(5, load=0.6)
     bad = next(iter(world.workers.values()))
     bad.slow = 40.0
     world.run(8000.0)
-    hurt = sum(bad.name in used for used in world.used)
-    assert hurt <= 15, "nearly all 40 without windows"
-    # And a dispatcher's jobs go where it knows its way: few workers each, all of them by somebody.
+    affected = sum(bad.name in used for used in world.used)
+    assert affected <= 15, "without subsets nearly all 40 dispatchers are affected"
+    # Each dispatcher uses few workers, and each worker is used by some dispatcher.
     assert sum(map(len, world.used)) / 40 < 20 and len(set().union(*world.used)) == 60
 
 
-def test_workers_that_replace_others_are_used_soon_and_not_pushed_over_by_all_together():
-    # Found on fleet days: each of 40 had a budget below one job; new workers idled while old ones jammed.
+def test_new_workers_are_used_soon_and_not_overloaded_by_all_dispatchers_together():
+    # Guards against 40 dispatchers whose parts of the slow start budget are below one request: new workers
+    # would stay idle while requests pile up at the old ones.
     world = World(3, load=0.6)
     world.run(4000.0)
     old = list(world.workers.values())[:20]
@@ -112,17 +118,21 @@
     world.deliver_list_changes([world.entry(h, api.WorkerState.DRAINING) for h in old])
     world.run(6000.0)
     warm = [0.31 + 0.69 * k / 62 for k in range(62)]
-    for host in new:
-        for start in range(0, 5000, 500):  # the rule: 3 times what it can do, in any 3 s
+    for worker in new:
+        for start in range(0, 5000, 500):  # the budget: 3 times the capacity, in any 3 s
             sent = sum(
-                work for at, work in host.cold_work if 0 <= at - host.launched - start < 3000
+                work
+                for at, work in worker.received_work
+                if 0 <= at - worker.launched - start < 3000
             )
-            assert sent <= 3.0 * 3000 * 5 * warm[start // 100] + 4 * 5000, host.name
-    took = sum(work for host in new for at, work in host.cold_work if at - host.launched < 6200)
-    assert took >= 0.35 * 20 * 5 * 6200 * 0.65, "the part of what cold ones can do that was used"
+            assert sent <= 3.0 * 3000 * 5 * warm[start // 100] + 4 * 5000, worker.name
+    took = sum(
+        work for worker in new for at, work in worker.received_work if at - worker.launched < 6200
+    )
+    assert took >= 0.35 * 20 * 5 * 6200 * 0.65, "new workers got too small a part of their capacity"
 
 
-def test_most_of_a_busy_fleet_replaced_at_once_gets_the_used_part_of_the_slow_start_budget():
+def test_workers_that_replace_most_of_a_busy_fleet_get_the_used_part_of_the_slow_start_budget():
     world = World(3, load=1.0)
     world.run(3000.0)
     old = list(world.workers.values())[:50]
@@ -131,13 +141,16 @@
         [*map(world.entry, new), *(world.entry(h, api.WorkerState.DRAINING) for h in old)]
     )
     world.run(3100.0)
-    sent = sum(work for host in new for at, work in host.cold_work if at - host.launched < 3000.0)
-    # Of 3 times what they can do at their start; 0.44 with each dispatcher's part kept to, 0.77 without.
+    sent = sum(
+        work for worker in new for at, work in worker.received_work if at - worker.launched < 3000.0
+    )
+    # As a fraction of the budget at the start, which is 3 times the initial capacity: 0.44 if each dispatcher
+    # keeps to its part of the budget, 0.77 otherwise.
     assert 0.3 <= sent / (50 * 3.0 * 3000.0 * 5 * 0.31) <= 0.6
 
 
 @story
-async def test_a_call_turned_away_leaves_the_list_and_is_followed_by_one_for_changes():
+async def test_discovery_call_answered_with_503_keeps_the_list_and_is_followed_by_a_call_for_changes():
     peer = Peer("a", done)
     async with world(peer) as w:
 
@@ -147,12 +160,12 @@
                 b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
             )
 
-        usual, w.discovery.peer.script = w.discovery.peer.script, busy
+        original_script, w.discovery.peer.script = w.discovery.peer.script, busy
         before = len(w.discovery.calls)
-        w.discovery.tell(peer.entry())  # ends the call that is out
+        w.discovery.tell(peer.entry())  # ends the pending call
         await w.until(lambda: len(w.discovery.calls) >= before + 3)
         assert all("from=" in target for _, target in w.discovery.calls[before:])
         assert (await w.ask()).status == 200
-        w.discovery.peer.script = usual
+        w.discovery.peer.script = original_script
         w.discovery.tell({**peer.entry(), "state": "DRAINING"})
         await w.until(lambda: not w.service.endpoints.may_send("a"))
