--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The paper's mechanism, with figures worked out by hand."""
+"""Overload control of Andersson, Nyberg and Kihl, with expected values computed by hand; worker estimates."""
 
 import random
 
@@ -11,12 +11,12 @@
 from yewrill.policy.controller import Controller
 
 
-def detect(limits, lam, counts, between, x):
-    return Controller.detect(limits, lam, counts, between, x)
+def detect(constraints, rates, counts, between, x):
+    return Controller.detect(constraints, rates, counts, between, x)
 
 
 def test_condition_4_for_one_constraint():
-    # N(T)x against T = 100: 8 jobs of 10 pass, 9 reach 90 = fT, 10 reach T.
+    # N(T)x against T = 100: 8 requests of 10 ms pass, 9 reach 90 = fT, 10 reach T.
     assert detect([100.0], [0.0], [8], [[0]], 10.0) == 0
     assert detect([100.0], [0.0], [9], [[0]], 10.0) == 1
     assert detect([100.0], [0.0], [10], [[0]], 10.0) == 2
@@ -24,14 +24,14 @@
 
 def test_condition_4_counts_guaranteed_arrivals_with_tighter_constraints():
     # T = (100, 300), lambda_1 = 0.05: (N(T_2) + 0.05 * 200) * 10 = 10 * N + 100 against 300.
-    # Condition (6), i = 2, k = 1, with nobody in (200, 300]: 0.05 * min(100, 200) * 10 = 50 against 100.
+    # Condition (6), i = 2, k = 1, with no request in (200, 300]: 0.05 * min(100, 200) * 10 = 50 against 100.
     none = [[0, 0], [0, 0]]
     assert detect([100.0, 300.0], [0.05, 0.0], [0, 16], none, 10.0) == 0
     assert detect([100.0, 300.0], [0.05, 0.0], [0, 17], none, 10.0) == 1
     assert detect([100.0, 300.0], [0.05, 0.0], [0, 20], none, 10.0) == 2
 
 
-def test_condition_6_counts_requests_that_will_become_urgent_together():
+def test_condition_6_counts_requests_that_become_urgent_at_the_same_time():
     # i = 2, k = 1: (N(T_2) - N(T_2 - T_1) + lambda_1 * min(T_1, T_2 - T_1)) * x = (n + 5) * 10 against 100.
     assert detect([100.0, 300.0], [0.05, 0.0], [0, 3], [[0, 0], [3, 0]], 10.0) == 0
     assert detect([100.0, 300.0], [0.05, 0.0], [0, 4], [[0, 0], [4, 0]], 10.0) == 1
@@ -44,19 +44,19 @@
     def between(n):
         return [[0] * 3, [0] * 3, [0, n, 0]]
 
-    limits, lam = [100.0, 200.0, 400.0], [0.01, 0.02, 0.0]
-    assert detect(limits, lam, [0, 0, 11], between(11), 10.0) == 0
-    assert detect(limits, lam, [0, 0, 12], between(12), 10.0) == 1
-    assert detect(limits, lam, [0, 0, 14], between(14), 10.0) == 2
+    constraints, rates = [100.0, 200.0, 400.0], [0.01, 0.02, 0.0]
+    assert detect(constraints, rates, [0, 0, 11], between(11), 10.0) == 0
+    assert detect(constraints, rates, [0, 0, 12], between(12), 10.0) == 1
+    assert detect(constraints, rates, [0, 0, 14], between(14), 10.0) == 2
 
 
-def controller(rungs=3):
+def controller(priority_levels=3):
     c = Controller(random.Random(1))
-    c.priority_levels = rungs
+    c.priority_levels = priority_levels
     return c
 
 
-def test_four_detections_change_nothing_and_a_pass_starts_the_count_anew():
+def test_load_level_does_not_change_after_four_detections_and_a_pass_resets_the_count():
     c = controller()
     for _ in range(4):
         c.record_test(1, 1000.0)
@@ -68,14 +68,14 @@
     assert (c.level, c.gapped_levels) == (1, 1)
 
 
-def test_level_1_climbs_a_priority_level_every_x_and_recovery_lifts_them_one_by_one():
+def test_overload_gaps_one_more_priority_level_every_x_and_recovery_readmits_them_one_by_one():
     c = controller()
     now = 10_000.0
     for _ in range(5):
         c.record_test(1, now)
     assert c.gapped_levels == 1
     c.record_test(1, now + 1.0)
-    assert c.gapped_levels == 1  # not before X is over
+    assert c.gapped_levels == 1  # not before X has passed
     seen = []
     for _ in range(4):
         now += 100_000.0
@@ -84,7 +84,7 @@
     assert seen == [2, 3, 3, 3]
     for _ in range(5):
         c.record_test(0, now)
-    assert c.level == 0 and c.gapped_levels == 2  # X had passed since the last change
+    assert c.level == 0 and c.gapped_levels == 2  # X has passed since the last change
     seen = []
     for _ in range(4):
         now += 100_000.0
@@ -93,16 +93,16 @@
     assert seen == [1, 0, 0, 0]
 
 
-def test_level_2_gaps_every_priority_level_at_once():
+def test_severe_overload_gaps_all_priority_levels_at_once():
     c = controller()
     for _ in range(5):
         c.record_test(2, 5.0)
     assert (c.level, c.gapped_levels) == (2, 3)
 
 
-def test_gap_passes_one_request_an_interval_and_saves_up_five():
+def test_call_gap_admits_one_request_per_interval_and_a_burst_of_five():
     gap = CallGap()
-    assert not gap.admits(0.0)  # nothing is guaranteed
+    assert not gap.admits(0.0)  # the guaranteed rate is 0
     gap.rate = 0.01  # every 100 ms
     passed = [now for now in range(1000, 2000, 10) if gap.admits(float(now))]
     assert passed == [1000, 1010, 1020, 1030, 1040, *range(1100, 2000, 100)]
@@ -110,8 +110,8 @@
 
 def dispatcher(**kwargs):
     classes = [
-        api.RequestClass("cheap", latency_objective=1000.0, deadline=9000.0, priority_weight=1.0),
-        api.RequestClass("dear", latency_objective=1000.0, deadline=9000.0, priority_weight=10.0),
+        api.RequestClass("low", latency_objective=1000.0, deadline=9000.0, priority_weight=1.0),
+        api.RequestClass("high", latency_objective=1000.0, deadline=9000.0, priority_weight=10.0),
     ]
     return Dispatcher(Settings(classes=classes, max_attempts=3, **kwargs), 1)
 
@@ -126,8 +126,8 @@
         c.arrivals = 10
     d.handle(1000.0, [])
     rates = [[t.gaps[c].rate * 1000.0 for c in d.admission.classes] for t in d.admission.tenants]
-    # 20 slots times (1)'s bound carry no 20 + 20 jobs a second of 1 s each: the dear class is guaranteed all
-    # of what fits, the cheap one its floor of a tenth.
+    # By (1), 20 slots can't serve 20 + 20 requests per second of 1 s each: the class of higher utility is
+    # guaranteed all that fits, the other one its minimum of a tenth of its rate.
     slots = d.fleet.estimate.available_slots()
     assert slots == pytest.approx(20.0)
     assert rates[0][1] / rates[1][1] == pytest.approx(3.0, rel=0.05)
@@ -137,14 +137,14 @@
     assert d.admission.classes[1].priority_level > d.admission.classes[0].priority_level > 0
 
 
-def test_requests_leave_by_deadline_and_wait_while_no_slot_is_free():
+def test_requests_wait_while_no_slot_is_free_and_are_sent_in_order_of_latest_start():
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     first = d.handle(1.0, [api.RequestArrived("a", 0, 9001.0)])
     assert [a.request_id for a in first if isinstance(a, api.Send)] == ["a"]
     d.handle(2.0, [api.AttemptEnded("a", 0, "w", api.PolicyOutcome.REJECTED, 1.0)])
     assert "a" in d.requests and d.requests["a"].queued
-    early = api.RequestArrived("early", 0, 8900.0, retry=True)  # first asked for 103 ms ago
+    early = api.RequestArrived("early", 0, 8900.0, retry=True)  # first try 103 ms ago
     out = d.handle(3.0, [api.RequestArrived("late", 0, 9003.0), early])
     assert not [a for a in out if isinstance(a, api.Send)]
     assert [entry[2].id for entry in d.queues[-1]][0] == "early"
@@ -156,12 +156,12 @@
     assert sends == ["early", "a", "late"][: len(sends)] and sends
 
 
-def test_traffic_beyond_a_quota_has_the_lowest_priority_level():
+def test_traffic_above_a_quota_has_the_lowest_priority_level():
     d = dispatcher(tenants=[api.Tenant("a", 1.0)], over_quota_weight=0.1)
     d.admission.controller.priority_levels = 3
     tenant = d.admission.tenants[0]
     marks = [tenant.over_quota(0.0) for _ in range(8)]
-    # Three seconds of a share of one a second, and two: five may run ahead.
+    # The burst is 3 s at one request per second, plus two requests.
     assert marks == [False] * 5 + [True] * 3
     assert not tenant.over_quota(1001.0)
     d.handle(1001.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
@@ -171,7 +171,7 @@
     assert [a.request_id for a in out if isinstance(a, api.Reject)] == ["over"]
 
 
-def test_utility_is_weight_over_run_time_or_weight_alone_where_work_is_counted():
+def test_utility_is_weight_over_run_time_or_weight_alone_if_weight_counts_by_work():
     for by_work, higher in ((False, "short"), (True, "long")):
         short = api.RequestClass("short", 500.0, 9000.0, priority_weight=2.0)
         classes = [short, api.RequestClass("long", 500.0, 9000.0, priority_weight=3.0)]
@@ -184,20 +184,20 @@
         assert max(d.admission.classes, key=lambda c: c.priority_level).spec.name == higher
 
 
-def test_x_is_the_run_time_quantile_over_the_slots_this_dispatcher_may_fill():
+def test_x_is_the_run_time_quantile_divided_by_the_available_slots():
     d = dispatcher(dispatchers=4, reports_start=True)
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(8)])])
     d.fleet.estimate.run_time_quantile, d.fleet.estimate.kinds[0].free_slots = 600.0, 2.0
-    # Two slots held by started jobs, one job still waiting at its worker, and a fourth of 8 * 2 free slots.
+    # Two slots held by running requests, one request waiting at a worker, and a quarter of 8 * 2 free slots.
     d.fleet.estimate.inflight_slots, d.fleet.estimate.unstarted_slots = 3.0, 1.0
     assert d.fleet.estimate.available_slots() == pytest.approx(2.0 + 16.0 / 4)
     assert d.fleet.estimate.drain_time() == pytest.approx(100.0)
-    d.fleet.estimate.kinds[0].free_slots = 0.0  # the fleet shrinks: x rises at once
+    d.fleet.estimate.kinds[0].free_slots = 0.0  # with no free slots x rises at once
     assert d.fleet.estimate.drain_time() == pytest.approx(300.0)
 
 
 def test_requests_waiting_at_a_worker_count_until_their_start_is_reported():
-    # Found on overloaded days: jams in the workers' own queues were not seen by the controller.
+    # Guards against a controller that does not detect overload while requests pile up in the workers' queues.
     d = dispatcher(reports_start=True)
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     d.handle(1.0, [api.RequestArrived("j", 0, 9001.0)])
@@ -206,7 +206,7 @@
     assert not d.attempts.waiting and d.fleet.estimate.unstarted_slots == 0.0
 
 
-def test_the_most_slots_in_flight_are_learned_from_rejections():
+def test_rejection_by_a_worker_lowers_the_limit_of_slots_in_flight_there():
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w = d.fleet.workers["w"]
@@ -219,7 +219,7 @@
     assert w.max_inflight_slots == 2.0 and w.estimated_free_slots() <= 0.0
 
 
-def test_a_request_goes_only_to_the_machine_kind_it_needs():
+def test_request_that_needs_a_machine_kind_is_sent_only_to_a_worker_of_that_kind():
     classes = [api.RequestClass("c", 500.0, 5000.0, kind=1)]
     d = Dispatcher(Settings(classes=classes, kinds=2, max_attempts=3), 1)
     entries = [api.WorkerEntry(f"w{i}", kind=int(i == 7)) for i in range(9)]
@@ -228,7 +228,7 @@
     assert [a.worker for a in out if isinstance(a, api.Send)] == ["w7"]
 
 
-def test_a_list_on_request_is_watched_and_asked_for_again_after_growing_pauses():
+def test_list_on_request_is_requested_again_with_growing_backoff_after_failures():
     d = dispatcher(list_on_request=True)
     out = d.handle(0.0, [api.WorkerList(api.ListForm.CACHED, [api.WorkerEntry("w")])])
     assert [a for a in out if isinstance(a, api.WatchList)] == [api.WatchList(True)]
@@ -237,15 +237,15 @@
         out = d.handle(10.0 + i, [api.WorkerList(api.ListForm.FAILED)])
         delays.append(next(a.delay for a in out if isinstance(a, api.SetTimer)))
     assert delays[-1] > 4.0 * delays[0]
-    assert d.fleet.workers["w"].usable  # the old list still holds
+    assert d.fleet.workers["w"].usable  # the old list remains in use
     assert api.WatchList(True) in d.handle(9999.0, [api.TimerFired(3)])
 
 
 REPORTS = [({"inflight": 3.0}, 1.0), ({"util": 0.25}, 3.0), ({"odd": 9.0}, None)]
 
 
-@pytest.mark.parametrize("report, room", REPORTS)
-def test_reports_without_free_slots_are_read_for_what_they_tell(report, room):
+@pytest.mark.parametrize("report, free_slots", REPORTS)
+def test_free_slots_are_derived_from_load_reports_without_a_free_slots_field(report, free_slots):
     d = dispatcher(report_fields=tuple(report))
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w = d.fleet.workers["w"]
@@ -253,30 +253,31 @@
     before = w.free_slots_at
     d.handle(1000.0, [api.ProbeEnded("w", api.PolicyOutcome.SERVED, report)])
     assert (
-        (w.free_slots == room and w.free_slots_at == 1000.0)
-        if room is not None
+        (w.free_slots == free_slots and w.free_slots_at == 1000.0)
+        if free_slots is not None
         else w.free_slots_at == before
     )
 
 
 @pytest.mark.parametrize("dispatchers, part", [(1, 0.10125), (8, 0.11), (200, 0.35), (1000, 0.35)])
-def test_the_class_shed_first_keeps_the_more_of_its_rate_the_more_dispatchers_shed(
+def test_class_of_least_utility_keeps_a_larger_part_of_its_rate_with_more_dispatchers(
     dispatchers, part
 ):
-    # Found on full-size days: with a tenth the class worth least fell under half of what a late-seeing policy
-    # serves of it, and the standing test failed by that. With few, a third cost an overloaded day a fifth.
+    # With many dispatchers, a tenth of the rate leaves the class of least utility less than half of what a
+    # policy with late overload detection serves of it, which fails the standing test. With few dispatchers, a
+    # third costs a fifth of the result of an overloaded day.
     d = dispatcher(tenants=[api.Tenant("a", 1e6)], dispatchers=dispatchers)
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
-    cheap, dear = d.admission.classes
-    cheap.mean_run_time = dear.mean_run_time = 100.0
-    cheap.arrivals = dear.arrivals = 500.0
+    low, high = d.admission.classes
+    low.mean_run_time = high.mean_run_time = 100.0
+    low.arrivals = high.arrivals = 500.0
     d.handle(1500.0, [api.TimerFired(99)])
-    rates = {c.spec.name: d.admission.tenants[0].gaps[c].rate for c in (cheap, dear)}
-    assert rates["cheap"] == pytest.approx(part * 0.5 * 1000.0 / dispatchers)
+    rates = {c.spec.name: d.admission.tenants[0].gaps[c].rate for c in (low, high)}
+    assert rates["low"] == pytest.approx(part * 0.5 * 1000.0 / dispatchers)
 
 
 @pytest.mark.parametrize("need", [{"width": 4.0}, {"memory": 4.0}])
-def test_a_wide_or_memory_heavy_request_waits_for_that_many_free_slots(need):
+def test_wide_or_memory_heavy_request_waits_for_as_many_free_slots_as_it_needs(need):
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w = d.fleet.workers["w"]
@@ -287,9 +288,8 @@
         2.0,
         1.0,
     )
-    d.fleet.estimate.residual_run_time = (
-        2000.0  # two slots short: a wait of 2.5 times that, beyond any time constraint
-    )
+    # With two slots missing the expected wait is 2.5 times this, longer than any time constraint.
+    d.fleet.estimate.residual_run_time = 2000.0
     out = d.handle(1.0, [api.RequestArrived("j", 0, 9001.0, **need)])
     assert not [a for a in out if isinstance(a, api.Send)] and d.requests["j"].queued
     w.kind.free_slots, w.free_slots, w.free_slots_at = 4.0, 4.0, 2.0
@@ -297,7 +297,7 @@
     assert [a.request_id for a in out if isinstance(a, api.Send)] == ["j"]
 
 
-def test_a_hint_sets_the_expected_run_time_and_so_the_due_time():
+def test_hint_of_a_request_determines_its_expected_run_time_and_latest_start():
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [])])
     d.handle(10.0, [api.RequestArrived("j", 0, 9010.0, hint=300.0)])
@@ -307,8 +307,8 @@
     )
 
 
-def a_storm_of_late_retries(marked: bool):
-    """A dispatcher whose only worker is full, and unlike retries of jobs first asked for 3 s ago or more."""
+def late_retry_storm(marked: bool):
+    """Returns a dispatcher whose only worker is ejected, and retries whose first try is 3 s ago or more."""
     settings = Settings(
         classes=[api.RequestClass("c", 100.0, 5000.0)],
         tenants=[api.Tenant("t", 1.0)],
@@ -318,10 +318,11 @@
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     d.handle(1.0, [api.RequestArrived("first", 0, 5001.0)])
     d.fleet.workers["w"].ejection.until = 1e9
+    # Overload was detected 1 ms ago.
     d.admission.controller.gapped_levels, d.admission.controller.changed_at = (
         1,
         1.0,
-    )  # overload, a moment ago
+    )
     late = [
         api.RequestArrived(f"late{i}", 0, 2002.0 - 7.0 * (i % 50), retry=marked) for i in range(200)
     ]
@@ -329,30 +330,30 @@
 
 
 @pytest.mark.parametrize("marked", [True, False])
-def test_a_late_retry_takes_nothing_from_its_tenants_quota(marked):
-    # A storm of retries past their wanted time must not have the tenant's first tries refused as over share.
-    d, late = a_storm_of_late_retries(marked)
+def test_late_retry_is_not_charged_to_the_quota_of_its_tenant(marked):
+    # Guards against a storm of late retries that has the tenant's first tries rejected as above the quota.
+    d, late = late_retry_storm(marked)
     credit = d.admission.tenants[0].credit
     refused = [a.request_id for a in d.handle(2.0, late[:50]) if isinstance(a, api.Reject)]
     assert refused == [f"late{i}" for i in range(50)]
     assert d.admission.tenants[0].credit == credit and d.admission.tenants[0].arrivals == 1
 
 
-def test_in_a_storm_of_late_retries_first_tries_are_still_recognized():
-    d, late = a_storm_of_late_retries(marked=False)
+def test_first_tries_are_recognized_in_a_storm_of_late_retries():
+    d, late = late_retry_storm(marked=False)
     first = [api.RequestArrived(f"first{i}", 0, 5002.0) for i in range(100)]
-    mixed = [job for pair in zip(late[:100], first, strict=True) for job in pair]
+    mixed = [request for pair in zip(late[:100], first, strict=True) for request in pair]
     d.handle(2.0, mixed)
     assert {
-        d.requests[job.request_id].arrived_at - d.requests[job.request_id].first_asked_at
-        for job in first
-        if job.request_id in d.requests
+        d.requests[request.request_id].arrived_at - d.requests[request.request_id].first_asked_at
+        for request in first
+        if request.request_id in d.requests
     } <= {0}
-    assert not any(job.request_id in d.requests for job in late)
+    assert not any(request.request_id in d.requests for request in late)
 
 
 @pytest.mark.parametrize("fields, learned", [((), True), (("x0",), False)])
-def test_slots_are_learned_from_start_notices_only_while_nothing_reports_load(fields, learned):
+def test_slots_are_estimated_from_reported_starts_only_without_load_reports(fields, learned):
     settings = Settings(
         classes=[api.RequestClass("c", 1000.0, 5000.0)],
         reports_start=True,
@@ -366,9 +367,8 @@
     for i in range(400):
         actions = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 5000.0)])
         for send in [a for a in actions if isinstance(a, api.Send)]:
-            d.handle(
-                now + 1.0, [api.AttemptStarted(send.request_id, 0, "w")]
-            )  # the worker always has a slot
+            # The worker always has a free slot.
+            d.handle(now + 1.0, [api.AttemptStarted(send.request_id, 0, "w")])
         now += 10.0
         for done in [a for a in d.attempts.outstanding.values() if now - a.sent_at > 60.0]:
             report = {"x0": -1.0 - i % 7} if fields else None
@@ -392,8 +392,8 @@
     )
 
 
-def in_trouble(latency_objective=1000.0, **more):
-    """A dispatcher before two workers that tell of starts."""
+def with_two_workers(latency_objective=1000.0, **more):
+    """Returns a dispatcher with two workers that report starts."""
     d = Dispatcher(
         Settings(
             classes=[api.RequestClass("c", latency_objective, 9000.0)],
@@ -410,17 +410,17 @@
     return d
 
 
-def send(d, job, now, worker=None):
+def send(d, request_id, now, worker=None):
     for name, w in d.fleet.workers.items():
         w.ejection.until = 1e9 if worker and name != worker else 0.0
-    out = d.handle(now, [api.RequestArrived(job, 0, now + 9000.0)])
+    out = d.handle(now, [api.RequestArrived(request_id, 0, now + 9000.0)])
     for w in d.fleet.workers.values():
         w.ejection.until = 0.0
     return next(a.worker for a in out if isinstance(a, api.Send))
 
 
-def test_one_lost_connection_leaves_its_worker_in_and_a_second_in_a_row_does_not():
-    d = in_trouble()
+def test_worker_is_ejected_after_the_second_lost_connection_in_a_row_not_after_the_first():
+    d = with_two_workers()
     w = d.fleet.workers["w1"]
     for now, stale_connection, blocked in (
         (1.0, False, False),
@@ -443,7 +443,7 @@
             ],
         )
         assert (w.ejection.until > now + 1.0) is blocked
-    # A sign of life between two losses: it stays in.
+    # With a reported start between two losses it is not ejected.
     w.ejection.failures = 0
     for now in (6000.0, 6100.0):
         send(d, f"k{now}", now, "w1")
@@ -461,10 +461,10 @@
 @pytest.mark.parametrize(
     "fifo, gap, lost", [(True, 40.0, True), (True, 5.0, False), (False, 40.0, False)]
 )
-def test_an_attempt_that_a_later_one_overtook_in_a_fifo_queue_is_given_up_and_sent_elsewhere(
+def test_attempt_overtaken_by_a_later_one_in_a_fifo_queue_is_cancelled_and_retried_elsewhere(
     fifo, gap, lost
 ):
-    d = in_trouble(fifo=fifo)
+    d = with_two_workers(fifo=fifo)
     send(d, "silent", 1.0, "w1")
     send(d, "later", 1.0 + gap, "w1")
     d.handle(2.0 + gap, [api.AttemptStarted("later", 0, "w1")])
@@ -477,11 +477,11 @@
         assert [(a.request_id, a.worker) for a in out if isinstance(a, api.Send)] == [
             ("silent", "w2")
         ]
-        assert not d.fleet.workers["w1"].ejection.failures  # its worker is well
+        assert not d.fleet.workers["w1"].ejection.failures  # the worker is not at fault
 
 
-def test_a_running_attempt_without_a_signal_for_too_long_is_cancelled():
-    d = in_trouble(progress_interval=1000.0)
+def test_running_attempt_without_a_progress_report_for_too_long_is_cancelled():
+    d = with_two_workers(progress_interval=1000.0)
     send(d, "j", 1.0, "w1")
     d.handle(2.0, [api.AttemptStarted("j", 0, "w1")])
     d.handle(1002.0, [api.AttemptProgress("j", 0, "w1", 0.3)])
@@ -489,8 +489,8 @@
     assert [a for a in d.handle(2600.0, [api.TimerFired(1)]) if isinstance(a, api.Cancel)]
 
 
-def test_without_load_reports_only_the_left_out_are_probed_and_an_answer_lets_them_back_in():
-    d = in_trouble(may_probe=True)
+def test_only_ejected_workers_are_probed_and_an_answer_ends_their_ejection():
+    d = with_two_workers(may_probe=True)
     assert not [
         a for a in d.handle(1.0, [api.RequestArrived("j", 0, 9001.0)]) if isinstance(a, api.Probe)
     ]
@@ -504,18 +504,18 @@
     assert d.fleet.workers["w1"].ejection.until <= 400.0
 
 
-def test_the_first_requests_of_a_dispatcher_that_knows_no_slots_go_out_at_once_wide_ones_too():
-    # A restarted dispatcher must not refuse its first seconds' jobs while it learns how many slots there are.
-    d = in_trouble(latency_objective=200.0)
-    d.fleet.estimate.residual_run_time = 2000.0  # a job without a slot would wait too long
+def test_first_requests_after_a_start_are_sent_at_once_including_wide_ones():
+    # Guards against a restarted dispatcher that rejects requests while the slots are still unknown.
+    d = with_two_workers(latency_objective=200.0)
+    d.fleet.estimate.residual_run_time = 2000.0  # a request without a free slot would wait too long
     out = d.handle(1.0, [api.RequestArrived("wide", 0, 9001.0, width=8.0)])
     out += d.handle(2.0, [api.RequestArrived(f"j{i}", 0, 9002.0) for i in range(5)])
     assert len([a for a in out if isinstance(a, api.Send)]) == 6
 
 
 @pytest.mark.parametrize("width, capped", [(1.0, True), (4.0, False)])
-def test_a_worker_that_keeps_a_request_waiting_gets_no_more_than_it_runs(width, capped):
-    d = in_trouble(latency_objective=200.0)
+def test_worker_that_keeps_a_narrow_request_waiting_has_its_slots_in_flight_limited(width, capped):
+    d = with_two_workers(latency_objective=200.0)
     w = d.fleet.workers["w1"]
     for i in range(2):
         send(d, f"j{i}", 1.0, "w1")
@@ -535,20 +535,20 @@
         (True, True, False, True),
         (False, True, False, True),
         (False, False, True, True),
-        (False, False, False, False),  # without overload nobody is guessed to be late
+        (False, False, False, False),  # without overload no request is presumed to be a retry
     ],
 )
-def test_a_first_try_with_a_short_timeout_is_a_late_retry_only_where_unmarked_and_under_overload(
+def test_short_timeout_is_taken_for_a_late_retry_only_if_retries_are_unmarked_and_under_overload(
     marked, retry, overload, refused
 ):
-    d = in_trouble(marks_retry=marked)
+    d = with_two_workers(marks_retry=marked)
     d.handle(1.0, [api.RequestArrived("patient", 0, 9001.0)])
     d.admission.controller.level = int(overload)
     out = d.handle(2.0, [api.RequestArrived("short", 0, 1500.0, retry=retry)])
     assert any(isinstance(a, api.Reject) for a in out) is refused
 
 
-def test_the_usual_client_timeout_is_that_of_first_tries_and_no_longer_than_the_settings_say():
+def test_usual_client_timeout_is_that_of_first_tries_and_at_most_the_configured_deadline():
     known = ClientTimeoutEstimate(2500.0)
     for stated in [60_000.0] + [1000.0, 640.0, 310.0] * 20:
         known.record(stated)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Load reports and keys: what is read of them, what the module believes, and where jobs of a key go."""
+"""Load reports and affinity keys: decoding, the estimates derived from reports, and selection by key."""
 
 import hashlib
 import json
@@ -30,14 +30,14 @@
 )
 
 
-# ---------------------------------------------------------------------------------------------- what is read
+# ----------------------------------------------------------------------------------- decoding of load reports
 
 
 @given(
     ANY
     | st.dictionaries(st.sampled_from([*FIELDS, "odd"]), st.floats(-1.0, 2e6) | st.just(math.nan))
 )
-def test_a_report_is_taken_whole_and_sound_or_not_at_all(said):
+def test_load_report_is_either_complete_and_valid_or_ignored(said):
     report = load_report.read(said, FIELDS)
     if report is not None:
         assert tuple(report) == FIELDS and all(
@@ -56,7 +56,7 @@
     st.text(max_size=60)
     | st.from_regex(r"(x0|inflight|qps)=[-0-9.enai]{0,6}(,x0=1)?", fullmatch=True)
 )
-def test_no_header_is_too_odd_to_be_read_or_left(text):
+def test_load_report_header_of_any_text_is_decoded_or_ignored_without_an_error(text):
     found = load_report.from_header(text)
     assert (
         load_report.read(found, ("x0",)) is None
@@ -72,7 +72,7 @@
 
 
 @story
-async def test_reports_reach_the_module_from_lines_headers_and_probes_and_a_bad_one_costs_itself_alone():
+async def test_load_reports_in_answers_headers_and_probes_reach_the_module_and_invalid_ones_are_skipped():
     said = [
         GOOD,
         {**GOOD, "x0": -1.0},
@@ -95,7 +95,8 @@
             await exchange.status(503, "X-Not-Processed: 1", "X-Server-Load: x0=0,qps=5,inflight=9")
         else:
             load = said[int(exchange.body)]
-            extra = "" if load is None else f', "load": {json.dumps(load)}'  # NaN too
+            # json and not ujson, because of NaN
+            extra = "" if load is None else f', "load": {json.dumps(load)}'
             await exchange.raw(
                 f'{{"id": "{exchange.id}", "state": "done", "result": "r"{extra}}}\n'
             )
@@ -120,19 +121,19 @@
 
 
 @story
-async def test_the_cookie_user_is_what_a_request_concerns_and_keeps_its_requests_together():
+async def test_requests_with_the_same_user_cookie_go_to_the_same_worker():
     peers = [Peer(f"d{i}", done) for i in range(6)]
     async with world(*peers, settings={"specifics": {"tells_start": True}}) as w:
         for i in range(12):
             reply = await w.ask(X_Request_ID=f"r{i}", Cookie="theme=dark; user=7f3a9c21e0b4d655")
             assert reply.status == 200
-        # One home, unless it is busy for a moment; without the key they would go all over.
+        # All go to one worker unless it is busy for a moment; without the key they would go to all six.
         assert max(len(p.exchanges) for p in peers) >= 9
         for odd in ("user", "user=" + "x" * 200, ";;=;", "users=1"):
             assert (await w.ask(X_Request_ID="odd" + odd[:8].strip(";="), Cookie=odd)).status == 200
 
 
-# ------------------------------------------------------------------------------------------- what is believed
+# ----------------------------------------------------------------------------- estimates from load reports
 
 
 def reporting(workers=1, **more):
@@ -151,7 +152,7 @@
     return d
 
 
-def told(d, now, free, held, worker="w0"):
+def report_load(d, now, free, held, worker="w0"):
     d.handle(
         now,
         [
@@ -162,20 +163,19 @@
     )
 
 
-def test_slots_are_the_free_and_used_ones_of_one_report_up_and_down():
+def test_slots_estimate_follows_free_plus_used_slots_of_a_report_up_and_down():
     d = reporting()
     kind = d.fleet.estimate.kinds[0]
-    for goal in (8.0, 4.0):  # only ever growing, they were taken for 7 where there were 4
+    for goal in (8.0, 4.0):  # guards against an estimate that only grows
         for i in range(60):
-            told(d, 1000.0 * goal + 10.0 * i, goal - i % 4, i % 4)
+            report_load(d, 1000.0 * goal + 10.0 * i, goal - i % 4, i % 4)
         assert kind.slots == pytest.approx(goal, abs=0.1)
-    told(d, 90_000.0, 0.0, 10.0)
-    assert d.fleet.workers["w0"].free_slots == pytest.approx(
-        -6.0, abs=0.3
-    )  # the queue there, not just "none free"
+    report_load(d, 90_000.0, 0.0, 10.0)
+    # The requests that wait there count as negative free slots.
+    assert d.fleet.workers["w0"].free_slots == pytest.approx(-6.0, abs=0.3)
 
 
-def test_the_same_report_again_says_nothing_of_what_was_sent_since():
+def test_repeated_load_report_does_not_reset_the_free_slots():
     d = reporting()
     w = d.fleet.workers["w0"]
     again = {"qps": 1.0, "inflight": 1.0, "x0": 4.0}
@@ -186,12 +186,12 @@
     assert (w.free_slots, w.free_slots_at) == (1.0, 1000.0)
 
 
-def test_where_reports_stop_start_notices_take_over():
+def test_without_new_load_reports_slots_are_estimated_from_reported_starts():
     d = reporting()
-    told(d, 1000.0, 0.0, 9.0)
+    report_load(d, 1000.0, 0.0, 9.0)
     assert not d.handle(1001.0, [api.TimerFired(99)]) and not d.fleet.estimate.without_load_reports
     sends = []
-    for i in range(40):  # all that comes starts at once, whatever the last report said
+    for i in range(40):  # each request starts at once, despite the last report
         now = 7000.0 + 100.0 * i
         out = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
         sends += [a for a in out if isinstance(a, api.Send)]
@@ -202,11 +202,12 @@
     assert d.fleet.estimate.without_load_reports and len(sends) == 40
 
 
-def test_a_report_of_a_full_fleet_leaves_each_dispatcher_its_even_part():
-    # Found in the simulator: on days with late reports nobody sent for seconds, half the jobs were refused.
+def test_after_a_report_of_a_full_fleet_each_dispatcher_uses_its_even_part():
+    # Guards against dispatchers that send nothing for seconds after late reports of full workers, and reject
+    # half of the requests.
     d = reporting(workers=4, dispatchers=2)
     for i in range(4):
-        told(d, 1000.0, 0.0, 12.0, f"w{i}")
+        report_load(d, 1000.0, 0.0, 12.0, f"w{i}")
     assert all(w.estimated_free_slots() < 0.0 for w in d.fleet.workers.values())
     d.handle(2500.0, [api.TimerFired(99)])
     assert not d.fleet.estimate.without_load_reports
@@ -216,12 +217,13 @@
     )
 
 
-def test_requests_on_their_way_to_another_zone_are_no_queue_there():
+def test_requests_in_transit_to_another_zone_do_not_count_as_waiting():
     d = reporting(zone=1)
     now = 1000.0
-    for i in range(80):  # each takes 50 ms there and is told at once
+    for i in range(80):  # each start is reported 50 ms after the send
         d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
-        assert not (i > 40 and d.attempts.waiting)  # the controller closed its gate for them
+        # Guards against an overload found for requests in transit.
+        assert not (i > 40 and d.attempts.waiting)
         d.handle(now + 50.0, [api.AttemptStarted(f"j{i}", 0, "w0")])
         d.handle(
             now + 200.0, [api.AttemptEnded(f"j{i}", 0, "w0", api.PolicyOutcome.SERVED, 200.0, True)]
@@ -229,21 +231,20 @@
         now += 1000.0
     d.handle(now, [api.RequestArrived("late", 0, now + 9000.0)])
     d.handle(now + 100.0, [api.TimerFired(99)])
-    assert (
-        len(d.attempts.waiting) == 1 and d.fleet.estimate.unstarted_slots == 1.0
-    )  # this one waits
+    # A start that is not reported after 100 ms means that the request waits.
+    assert len(d.attempts.waiting) == 1 and d.fleet.estimate.unstarted_slots == 1.0
     d.handle(now + 110.0, [api.AttemptStarted("late", 0, "w0")])
     assert not d.attempts.waiting and d.fleet.estimate.unstarted_slots == 0.0
 
 
-def test_requests_that_wait_longer_than_expected_at_workers_make_it_queue_less_there():
-    def queued(wait):
+def test_waits_longer_than_expected_at_workers_reduce_the_requests_queued_there():
+    def run_with_wait(wait):
         d = reporting(dispatchers=2)
         w = d.fleet.workers["w0"]
         sent = 0
         for i in range(200):
             now = 1000.0 + 20.0 * i
-            told(d, now, 0.0, 5.0)
+            report_load(d, now, 0.0, 5.0)
             out = d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
             sent += sum(isinstance(a, api.Send) for a in out)
             for attempt in list(d.attempts.outstanding.values()):
@@ -261,7 +262,7 @@
         assert len(w.unstarted) <= 12
         return sent, d.fleet.estimate.estimation_error
 
-    (many, low), (few, high) = queued(0.0), queued(400.0)
+    (many, low), (few, high) = run_with_wait(0.0), run_with_wait(400.0)
     assert few < 0.7 * many and high > 50.0 > low
 
 
@@ -271,19 +272,19 @@
 @given(
     st.sets(st.text("0123456789abcdef", min_size=4, max_size=8), min_size=2, max_size=30), st.data()
 )
-def test_a_node_that_goes_moves_only_its_own_keys(names, data):
-    gone = data.draw(st.sampled_from(sorted(names)))
+def test_removal_of_a_node_moves_only_its_own_keys(names, data):
+    removed = data.draw(st.sampled_from(sorted(names)))
     numbers = {name: rendezvous.number(name) for name in names}
     for key in ("a", "b", "7f3a9c21e0b4d655", ""):
         before = rendezvous.top_nodes(key, sorted(names), 3, numbers.__getitem__)
         after = rendezvous.top_nodes(
-            key, sorted(names - {gone}, reverse=True), 3, numbers.__getitem__
+            key, sorted(names - {removed}, reverse=True), 3, numbers.__getitem__
         )
-        kept = [name for name in before if name != gone]
+        kept = [name for name in before if name != removed]
         assert after[: len(kept)] == kept
 
 
-def test_keys_are_spread_evenly():
+def test_rendezvous_hashing_spreads_keys_evenly():
     names = [f"s-{random.Random(i).getrandbits(32):08x}" for i in range(16)]
     homes = Counter(
         rendezvous.top_nodes(f"{i:x}", names, 1, rendezvous.number)[0] for i in range(16_000)
@@ -298,35 +299,37 @@
     return next((a.worker for a in out if isinstance(a, api.Send)), None)
 
 
-def test_all_dispatchers_take_a_key_to_the_same_worker_until_it_drains_dies_or_is_full():
-    all_of_them = [reporting(workers=12, dispatchers=4, index=i) for i in range(4)]
-    firsts = {sent_to(d, 1.0, "j", "k1") for d in all_of_them}
+def test_all_dispatchers_send_a_key_to_the_same_worker_unless_it_drains_or_fails():
+    dispatchers = [reporting(workers=12, dispatchers=4, index=i) for i in range(4)]
+    firsts = {sent_to(d, 1.0, "j", "k1") for d in dispatchers}
     assert len(firsts) == 1
-    home = firsts.pop()
-    d = all_of_them[0]
+    preferred = firsts.pop()
+    d = dispatchers[0]
     d.handle(
         2.0,
         [
             api.WorkerList(
-                api.ListForm.CHANGES, [api.WorkerEntry(home, state=api.WorkerState.DRAINING)]
+                api.ListForm.CHANGES, [api.WorkerEntry(preferred, state=api.WorkerState.DRAINING)]
             )
         ],
     )
     second = sent_to(d, 3.0, "j2", "k1")
-    assert second not in (None, home)
+    assert second not in (None, preferred)
     d.handle(4.0, [api.AttemptEnded("j2", 0, second, api.PolicyOutcome.NO_CONNECTION, 1.0)])
-    assert sent_to(d, 5.0, "j3", "k1") not in (None, home, second)
-    # Back, and cold: it has lost what it kept, and its budget comes before any key.
-    d.handle(6.0, [api.WorkerList(api.ListForm.CHANGES, [api.WorkerEntry(home, launched=6.0)])])
-    assert not d.fleet.workers[home].recent_keys
+    assert sent_to(d, 5.0, "j3", "k1") not in (None, preferred, second)
+    # After a restart its cache is empty, and its slow start budget takes precedence over keys.
+    d.handle(
+        6.0, [api.WorkerList(api.ListForm.CHANGES, [api.WorkerEntry(preferred, launched=6.0)])]
+    )
+    assert not d.fleet.workers[preferred].recent_keys
 
 
-def test_a_key_that_is_half_of_the_traffic_is_spread_over_as_many_workers_as_it_needs():
+def test_key_with_half_of_the_traffic_is_spread_over_as_many_workers_as_it_needs():
     d = reporting(workers=8)
     rng = random.Random(3)
     used, most, now = Counter(), 0, 1000.0
     waits, runs = [], []
-    for i in range(600):  # 20 slots' worth of work for workers of five
+    for i in range(600):  # offered load of 20 slots, at workers of 5 slots
         now += 20.0
         key = "hot" if rng.random() < 0.5 else f"k{rng.randrange(1000)}"
         w = sent_to(d, now, f"j{i}", key)
@@ -347,7 +350,7 @@
     assert used.most_common(1)[0][1] >= 0.3 * sum(used.values())
 
 
-# Names of actions and their fields as they were when the digests below were recorded.
+# Names of actions and their fields at the time when the digests below were recorded, by present name.
 RECORDED_NAMES = {
     "Reject": "Refuse",
     "request_id": "job",
@@ -358,7 +361,7 @@
 
 
 def as_recorded(action: api.Action) -> str:
-    """The action's `repr` with the names of the recording."""
+    """Returns the `repr` of an action with its recorded names."""
     name = type(action).__name__
     values = ", ".join(
         f"{RECORDED_NAMES.get(field.name, field.name)}={getattr(action, field.name)!r}"
@@ -376,31 +379,35 @@
         (6200.0, 2, 1.3, "90fe70fb5aab2def"),
     ],
 )
-def test_a_fleet_without_reports_or_keys_decides_as_it_did(warm_after, seed, load, recorded):
-    """The actions of six dispatchers over seconds of calm, overload and change, as one digest: recorded when
-    the module was split into parts, which did as the one file before on recorded streams of events. That with
-    cold workers was recorded anew when their budget came to hold for the sum, those at a load of 0.7 when
-    expected arrivals came to be bounded by the present drain time; those of overload are older."""
+def test_decisions_of_a_fleet_without_reports_or_keys_match_the_recorded_digest(
+    warm_after, seed, load, recorded
+):
+    """Guards against unintended changes of decisions.
+
+    The digest covers the actions of six dispatchers at normal load, under overload and during the replacement
+    of workers. A digest is recorded again only when a change of decisions is intended. Those with a warm-up
+    were recorded again when the slow start budget came to hold for the sum of all dispatchers, and those at a
+    load of 0.7 when expected arrivals came to be bounded by the present drain time."""
     digest = hashlib.sha256()
     fleet = World(seed, dispatchers=6, workers=12, load=load, warm_after=warm_after)
-    tell = fleet.deliver
+    deliver = fleet.deliver
 
-    def told(i, events, tell=tell, fleet=fleet):
+    def deliver_recorded(i, events, deliver=deliver, fleet=fleet):
         handle = fleet.modules[i].handle
 
-        def spy(now, events):
+        def handle_recorded(now, events):
             out = handle(now, events)
             actions = ", ".join(f"({i}, {round(now, 3)}, {as_recorded(a)})" for a in out)
             digest.update(f"[{actions}]".encode())
             return out
 
-        fleet.modules[i].handle = spy
+        fleet.modules[i].handle = handle_recorded
         try:
-            tell(i, events)
+            deliver(i, events)
         finally:
             fleet.modules[i].handle = handle
 
-    fleet.deliver = told
+    fleet.deliver = deliver_recorded
     fleet.run(1500.0)
     old = list(fleet.workers.values())[:4]
     new = [fleet.add_worker(launched=fleet.now) for _ in old]
