--- a/yewrill/__main__.py
+++ b/yewrill/__main__.py
@@ -9,9 +9,9 @@
 
 gc.disable()  # nearly all that a start makes stays for good; `Service.run` looks at it once and turns it on
 
-from yewrill.service.early_signals import note_reloads  # noqa: E402
+from yewrill.service.early_signals import record_reload_signals  # noqa: E402
 
-note_reloads()  # before all that takes long to import: a reload may come at any moment
+record_reload_signals()  # before all that takes long to import: a reload may come at any moment
 
 import os  # noqa: E402
 import sys  # noqa: E402
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -277,7 +277,7 @@
         entries = [endpoint.worker_entry(self._clock) for endpoint in endpoints]
         self._put(api.WorkerList(form, entries))
 
-    def returned(self, name: str, ago: float) -> None:
+    def worker_reattached(self, name: str, ago: float) -> None:
         """Operators have put a worker back, so many milliseconds ago."""
         self._put(api.WorkerReturned(name, max(1.0, self.now() - ago)))
 
--- a/yewrill/net/endpoint_list.py
+++ b/yewrill/net/endpoint_list.py
@@ -93,7 +93,7 @@
             self._detached.discard(name)
             self._attached_at[name] = self._engine.now() - age_ms
             self._notify(name)
-            self._engine.returned(name, age_ms)
+            self._engine.worker_reattached(name, age_ms)
             return True
         return name in self._known
 
--- a/yewrill/service/early_signals.py
+++ b/yewrill/service/early_signals.py
@@ -13,12 +13,12 @@
 _requested: set[signal.Signals] = set()
 
 
-def note_reloads() -> None:
+def record_reload_signals() -> None:
     """Note each SIGHUP from now on."""
     signal.signal(signal.SIGHUP, _note)
 
 
-def note_shutdowns() -> None:
+def record_shutdown_signals() -> None:
     """Note each SIGTERM from now on."""
     signal.signal(signal.SIGTERM, _note)
 
@@ -33,7 +33,7 @@
     _requested.add(signal.Signals(number))
 
 
-def take_request(number: signal.Signals) -> bool:
+def take_recorded_signal(number: signal.Signals) -> bool:
     """Whether this signal has come since the last call."""
     requested = number in _requested
     _requested.discard(number)
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -32,9 +32,9 @@
 from yewrill.service.background_tasks import BackgroundTasks
 from yewrill.service.early_signals import (
     ignore_signals,
-    note_reloads,
-    note_shutdowns,
-    take_request,
+    record_reload_signals,
+    record_shutdown_signals,
+    take_recorded_signal,
 )
 from yewrill.service.open_requests import OpenRequests
 from yewrill.service.operator_drain import OperatorDrain, OperatorDrainState
@@ -330,7 +330,7 @@
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
             task_status.started()
             for early in (signal.SIGHUP, signal.SIGTERM):
-                if take_request(early):  # while the process started
+                if take_recorded_signal(early):  # while the process started
                     self._on_signal(early)
             async for number in received:
                 self._on_signal(signal.Signals(number))
@@ -408,8 +408,8 @@
     SIGHUP reads the configuration anew with `load`.
     """
     with logging_to(sys.stderr, level, log_form):
-        note_reloads()  # one that comes before a reload is possible must neither end us nor be lost
-        note_shutdowns()
+        record_reload_signals()  # one that comes before a reload is possible must neither end us nor be lost
+        record_shutdown_signals()
         try:
             service_run(config, load)
         except OSError as error:
