--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -6,7 +6,7 @@
 from helper import Peer, done, story, world
 from machine_faults import SetClock
 
-from yewrill.dispatch.start_times import MAX_STARTS, MEMORY_MS, StartTimes
+from yewrill.dispatch.start_times import MAX_STARTS, OFFSET_RETENTION_MS, StartTimes
 
 HOUR = 3600.0
 WARM_AFTER_MS = 6000.0  # of the helper's settings
@@ -93,18 +93,18 @@
 def test_starts_are_read_by_the_clock_on_either_side_of_a_step():
     hour, base, now = 3_600_000.0, 1e12, 50_000.0
     starts = StartTimes(base + now, now)
-    assert starts.started("old", 0.0, now) is None
-    assert starts.started("w", base + 40_000.0, now) == 40_000.0
-    starts.note(base + hour + now, now)
-    assert starts.started("w", base + 40_000.0, now) == 40_000.0  # told again: one start
-    assert starts.started("before", base + 45_000.0, now) == 45_000.0
-    assert starts.started("after", base + hour + 45_000.0, now) == 45_000.0
-    assert starts.started("w", base + hour + 49_000.0, now) == 49_000.0  # started again
-    starts.note(base - hour + now, now)
-    assert starts.started("future", base + 7 * hour, now) == now
-    later = now + MEMORY_MS + 1.0
+    assert starts.monotonic_start("old", 0.0, now) is None
+    assert starts.monotonic_start("w", base + 40_000.0, now) == 40_000.0
+    starts.observe_clocks(base + hour + now, now)
+    assert starts.monotonic_start("w", base + 40_000.0, now) == 40_000.0  # told again: one start
+    assert starts.monotonic_start("before", base + 45_000.0, now) == 45_000.0
+    assert starts.monotonic_start("after", base + hour + 45_000.0, now) == 45_000.0
+    assert starts.monotonic_start("w", base + hour + 49_000.0, now) == 49_000.0  # started again
+    starts.observe_clocks(base - hour + now, now)
+    assert starts.monotonic_start("future", base + 7 * hour, now) == now
+    later = now + OFFSET_RETENTION_MS + 1.0
     assert (
-        starts.started("late", base + hour + 45_000.0, later) == later
+        starts.monotonic_start("late", base + hour + 45_000.0, later) == later
     )  # by the clock as it stands
 
 
@@ -112,12 +112,12 @@
     hour, base, now = 3_600_000.0, 1e12, 50_000.0
     starts = StartTimes(base + now, now)
     # The wall clock gained 3 s by being slewed, and was then set an hour forward, unnoticed until now.
-    starts.note(base + hour + now + 3000.0, now)
-    assert starts.started("w", base + now + 3000.0, now) == now
+    starts.observe_clocks(base + hour + now + 3000.0, now)
+    assert starts.monotonic_start("w", base + now + 3000.0, now) == now
 
 
 def test_no_more_starts_are_remembered_than_the_bound():
     starts = StartTimes(1e12, 0.0)
     for number in range(MAX_STARTS + 5):
-        starts.started(f"w{number}", 1e12 - 5.0, 0.0)
+        starts.monotonic_start(f"w{number}", 1e12 - 5.0, 0.0)
     assert len(starts._known) == MAX_STARTS
--- a/yewrill/dispatch/endpoint.py
+++ b/yewrill/dispatch/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint: a worker's entry in the list that discovery gives."""
+"""An endpoint: a worker's entry in the endpoint list that discovery returns."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A worker's id, address and state. Zone, kind and cell are positions in the settings' lists."""
+    """A worker's id, address and state. Zone, kind and cell are indexes into the settings' lists."""
 
     id: str
     address: tuple[str, int]
@@ -19,10 +19,10 @@
     cell: int = 0
     state: WorkerState = WorkerState.RUNNING
     weight: float = 1.0
-    started_ms: float = 0.0  # wall clock; 0: unknown
+    started_ms: float = 0.0  # wall clock time of the worker's start; 0: unknown
 
     def worker_entry(self, clock: Clock) -> WorkerEntry:
-        """The same for the decision module, with the worker's start by its clock."""
+        """Returns the decision module's form of this entry, with the start time on the engine's clock."""
         launched = clock.worker_start(self.id, self.started_ms)
         return WorkerEntry(
             self.id, self.zone, self.kind, self.cell, self.state, self.weight, launched
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -1,11 +1,11 @@
-"""The decision engine: adapter of the decision module for trio tasks, with a clock, timers, health checks.
+"""The decision engine: connects the decision module to trio tasks, a clock, timers and health checks.
 
-The network code waits for the next choice of a request, reports how attempts ended, and tells what else
-happens; `run` hands all of it to the decision module, a moment at a time, and carries out its actions.
-Nothing
-outside this file sees the module's events and actions. Times are milliseconds on the engine's own clock.
+The network code asks for the next choice of a request, reports how attempts ended, and reports other events.
+`run` collects these events, passes them to the decision module in batches, and executes the module's actions.
+The module's events and actions are not used outside this file. Times are milliseconds on the engine's clock.
 
-Longer than most files: the calls of the network code, the moments and the actions change the same requests.
+The file is longer than most, because the calls of the network code, the batches and the actions all change
+the same requests.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 log = logging.getLogger(__name__)
 
-# How long past a request's deadline `pick` waits for the decision module before it answers by itself. It
+# How long `pick` waits past a request's deadline for the decision module before it decides without it. This
 # guards against a module that lost the request; the module's own deadline is always earlier.
 DECISION_GRACE_MS = 10.0
 
 
 class DecisionEngine:
-    """One decision module and its clock. Not safe for use from several threads."""
+    """Runs one decision module. Not thread-safe."""
 
     def __init__(self, settings: api.Settings, seed: int):
         self._module = Dispatcher(settings, seed)
@@ -48,11 +48,11 @@
         self._health_checks = HealthChecks(self._on_health_checked)
         self._events: list[api.Event] = []
         self._requests: dict[str, Request] = {}
-        self._live: dict[str, Attempt] = {}  # by request key, those of closed requests too
-        self._count = 0
+        self._live: dict[str, Attempt] = {}  # by request key, including attempts of closed requests
+        self._submitted_count = 0
         self._rejection_watch = RejectionWatch()
         self._wake = trio.Event()
-        # A line for each attempt and for each request that is not served.
+        # Whether to log a line for each attempt and for each request that is not served.
         self._logs_attempts = log.isEnabledFor(logging.DEBUG)
         self._action_handlers: dict[type, Callable[[Any, float], None]] = {
             api.Send: self._send,
@@ -67,11 +67,11 @@
     # -- time and state
 
     def now(self) -> float:
-        """The time on the engine's clock."""
+        """Returns the current time on the engine's clock."""
         return self._clock.now()
 
     def loop_time(self, at: float) -> float:
-        """The event loop's time, in seconds, for a time of the engine's clock."""
+        """Converts a time of the engine's clock to the event loop's time, in seconds."""
         return self._clock.loop_time(at)
 
     @property
@@ -81,44 +81,44 @@
 
     @property
     def pending(self) -> int:
-        """Requests without their final answer."""
+        """The number of requests without a final answer."""
         return len(self._requests)
 
     def capacity(self) -> dict[int, float]:
-        """Slots that the usable workers of each zone are thought to have."""
+        """Returns the estimated slots of the usable workers, by zone."""
         return self._module.fleet.slots_by_zone()
 
     def stuck_attempts(self, after: float) -> dict[int, int]:
-        """By zone, the attempts at workers that run none of ours and have started none for so long."""
+        """Counts, by zone, the attempts at workers that run none of ours and started none for `after` ms."""
         return self._module.fleet.stuck_attempts(self.now(), after)
 
     def ejected(self) -> set[str]:
-        """The workers that the decision module leaves out at present."""
+        """Returns the workers that are currently ejected."""
         return self._module.ejected(self.now())
 
     def admission_report(self) -> AdmissionReport:
-        """What the decision module's estimates and its gate are at now."""
+        """Returns the current estimates and state of the decision module's admission control."""
         return self._module.admission.report()
 
     # -- requests and attempts
 
     def submit(self, request: Request) -> None:
-        """Hand a request to the decision module; without effect for one that it has.
+        """Submits a request to the decision module; does nothing if it was submitted before.
 
-        To be called in the moment in which its class and tenant were looked up, since other settings may move
-        their positions."""
+        Call it without a checkpoint after the lookup of the request's class and tenant: new settings may
+        change their indexes."""
         if request.key:
             return
-        self._count += 1
-        # The client's own id is not the key: two clients may send the same one.
-        request.key = str(self._count)
+        self._submitted_count += 1
+        # The client's id cannot be the key: two clients may send the same one.
+        request.key = str(self._submitted_count)
         self._requests[request.key] = request
         spec = self._classes[request.request_class]
         request.class_name = spec.name
         request.idempotency, request.window = spec.idempotency, spec.window
         if request.ran_ago >= 0:
             request.ran_at = self.now() - request.ran_ago
-        self._put(
+        self._queue_event(
             api.RequestArrived(
                 request.key,
                 request.request_class,
@@ -136,16 +136,16 @@
         )
 
     async def pick(self, request: Request) -> Choice | None:
-        """Wait for the decision module's next choice for a request; None once its client has left.
+        """Waits for the decision module's next choice for a request; returns None once its client has left.
 
-        If cancelled, the request stays open, and a choice that has come is kept for the next call."""
+        On cancellation the request stays open, and a choice already made is kept for the next call."""
         expired = self.now() >= request.deadline
         self.submit(request)
         if request.choice is None and not request.closed:
-            request.chosen = trio.Event()
+            request.choice_ready = trio.Event()
             with trio.move_on_at(self.loop_time(request.deadline + DECISION_GRACE_MS)):
-                await request.chosen.wait()
-            request.chosen = None
+                await request.choice_ready.wait()
+            request.choice_ready = None
         choice, request.choice = request.choice, None
         if choice is None:
             if request.client_left:
@@ -156,24 +156,24 @@
         return choice
 
     def _answer_without_decision(self, request: Request, expired: bool) -> Rejection | Failure:
-        """The final answer where the module gave none by the deadline: a rejection if a retry does no harm.
+        """Returns the final answer if the module made no decision in time: a rejection if a retry is safe.
 
-        `expired`: the deadline had passed before the module could be asked, which is no fault of it."""
-        harmless = request.ran_at is None or request.idempotency is api.Idempotency.IDEMPOTENT
-        answer = Rejection(0.0, "its time is up") if harmless else Failure("no decision")
+        `expired`: the deadline had passed before the module could be asked, so the module is not at fault."""
+        retry_is_safe = request.ran_at is None or request.idempotency is api.Idempotency.IDEMPOTENT
+        answer = Rejection(0.0, "its time is up") if retry_is_safe else Failure("no decision")
         if not request.closed:
             log.log(
                 logging.DEBUG if expired else logging.ERROR,
                 "decision_missing request=%s waited_past_deadline_ms=%g answer=%s",
                 request.id,
                 DECISION_GRACE_MS,
-                "rejected" if harmless else "failed",
+                "rejected" if retry_is_safe else "failed",
             )
             self._close(request, notify=True)
         return answer
 
     def report(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Report how an attempt ended. A served one concludes its request."""
+        """Reports the outcome of an attempt. `SERVED` closes the request."""
         request = attempt.request
         if attempt.trace is not None:
             attempt.trace.end, attempt.trace.outcome = trio.current_time(), outcome.value
@@ -185,7 +185,7 @@
             self._rejection_watch.served(request.class_name)
             self._close(request)
         elapsed = self.now() - attempt.sent if attempt.sent else 0.0
-        self._put(
+        self._queue_event(
             api.AttemptEnded(
                 request.key,
                 attempt.number,
@@ -201,25 +201,30 @@
             self._log_attempt(attempt, outcome, elapsed)
 
     def started(self, attempt: Attempt) -> None:
-        """A worker reports that it began to run an attempt."""
+        """Handles a worker's report that it began to run an attempt."""
         if self._logs_attempts:
-            attempt.began = self.now()
+            attempt.started_at = self.now()
         if attempt.trace is not None:
             attempt.trace.started = trio.current_time()
-        self._put(api.AttemptStarted(attempt.request.key, attempt.number, attempt.worker))
+        self._queue_event(api.AttemptStarted(attempt.request.key, attempt.number, attempt.worker))
 
     def progress(self, attempt: Attempt, fraction: float) -> None:
-        """A worker reports how far an attempt is, 0 to 1."""
+        """Handles a worker's report of an attempt's progress, from 0 to 1."""
         request = attempt.request
         if attempt.trace is not None:
             attempt.trace.note_progress(trio.current_time(), fraction)
-        self._put(api.AttemptProgress(request.key, attempt.number, attempt.worker, fraction))
+        self._queue_event(
+            api.AttemptProgress(request.key, attempt.number, attempt.worker, fraction)
+        )
         if request.on_progress is not None:
             request.on_progress(attempt, fraction)
 
     def client_left(self, request: Request) -> None:
-        """The client has gone: no answer is due any more. An attempt that is out runs on, for its end tells
-        much; one that is being written must not become whole, and a connection that comes up is kept."""
+        """Closes a request whose client has left: no answer is due any more.
+
+        An attempt that was written continues, because its outcome is evidence about the worker. An attempt
+        that is being written is withdrawn before its last byte, and a connection that is being established
+        is kept."""
         if request.trace is not None and not request.client_left:
             request.trace.event(trio.current_time(), "client-left")
             request.trace.decide(trio.current_time(), "left")
@@ -228,39 +233,39 @@
             return
         self._close(request, notify=True)
         choice = request.choice
-        if isinstance(choice, Attempt):  # chosen, not yet taken up
+        if isinstance(choice, Attempt):  # chosen, but not picked up by `pick`
             request.choice = None
             self.report(choice, AttemptOutcome.NOT_SENT)
         if request.live is not None and request.live.sent and not request.live.written:
             request.live.withdraw(AttemptOutcome.NOT_SENT)
-        if request.chosen is not None:
-            request.chosen.set()
+        if request.choice_ready is not None:
+            request.choice_ready.set()
 
     def fail_all(self) -> None:
-        """The program ends: every request that is still open fails, and its attempt with it."""
+        """Fails every open request and cancels its attempt, at the end of the shutdown."""
         for request in list(self._requests.values()):
             if not request.closed:
                 self._close(request, notify=True)
                 if request.live is not None:
                     request.live.withdraw(AttemptOutcome.CANCELLED)
-                self._choose(request, Failure("restarting"))
+                self._set_choice(request, Failure("restarting"))
 
     # -- settings and workers
 
     def reconfigure(self, settings: api.Settings) -> None:
-        """Changed settings, for every request submitted from now on."""
+        """Applies changed settings to every request submitted from now on."""
         self._report_fields = settings.report_fields
         self._classes = settings.classes
-        self._put(api.SettingsChanged(settings))
+        self._queue_event(api.SettingsChanged(settings))
 
     def set_zone_weights(self, weights: Mapping[int, float]) -> None:
-        """The fleet's plan: the part of its normal new work that each zone gets; one not named gets all."""
-        self._put(api.ZoneTrafficWeights(dict(weights)))
+        """Sets the share of its normal new work that each zone gets; a zone not named gets all of it."""
+        self._queue_event(api.ZoneTrafficWeights(dict(weights)))
 
     def update_endpoints(
         self, endpoints: Iterable[Endpoint], *, full: bool, cached: bool = False
     ) -> None:
-        """Changes of the endpoint list; `full`: the whole of it; `cached`: the whole as it was last known."""
+        """Applies endpoint list changes. `full`: a complete list; `cached`: the last known complete list."""
         self._clock.compare_with_wall_clock()
         form = api.ListForm.CHANGES
         if full:
@@ -275,29 +280,29 @@
                 " ".join(f"{e.id}:{e.state}:{e.started_ms:.0f}" for e in endpoints),
             )
         entries = [endpoint.worker_entry(self._clock) for endpoint in endpoints]
-        self._put(api.WorkerList(form, entries))
+        self._queue_event(api.WorkerList(form, entries))
 
     def worker_reattached(self, name: str, ago: float) -> None:
-        """Operators have put a worker back, so many milliseconds ago."""
-        self._put(api.WorkerReturned(name, max(1.0, self.now() - ago)))
+        """Handles operators' reattachment of a worker, `ago` milliseconds ago."""
+        self._queue_event(api.WorkerReturned(name, max(1.0, self.now() - ago)))
 
-    # -- the moments of the decision module
+    # -- event batches
 
     async def run(self, prober: Prober) -> None:
-        """Tick whenever something is ready or due, with health checks beside, until cancelled."""
+        """Ticks whenever events are queued or a timer is due, and runs health checks, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 with trio.move_on_at(self.loop_time(self._timers.next_at)):
                     await self._wake.wait()
-                # One more round of the loop: whatever else the same read of the sockets has made ready
-                # belongs to this moment, and one call of the module is cheaper than several.
+                # One more turn of the event loop: events from other sockets that became readable at the same
+                # time join this batch, and one call of the module is cheaper than several.
                 await trio.lowlevel.checkpoint()
                 self._wake = trio.Event()
                 self.tick()
                 self._health_checks.start(nursery, prober)
 
     def tick(self) -> None:
-        """Hand everything that is ready to the module, as one moment, and carry out what it decides."""
+        """Passes all queued events and due timers to the module as one batch, and executes its actions."""
         now = self.now()
         events, self._events = self._events, []
         events += [api.TimerFired(token) for token in self._timers.pop_due(now)]
@@ -322,27 +327,27 @@
             if type(event) is api.ClientLeft:
                 self._requests.pop(event.request_id, None)
 
-    def _put(self, event: api.Event) -> None:
+    def _queue_event(self, event: api.Event) -> None:
         self._events.append(event)
         self._wake.set()
 
     def _fail_requests_of(self, events: list[api.Event]) -> None:
-        """After an error in the module no request of that moment can count on an answer from it."""
+        """Fails the requests of a batch in which the module raised: it may never decide about them."""
         for event in events:
             request = self._requests.get(getattr(event, "request_id", ""))
             if request is not None and request.choice is None and request.live is None:
                 self._close(request, notify=True)
-                self._choose(request, Failure("internal fault"))
+                self._set_choice(request, Failure("internal fault"))
 
     def _on_health_checked(self, worker: str, outcome: AttemptOutcome, load: Any) -> None:
         report = load_report.read(load, self._report_fields)
-        self._put(api.ProbeEnded(worker, outcome.policy_outcome, report))
+        self._queue_event(api.ProbeEnded(worker, outcome.policy_outcome, report))
 
     # -- actions
 
     def _carry_out(self, action: api.Action, now: float) -> None:
         handler = self._action_handlers.get(type(action))
-        if handler is not None:  # WatchList asks for nothing here: discovery always watches
+        if handler is not None:  # WatchList needs no action: discovery is always watched
             handler(action, now)
 
     def _send(self, action: api.Send, now: float) -> None:
@@ -363,17 +368,19 @@
                 action.delay_reason,
                 trio.current_time(),
             )
-        broken = rules.check_attempt(self._attempt_facts(request, now))
-        if broken is not None:
+        violated = rules.check_attempt(self._attempt_facts(request, now))
+        if violated is not None:
             self.violations.note(
-                broken, request=request.id, attempt=attempt.number, worker=action.worker
+                violated, request=request.id, attempt=attempt.number, worker=action.worker
             )
             not_sent = api.PolicyOutcome.NOT_SENT
-            self._put(api.AttemptEnded(request.key, attempt.number, action.worker, not_sent, 0.0))
-        elif request.closed:  # it ended between the module's last moment and this one
+            self._queue_event(
+                api.AttemptEnded(request.key, attempt.number, action.worker, not_sent, 0.0)
+            )
+        elif request.closed:  # closed since the module's last batch
             self.report(attempt, AttemptOutcome.NOT_SENT)
         else:
-            self._choose(request, attempt)
+            self._set_choice(request, attempt)
 
     def _reject(self, action: api.Reject, now: float) -> None:
         request = self._requests.get(action.request_id)
@@ -382,17 +389,17 @@
         self._answer(action, Rejection(action.retry_after, action.reason))
 
     def _watch_rejection(self, request: Request, reason: str, now: float) -> None:
-        """Log a class that gets nothing but rejections while workers are free."""
-        found = self._rejection_watch.rejected(request.class_name, now)
-        if found is None:
+        """Logs a class of which every request is rejected while slots are idle."""
+        shut_out = self._rejection_watch.rejected(request.class_name, now)
+        if shut_out is None:
             return
         idle_slots = self.admission_report().idle_slots
         if idle_slots >= 1.0:
             log.warning(
                 "class_shut_out class=%s rejected=%d for_s=%.1f idle_slots=%.1f reason=%s",
-                found.request_class,
-                found.rejections,
-                found.duration / 1000.0,
+                shut_out.request_class,
+                shut_out.rejections,
+                shut_out.duration / 1000.0,
                 idle_slots,
                 reason,
             )
@@ -414,7 +421,7 @@
             )
         if request.live is not None:
             request.live.withdraw(AttemptOutcome.TIMED_OUT)
-        self._choose(request, answer)
+        self._set_choice(request, answer)
 
     def _set_timer(self, action: api.SetTimer, now: float) -> None:
         self._timers.set(now + action.delay, action.token)
@@ -423,7 +430,7 @@
         self._health_checks.request(action.worker)
 
     def _cancel(self, action: api.Cancel, now: float) -> None:
-        attempt = self._live.get(action.request_id)  # its request may be over, its client gone
+        attempt = self._live.get(action.request_id)  # the request may be closed already
         if attempt is not None and attempt.number == action.attempt:
             attempt.withdraw(AttemptOutcome.CANCELLED)
 
@@ -433,20 +440,21 @@
     # -- requests
 
     def _close(self, request: Request, notify: bool = False) -> None:
-        """No other answer is due; `notify` the module, which does not know."""
+        """Marks a request as closed; `notify`: the module does not know it yet."""
         if request.closed:
             return
         request.closed = True
         if notify:
-            # It stays known until the module has taken the event, for what the module may send before.
-            self._put(api.ClientLeft(request.key))
+            # The request stays registered until the module has processed the event: until then the module may
+            # still return actions for it.
+            self._queue_event(api.ClientLeft(request.key))
         else:
             self._requests.pop(request.key, None)
 
-    def _choose(self, request: Request, choice: Choice) -> None:
+    def _set_choice(self, request: Request, choice: Choice) -> None:
         request.choice = choice
-        if request.chosen is not None:
-            request.chosen.set()
+        if request.choice_ready is not None:
+            request.choice_ready.set()
 
     def _attempt_facts(self, request: Request, now: float) -> rules.AttemptFacts:
         return rules.AttemptFacts(
@@ -458,7 +466,7 @@
         )
 
     def _log_attempt(self, attempt: Attempt, outcome: AttemptOutcome, elapsed: float) -> None:
-        waited = attempt.began - attempt.sent if attempt.began else -1.0
+        waited = attempt.started_at - attempt.sent if attempt.started_at else -1.0
         log.debug(
             "attempt_ended worker=%s outcome=%s class=%d attempt=%d width=%g sent=%.0f waited=%.0f "
             "ran=%.0f",
--- a/yewrill/dispatch/health_checks.py
+++ b/yewrill/dispatch/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of ejected workers, as the decision module asks for them."""
+"""Health checks of ejected workers, made on request of the decision module."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 log = logging.getLogger(__name__)
 
-# Checks a worker by name; returns the outcome and the load report as it was sent.
+# Checks the named worker; returns the outcome and the load report as received.
 Prober = Callable[[str], Awaitable[tuple[AttemptOutcome, Any]]]
 Report = Callable[[str, AttemptOutcome, Any], None]
 
 
 class HealthChecks:
-    """Workers whose check is asked for; each check ends in one call of `report`."""
+    """Queue of requested health checks. Each check ends with exactly one call of `report`."""
 
     def __init__(self, report: Report):
         self._report = report
         self._requested: list[str] = []
 
     def request(self, worker: str) -> None:
-        """Ask for a check of a worker."""
+        """Requests a health check of a worker."""
         self._requested.append(worker)
 
     def start(self, nursery: trio.Nursery, prober: Prober) -> None:
-        """Start the checks that were asked for as tasks of the nursery."""
+        """Starts the requested checks as tasks in the nursery."""
         requested, self._requested = self._requested, []
         for worker in requested:
             nursery.start_soon(self._check, prober, worker)
--- a/yewrill/dispatch/lifecycle.py
+++ b/yewrill/dispatch/lifecycle.py
@@ -1,4 +1,4 @@
-"""The request lifecycle: one live attempt at a time, one final answer. Knows no protocol."""
+"""The request lifecycle: at most one attempt at a time and one final answer. Independent of any protocol."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """The result that a worker gave for this request."""
+    """The final answer of a request that a worker completed, with the worker's result."""
 
     result: Any
 
@@ -28,10 +28,10 @@
 async def run_request(
     request: Request, engine: DecisionEngine, run_attempt: AttemptRunner
 ) -> Answer | None:
-    """Pick, attempt and report until the request has its answer; None if its client left first.
+    """Runs attempts until the request has its final answer; returns None if its client left first.
 
-    If cancelled, the attempt that is out is reported as an internal error; the caller says that the
-    client left."""
+    On cancellation, the attempt in progress is reported as an internal error; the caller then has to call
+    `engine.client_left`."""
     try:
         while True:
             choice = await engine.pick(request)
@@ -41,7 +41,7 @@
             try:
                 outcome, result = await run_attempt(choice)
             except Exception:
-                # An error in one attempt ends that attempt; the policy sees one that may have run.
+                # An exception ends this attempt only; the policy has to assume that it may have run.
                 log.exception(
                     "attempt_raised request=%s worker=%s outcome=internal_error",
                     request.id,
@@ -58,7 +58,7 @@
                 outcome.value,
             )
     except Exception:
-        # Whatever else goes wrong, the client is owed an answer.
+        # The client gets an answer even after an unexpected exception.
         log.exception("request_raised request=%s answer=failed", request.id)
         engine.client_left(request)
         return Failure("internal fault")
--- a/yewrill/dispatch/load_report.py
+++ b/yewrill/dispatch/load_report.py
@@ -1,8 +1,9 @@
-"""Load reports as workers send them: `inflight=7,x0=1.5` in a header, an object in a line or a body.
+"""Parsing and validation of workers' load reports.
 
-Pure. A report is taken whole or not at all: one that can't be believed costs itself, never the answer that
-carries it. Only the fields that the settings name are kept; each must be there, and a finite number from 0 to
-MAX_VALUE.
+A report is `inflight=7,x0=1.5` in a header, or a JSON object in a line or a body. It is used as a whole or
+not at all, and an invalid report never invalidates the response that carries it. Only the fields that the
+settings name are kept; each must be present and a finite number from 0 to MAX_VALUE. The functions have no
+side effects.
 """
 
 from __future__ import annotations
@@ -10,13 +11,15 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-MAX_VALUE = 1e6  # above any count, rate or fraction that a worker can mean
+# Above any count, rate or fraction that a worker can plausibly report.
+MAX_VALUE = 1e6
 MAX_HEADER_CHARACTERS = 1024
-MAX_FIELDS = 32  # of an object or a header, named by the settings or not
+# Bound on all fields of a report, including those that the settings do not name.
+MAX_FIELDS = 32
 
 
 def from_header(text: str) -> Mapping[str, Any] | None:
-    """The pairs of a header's value, not yet checked; None if it has another form."""
+    """Parses a header's value into pairs that are not validated yet; returns None if it is malformed."""
     if len(text) > MAX_HEADER_CHARACTERS:
         return None
     found: dict[str, Any] = {}
@@ -32,7 +35,7 @@
 
 
 def read(reported: Any, fields: Sequence[str]) -> dict[str, float] | None:
-    """The named fields of a report, in the settings' order; None unless all of them make sense."""
+    """Returns the named fields of a report, in the given order; None unless all of them are valid."""
     if not fields or not isinstance(reported, Mapping) or len(reported) > MAX_FIELDS:
         return None
     report: dict[str, float] = {}
--- a/yewrill/dispatch/outcome.py
+++ b/yewrill/dispatch/outcome.py
@@ -1,4 +1,4 @@
-"""Every way an attempt, or the connection that carries it, can end, and what each means to the policy."""
+"""The outcomes of an attempt and of its connection, and their mapping to the policy's outcomes."""
 
 from __future__ import annotations
 
@@ -10,30 +10,38 @@
 class AttemptOutcome(Enum):
     """How an attempt ended. The values appear in traces."""
 
-    SERVED = "served"  # the worker gave its result for this very request
-    FAILED = "failed"  # it said that the request failed
-    MALFORMED_RESPONSE = "garbled"  # it sent something that is not the protocol's
-    REJECTED = "turned away"  # it sent the request back unstarted
-    UNREACHABLE = (
-        "unreached"  # refused, never came up, or broke before the request's last byte was written
-    )
-    RESET = "reset"  # broke, or reported a lost request, after the last byte was written
-    # As these two, on a kept connection and without a byte of an answer: it may just have been stale.
+    # The worker returned the result of this request.
+    SERVED = "served"
+    # The worker reported that the request failed.
+    FAILED = "failed"
+    # The worker's response violates the protocol.
+    MALFORMED_RESPONSE = "garbled"
+    # The worker returned the request without having started it.
+    REJECTED = "turned away"
+    # The connection was refused, could not be established, or broke before the request's last byte was
+    # written.
+    UNREACHABLE = "unreached"
+    # The connection broke, or the worker reported that it lost the request, after the last byte was written.
+    RESET = "reset"
+    # The same two on a reused connection, without a byte of a response: the connection may have been stale.
     STALE_UNREACHABLE = "worn, unreached"
     STALE_RESET = "worn, reset"
     TIMED_OUT = "timed out"
-    CANCELLED = "called off"  # the policy or the end of the program withdrew it
-    NOT_SENT = "not sent"  # withdrawn here before its first byte
-    INTERNAL_ERROR = "broken"  # an error of our own while it was out
+    # Cancelled by the policy or by the shutdown of the dispatcher.
+    CANCELLED = "called off"
+    # Withdrawn by the dispatcher before its first byte was written.
+    NOT_SENT = "not sent"
+    # The dispatcher raised an unexpected exception during the attempt.
+    INTERNAL_ERROR = "broken"
 
     @property
     def policy_outcome(self) -> PolicyOutcome:
-        """The same in the policy's coarser terms."""
+        """The policy's outcome to which this one maps."""
         return _POLICY_OUTCOMES[self]
 
     @property
     def stale_connection(self) -> bool:
-        """Whether it tells of the connection more than of the worker."""
+        """Whether a stale connection, rather than the worker, may be the cause."""
         return self in (AttemptOutcome.STALE_UNREACHABLE, AttemptOutcome.STALE_RESET)
 
 
@@ -49,5 +57,5 @@
     AttemptOutcome.TIMED_OUT: PolicyOutcome.TIMEOUT,
     AttemptOutcome.CANCELLED: PolicyOutcome.CANCELLED,
     AttemptOutcome.NOT_SENT: PolicyOutcome.NOT_SENT,
-    AttemptOutcome.INTERNAL_ERROR: PolicyOutcome.ERROR,  # may have run, as far as anyone here can tell
+    AttemptOutcome.INTERNAL_ERROR: PolicyOutcome.ERROR,  # the request may have run
 }
--- a/yewrill/dispatch/rejection_watch.py
+++ b/yewrill/dispatch/rejection_watch.py
@@ -1,26 +1,31 @@
-"""Notices a request class that gets nothing but rejections. Pure: the time comes in. Milliseconds."""
+"""Detects request classes of which every request is rejected.
+
+The caller passes the time, in milliseconds; nothing here reads a clock.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+# A class counts as shut out after so many rejections in a row that span at least this time.
 MIN_REJECTIONS = 10
 SHUT_OUT_MS = 3000.0
-REPEAT_MS = 10000.0  # between two notices of one class
+# Time between two reports of the same class.
+REPEAT_MS = 10000.0
 
 
 @dataclass(slots=True)
 class _Streak:
-    """Rejections of a class in a row."""
+    """An uninterrupted series of rejections of one class."""
 
     since: float
     count: int = 0
-    noticed_at: float | None = None
+    reported_at: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ShutOut:
-    """So many requests of a class in a row were rejected, for so long."""
+    """Report of a class that is shut out: the number of rejections in a row, and their duration in ms."""
 
     request_class: str
     rejections: int
@@ -28,23 +33,23 @@
 
 
 class RejectionWatch:
-    """Streaks of rejections by class name."""
+    """Tracks the current series of rejections of each class, by class name."""
 
     def __init__(self) -> None:
         self._streaks: dict[str, _Streak] = {}
 
     def served(self, request_class: str) -> None:
-        """A request of the class was served."""
+        """Ends the series of a class, because one of its requests was served."""
         self._streaks.pop(request_class, None)
 
     def rejected(self, request_class: str, now: float) -> ShutOut | None:
-        """A request of the class was rejected; what is to be reported, if it is time for it."""
+        """Counts a rejection; returns a report if the class is shut out and a report is due."""
         streak = self._streaks.setdefault(request_class, _Streak(now))
         streak.count += 1
         duration = now - streak.since
         if streak.count < MIN_REJECTIONS or duration < SHUT_OUT_MS:
             return None
-        if streak.noticed_at is not None and now - streak.noticed_at < REPEAT_MS:
+        if streak.reported_at is not None and now - streak.reported_at < REPEAT_MS:
             return None
-        streak.noticed_at = now
+        streak.reported_at = now
         return ShutOut(request_class, streak.count, duration)
--- a/yewrill/dispatch/request.py
+++ b/yewrill/dispatch/request.py
@@ -1,4 +1,4 @@
-"""A client's request, its attempts, and its final answers other than a result.
+"""A client's request, its attempts, and the final answers that are not a worker's result.
 
 Times are milliseconds on the decision engine's clock.
 """
@@ -17,66 +17,67 @@
 
 @dataclass(eq=False, slots=True)
 class Request:
-    """A client's request. `payload` belongs to the frontend."""
+    """A client's request. Only the frontend interprets `payload`."""
 
-    id: str  # the client's, not unique
+    id: str  # chosen by the client, not unique
     request_class: int
     deadline: float
     tenant: int = 0
-    width: float = 1.0  # slots that it takes
-    memory: float = 0.0  # the same for its memory
-    hint: float = 0.0  # expected work, 0 where unknown
-    retry: bool = False  # marked as a client's retry
-    subject: str = ""  # what it concerns: workers keep what requests of one subject need
+    width: float = 1.0  # slots that it occupies
+    memory: float = 0.0  # memory that it occupies
+    hint: float = 0.0  # expected work; 0: unknown
+    retry: bool = False  # the client marked it as a retry
+    # Affinity key: workers cache what requests of the same subject need.
+    subject: str = ""
     payload: Any = None
     client_left: bool = False
-    # An attempt before a restart that may have run: how long ago it was sent, and where. -1: there is none.
+    # An attempt by an earlier process that may have run: how long ago it was sent, and where. -1: none.
     ran_ago: float = -1.0
     ran_zone: int = -1
     ran_cell: int = -1
     class_name: str = ""
-    # What the safety rules go by: its class's idempotency and deduplication window, and when the first
+    # Input of the safety rules: idempotency and deduplication window of the request class, and when the first
     # attempt that may have run was sent.
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     window: float = 0.0
     ran_at: float | None = None
     on_progress: Callable[[Attempt, float], None] | None = None
-    has_left: Callable[[], bool] | None = None  # looks anew whether its client has gone
+    has_left: Callable[[], bool] | None = None  # polls the connection: whether the client has left
     trace: Any = None
-    # The decision engine's own.
-    key: str = ""  # unique; empty until the engine has taken it
+    # Internal to the decision engine.
+    key: str = ""  # unique; empty until the request is submitted
     attempt_count: int = 0
     live: Attempt | None = None
     choice: Attempt | Rejection | Failure | None = None
-    chosen: trio.Event | None = None
-    closed: bool = False  # no other answer is due to the client
+    choice_ready: trio.Event | None = None
+    closed: bool = False  # the final answer is decided, or none is due any more
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One sending of a request to one worker."""
+    """One attempt to run a request on one worker."""
 
     request: Request
     number: int
     worker: str
-    until: float  # when to stop waiting
-    trace: Any = None  # where tracing is on
-    sent: float = 0.0  # its first byte
-    written: bool = False  # its last byte: from then on it may run
-    began: float = 0.0  # when its start was reported, if attempts are logged
+    until: float  # when the dispatcher stops waiting for the worker
+    trace: Any = None  # None if tracing is off
+    sent: float = 0.0  # when its first byte was written
+    written: bool = False  # its last byte was written; the worker may run it from then on
+    started_at: float = 0.0  # when the worker reported its start; set only if attempts are logged
     withdrawn: AttemptOutcome | None = None
-    load: Any = None  # the load report that came with its end, not yet checked
+    load: Any = None  # the load report that came with its outcome, not validated
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     def withdraw(self, outcome: AttemptOutcome) -> None:
-        """Cancel the wait; whoever runs the attempt closes its connection and reports this outcome."""
+        """Cancels the attempt; the task that runs it closes its connection and reports this outcome."""
         self.withdrawn = outcome
         self.scope.cancel()
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Not served, and a retry does no harm, best after `retry_after` milliseconds (0: no advice)."""
+    """Not served; a retry is safe, preferably after `retry_after` milliseconds (0: no advice)."""
 
     retry_after: float
     reason: str = ""
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Failed, with no promise about whether it ran."""
+    """Failed; the request may or may not have run."""
 
     text: str = "failed"
     reason: str = ""
--- a/yewrill/dispatch/safety.py
+++ b/yewrill/dispatch/safety.py
@@ -1,9 +1,9 @@
-"""Safety rules: whether an attempt may be sent, repeated or given so much time. Pure but for the log.
+"""Safety rules: whether an attempt may be sent or repeated, and how much time a worker may be given.
 
-Whoever sends or closes gathers the facts and asks here; a reason comes back as an enum member, which goes to
-the log and the metrics. The `check_` functions answer with a broken rule only where the program has a
-fault: a
-violation. Violations are counted by rule, logged with the ids concerned, and what they are about is not done.
+The caller gathers the facts and passes them in; the functions return a reason as an enum member, which goes
+to the log and the metrics. A `check_` function returns a rule only if the dispatcher has a bug that would
+break that rule: a violation. The caller then skips the action in question, and `Violations` counts it by rule
+and logs it with the ids concerned. Nothing else here has side effects.
 """
 
 from __future__ import annotations
@@ -17,12 +17,14 @@
 
 log = logging.getLogger(__name__)
 
-WINDOW_SLACK_MS = 50.0  # the protocol's, on sockets
-TIMEOUT_SLACK_MS = 1.0  # a worker is given whole milliseconds
+# Tolerance that the protocol grants for requests over sockets.
+WINDOW_SLACK_MS = 50.0
+# The time-out sent to a worker is rounded to whole milliseconds.
+TIMEOUT_SLACK_MS = 1.0
 
 
 class HeldBack(Enum):
-    """Why an attempt's first byte is not written now: things have changed since it was chosen.
+    """Why a chosen attempt is not sent: what changed between the choice and its first byte.
 
     The names appear in metrics, as `held_back.<name>`."""
 
@@ -33,7 +35,7 @@
 
 
 class Rule(Enum):
-    """A rule that a check found broken. The names appear in metrics, as `rule_violations.<name>`."""
+    """A safety rule that a check found violated. The names appear in metrics, as `rule_violations.<name>`."""
 
     OVERLAP = "an attempt is out already"
     UNSAFE_REPEAT = "a non-idempotent request may have run"
@@ -46,17 +48,17 @@
     """Why a client's connection ends. The values appear in metrics, as `closed.<value>`."""
 
     CLIENT_ENDED = "client_ended"
-    EVICTED = "evicted"  # idle, and its place was needed
-    DRAINED = "drained"  # closed while idle, or after its answer, by a drain
-    CUT = "cut"  # it had no whole request when draining ended
-    LAST_ANSWER = "last_answer"  # its protocol or its answer ends it
+    EVICTED = "evicted"  # idle, and closed to make room for a new connection
+    DRAINED = "drained"  # closed by a drain, while idle or after its answer
+    CUT = "cut"  # had no complete request when draining ended
+    LAST_ANSWER = "last_answer"  # closed after an answer, as the protocol or the answer requires
     BAD_REQUEST = "bad_request"
     FAULT = "fault"
 
 
 @dataclass(frozen=True, slots=True)
 class SendFacts:
-    """What is known as an attempt's first byte is about to be written. Milliseconds on the engine's clock."""
+    """The state just before an attempt's first byte is written. Times in ms on the engine's clock."""
 
     now: float
     until: float
@@ -66,7 +68,7 @@
 
 
 def may_send(facts: SendFacts) -> HeldBack | None:
-    """Whether the first byte may be written now: None, or why not."""
+    """Returns None if the first byte may be written now, else the reason why not."""
     if not facts.record_kept:
         return HeldBack.RECORD_NOT_KEPT
     if facts.now >= facts.until:
@@ -78,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFacts:
-    """What is known as an attempt is chosen. `ran_at`: when the first attempt that may have run was sent."""
+    """The state when an attempt is chosen. `ran_at`: when the first attempt that may have run was sent."""
 
     now: float
     idempotency: Idempotency
@@ -88,7 +90,7 @@
 
 
 def check_attempt(facts: AttemptFacts) -> Rule | None:
-    """Whether another attempt may be made: None, or the rule that it would break."""
+    """Returns None if another attempt may be made, else the rule that it would violate."""
     if facts.attempt_out:
         return Rule.OVERLAP
     if facts.ran_at is None:
@@ -104,23 +106,23 @@
 
 
 def check_timeout(timeout: float, now: float, deadline: float) -> Rule | None:
-    """Whether a worker may be given so many ms: None, or the rule that it would break."""
+    """Returns None if a worker may be given this time-out in ms, else the rule that it would violate."""
     return Rule.TOLD_TOO_LONG if timeout > max(1.0, deadline - now) + TIMEOUT_SLACK_MS else None
 
 
 class Violations:
-    """Counts what the checks found, and logs each with the ids concerned."""
+    """Counts rule violations and logs each with the ids concerned."""
 
     def __init__(self) -> None:
         self.counts: Counter[Rule] = Counter()
 
     def note(self, rule: Rule, **ids: object) -> None:
-        """A check has found a rule broken."""
+        """Counts and logs a violation."""
         self.counts[rule] += 1
-        concerned = " ".join(f"{name}={value}" for name, value in ids.items())
-        log.error("rule_violation rule=%s %s", rule.name.lower(), concerned)
+        id_text = " ".join(f"{name}={value}" for name, value in ids.items())
+        log.error("rule_violation rule=%s %s", rule.name.lower(), id_text)
 
     def metrics(self) -> dict[str, int]:
-        """By rule, for the metrics."""
+        """Returns the total and the count of each rule, by metric name."""
         counts = {f"rule_violations.{rule.name.lower()}": self.counts[rule] for rule in Rule}
         return {"rule_violations_total": self.counts.total(), **counts}
--- a/yewrill/dispatch/start_times.py
+++ b/yewrill/dispatch/start_times.py
@@ -1,74 +1,78 @@
-"""When workers started, by the monotonic clock, from what lists say by the wall clock. No I/O, no clock.
+"""Conversion of workers' start times from the wall clock to the monotonic clock.
 
-Lists give a worker's start as a wall clock time, and the wall clock may be set at any moment, by seconds
-or by
-an hour, here and there together. So each start is converted once, when it is first given: what was given
-before
-a step of the clock and is given again after it is still one start. A start that is given after a step
-may have
-been written down before it, so it is read by the clock as it stood on either side of every recent step,
-and the
-latest time that is not in the future counts: a slow start without need costs little, a worker overloaded
-while it warms up is a fault.
+Endpoint lists give a worker's start as wall clock time, and the wall clock may be stepped at any moment, by
+seconds or by an hour, on this machine and on others at the same time. Each start is therefore converted
+once, when it is first listed: a start that is listed again after a step is still the same start. A start
+that is first listed after a step may have been recorded before it. It is converted with the offsets before
+and after every recent step, and the latest result that is not in the future is used: an unnecessary slow
+start costs little, whereas a worker must not be overloaded while it warms up.
 
-Times are milliseconds; an offset is the wall clock less the monotonic clock.
+Times are milliseconds; an offset is wall clock time minus monotonic time. The caller passes the time of both
+clocks; nothing here reads a clock or does I/O.
 """
 
 from __future__ import annotations
 
-STEP_MS = 250.0  # offsets that differ by more are those before and after a step
-MAX_OFFSETS = 4  # of the latest steps
-MEMORY_MS = 60_000.0  # for so long after a step, what is given may have been written down before it
-# A reading may be ahead by so much: clocks are slewed, and differ from each other.
+# A larger difference between two observed offsets means that the wall clock was stepped.
+MIN_STEP_MS = 250.0
+# Offsets remembered, including the current one.
+MAX_OFFSETS = 4
+# How long after a step a listed start may still have been recorded before that step.
+OFFSET_RETENTION_MS = 60_000.0
+# A start may lie this far in the future: clocks are slewed, and clocks of different machines differ.
 MAX_AHEAD_MS = 10_000.0
-MAX_STARTS = 20_000  # workers whose start is known
+# Workers whose start is remembered.
+MAX_STARTS = 20_000
 
 
 class StartTimes:
-    """Converts starts of workers; keeps at most `MAX_STARTS` of them."""
+    """Converts start times of workers; remembers at most `MAX_STARTS` of them."""
 
     def __init__(self, wall: float, monotonic: float):
-        # Offsets, the latest last, and until when (monotonic) each but the last one counts.
+        # Offsets, the latest last, and until which monotonic time each but the last one is still used.
         self._offsets: list[float] = [wall - monotonic]
-        self._counts_until: list[float] = []
-        self._known: dict[str, tuple[float, float]] = {}  # as given, and by the monotonic clock
+        self._valid_until: list[float] = []
+        self._known: dict[str, tuple[float, float]] = {}  # by worker: wall, monotonic
 
     @property
     def offset(self) -> float:
-        """The wall clock less the monotonic clock, as last noted."""
+        """Wall clock time minus monotonic time, as last observed."""
         return self._offsets[-1]
 
-    def note(self, wall: float, monotonic: float) -> None:
-        """Take both clocks as they stand; a jump of one against the other is a step."""
+    def observe_clocks(self, wall: float, monotonic: float) -> None:
+        """Updates the offset from the current time of both clocks, and detects steps of the wall clock."""
         offset = wall - monotonic
-        if abs(offset - self._offsets[-1]) <= STEP_MS:
+        if abs(offset - self._offsets[-1]) <= MIN_STEP_MS:
             self._offsets[-1] = offset  # the clock is being slewed
             return
         self._offsets.append(offset)
-        self._counts_until.append(monotonic + MEMORY_MS)
-        del self._offsets[:-MAX_OFFSETS], self._counts_until[: 1 - MAX_OFFSETS]
+        self._valid_until.append(monotonic + OFFSET_RETENTION_MS)
+        del self._offsets[:-MAX_OFFSETS], self._valid_until[: 1 - MAX_OFFSETS]
 
-    def started(self, worker: str, given: float, monotonic: float) -> float | None:
-        """When a worker started, by the monotonic clock, which reads `monotonic` now; None if long ago."""
-        if given <= 0:
+    def monotonic_start(self, worker: str, listed: float, monotonic: float) -> float | None:
+        """Converts a worker's listed start to the monotonic clock, which reads `monotonic` now.
+
+        Returns None for a start that is 0 or less: the worker started long ago."""
+        if listed <= 0:
             return None
         known = self._known.get(worker)
-        if known is not None and known[0] == given:
+        if known is not None and known[0] == listed:
             return known[1]
-        started = self._latest_possible(given, monotonic)
+        started = self._latest_possible(listed, monotonic)
         self._known.pop(worker, None)
         if len(self._known) >= MAX_STARTS:
             del self._known[next(iter(self._known))]
-        self._known[worker] = given, started
+        self._known[worker] = listed, started
         return started
 
-    def _latest_possible(self, given: float, monotonic: float) -> float:
+    def _latest_possible(self, listed: float, monotonic: float) -> float:
         earlier = [
             offset
-            for offset, until in zip(self._offsets, self._counts_until, strict=False)
+            for offset, until in zip(self._offsets, self._valid_until, strict=False)
             if monotonic < until
         ]
-        possible = [given - offset for offset in (*earlier, self._offsets[-1])]
-        # It has started: a time that a clock puts a little ahead is now, as is one far ahead by all readings.
+        possible = [listed - offset for offset in (*earlier, self._offsets[-1])]
+        # The worker has started already: a result that is slightly in the future is clamped to now, and now
+        # is also used if all results are far in the future.
         past = [min(at, monotonic) for at in possible if at <= monotonic + MAX_AHEAD_MS]
         return max(past, default=monotonic)
