--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -14,7 +14,13 @@
 import ujson
 from helper import SETTINGS, Peer, story, world
 
-from yewrill.observability.logs import MOST_LINES, Thinner, event_of, formatter, logging_to
+from yewrill.observability.logs import (
+    MAX_QUEUED_LINES,
+    RateLimitFilter,
+    formatter,
+    logging_to,
+    parse_event,
+)
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -63,9 +69,9 @@
 )
 def test_event_and_keys_come_from_the_template(text, args, event, keys, rest):
     if "100%" in text:
-        assert event_of(record(text, *args))[0] in ("a", text)
+        assert parse_event(record(text, *args))[0] in ("a", text)
     else:
-        assert event_of(record(text, *args)) == (event, keys, rest)
+        assert parse_event(record(text, *args)) == (event, keys, rest)
 
 
 def test_every_event_that_the_program_logs_is_told_to_operators():
@@ -119,7 +125,7 @@
 
 def test_a_flood_of_one_event_is_thinned_with_a_count_and_others_are_not():
     now = [0.0]
-    thinner = Thinner(3, lambda: now[0])
+    thinner = RateLimitFilter(3, lambda: now[0])
     assert [thinner.filter(record("flood n=%d", i)) for i in range(6)] == [True] * 3 + [False] * 3
     assert thinner.filter(record("other"))
     now[0] = 1.0
@@ -137,7 +143,7 @@
 
     stuck = Stuck()
     with logging_to(stuck, "INFO", "plain") as queued:
-        for i in range(MOST_LINES + 500):
+        for i in range(MAX_QUEUED_LINES + 500):
             logging.getLogger("t").info(f"line{i}")
         lost = queued.lost
         assert 490 <= lost <= 500  # one or two are with the reader
--- a/yewrill/observability/__init__.py
+++ b/yewrill/observability/__init__.py
@@ -1,1 +1,1 @@
-"""The log and the metrics. Imports nothing of yewrill."""
+"""Logging and metrics. Imports no other package of yewrill."""
--- a/yewrill/observability/logs.py
+++ b/yewrill/observability/logs.py
@@ -1,10 +1,11 @@
-"""The log: structlog over the standard library's, lines as they always were or as JSON, never waited for.
-
-Every call in the program stays a plain one, `log.info("ready name=%s listen=%s:%d", ...)`: the first word
-names the event and what follows it is keys. `event_of` reads both from the line's own template, so a value
-with spaces in it stays one value. Lines go through a bounded queue to a thread; a reader of standard error
-that has stopped reading costs lines, not jobs, and how many is told by the next line that goes out. More
-than so many lines a second of one event are thinned, with a count.
+"""Logging: plain text lines, or structured ones by structlog, written by a thread so that no caller waits.
+
+Log calls use the standard library: `log.info("ready name=%s listen=%s:%d", ...)`. The first word of the
+template is the event, and `key=` words are its keys. `parse_event` reads them from the template rather than
+from the formatted line, so that a value with spaces stays one value. Lines go through a bounded queue to a
+thread: if the reader of standard error stops reading, lines are dropped instead of requests being delayed,
+and the next line that is written carries the number of dropped lines (`lost`). Lines of one event above a
+rate limit are suppressed, and the next line of that event carries their number (`thinned`).
 """
 
 from __future__ import annotations
@@ -21,83 +22,91 @@
 from contextlib import contextmanager, suppress
 from typing import Any
 
-MOST_LINES = 4096  # that wait for the reader
-MOST_A_SECOND = 50  # of one event
-_PIECES = re.compile(r"%(?:\.\d+)?[a-z]")
-_KEYED = re.compile(r"([A-Za-z_][\w-]*)=(.*)")
-# What a line says of the operation it belongs to.
-_request: contextvars.ContextVar[tuple[str, str] | None] = contextvars.ContextVar(
+MAX_QUEUED_LINES = 4096
+MAX_LINES_PER_SECOND = 50  # of each event
+_PLACEHOLDER = re.compile(r"%(?:\.\d+)?[a-z]")
+_KEY_VALUE = re.compile(r"([A-Za-z_][\w-]*)=(.*)")
+# Id and trace of the request that the current task handles.
+_current_request: contextvars.ContextVar[tuple[str, str] | None] = contextvars.ContextVar(
     "request", default=None
 )
 
 
 def bind_request(id: str, trace: str) -> None:
-    """Lines that this task writes from now on carry this operation's id and trace."""
-    _request.set((id, trace))
+    """Adds a request's id and trace to all lines that the current task logs from now on."""
+    _current_request.set((id, trace))
 
 
-def event_of(record: logging.LogRecord) -> tuple[str, dict[str, Any], str]:
-    """The event's name, its keys and the rest of a line."""
+def parse_event(record: logging.LogRecord) -> tuple[str, dict[str, Any], str]:
+    """Splits a record into the event's name, its keys and the remaining text."""
     if not isinstance(record.msg, str):
         return str(record.msg), {}, ""
     args = record.args if isinstance(record.args, tuple) else (record.args,) if record.args else ()
     name, _, rest = record.msg.partition(" ")
-    if "%" in name or len(_PIECES.findall(record.msg)) != len(args):
+    if "%" in name or len(_PLACEHOLDER.findall(record.msg)) != len(args):
         return record.getMessage(), {}, ""
     keys: dict[str, Any] = {}
-    words: list[str] = []
-    given = iter(args)
-    for piece in rest.split(" "):
-        held = [next(given) for _ in _PIECES.findall(piece)]
-        keyed = _KEYED.fullmatch(piece)
-        if keyed is None:
-            words.append(piece % tuple(held) if held else piece)
+    text_words: list[str] = []
+    remaining_args = iter(args)
+    for word in rest.split(" "):
+        values = [next(remaining_args) for _ in _PLACEHOLDER.findall(word)]
+        key_value = _KEY_VALUE.fullmatch(word)
+        if key_value is None:
+            text_words.append(word % tuple(values) if values else word)
             continue
-        value = keyed[2].rstrip(":")
-        if len(held) == 1 and _PIECES.fullmatch(value) and isinstance(held[0], (int, float)):
-            keys[keyed[1]] = held[0]
+        value = key_value[2].rstrip(":")
+        if (
+            len(values) == 1
+            and _PLACEHOLDER.fullmatch(value)
+            and isinstance(values[0], (int, float))
+        ):
+            keys[key_value[1]] = values[0]
         else:
-            keys[keyed[1]] = value % tuple(held) if held else value
-    return name.rstrip(":"), keys, " ".join(words).strip()
+            keys[key_value[1]] = value % tuple(values) if values else value
+    return name.rstrip(":"), keys, " ".join(text_words).strip()
 
 
-class Thinner(logging.Filter):
-    """Lets so many lines a second of one event pass; the next one that passes says how many did not."""
+class RateLimitFilter(logging.Filter):
+    """Limits the lines of each event per second; the next line that passes carries the suppressed count."""
 
-    def __init__(self, most: int = MOST_A_SECOND, clock: Callable[[], float] = time.monotonic):
+    def __init__(
+        self,
+        max_per_second: int = MAX_LINES_PER_SECOND,
+        clock: Callable[[], float] = time.monotonic,
+    ):
         super().__init__()
-        self._most, self._clock = most, clock
-        # By event: when its second began, lines in that, thinned since the last that passed.
+        self._max_per_second, self._clock = max_per_second, clock
+        # By event: start of the current second, lines in it, lines suppressed since the last that passed.
         self._seen: dict[str, tuple[float, int, int]] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether a line passes."""
+        """Whether a record is logged."""
         name = str(record.msg).partition(" ")[0]
         now = self._clock()
-        began, count, thinned = self._seen.get(name, (now, 0, 0))
-        if now - began >= 1.0:
-            began, count = now, 0
-        if count >= self._most:
-            self._seen[name] = began, count, thinned + 1
+        second_start, count, thinned = self._seen.get(name, (now, 0, 0))
+        if now - second_start >= 1.0:
+            second_start, count = now, 0
+        if count >= self._max_per_second:
+            self._seen[name] = second_start, count, thinned + 1
             return False
         if len(self._seen) > 1000:
             self._seen.clear()
-        self._seen[name] = began, count + 1, 0
+        self._seen[name] = second_start, count + 1, 0
         if thinned:
             record.thinned = thinned
         return True
 
 
-class _Queued(logging.handlers.QueueHandler):
-    """Puts lines in the queue with what belongs to them, and never waits."""
+class _NonBlockingQueueHandler(logging.handlers.QueueHandler):
+    """Puts records in the queue with their request's id and trace; drops and counts them if it is full."""
 
     def __init__(self, lines: queue.Queue):
         super().__init__(lines)
         self.lost = 0
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        if (belongs := _request.get()) is not None:
-            record.request, record.trace = belongs
+        if (request_ids := _current_request.get()) is not None:
+            record.request, record.trace = request_ids
         if self.lost:
             record.lost, self.lost = self.lost, 0
         return record
@@ -109,8 +118,10 @@
             self.lost += 1 + getattr(record, "lost", 0)
 
 
-def _fields(logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Turn a standard record, as a processor of structlog, into an event and its keys."""
+def _add_event_fields(
+    logger: Any, method: str, event: MutableMapping[str, Any]
+) -> MutableMapping[str, Any]:
+    """Adds the event, its keys and the record's own attributes. A structlog processor."""
     record: logging.LogRecord = event["_record"]
     name, keys, rest = record.parsed
     for key in ("request", "trace", "thinned", "lost"):
@@ -122,8 +133,8 @@
     return {**event, **found}
 
 
-class _Plain(logging.Formatter):
-    """As the lines always were, with what belongs to them at the end."""
+class _PlainFormatter(logging.Formatter):
+    """Formats a line as text, followed by the trace and the counts of suppressed and dropped lines."""
 
     def format(self, record: logging.LogRecord) -> str:
         text = super().format(record)
@@ -137,60 +148,59 @@
 
 
 def formatter(form: str) -> logging.Formatter:
-    """`plain`: no library needed; `console` and `json` by structlog."""
+    """Returns the formatter for `plain`, `console` or `json`; only `plain` works without structlog."""
     if form == "plain":
-        return _Plain("%(asctime)s %(levelname)s %(name)s %(message)s")
+        return _PlainFormatter("%(asctime)s %(levelname)s %(name)s %(message)s")
     import structlog
 
-    clean = structlog.stdlib.ProcessorFormatter.remove_processors_meta
+    remove_meta = structlog.stdlib.ProcessorFormatter.remove_processors_meta
     processors: list[Any] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
-        _fields,
+        _add_event_fields,
     ]
     if form == "json":
         processors += [
             structlog.processors.format_exc_info,
-            clean,
+            remove_meta,
             structlog.processors.JSONRenderer(),
         ]
     else:
-        processors += [clean, structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())]
+        processors += [remove_meta, structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())]
 
-    class Structured(structlog.stdlib.ProcessorFormatter):
+    class StructuredFormatter(structlog.stdlib.ProcessorFormatter):
         def format(self, record: logging.LogRecord) -> str:
-            record.parsed = event_of(
-                record
-            )  # now: the processors get the line's text, without its arguments
+            # Parsed here, because structlog passes the processors the formatted text without the arguments.
+            record.parsed = parse_event(record)
             return super().format(record)
 
-    return Structured(processors=processors)
+    return StructuredFormatter(processors=processors)
 
 
 @contextmanager
-def logging_to(stream: Any, level: str, form: str) -> Iterator[_Queued]:
-    """The whole program's log, until the end of the block; what waits then is written, within a second."""
-    lines: queue.Queue = queue.Queue(MOST_LINES)
-    out = logging.StreamHandler(stream)
-    out.setFormatter(formatter(form))
-    queued = _Queued(lines)
-    queued.addFilter(Thinner())
+def logging_to(stream: Any, level: str, form: str) -> Iterator[_NonBlockingQueueHandler]:
+    """Configures the root logger until the end of the block, then writes queued lines for up to a second."""
+    lines: queue.Queue = queue.Queue(MAX_QUEUED_LINES)
+    stream_handler = logging.StreamHandler(stream)
+    stream_handler.setFormatter(formatter(form))
+    queue_handler = _NonBlockingQueueHandler(lines)
+    queue_handler.addFilter(RateLimitFilter())
     root = logging.getLogger()
     root.setLevel(level)
-    root.addHandler(queued)
-    listener = logging.handlers.QueueListener(lines, out)
+    root.addHandler(queue_handler)
+    listener = logging.handlers.QueueListener(lines, stream_handler)
     listener.start()
 
-    def end() -> None:
+    def stop_listener() -> None:
         with suppress(queue.Full):
             listener.stop()
 
     try:
-        yield queued
+        yield queue_handler
     finally:
-        root.removeHandler(queued)
-        # A reader that has stopped for good must not hold the program.
-        ending = threading.Thread(target=end, daemon=True)
-        ending.start()
-        ending.join(1.0)
+        root.removeHandler(queue_handler)
+        # A reader that never reads again must not delay the exit of the process.
+        stopper = threading.Thread(target=stop_listener, daemon=True)
+        stopper.start()
+        stopper.join(1.0)
--- a/yewrill/simulator/__init__.py
+++ b/yewrill/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module on the simulator's wire: codec and host."""
+"""Runs the decision module under the simulator: codec of the simulator's protocol, and host process."""
--- a/yewrill/simulator/codec.py
+++ b/yewrill/simulator/codec.py
@@ -1,4 +1,4 @@
-"""Codec of the simulator's wire: its messages to events of the decision module, and actions to messages."""
+"""Codec of the simulator's protocol: messages to the decision module's events, actions to messages."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from yewrill.policy import interface as api
 
-Member = TypeVar("Member", bound=StrEnum)
+EnumMember = TypeVar("EnumMember", bound=StrEnum)
 
 
 class WireError(Exception):
-    """Input that is not a message of the wire."""
+    """Input that violates the simulator's protocol."""
 
 
-_OUTCOME = {
+_OUTCOMES = {
     "served": api.PolicyOutcome.SERVED,
     "server_error": api.PolicyOutcome.ERROR,
     "turned_away": api.PolicyOutcome.REJECTED,
@@ -27,14 +27,14 @@
     "called_off": api.PolicyOutcome.CANCELLED,
     "not_sent": api.PolicyOutcome.NOT_SENT,
 }
-_STATE = {
+_STATES = {
     "Running": api.WorkerState.RUNNING,
     "Stopping": api.WorkerState.DRAINING,
     "Deleted": api.WorkerState.REMOVED,
 }
-# Values of an interim message's `sort`; others are of no use here.
+# Values of `sort` in an "Interim" message. Messages with other values are ignored.
 START_NOTICE, PROGRESS_NOTICE = 1, 2
-_FORM = {
+_LIST_FORMS = {
     "delta": api.ListForm.CHANGES,
     "full": api.ListForm.FULL,
     "cached": api.ListForm.CACHED,
@@ -42,14 +42,14 @@
 }
 
 
-def _member(members: Mapping[str, Member], value: Any, what: str) -> Member:
+def _decode_enum(members: Mapping[str, EnumMember], value: Any, field: str) -> EnumMember:
     try:
         return members[value]
     except KeyError:
-        raise WireError(f"unknown {what} {value!r}") from None
+        raise WireError(f"unknown {field} {value!r}") from None
 
 
-def _request_arrived(message: dict[str, Any]) -> api.Event:
+def _decode_request_arrived(message: dict[str, Any]) -> api.Event:
     get = message.get
     return api.RequestArrived(
         message["ticket"],
@@ -64,20 +64,20 @@
     )
 
 
-def _attempt_ended(message: dict[str, Any]) -> api.Event:
+def _decode_attempt_ended(message: dict[str, Any]) -> api.Event:
     get = message.get
     return api.AttemptEnded(
         message["ticket"],
         message["attempt"],
         message["worker"],
-        _member(_OUTCOME, message["outcome"], "outcome"),
+        _decode_enum(_OUTCOMES, message["outcome"], "outcome"),
         get("time_taken", 0.0),
         get("final", False),
         get("report"),
     )
 
 
-def _attempt_notice(message: dict[str, Any]) -> api.Event | None:
+def _decode_interim(message: dict[str, Any]) -> api.Event | None:
     sort = message["sort"]
     if sort == START_NOTICE:
         return api.AttemptStarted(message["ticket"], message["attempt"], message["worker"])
@@ -88,50 +88,52 @@
     return None
 
 
-def _worker_list(message: dict[str, Any]) -> api.Event:
+def _decode_worker_list(message: dict[str, Any]) -> api.Event:
     entries = [
         api.WorkerEntry(
             row["worker"],
             row.get("zone", 0),
             row.get("machine", 0),
             row.get("group", 0),
-            _member(_STATE, row["phase"], "phase"),
+            _decode_enum(_STATES, row["phase"], "phase"),
             row.get("heft", 1.0),
             row.get("launched", 0.0),
         )
         for row in message.get("rows", ())
     ]
-    return api.WorkerList(_member(_FORM, message["form"], "form"), entries)
+    return api.WorkerList(_decode_enum(_LIST_FORMS, message["form"], "form"), entries)
 
 
-_DECODE = {
-    "Inbound": _request_arrived,
-    "ClosedAttempt": _attempt_ended,
-    "Interim": _attempt_notice,
+_DECODERS = {
+    "Inbound": _decode_request_arrived,
+    "ClosedAttempt": _decode_attempt_ended,
+    "Interim": _decode_interim,
     "Elapsed": lambda message: api.TimerFired(message["key_back"]),
     "Pong": lambda message: api.ProbeEnded(
-        message["worker"], _member(_OUTCOME, message["outcome"], "outcome"), message.get("report")
+        message["worker"],
+        _decode_enum(_OUTCOMES, message["outcome"], "outcome"),
+        message.get("report"),
     ),
     "First": lambda message: api.AnswerStarted(
         message["ticket"], message["attempt"], message["worker"]
     ),
-    "Registry": _worker_list,
+    "Registry": _decode_worker_list,
     "TimedOutClient": lambda message: api.ClientLeft(message["ticket"]),
-    "Whisper": lambda message: None,  # no use is made of peers' messages
+    "Whisper": lambda message: None,  # messages from other dispatchers are ignored
 }
 
 
 def decode_event(what: str, message: dict[str, Any]) -> api.Event | None:
-    """The event a message stands for; None for what the decision module has no use for.
+    """Decodes a message to an event; returns None for messages that the decision module does not use.
 
-    Raises `WireError` for unknown names, `KeyError` for a missing field."""
-    decode = _DECODE.get(what)
+    Raises `WireError` for an unknown event or value, and `KeyError` for a missing field."""
+    decode = _DECODERS.get(what)
     if decode is None:
         raise WireError(f"unknown event {what!r}")
     return decode(message)
 
 
-_ENCODE = {
+_ENCODERS = {
     api.Send: lambda instance, action: {
         "what": "Assign",
         "dispatcher_id": instance,
@@ -181,5 +183,5 @@
 
 
 def encode_action(instance: int, action: api.Action) -> bytes:
-    """The line that carries an action of one instance."""
-    return orjson.dumps(_ENCODE[type(action)](instance, action), option=orjson.OPT_APPEND_NEWLINE)
+    """Encodes an action of one dispatcher instance as a JSON line."""
+    return orjson.dumps(_ENCODERS[type(action)](instance, action), option=orjson.OPT_APPEND_NEWLINE)
--- a/yewrill/simulator/host.py
+++ b/yewrill/simulator/host.py
@@ -1,6 +1,7 @@
-"""Host of dispatchers behind the simulator's wire: decodes batches, routes events, encodes actions.
+"""Host process that runs dispatcher instances for the simulator.
 
-No decision is made here. `python -m yewrill.simulator.host` reads standard input and writes standard output.
+It decodes batches, passes the events to the instances and encodes their actions; it makes no decisions
+itself. `python -m yewrill.simulator.host` reads standard input and writes standard output.
 """
 
 from __future__ import annotations
@@ -20,13 +21,15 @@
 
 
 class Host:
-    """The instances of one process, each a dispatcher of its own that shares nothing with the others."""
+    """The dispatcher instances of one process, by number. They share no state."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Dispatcher] = {}
 
     def batch(self, now: float, messages: Iterable[dict[str, Any]]) -> list[bytes]:
-        """Handle one batch and return the reply's lines. Raises `WireError`, `SettingsError`, `KeyError`."""
+        """Handles one batch and returns the lines of the reply.
+
+        Raises `WireError`, `SettingsError` or `KeyError` for faulty messages."""
         pending: dict[int, list[api.Event]] = {}
         for message in messages:
             number = message["dispatcher_id"]
@@ -53,11 +56,11 @@
 
 
 class BatchReader:
-    """Gathers the lines of a batch, from its 'Tick' to its 'End', and hands it to the host."""
+    """Collects the lines of a batch, from its 'Tick' to its 'End', and passes the batch to the host."""
 
     def __init__(self, host: Host):
         self._host = host
-        self._now: float | None = None  # of the batch that is open
+        self._now: float | None = None  # the simulated time of the open batch
         self._messages: list[dict[str, Any]] = []
 
     @property
@@ -66,9 +69,9 @@
         return self._now is not None
 
     def feed(self, line: bytes) -> list[bytes] | None:
-        """Take a line; the reply's lines where it ends a batch, else None.
+        """Processes a line; returns the lines of the reply if it ends a batch, else None.
 
-        Raises `WireError` for what stands in the wrong place, and what `Host.batch` raises."""
+        Raises `WireError` for a message out of order, and what `Host.batch` raises."""
         message = orjson.loads(line)
         what = message["what"]
         if what == "End":
@@ -89,7 +92,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends. Raises `WireError` with the number of the faulty line."""
+    """Answers batches until the input ends. Raises `WireError` with the number of the faulty line."""
     reader = BatchReader(Host())
     number = 0
     for line in source:
@@ -110,7 +113,9 @@
 
 
 def main() -> int:
-    """Serve standard input and output; 1 with a line on standard error where the input is faulty."""
+    """Serves standard input and output.
+
+    Returns the exit status: 1 if the input is faulty, after a line on standard error."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, ValueError) as error:
