--- a/yewrill/service/__init__.py
+++ b/yewrill/service/__init__.py
@@ -1,1 +1,1 @@
-"""Assembly of the program. Kept free of imports: `early_signals` runs before all else is loaded."""
+"""Assembly of the service. This file must not import anything: `early_signals` runs before other modules."""
--- a/yewrill/service/background_tasks.py
+++ b/yewrill/service/background_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks that run beside the service, and the one nursery that holds them."""
+"""Background tasks of the service, in one nursery."""
 
 from __future__ import annotations
 
@@ -10,27 +10,29 @@
 
 log = logging.getLogger("yewrill")
 
-RESTART_PAUSE_SECONDS = 0.1  # before a task that raised is started again
+# Pause before a task that raised is started again.
+RESTART_PAUSE_SECONDS = 0.1
 
 
 class BackgroundTasks:
-    """Starts tasks in the service's nursery, which is set once the service runs."""
+    """Starts tasks in the service's nursery. `nursery` is set when the service starts to run."""
 
     nursery: trio.Nursery
 
     def start(self, task: Callable[..., Awaitable[None]], *args: Any) -> None:
-        """Run a task once. An exception of it ends the service."""
+        """Runs a task once. If it raises, the service ends."""
         self.nursery.start_soon(task, *args)
 
     def start_supervised(self, task: Callable[..., Awaitable[None]], *args: Any) -> None:
-        """Run a task and start it again whenever it raises."""
+        """Runs a task and starts it again whenever it raises or returns."""
         self.nursery.start_soon(supervise, task, *args)
 
 
 async def supervise(task: Callable[..., Awaitable[None]], *args: Any) -> None:
-    """Run a task that must outlive its own exceptions: one bad list must not end the program.
+    """Runs a task that must survive its own exceptions: one faulty endpoint list must not end the process.
 
-    Each exception is logged. A task that returns is started again as well. Cancellation ends both.
+    Each exception is logged. A task that returns is started again as well. Cancellation ends the task and the
+    supervision.
     """
     while True:
         try:
--- a/yewrill/service/early_signals.py
+++ b/yewrill/service/early_signals.py
@@ -1,40 +1,40 @@
-"""Signals that come before the service receives them, and after it has stopped to.
+"""Handling of signals that arrive before the service receives signals, and after it has stopped doing so.
 
-A reload is noted from the program's first moment on: its default action would end a process that is just
-starting, and one that is only ignored would be forgotten, though the configuration was read before it came. A
-shutdown is noted from the moment in which the socket listens: clients may be there whose answers are owed.
-Once the service has ended, neither may kill the process, which has only its exit left.
+SIGHUP is recorded from the start of the program: its default action would end the starting process, and if
+it were ignored the reload would be lost, although the configuration had been read before the signal.
+SIGTERM is recorded from the moment the socket listens: from then on clients may be waiting for answers.
+After the service has ended, both are ignored, so that they don't kill the process during its exit.
 """
 
 from __future__ import annotations
 
 import signal
 
-_requested: set[signal.Signals] = set()
+_recorded: set[signal.Signals] = set()
 
 
 def record_reload_signals() -> None:
-    """Note each SIGHUP from now on."""
-    signal.signal(signal.SIGHUP, _note)
+    """Records each SIGHUP from now on."""
+    signal.signal(signal.SIGHUP, _record)
 
 
 def record_shutdown_signals() -> None:
-    """Note each SIGTERM from now on."""
-    signal.signal(signal.SIGTERM, _note)
+    """Records each SIGTERM from now on."""
+    signal.signal(signal.SIGTERM, _record)
 
 
 def ignore_signals() -> None:
-    """Let neither of them end the process any more."""
+    """Ignores SIGHUP and SIGTERM from now on."""
     for number in (signal.SIGHUP, signal.SIGTERM):
         signal.signal(number, signal.SIG_IGN)
 
 
-def _note(number: int, frame: object) -> None:
-    _requested.add(signal.Signals(number))
+def _record(number: int, frame: object) -> None:
+    _recorded.add(signal.Signals(number))
 
 
 def take_recorded_signal(number: signal.Signals) -> bool:
-    """Whether this signal has come since the last call."""
-    requested = number in _requested
-    _requested.discard(number)
-    return requested
+    """Returns whether this signal was recorded since the last call, and clears the record."""
+    recorded = number in _recorded
+    _recorded.discard(number)
+    return recorded
--- a/yewrill/service/management_calls.py
+++ b/yewrill/service/management_calls.py
@@ -1,7 +1,7 @@
-"""The calls that operators make at a running dispatcher, one method a call of the management listener.
+"""Management calls of a running dispatcher, one method for each path of the management listener.
 
-Imported only where `mgmt` is set. An order holds for both processes of a hot restart, and its answer says
-whether a restart remembers it.
+Imported only if `mgmt` is set. An operator's order applies to both processes of a hot restart. Its reply says
+whether the order is persisted, so that it survives a restart.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class ManagementCalls:
-    """The calls at one service."""
+    """The management calls of one service."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._hot_restart = hot_restart
 
     def by_path(self) -> dict[str, Call]:
-        """Every call, by the path that it is asked under."""
+        """Returns every call, by its path."""
         return {
             "/_ready": Call("GET", self._ready),
             "/_vars": Call("GET", self._metrics),
@@ -103,7 +103,7 @@
         state = self._persistent_state
         stored = state is None or await state.write_detached(name)
         await self._send_to_other_process({"out": name})
-        return _done(b"detached", stored)
+        return _order_reply(b"detached", stored)
 
     async def _attach(self, name: str) -> Reply:
         if not self._endpoints.attach(name):
@@ -112,21 +112,21 @@
         state = self._persistent_state
         stored = state is None or await state.write_reattached(name)
         await self._send_to_other_process({"back": name, "at": time.time() * 1000.0})
-        return _done(b"attached", stored)
+        return _order_reply(b"attached", stored)
 
     async def _drain(self, on: bool, answer: bytes) -> Reply:
         self._operator_drain.set(on)
         state = self._persistent_state
         stored = state is None or await state.write_operator_drain(on)
         await self._send_to_other_process({"lame": on})
-        return _done(answer, stored)
+        return _order_reply(answer, stored)
 
     async def _send_to_other_process(self, message: dict[str, Any]) -> None:
-        """What operators order holds for the dispatcher, so for both processes of a hot restart."""
+        """Sends an operator's order to the other process of a hot restart, where it applies as well."""
         if self._hot_restart is not None:
             await self._hot_restart.send_and_confirm(message)
 
 
-def _done(answer: bytes, stored: bool) -> Reply:
-    """The answer to an order, which holds whether it is on disk or not."""
+def _order_reply(answer: bytes, stored: bool) -> Reply:
+    """Returns the reply to an order, which is in effect whether it is persisted or not."""
     return Reply(200, answer + (b"\n" if stored else NOT_STORED))
--- a/yewrill/service/metrics_report.py
+++ b/yewrill/service/metrics_report.py
@@ -1,4 +1,4 @@
-"""The text that operators fetch as metrics, gathered from every part that counts."""
+"""The metrics text that operators fetch, collected from all components."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class MetricsReport:
-    """Collects counts and gauges at the moment of the call. The names are those that operators fetch."""
+    """Collects counters and gauges at the time of the call."""
 
     def __init__(
         self,
@@ -41,29 +41,29 @@
         self._tracing_hooks = tracing_hooks
 
     def text(self) -> str:
-        """All metrics in the form of statsd."""
+        """Returns all metrics in statsd format."""
         for subsystem in self._subsystems:
             self._metrics.add(subsystem.metrics())
         if self._tracing_hooks is not None:
             self._metrics.add(self._tracing_hooks.metrics())
         self._metrics.add(self._engine.violations.metrics())
-        self._metrics.add(self._reasons())
+        self._metrics.add(self._reason_counts())
         admission = self._engine.admission_report()
         self._metrics.add(_admission_counts(admission))
         return self._metrics.text({**self._gauges(), **_admission_gauges(admission)})
 
     def _gauges(self) -> dict[str, int]:
         ejected = self._engine.ejected()
-        listed = self._endpoints.names
-        disabled = sum(not self._endpoints.may_send(name) or name in ejected for name in listed)
+        names = self._endpoints.names
+        disabled = sum(not self._endpoints.may_send(name) or name in ejected for name in names)
         return {
             "concurrent": self._engine.pending,
-            "targets": len(listed),
+            "targets": len(names),
             "targets_disabled": disabled,
         }
 
-    def _reasons(self) -> dict[str, int]:
-        """Why attempts were held back and connections closed, and how often system calls failed."""
+    def _reason_counts(self) -> dict[str, int]:
+        """Counts why attempts were held back and connections closed, and how often system calls failed."""
         held_back = self._worker_client.held_back
         closes = self._listener.closes
         return {
@@ -75,7 +75,7 @@
 
 
 def _admission_counts(admission: AdmissionReport) -> dict[str, int]:
-    """Requests without a result, by class and by the reasons that have occurred."""
+    """Counts requests that were not served, by class and reason. Only reasons that occurred are names."""
     counts = {"load_level_changes": admission.level_changes}
     for request_class in admission.classes:
         for reason, count in request_class.not_served.items():
--- a/yewrill/service/open_requests.py
+++ b/yewrill/service/open_requests.py
@@ -1,4 +1,4 @@
-"""The ids of all requests under way, in this process and in the other one of a hot restart."""
+"""The ids of all open requests, in this process and in the other process of a hot restart."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OpenRequests:
-    """Request ids in use. A request whose client has left counts until its last attempt is over."""
+    """Request ids in use. A request whose client has left stays in use until its last attempt ends."""
 
     def __init__(self, hot_restart: HotRestart | None):
         self.ids: set[str] = set()
@@ -21,13 +21,13 @@
         )
 
     def add(self, id: str) -> None:
-        """Reserve an id, and notify the other process."""
+        """Adds an id, and notifies the other process."""
         self.ids.add(id)
         if self._hot_restart is not None:
             self._hot_restart.send({"open": id})
 
     def discard(self, id: str) -> None:
-        """Free an id, and notify the other process."""
+        """Removes an id, and notifies the other process."""
         self.ids.discard(id)
         if self._hot_restart is not None:
             self._hot_restart.send({"shut": id})
--- a/yewrill/service/operator_drain.py
+++ b/yewrill/service/operator_drain.py
@@ -1,4 +1,4 @@
-"""The drain that operators order: clients are moved away without losing a request, until it is ended."""
+"""The drain that operators start and end: it moves clients to other dispatchers without losing a request."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 
 log = logging.getLogger("yewrill")
 
-# Counted from the beginning of the drain: when answers begin to close their connections, and when idle
-# connections begin to close.
+# Time from the start of the drain until connections are closed after their answers, and until idle
+# connections are closed.
 CLOSE_ANSWERED_AFTER_SECONDS = 0.2
 CLOSE_IDLE_AFTER_SECONDS = 1.2
-MIN_IDLE_SECONDS = 0.3  # connections that have been idle for so long are closed
-RELEASES_PER_IDLE_PERIOD = 3
+# Connections that have been idle for at least this time are closed.
+MIN_IDLE_SECONDS = 0.3
+IDLE_CHECKS_PER_IDLE_PERIOD = 3
 
 
 @dataclass(slots=True)
 class OperatorDrainState:
-    """What the drain means for requests and for the readiness check."""
+    """The state of the drain, as requests and the readiness check see it."""
 
     active: bool = False
-    closing_connections: bool = False  # client connections close after their answer
+    closing_connections: bool = False  # client connections are closed after their answer
 
 
 class OperatorDrain:
-    """Begins and ends the drain."""
+    """Starts and ends the drain."""
 
     def __init__(self, state: OperatorDrainState, listener: Listener, tasks: BackgroundTasks):
         self._state = state
         self._listener = listener
         self._tasks = tasks
-        self._releasing = trio.CancelScope()
+        self._release_scope = trio.CancelScope()
 
     @property
     def active(self) -> bool:
@@ -43,7 +44,7 @@
         return self._state.active
 
     def set(self, on: bool) -> None:
-        """Begin or end the drain; nothing happens if it is so already."""
+        """Starts or ends the drain; does nothing if it is in that state already."""
         if on == self._state.active:
             return
         self._state.active = on
@@ -52,14 +53,14 @@
             "started" if on else "ended",
             len(self._listener.clients),
         )
-        self._releasing.cancel()
+        self._release_scope.cancel()
         self._state.closing_connections = False
         if on:
-            self._releasing = trio.CancelScope()
-            self._tasks.start(self._release_clients, self._releasing)
+            self._release_scope = trio.CancelScope()
+            self._tasks.start(self._release_clients, self._release_scope)
 
     async def _release_clients(self, scope: trio.CancelScope) -> None:
-        """Close connections without losing a request: busy ones with their answers, then idle ones."""
+        """Closes busy connections after their answers and then idle ones, so that no request is lost."""
         with scope:
             began = trio.current_time()
             await trio.sleep(CLOSE_ANSWERED_AFTER_SECONDS)
@@ -67,4 +68,4 @@
             await trio.sleep_until(began + CLOSE_IDLE_AFTER_SECONDS)
             while True:
                 self._listener.close_idle(MIN_IDLE_SECONDS)
-                await trio.sleep(MIN_IDLE_SECONDS / RELEASES_PER_IDLE_PERIOD)
+                await trio.sleep(MIN_IDLE_SECONDS / IDLE_CHECKS_PER_IDLE_PERIOD)
--- a/yewrill/service/reload.py
+++ b/yewrill/service/reload.py
@@ -1,4 +1,4 @@
-"""Reading the configuration anew while serving."""
+"""Reload of the configuration while serving."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 log = logging.getLogger("yewrill")
 
-# What a reload changes; all else stands for as long as the program runs.
+# The keys that a reload changes; a change of any other key needs a restart.
 RELOADED_KEYS = (
     "discovery",
     "answer_margin_ms",
@@ -38,7 +38,7 @@
 
 
 class Reloader:
-    """Holds the configuration in force, and replaces it."""
+    """Holds the current configuration, and replaces it on a reload."""
 
     def __init__(
         self,
@@ -64,32 +64,36 @@
         self._tracing_hooks = tracing_hooks
 
     def reload(self) -> None:
-        """Take up what can change while serving. A configuration with any error changes nothing."""
+        """Reads the configuration again and applies the keys that can change while serving.
+
+        A configuration with any error is rejected as a whole."""
         if self._load is None:
             return
         try:
-            read = self._load()
-            check_reload(self.config, read)
-        except Exception as error:  # whatever is wrong with the file, the one in force goes on
+            new_config = self._load()
+            check_reload(self.config, new_config)
+        except Exception as error:  # on any error the current configuration stays
             log.error(
                 "reload_rejected %s", error if isinstance(error, ConfigError) else repr(error)
             )
             self._metrics.reloaded(False)
             return
-        self.config = replace(self.config, **{key: getattr(read, key) for key in RELOADED_KEYS})
+        self.config = replace(
+            self.config, **{key: getattr(new_config, key) for key in RELOADED_KEYS}
+        )
         self._apply()
         self._metrics.reloaded(True)
-        self._reconfigure_tracing(read)
+        self._reconfigure_tracing(new_config)
         log.info(
             "reloaded discovery=%s:%d classes=%s",
             *self.config.discovery,
             ",".join(c.name for c in self.config.settings.classes),
         )
-        if others := changed_keys(self.config, read):
-            log.warning("reload_ignored keys=%s: a restart takes them up", ",".join(others))
+        if ignored_keys := changed_keys(self.config, new_config):
+            log.warning("reload_ignored keys=%s: a restart takes them up", ",".join(ignored_keys))
 
     def _apply(self) -> None:
-        """Reconfigure all at once: requests read from here on have the new classes' positions everywhere."""
+        """Reconfigures all components without a checkpoint: they must agree on the indexes of classes."""
         config = self.config
         self._front.reader.reconfigure(config.settings, config.answer_margin_ms)
         self._engine.reconfigure(config.settings)
@@ -101,15 +105,15 @@
         )
         self._watch.move(config.discovery)
 
-    def _reconfigure_tracing(self, read: Config) -> None:
+    def _reconfigure_tracing(self, new_config: Config) -> None:
         if self._tracing_hooks is None:
             return
         self._tracing_hooks.tracer.event("reloaded")
-        if read.tracing is not None:
-            tracing = self._tracing_hooks.reconfigure(read.tracing)
+        if new_config.tracing is not None:
+            tracing = self._tracing_hooks.reconfigure(new_config.tracing)
             self.config = replace(self.config, tracing=tracing)
 
 
 def discovery_callers(config: Config) -> int:
-    """How many processes call the same discovery: all dispatchers where it is polled, else this one."""
+    """Returns how many processes call the same discovery: all dispatchers if it is polled, else one."""
     return config.settings.dispatchers if config.settings.list_on_request else 1
--- a/yewrill/service/request_handler.py
+++ b/yewrill/service/request_handler.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with a client: the readiness check, or a request and its final answer."""
+"""Handles one HTTP exchange with a client: the readiness check, or a request and its final answer."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         self._front = front
         self._engine = engine
         self._endpoints = endpoints
-        self._context = context  # its `run_attempt` is what subsystems have made of it
+        self._context = context  # subsystems may have wrapped its `run_attempt`
         self._run_state = run_state
         self._operator_drain = operator_drain
         self._open_requests = open_requests
@@ -61,10 +61,10 @@
         self._tracing_hooks = tracing_hooks
 
     async def handle(self, client: ClientConnection, http_request: HttpRequest) -> bool:
-        """Answer one request. Returns whether the connection may carry another.
+        """Answers one request. Returns whether the connection may carry another.
 
-        Raises BadRequest, to which the listener sends the answer. On cancellation the decision engine is
-        told that the client left.
+        Raises BadRequest, for which the listener sends the reply. On cancellation the request is closed as
+        if its client had left.
         """
         if http_request.target.partition("?")[0] == READY_PATH:
             return await self._answer_readiness(client, http_request)
@@ -73,7 +73,7 @@
         now = self._engine.now() - (trio.current_time() - http_request.arrived) * 1000.0
         request = self._front.reader.read_request(http_request, now)
         if request.id in self._open_requests:
-            # Still at a client or out at a worker: two of one id can't be told apart there.
+            # The client or a worker still has a request of this id and could not tell the two apart.
             raise BadRequest(409, "X-Request-ID is in use")
         if (early_reply := self._front.early_reply(http_request)) is not None:
             await client.send(client.http.whole(early_reply, close=True))
@@ -113,16 +113,16 @@
 
     def _finish(self, client: ClientConnection, request: Request) -> None:
         client.request = None
-        if not request.closed:  # however this exchange ended, the policy must not wait for it
+        if not request.closed:  # the exchange ended without an answer
             self._engine.client_left(request)
         self._open_requests.discard(request.id)
         if self._persistent_state is not None:
             self._persistent_state.attempts.request_finished(request)
         if self._tracing_hooks is not None:
-            self._tracing_hooks.over(request)
+            self._tracing_hooks.request_finished(request)
 
     async def _run_to_answer(self, request: Request, request_class: str) -> Answer | None:
-        """Run a request to its final answer and count that. None if the client left before."""
+        """Runs a request to its final answer and counts it. Returns None if the client left before."""
         answer = await run_request(request, self._engine, self._context.run_attempt)
         if answer is None:
             return None
@@ -132,7 +132,7 @@
         return answer
 
     def _begin_observing(self, request: Request, http_request: HttpRequest, now: float) -> None:
-        """Begin the request's records and its trace, with the settings that it was read with."""
+        """Begins the request's records and trace, with the settings with which it was read."""
         if self._persistent_state is None and self._tracing_hooks is None:
             return
         settings = self._front.reader.settings
@@ -151,7 +151,7 @@
         )
 
     def _readiness(self) -> Reply:
-        # With a new process, the dispatcher is up, whichever of the two is asked.
+        # Once a new process has taken over, the dispatcher is up, whichever of the two processes is asked.
         if self._run_state.refuses_requests:
             return Reply(503, b"draining\n")
         if self._operator_drain.active:
@@ -161,13 +161,13 @@
         return Reply(200, b"up\n")
 
     def closed_unanswered(self, client: ClientConnection) -> None:
-        """Count a connection that closed although its request had no answer: a broken rule."""
+        """Records a connection that closed before its request was answered: a violation of a safety rule."""
         request = client.request.id if client.request is not None else ""
         self._engine.violations.note(Rule.CLOSED_UNANSWERED, request=request, connection=id(client))
 
 
 def _status(answer: Answer) -> str:
-    """The metrics' name of a final answer."""
+    """Returns the status under which a final answer is counted."""
     if isinstance(answer, Served):
         return SUCCESS
     return OVERLOAD if isinstance(answer, Rejection) else ERROR
--- a/yewrill/service/run_state.py
+++ b/yewrill/service/run_state.py
@@ -1,4 +1,4 @@
-"""How far the process is between its start and its end, as seen by requests and operators' calls."""
+"""The state of the process between start and end, as requests and management calls see it."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True)
 class RunState:
-    """Set by the start (`serving`) and by the graceful shutdown (all others). Nothing is ever unset."""
+    """Flags set by the start (`serving`) and by the graceful shutdown (all others); none is ever cleared."""
 
-    serving: bool = False  # started, and in possession of what an old process knew
+    serving: bool = False  # started, with the state of the old process, if there is one
     draining: bool = False  # the graceful shutdown has begun
-    handed_over: bool = False  # a new process accepts what comes from now on
-    closing_connections: bool = False  # client connections close after their answer
+    handed_over: bool = False  # a new process accepts all new connections
+    closing_connections: bool = False  # client connections are closed after their answer
 
     @property
     def refuses_requests(self) -> bool:
-        """Whether the service is on its way out and no new process stands in for it."""
+        """Whether the service is shutting down and no new process has taken over."""
         return self.draining and not self.handed_over
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -273,7 +273,9 @@
             self.state_startup.begin(restored)
         if self.tracing_hooks is not None:
             if self.persistent_state is not None and self.persistent_state.store_open:
-                await trio.to_thread.run_sync(self.tracing_hooks.spool_in, self.persistent_state)
+                await trio.to_thread.run_sync(
+                    self.tracing_hooks.attach_spool, self.persistent_state
+                )
             self.tasks.start_supervised(self.tracing_hooks.exporter.run)
         self.tasks.start_supervised(self.engine.run, self.worker_client.probe)
         self.tasks.start_supervised(self.worker_connections.keep_tidy)
--- a/yewrill/service/shutdown.py
+++ b/yewrill/service/shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown: every request that was taken gets its final answer before the grace period ends."""
+"""The graceful shutdown: every accepted request gets its final answer before the grace period ends."""
 
 from __future__ import annotations
 
@@ -19,13 +19,15 @@
 
 log = logging.getLogger("yewrill")
 
-# Before the end of the grace period: until when requests are taken, and until when they may stay open.
-# After the answers: clients take theirs for up to 0.2 s, stores are closed, the process ends.
-REQUEST_DEADLINE_MS, ANSWER_DEADLINE_MS = 900.0, 400.0
+# How long before the end of the grace period the service stops accepting requests.
+REQUEST_MARGIN_MS = 900.0
+# How long before the end of the grace period open requests fail. The rest of the time is for clients to
+# read their answers (up to 0.2 s), for closing the stores and for the exit of the process.
+ANSWER_MARGIN_MS = 400.0
 
 
 class GracefulShutdown:
-    """Drains the listener within the grace period that SIGTERM leaves."""
+    """Drains the listener within the grace period after SIGTERM."""
 
     def __init__(
         self,
@@ -44,39 +46,39 @@
         self._tracing_hooks = tracing_hooks
 
     async def run(self) -> None:
-        """Stop being ready, take new connections for a while, serve the open ones while there is time.
+        """Becomes unready, accepts connections for a while longer, and serves the open ones as time permits.
 
-        Whatever is then left gets its final answer before the platform kills the process.
+        The requests that are still open then fail, before the platform kills the process.
         """
         self._run_state.draining = True
-        began = trio.current_time()
+        started_at = trio.current_time()
         grace_ms = self._current_config().grace_ms
         try:
-            await self._take_last_requests(began)
-        except Exception:  # requests that were taken still need their answers
+            await self._serve_last_requests(started_at)
+        except Exception:  # accepted requests still need their answers
             log.exception("shutdown_raised")
             self._listener.stop_accepting()
         self._run_state.closing_connections = True
         self._listener.close()
-        await trio.sleep_until(began + (grace_ms - ANSWER_DEADLINE_MS) / 1000.0)
+        await trio.sleep_until(started_at + (grace_ms - ANSWER_MARGIN_MS) / 1000.0)
         if self._engine.pending:
             log.warning("shutdown_deadline open=%d", self._engine.pending)
             self._engine.fail_all()
         self._listener.close_without_request()
 
-    async def _take_last_requests(self, began: float) -> None:
-        """Serve the backlog and the open connections for as long as there is time to answer."""
+    async def _serve_last_requests(self, started_at: float) -> None:
+        """Serves the backlog and the open connections for as long as there is time to answer."""
         if self._tracing_hooks is not None:
             self._tracing_hooks.tracer.event("draining")
         config = self._current_config()
-        taken_ms = max(config.linger_ms, config.grace_ms - REQUEST_DEADLINE_MS)
-        request_deadline = began + taken_ms / 1000.0
+        accept_ms = max(config.linger_ms, config.grace_ms - REQUEST_MARGIN_MS)
+        request_deadline = started_at + accept_ms / 1000.0
         if self._hot_restart is not None and self._hot_restart.new_process_ready:
-            # What comes from now on is the new process's; what was accepted is answered here.
+            # The new process accepts all further connections; this one answers what it accepted.
             self._run_state.handed_over = self._run_state.closing_connections = True
             self._listener.stop_accepting()
         else:
-            await trio.sleep_until(began + config.linger_ms / 1000.0)
+            await trio.sleep_until(started_at + config.linger_ms / 1000.0)
             await self._listener.drain_backlog(request_deadline)
         with trio.move_on_at(request_deadline):
             await self._listener.wait_until_empty()
--- a/yewrill/service/state_exchange.py
+++ b/yewrill/service/state_exchange.py
@@ -1,6 +1,7 @@
-"""What the two processes of a hot restart tell each other, and what a restart finds on disk.
+"""The state that the two processes of a hot restart exchange, and that a restart reads from disk.
 
-The messages' keys are those of the link, which other versions read too (`hot_restart.py` carries them).
+`hot_restart.py` transports the messages. Processes of other versions read them too, so their keys must not
+change.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class StateExchange:
-    """Gives and takes the state that holds for all processes of one dispatcher."""
+    """Reads and applies the state that all processes of one dispatcher share."""
 
     def __init__(
         self,
@@ -33,7 +34,7 @@
         self._socket_budget = socket_budget
 
     def snapshot(self) -> dict[str, Any]:
-        """What a new process needs to know. It gets a part of the descriptors too."""
+        """Returns the state for a new process, and gives it a part of the file descriptors."""
         sockets = self._socket_budget.share_with_new_process()
         return {
             "ids": list(self._open_requests.ids),
@@ -45,7 +46,7 @@
         }
 
     def receive(self, message: dict[str, Any]) -> None:
-        """Apply a message of the other process: all that it knows, or a change."""
+        """Applies a message of the other process: its whole state, or a change."""
         if "state" in message:
             state = message["state"]
             self._socket_budget.limit(int(state["sockets"]))
@@ -58,11 +59,11 @@
             self._endpoints.attach(message["back"])
 
     def disconnected(self) -> None:
-        """No other process is left."""
+        """Uses all file descriptors again, because no other process is left."""
         self._socket_budget.use_all()
 
     def apply(self, state: dict[str, Any]) -> None:
-        """Apply what another process knew: the operators' orders, and a list. `back` holds ages in ms."""
+        """Applies operators' orders and an endpoint list from another process. `back` holds ages in ms."""
         self._operator_drain.set(bool(state["lame"]))
         for name in state["out"]:
             self._endpoints.detach(name, listed=False)
@@ -74,13 +75,13 @@
 
 
 def _wall_times(ages_ms: dict[str, float]) -> dict[str, float]:
-    """Ages as the wall clock's times, both in ms: the processes' own clocks differ."""
+    """Converts ages to wall clock times, both in ms: the monotonic clocks of two processes differ."""
     now = time.time() * 1000.0
     return {name: now - age for name, age in ages_ms.items()}
 
 
 def _ages(times_ms: dict[str, float]) -> dict[str, float]:
-    """Wall clock times as ages, both in ms. A time that is in the future or too long ago counts as now."""
+    """Converts wall clock times to ages, both in ms. A time in the future or too long ago counts as now."""
     now = time.time() * 1000.0
     max_age = ATTACH_MEMORY_SECONDS * 1000.0
     ages = {name: now - at for name, at in times_ms.items()}
--- a/yewrill/service/state_startup.py
+++ b/yewrill/service/state_startup.py
@@ -1,4 +1,4 @@
-"""Bringing persistent state into the service at a start, or when an old process gives the store up."""
+"""Restores persistent state at a start, and takes over the store when an old process releases it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class StateStartup:
-    """Opens the store, restores from it, and has changes written from then on."""
+    """Opens the store, restores the state from it, and starts the writing of changes."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         self._state_exchange = state_exchange
         self._operator_drain = operator_drain
         self._tasks = tasks
-        self._may_wait = may_wait  # an old process may hold the store for a while
+        self._may_wait = may_wait  # an old process may still hold the store
 
     async def restore(self) -> dict[str, Any] | None:
-        """Read what the last process left. None if an old process still has the store.
+        """Reads the state that the last process wrote. Returns None if an old process still holds the store.
 
-        Raises OSError if another process has it for good.
+        Raises OSError if another process holds the store and the service must not wait for it.
         """
         try:
             await trio.to_thread.run_sync(self._persistent_state.open_store)
@@ -53,23 +53,23 @@
         return (await trio.to_thread.run_sync(self._persistent_state.restore)).as_message()
 
     def begin(self, restored: dict[str, Any] | None) -> None:
-        """Apply what was restored, and write every change from here on."""
+        """Applies the restored state, and starts the writing of every change."""
         if restored is None:
             self._tasks.start_supervised(self._take_over_store)
         else:
             try:
                 if restored["list"]:
                     self._endpoints.apply(restored["list"], cached=True)
-            except ConfigError as error:  # of another version's form, say
+            except ConfigError as error:  # a format of another version, for example
                 log.error("persistent_state_unreadable records=list: %s", error)
             self._state_exchange.apply({**restored, "list": None})
         self._endpoints.subscribe_to_lists(self._persistent_state.endpoint_list_changed)
         if len(self._endpoints) and not (restored and restored["list"]):
-            self._persistent_state.endpoint_list_changed()  # the configuration's own
+            self._persistent_state.endpoint_list_changed()  # the list from the configuration
         self._tasks.start_supervised(self._persistent_state.run)
 
     async def _take_over_store(self) -> None:
-        """Wait for the store. The old process has told the operators' orders; attempts it has not."""
+        """Waits for the store. The old process sent the operators' orders, but no records of attempts."""
         await self._persistent_state.take_over_store()
         await self._persistent_state.rewrite_settings(self._operator_drain.active)
         log.info("persistent_state_taken_over")
--- a/yewrill/service/subsystems.py
+++ b/yewrill/service/subsystems.py
@@ -1,7 +1,7 @@
-"""The interface through which optional subsystems join the service.
+"""The interface of optional subsystems.
 
-A subsystem runs while the service does, has metrics and a status, and knows nothing of the service but its
-`SubsystemContext`. A subsystem that the configuration does not name is not imported.
+A subsystem runs as long as the service, provides metrics and a status, and uses nothing of the service but
+its `SubsystemContext`. A subsystem that the configuration does not name is not imported.
 """
 
 from __future__ import annotations
@@ -22,36 +22,36 @@
 
 @dataclass
 class SubsystemContext:
-    """What a subsystem may use of the service. It may replace `run_attempt` by a wrapper of it."""
+    """The parts of the service that a subsystem may use. It may replace `run_attempt` by a wrapper of it."""
 
     engine: DecisionEngine
     endpoints: EndpointList
     run_attempt: AttemptRunner
-    subsystems: dict[str, Subsystem] = field(default_factory=dict)  # those made before, by name
+    subsystems: dict[str, Subsystem] = field(default_factory=dict)  # those created before, by name
 
 
 class Subsystem(Protocol):
-    """A subsystem that the configuration turns on."""
+    """A subsystem that the configuration enables."""
 
-    name: str  # the management listener answers GET /_NAME with its status
-    calls: Mapping[
-        str, Callable[[str], Awaitable[bool]]
-    ]  # PUT /_NAME/CALL?name=..., False: no such name
+    # The management listener answers GET /_NAME with the status.
+    name: str
+    # Handlers of PUT /_NAME/CALL?name=...; a handler returns False for an unknown name.
+    calls: Mapping[str, Callable[[str], Awaitable[bool]]]
 
     def attach(self, context: SubsystemContext) -> None:
-        """Receive the context, before `run`. Subsystems named earlier are in it."""
+        """Receives the context, before `run`. It contains the subsystems created earlier."""
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
-        """Run until cancelled; last messages are sent on cancellation."""
+        """Runs until cancelled; on cancellation, final messages are sent."""
 
     def status(self) -> Mapping[str, Any]:
-        """Status for operators, as JSON values."""
+        """Returns the status for operators, as JSON values."""
 
     def metrics(self) -> Mapping[str, int]:
-        """Counters by the names that operators fetch, without the prefix."""
+        """Returns counters by metric name, without the prefix."""
 
 
-# Key of the configuration: package, class. In this order, so that each finds what it builds on.
+# Module and class by configuration key, in the order of creation: a subsystem may use those before it.
 _SUBSYSTEMS = {
     "members": ("yewrill.membership", "Members"),
     "views": ("yewrill.views.facade", "Views"),
@@ -61,7 +61,7 @@
 
 
 def create_subsystems(config: Config, context: SubsystemContext) -> list[Subsystem]:
-    """Create the subsystems that the configuration names, in the order in which they build on each other."""
+    """Creates the subsystems that the configuration names, each after those that it may use."""
     for key, (package, name) in _SUBSYSTEMS.items():
         if getattr(config, key) is not None:
             subsystem = getattr(importlib.import_module(package), name)(getattr(config, key))
--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -1,6 +1,6 @@
-"""Connects the dispatcher to tracing: requests and answers in, plain values out to `yewrill.tracing`.
+"""Connects the service to `yewrill.tracing`, which receives plain values instead of requests and answers.
 
-Imported only where `tracing` is set.
+Imported only if `tracing` is set.
 """
 
 from __future__ import annotations
@@ -25,31 +25,30 @@
 SPOOL = b"trace/"
 
 
-class StoreLike(Protocol):
-    """What a spool needs of `PersistentState`."""
+class SpoolStore(Protocol):
+    """The part of `PersistentState` that the spool uses."""
 
     def usage_under(self, prefix: bytes) -> tuple[int, int]:
-        """The bytes of all values under a prefix, and the number that ends the last key."""
+        """Returns the total bytes of the values under a prefix, and the number at the end of the last key."""
 
     def first(self, prefix: bytes) -> tuple[bytes, bytes] | None:
-        """The first key under a prefix and its value."""
+        """Returns the first key under a prefix, with its value."""
 
     async def keep(self, key: bytes, value: bytes) -> bool:
-        """Write a value; whether it is on disk."""
+        """Writes a value; returns whether it is on disk."""
 
     async def drop(self, key: bytes) -> bool:
-        """Delete a key; whether that is on disk."""
+        """Deletes a key; returns whether the deletion is on disk."""
 
 
 class TracingHooks:
-    """One tracer and its exporter."""
+    """Holds the tracer and its exporter, and passes requests and answers to the tracer."""
 
     def __init__(self, config: Config):
         assert config.tracing is not None
         self._config = config.tracing
-        rng = (
-            random.Random()
-        )  # of the system's own seed: two dispatchers must not make the same ids
+        # Seeded by the system, so that two dispatchers don't generate the same trace ids.
+        rng = random.Random()
         self.tracer = Tracer(
             _sampling_config(self._config), clock=trio.current_time, wall=time.time, rng=rng
         )
@@ -66,9 +65,8 @@
         )
         self.exporter = Exporter(self.tracer, target, resource, __version__, rng=rng)
 
-    def spool_in(self, store: StoreLike) -> None:
-        """Batches that the collector does not take go there, and those that an earlier run left go out
-        first."""
+    def attach_spool(self, store: SpoolStore) -> None:
+        """Keeps batches that can't be exported in the store, and exports those left by earlier runs first."""
         if self._config.spool_mb and self._config.collector:
             used_bytes, number = store.usage_under(SPOOL)
             self.exporter.spool = StoreSpool(
@@ -83,7 +81,7 @@
             self.tracer.on_record_queued()
 
     def reconfigure(self, config: TracingConfig) -> TracingConfig:
-        """Take up the share and the bounds; the rest waits for a restart. What holds from now on."""
+        """Applies the sampling share and the bounds; other keys need a restart. Returns the new settings."""
         self.tracer.reconfigure(_sampling_config(config))
         self._config = replace(
             self._config, share=config.share, queue=config.queue, honoured=config.honoured
@@ -98,7 +96,7 @@
         tenant: str,
         now: float,
     ) -> None:
-        """`now`: the module's clock, in ms."""
+        """Begins the trace of a request. `now`: the time on the engine's clock, in ms."""
         parents = http_request.each(b"traceparent")
         request.trace = self.tracer.begin(
             request.id,
@@ -117,7 +115,7 @@
             )
 
     def answered(self, request: Request, answer: Answer) -> None:
-        """Set the final answer of a request's trace."""
+        """Records the final answer in the request's trace."""
         if request.trace is not None:
             at = trio.current_time()
             if isinstance(answer, Served):
@@ -127,13 +125,13 @@
             else:
                 request.trace.decide(at, "failed", answer.reason or answer.text)
 
-    def over(self, request: Request) -> None:
-        """Nothing of it is out any more."""
+    def request_finished(self, request: Request) -> None:
+        """Ends the request's trace, when its exchange and all its attempts have ended."""
         if request.trace is not None:
             self.tracer.finish(request.trace)
 
     def metrics(self) -> Mapping[str, int]:
-        """Counters of the exporter."""
+        """Returns the counters of the exporter."""
         return self.exporter.metrics()
 
 
