--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -62,12 +62,12 @@
 def both():
     os.kill(os.getpid(), signal.SIGHUP)
     os.kill(os.getpid(), signal.SIGTERM)
-real = service.service_run
+real = service.run_service
 def runs(*arguments):
     real(*arguments)
     both()
     atexit.register(both)
-service.service_run = runs
+service.run_service = runs
 real_begin = service.Service._begin_serving
 def begins(self, *arguments):
     real_begin(self, *arguments)
--- a/yewrill/service/hot_restart.py
+++ b/yewrill/service/hot_restart.py
@@ -1,7 +1,8 @@
-"""The link of a hot restart: a new process of a dispatcher joins the old one.
+"""The connection between the old and the new process of a hot restart.
 
-Both send each other, as JSON lines over a Unix socket, every change of what must hold across the two. What
-that is belongs to `PeerState`; this module knows the socket's path, the links and their ends.
+Both processes send each other every change of their shared state, as JSON lines over a Unix socket.
+`PeerState` defines the shared state; this module handles the socket's path, the connections (links) and
+their ends.
 """
 
 from __future__ import annotations
@@ -22,22 +23,25 @@
 
 log = logging.getLogger("yewrill.handover")
 
-PEER_TIMEOUT_SECONDS = 0.5  # that a silent old process, or what is left of one, may cost a start
+# How long an old process that does not answer, or a leftover socket file, may delay a start.
+PEER_TIMEOUT_SECONDS = 0.5
 MAX_LINE_BYTES = 4 * 1024 * 1024
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # a peer that reads nothing is disconnected
+# A peer that does not read is disconnected when more than this is waiting for it.
+MAX_UNSENT_BYTES = 8 * 1024 * 1024
 MAX_LINKS = 4
-MAX_PATH_BYTES = 100  # a Unix address holds 107
+# A Unix socket address holds at most 107 bytes.
+MAX_PATH_BYTES = 100
 
 
 def link_path(directory: str, name: str, address: tuple[str, int]) -> Path:
-    """One path for all processes of one dispatcher, and for no other that shares the directory."""
+    """Returns the socket path that is common to all processes of one dispatcher, and unique to it."""
     key = hashlib.sha256(f"{name}\n{address[0]}:{address[1]}".encode()).hexdigest()[:16]
     return Path(directory) / f"yewrill-{key}.link"
 
 
 @contextmanager
 def _address_of(path: Path) -> Iterator[str]:
-    """The path as a Unix address can hold it, however deep its directory lies."""
+    """Yields a form of the path that fits in a Unix socket address, however long the path is."""
     if len(os.fsencode(path)) <= MAX_PATH_BYTES:
         yield str(path)
         return
@@ -49,13 +53,13 @@
 
 
 def _file_identity(path: Path) -> tuple[int, ...]:
-    """What is equal as long as a path leads to the same file."""
+    """Returns a value that stays equal as long as the path refers to the same file."""
     found = os.stat(path)
     return found.st_dev, found.st_ino, found.st_mtime_ns
 
 
 class _PendingReply:
-    """The reply to a numbered message."""
+    """A numbered message's reply, which may not have arrived yet."""
 
     def __init__(self) -> None:
         self.event = trio.Event()
@@ -67,11 +71,11 @@
 
     def __init__(self, connection: Connection, old_process: bool):
         self.connection = connection
-        self.old_process = old_process  # whether the other side is that
-        self.state_received = False  # an old process's state
-        self.ready = False  # a new process that serves
-        self.ids: set[str] = set()  # of requests open there
-        # Numbered messages that the other side is yet to answer.
+        self.old_process = old_process  # whether the peer is the old process
+        self.state_received = False  # whether an old process has sent its state
+        self.ready = False  # whether a new process serves
+        self.open_ids: set[str] = set()  # ids of the requests open at the peer
+        # Numbered messages that the peer has not confirmed yet.
         self.pending: dict[int, _PendingReply] = {}
         self._unsent = bytearray()
         self._has_unsent = trio.Event()
@@ -84,7 +88,7 @@
         self._has_unsent.set()
 
     async def send_and_confirm(self, message: dict[str, Any]) -> dict[str, Any] | None:
-        """Send, and wait for the reply; None if the link broke before."""
+        """Sends a message and waits for the reply; returns None if the link breaks before."""
         self._count += 1
         number = self._count
         pending = self.pending[number] = _PendingReply()
@@ -96,57 +100,60 @@
             self.pending.pop(number, None)
 
     async def write(self) -> None:
-        """Write what is sent until cancelled. Raises OSError."""
+        """Writes sent messages to the socket until cancelled. Raises OSError."""
         while True:
             await self._has_unsent.wait()
-            await trio.lowlevel.checkpoint()  # what else happens in this moment goes along
+            await trio.lowlevel.checkpoint()  # messages sent in the same turn join the write
             self._has_unsent = trio.Event()
             data, self._unsent = bytes(self._unsent), bytearray()
             await self.connection.send(data)
 
     async def messages(self) -> AsyncIterator[dict[str, Any]]:
-        """Messages until the other side closes. Raises OSError or ValueError."""
+        """Yields received messages until the peer closes. Raises OSError, or ValueError for invalid ones."""
         incomplete = b""
         while data := await self.connection.receive():
             *lines, incomplete = (incomplete + data).split(b"\n")
             if len(incomplete) > MAX_LINE_BYTES:
-                raise ValueError("line too long")
+                raise ValueError("message longer than MAX_LINE_BYTES")
             for line in lines:
                 message = ujson.loads(line)
                 if not isinstance(message, dict):
-                    raise ValueError("not an object")
+                    raise ValueError("message is not a JSON object")
                 yield message
 
 
 class PeerState(Protocol):
-    """What the two processes tell each other."""
+    """The state that the two processes share."""
 
     def snapshot(self) -> dict[str, Any]:
-        """All that a new process needs to know."""
+        """Returns the whole state, for a new process."""
 
     def receive(self, message: dict[str, Any]) -> None:
-        """Apply a snapshot or a change of the other process."""
+        """Applies a snapshot or a change from the other process."""
 
     def disconnected(self) -> None:
-        """No other process is left."""
+        """Is called when no other process is left."""
 
 
 class HotRestart:
-    """Joins an old process, and serves new ones."""
+    """Connects to an old process, and accepts connections from new ones."""
 
     def __init__(
         self,
         path: Path,
-        keep_for_another: Callable[[str, str], Awaitable[bool]] | None,
+        store_for_new_process: Callable[[str, str], Awaitable[bool]] | None,
     ):
-        """`keep_for_another` stores a record for a process that waits for the store; whether it did."""
+        """`store_for_new_process` stores a record for a process that waits for the store.
+
+        It returns whether the record was stored."""
         self._path = path
-        self._keep_for_another = keep_for_another
+        self._store_for_new_process = store_for_new_process
         self._peer_state: PeerState  # set by `run`
         self._links: set[_Link] = set()
-        self._own_file: tuple[int, ...] = ()  # the socket's file that this process made
+        self._own_file_identity: tuple[int, ...] = ()  # identity of the socket file of this process
         self._sock: socket.socket | None = None
-        self.joined = trio.Event()  # there is no old process, or it sent its state or timed out
+        # Set when there is no old process, or when it has sent its state or timed out.
+        self.joined = trio.Event()
         self._nursery: trio.Nursery
 
     @property
@@ -155,22 +162,22 @@
         return any(link.ready for link in self._links if not link.old_process)
 
     def open_elsewhere(self, id: str) -> bool:
-        """Whether a request of this id is under way in another process."""
-        return any(id in link.ids for link in self._links)
+        """Returns whether a request with this id is open in another process."""
+        return any(id in link.open_ids for link in self._links)
 
     def send(self, message: dict[str, Any]) -> None:
-        """Send a change to all other processes."""
+        """Sends a change to all other processes."""
         for link in self._links:
             link.send(message)
 
     async def send_and_confirm(self, message: dict[str, Any]) -> None:
-        """Send, and wait until the other processes have applied it, within the timeout."""
+        """Sends a change and waits until the other processes have applied it, within the time-out."""
         with trio.move_on_after(PEER_TIMEOUT_SECONDS):
             for link in list(self._links):
                 await link.send_and_confirm(message)
 
-    async def keep_elsewhere(self, key: str, value: str) -> bool:
-        """Have the process that holds the store keep a record; whether it did within the timeout."""
+    async def store_in_old_process(self, key: str, value: str) -> bool:
+        """Lets the old process, which holds the store, store a record; returns whether it did in time."""
         with trio.move_on_after(PEER_TIMEOUT_SECONDS):
             for link in list(self._links):
                 if link.old_process:
@@ -179,12 +186,13 @@
         return False
 
     async def run(self, peer_state: PeerState) -> None:
-        """Join the old process, if there is one, and serve new ones from `take_name` on."""
+        """Connects to the old process, if there is one, and handles links until cancelled.
+
+        New processes can connect after `ready` or `claim_path`."""
         self._peer_state = peer_state
         async with trio.open_nursery() as self._nursery:
-            if (
-                self.joined.is_set()
-            ):  # started again after an exception: whoever has the path now is not older
+            if self.joined.is_set():
+                # `run` was started again after an exception: a process that has the path now is not older.
                 self._close_socket()
                 self.claim_path()
             elif (connection := await self._connect_to_old_process()) is None:
@@ -204,7 +212,7 @@
         try:
             with _address_of(self._path) as address:
                 sock.connect(address)
-        except OSError:  # none, the file of one that is gone, or one that is too busy
+        except OSError:  # no old process, a leftover file, or a process that is too busy
             connection.close()
             return None
         return connection
@@ -234,34 +242,34 @@
         if link.old_process:
             self.joined.set()
         if not link.old_process and not any(not other.old_process for other in self._links):
-            self.claim_path()  # it may have removed the path
+            self.claim_path()  # the new process may have removed the path
         if not self._links:
             self._peer_state.disconnected()
 
     def _receive(self, link: _Link, message: dict[str, Any]) -> None:
         if "open" in message:
-            link.ids.add(str(message["open"]))
+            link.open_ids.add(str(message["open"]))
         elif "shut" in message:
-            link.ids.discard(str(message["shut"]))
+            link.open_ids.discard(str(message["shut"]))
         elif "noted" in message:
             if (pending := link.pending.get(message["noted"])) is not None:
                 pending.answer = message
                 pending.event.set()
         elif "keep" in message:
-            self._nursery.start_soon(self._keep, link, message)
+            self._nursery.start_soon(self._store_record, link, message)
         else:
             self._receive_state(link, message)
 
     def _receive_state(self, link: _Link, message: dict[str, Any]) -> None:
-        """Apply a state, a change, or that a new process is ready."""
+        """Handles a snapshot, a change, or the message that a new process is ready."""
         try:
             if "ready" in message:
                 link.ready = True
                 log.info("new_process_ready")
             if "state" in message:
-                link.ids.update(map(str, message["state"].get("ids", ())))
+                link.open_ids.update(map(str, message["state"].get("ids", ())))
             self._peer_state.receive(message)
-        except Exception:  # another version may send what is unknown here: the link goes on
+        except Exception:  # may be a message of another version: the link stays open
             log.exception("hot_restart_message_failed")
         if "number" in message:
             link.send({"noted": message["number"]})
@@ -269,19 +277,22 @@
             link.state_received = True
             self.joined.set()
 
-    async def _keep(self, link: _Link, message: dict[str, Any]) -> None:
+    async def _store_record(self, link: _Link, message: dict[str, Any]) -> None:
         kept = False
         try:
-            if self._keep_for_another is not None:
-                kept = await self._keep_for_another(str(message["keep"]), str(message["value"]))
-        except Exception:  # another version may send what is unknown here
+            if self._store_for_new_process is not None:
+                kept = await self._store_for_new_process(
+                    str(message["keep"]), str(message["value"])
+                )
+        except Exception:  # may be a message of another version
             log.exception("hot_restart_message_failed")
         link.send({"noted": message.get("number"), "kept": kept})
 
     async def ready(self) -> None:
-        """Announce that this process serves.
+        """Announces that this process serves.
 
-        New ones are to find it, and the old one is to know before it is stopped.
+        New processes can connect from then on. It waits for the old process's confirmation, so that the old
+        process knows of the new one before it is stopped.
         """
         self.claim_path()
         for link in list(self._links):
@@ -289,16 +300,16 @@
                 with trio.move_on_after(PEER_TIMEOUT_SECONDS):
                     await link.send_and_confirm({"ready": True})
             elif link.old_process:
-                link.send({"ready": True})  # one that timed out is not waited for twice
+                link.send({"ready": True})  # it timed out before, so don't wait again
 
     def claim_path(self) -> None:
-        """Listen for new processes, unless this one does already."""
+        """Listens for new processes at the path, unless this process does already."""
         try:
             if self._sock is None:
                 self._listen()
             else:
                 with suppress(FileNotFoundError):
-                    if _file_identity(self._path) == self._own_file:
+                    if _file_identity(self._path) == self._own_file_identity:
                         return
                 self._close_socket()
                 self._listen()
@@ -306,8 +317,8 @@
             log.warning("hot_restart_unavailable %s: a new process starts without our state", error)
 
     def _listen(self) -> None:
-        # Bound beside and moved over the path: at no moment is there none, and what an old process left there
-        # does not matter.
+        # Bound to a temporary path and renamed: the path always exists, and a file that an old process left
+        # there is replaced.
         temporary = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         with suppress(FileNotFoundError):
             temporary.unlink()
@@ -317,7 +328,7 @@
             with _address_of(temporary) as address:
                 sock.bind(address)
             sock.listen(MAX_LINKS)
-            self._own_file = _file_identity(temporary)
+            self._own_file_identity = _file_identity(temporary)
             os.rename(temporary, self._path)
         except BaseException:
             sock.close()
@@ -336,10 +347,10 @@
                 log.warning("hot_restart_unavailable %s", error)
                 await trio.sleep(PEER_TIMEOUT_SECONDS)
                 continue
-            self._nursery.start_soon(self._welcome, Connection(new_process))
+            self._nursery.start_soon(self._await_hello, Connection(new_process))
 
-    async def _welcome(self, connection: Connection) -> None:
-        """A new process sends its hello first, within the timeout."""
+    async def _await_hello(self, connection: Connection) -> None:
+        """Waits for the hello of a new process within the time-out, then handles the link."""
         with trio.move_on_after(PEER_TIMEOUT_SECONDS), suppress(OSError):
             if (await connection.receive()).startswith(b'{"hello"'):
                 log.info("new_process_connected")
@@ -354,11 +365,11 @@
             sock.close()
 
     def close(self) -> None:
-        """Close all links. The path is removed too, unless a new process has it."""
+        """Closes all links, and removes the path unless a new process has it."""
         if self._sock is not None:
             self._close_socket()
             with suppress(OSError):
-                if _file_identity(self._path) == self._own_file:
+                if _file_identity(self._path) == self._own_file_identity:
                     self._path.unlink()
         for link in self._links:
             link.connection.close()
--- a/yewrill/service/metrics_report.py
+++ b/yewrill/service/metrics_report.py
@@ -75,7 +75,7 @@
 
 
 def _admission_counts(admission: AdmissionReport) -> dict[str, int]:
-    """Counts requests that were not served, by class and reason. Only reasons that occurred are names."""
+    """Counts requests that were not served, by class and reason. Only reasons that occurred are listed."""
     counts = {"load_level_changes": admission.level_changes}
     for request_class in admission.classes:
         for reason, count in request_class.not_served.items():
--- a/yewrill/service/request_handler.py
+++ b/yewrill/service/request_handler.py
@@ -113,7 +113,7 @@
 
     def _finish(self, client: ClientConnection, request: Request) -> None:
         client.request = None
-        if not request.closed:  # the exchange ended without an answer
+        if not request.closed:  # the policy must not wait for an exchange that has ended
             self._engine.client_left(request)
         self._open_requests.discard(request.id)
         if self._persistent_state is not None:
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -1,8 +1,9 @@
-"""The whole program: makes the parts from the configuration, and runs them until SIGTERM.
+"""The service: creates all components from the configuration, and runs them until SIGTERM.
 
-What the parts do stands in the modules beside this one: requests in `request_handler`, SIGTERM's drain in
-`shutdown`, SIGHUP in `reload`, operators' drain in `operator_drain`, the two processes of a hot restart in
-`state_exchange` and `hot_restart`, the store at a start in `state_startup`.
+The components are in the other modules of this package: requests in `request_handler`, the drain after
+SIGTERM in `shutdown`, SIGHUP in `reload`, the operators' drain in `operator_drain`, the two processes of a
+hot restart in `state_exchange` and `hot_restart`, and the restore from the store at a start in
+`state_startup`.
 """
 
 from __future__ import annotations
@@ -57,20 +58,20 @@
 
 log = logging.getLogger("yewrill")
 
-# How long a new process waits for discovery's answer before it serves by the old process's list.
+# How long a new process waits for discovery before it serves with the old process's endpoint list.
 FIRST_LIST_TIMEOUT_SECONDS = 1.0
-# Turns of the event loop in which signals that have come are still received: two for them to get there, one
-# for each of three kinds, and some to spare.
-SIGNAL_TURNS_AT_END = 10
+# Turns of the event loop at the end in which pending signals are still received: two until they are
+# delivered, one for each of the three signals, and some to spare.
+FINAL_SIGNAL_TURNS = 10
 
 
 class Service:
-    """A dispatcher. Its parts are attributes, all made before it runs."""
+    """A dispatcher. All components are attributes and exist before it runs."""
 
     def __init__(self, config: Config, load: Callable[[], Config] | None = None):
-        """`load` reads the configuration anew; without it a reload does nothing.
+        """`load` reads the configuration again; without it a reload does nothing.
 
-        Raises OSError if a listening socket can't be had.
+        Raises OSError if a listening socket can't be opened.
         """
         self.run_state = RunState()
         self.tasks = BackgroundTasks()
@@ -79,7 +80,7 @@
         self._make_control(config, load)
 
     def _make_core(self, config: Config) -> None:
-        """What decides, and what carries requests to workers."""
+        """Creates the decision engine and the components that send requests to workers."""
         self.engine = DecisionEngine(config.settings, config.seed)
         self.endpoints = EndpointList(self.engine, config.topology)
         self.watch = DiscoveryWatch(
@@ -87,11 +88,11 @@
         )
         self.metrics = Metrics()
         self.metrics.register_classes(c.name for c in config.settings.classes)
-        self.front = _front(config)
-        self.persistent_state = self._persistent_state(config)
-        self.hot_restart = _hot_restart(config, self.persistent_state)
+        self.front = _create_front(config)
+        self.persistent_state = self._create_persistent_state(config)
+        self.hot_restart = _create_hot_restart(config, self.persistent_state)
         if self.persistent_state is not None and self.hot_restart is not None:
-            self.persistent_state.attempts.record_elsewhere = self.hot_restart.keep_elsewhere
+            self.persistent_state.attempts.record_elsewhere = self.hot_restart.store_in_old_process
         self.open_requests = OpenRequests(self.hot_restart)
         self.worker_connections = WorkerConnectionPool(
             self.endpoints,
@@ -111,12 +112,12 @@
         )
         run_attempt: AttemptRunner = self.worker_client.run_attempt
         if self.persistent_state is not None:
-            run_attempt = _reporting_outcomes(self.worker_client, self.persistent_state)
+            run_attempt = _with_outcome_records(self.worker_client, self.persistent_state)
         self.subsystem_context = SubsystemContext(self.engine, self.endpoints, run_attempt)
 
     def _make_listener(self, config: Config) -> None:
-        """What answers clients. The socket listens from here on."""
-        self.tracing_hooks = _tracing_hooks(config)
+        """Creates the components that answer clients. The socket listens from then on."""
+        self.tracing_hooks = _create_tracing_hooks(config)
         operator_drain_state = OperatorDrainState()
         handler = RequestHandler(
             self.front,
@@ -142,7 +143,7 @@
         self.subsystems = create_subsystems(config, self.subsystem_context)
 
     def _make_control(self, config: Config, load: Callable[[], Config] | None) -> None:
-        """What operators, signals and the other process of a hot restart act on."""
+        """Creates the components for operators, signals and the other process of a hot restart."""
         self.management: ManagementListener | None = None
         if config.mgmt is not None:
             from yewrill.net.management import ManagementListener
@@ -176,10 +177,10 @@
             self.open_requests,
             SocketBudget(config.limits.sockets, self.listener, self.worker_connections),
         )
-        self.state_startup = self._state_startup()
+        self.state_startup = self._create_state_startup()
 
     def create_management_calls(self) -> ManagementCalls:
-        """The operators' calls at this service."""
+        """Creates the management calls of this service."""
         from yewrill.service.management_calls import ManagementCalls
         from yewrill.service.metrics_report import MetricsReport
 
@@ -201,7 +202,7 @@
             hot_restart=self.hot_restart,
         )
 
-    def _persistent_state(self, config: Config) -> PersistentState | None:
+    def _create_persistent_state(self, config: Config) -> PersistentState | None:
         if config.state is None:
             return None
         from yewrill.persistence import PersistentState
@@ -209,7 +210,7 @@
         self.metrics.register_persistent_state()
         return PersistentState(config.state, self.endpoints, self.metrics)
 
-    def _state_startup(self) -> StateStartup | None:
+    def _create_state_startup(self) -> StateStartup | None:
         if self.persistent_state is None:
             return None
         from yewrill.service.state_startup import StateStartup
@@ -225,7 +226,7 @@
 
     @property
     def config(self) -> Config:
-        """The configuration in force."""
+        """The current configuration."""
         return self.reloader.config
 
     async def run(
@@ -234,17 +235,17 @@
         signals: bool = True,
         task_status: trio.TaskStatus[Service] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until SIGTERM (or `drain`), then finish what was taken and return."""
+        """Serves until SIGTERM (or `drain`), then answers the accepted requests and returns."""
         if self.config.known is not None:
             self.endpoints.apply(dict(self.config.known), cached=True)
         restored = await self._restore_state()
         self.engine.tick()
-        async with trio.open_nursery() as receiving:
-            await self._serve(restored, receiving if signals else None, task_status)
-            # A signal of the last moment is still received, and does not kill the process.
-            for _ in range(SIGNAL_TURNS_AT_END):
+        async with trio.open_nursery() as signal_nursery:
+            await self._serve(restored, signal_nursery if signals else None, task_status)
+            # A signal that arrives at the very end is still received, so that it does not kill the process.
+            for _ in range(FINAL_SIGNAL_TURNS):
                 await trio.lowlevel.checkpoint()
-            receiving.cancel_scope.cancel()
+            signal_nursery.cancel_scope.cancel()
 
     async def _restore_state(self) -> dict[str, Any] | None:
         return None if self.state_startup is None else await self.state_startup.restore()
@@ -252,15 +253,15 @@
     async def _serve(
         self,
         restored: dict[str, Any] | None,
-        receiving: trio.Nursery | None,
+        signal_nursery: trio.Nursery | None,
         task_status: trio.TaskStatus[Service],
     ) -> None:
-        """`receiving`: where signals are received, until everything else is closed too."""
+        """`signal_nursery`: where signals are received, until everything else is closed too."""
         async with trio.open_nursery() as nursery:
             self.tasks.nursery = nursery
             await self._start_tasks(restored)
-            if receiving is not None:
-                await receiving.start(self._receive_signals)
+            if signal_nursery is not None:
+                await signal_nursery.start(self._receive_signals)
             await self._join_old_process()
             self._begin_serving(task_status)
             await self.listener.run()
@@ -286,7 +287,7 @@
             self.tasks.start_supervised(subsystem.run)
 
     async def _join_old_process(self) -> None:
-        """Before serving on a socket that another process may serve too: learn what that one knows."""
+        """Gets the old process's state, before this process serves on the socket that both share."""
         if self.hot_restart is None:
             return
         self.tasks.start_supervised(self.hot_restart.run, self.state_exchange)
@@ -306,14 +307,14 @@
             len(self.endpoints),
         )
         if self.hot_restart is None:
-            # After that line, so that the log tells of the start first and of a silent discovery second.
+            # Started after the log line, so that a failure of discovery is logged after "ready".
             self.tasks.start_supervised(self.watch.run)
         task_status.started(self)
-        # What the start left behind stays for good: the collector need not look at it again.
+        # Objects created during the start live as long as the process: exclude them from garbage collection.
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 50)
-        gc.enable()  # it was off until here where the platform starts the process
+        gc.enable()  # `python -m yewrill` disables it during the start
 
     async def _close(self) -> None:
         self.worker_connections.close()
@@ -331,9 +332,9 @@
     ) -> None:
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
             task_status.started()
-            for early in (signal.SIGHUP, signal.SIGTERM):
-                if take_recorded_signal(early):  # while the process started
-                    self._on_signal(early)
+            for early_signal in (signal.SIGHUP, signal.SIGTERM):
+                if take_recorded_signal(early_signal):  # recorded while the process started
+                    self._on_signal(early_signal)
             async for number in received:
                 self._on_signal(signal.Signals(number))
 
@@ -346,19 +347,19 @@
             self.begin_drain()
 
     def reload(self) -> None:
-        """Read the configuration anew and take up what can change while serving."""
+        """Reads the configuration again and applies what can change while serving."""
         self.reloader.reload()
 
     def begin_drain(self) -> None:
-        """Drain beside whatever else goes on."""
+        """Starts the drain as a background task."""
         self.tasks.start(self.drain)
 
     async def drain(self) -> None:
-        """Shut down gracefully within the grace period; `run` returns after that."""
+        """Shuts down gracefully within the grace period; `run` returns after that."""
         await self.shutdown.run()
 
 
-def _front(config: Config) -> PlatformFront | ProgressFront:
+def _create_front(config: Config) -> PlatformFront | ProgressFront:
     reader = Reader(config.settings, config.answer_margin_ms)
     if config.front == "platform":
         return PlatformFront(reader)
@@ -367,7 +368,7 @@
     return ProgressFront(reader)
 
 
-def _tracing_hooks(config: Config) -> TracingHooks | None:
+def _create_tracing_hooks(config: Config) -> TracingHooks | None:
     if config.tracing is None:
         return None
     from yewrill.service.tracing_hooks import TracingHooks
@@ -375,7 +376,9 @@
     return TracingHooks(config)
 
 
-def _hot_restart(config: Config, persistent_state: PersistentState | None) -> HotRestart | None:
+def _create_hot_restart(
+    config: Config, persistent_state: PersistentState | None
+) -> HotRestart | None:
     if config.inherited_fd is None or config.link_dir is None:
         return None
     from yewrill.service.hot_restart import HotRestart, link_path
@@ -386,10 +389,10 @@
     )
 
 
-def _reporting_outcomes(
+def _with_outcome_records(
     worker_client: WorkerClient, persistent_state: PersistentState
 ) -> AttemptRunner:
-    """Runs attempts, and has the record of each closed by its outcome."""
+    """Returns a runner of attempts that also finishes each attempt's persistent record with its outcome."""
 
     async def run_attempt(attempt: Attempt) -> tuple[AttemptOutcome, Any]:
         outcome, result = await worker_client.run_attempt(attempt)
@@ -405,15 +408,16 @@
     load: Callable[[], Config] | None = None,
     log_form: str = "plain",
 ) -> int:
-    """Run the service in the foreground; its log goes to standard error. Returns the exit status.
+    """Runs the service in the foreground and logs to standard error. Returns the exit status.
 
-    SIGHUP reads the configuration anew with `load`.
+    On SIGHUP the configuration is read again with `load`.
     """
     with logging_to(sys.stderr, level, log_form):
-        record_reload_signals()  # one that comes before a reload is possible must neither end us nor be lost
+        # A signal that arrives before the service receives signals must neither end the process nor be lost.
+        record_reload_signals()
         record_shutdown_signals()
         try:
-            service_run(config, load)
+            run_service(config, load)
         except OSError as error:
             log.error("start_failed: %s", error)
             return 1
@@ -422,8 +426,8 @@
         return 0
 
 
-def service_run(config: Config, load: Callable[[], Config] | None = None) -> None:
-    """Run the service in an event loop of its own."""
+def run_service(config: Config, load: Callable[[], Config] | None = None) -> None:
+    """Runs the service in a new event loop."""
 
     async def main() -> None:
         await Service(config, load).run()
