--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -7,7 +7,7 @@
 import trio
 from helper import Peer, done, hang, story, world
 from machine_faults import FaultyDisk, SetClock
-from test_operators import shared_world, start_heir
+from test_operators import shared_world, start_new_process
 
 from yewrill.persistence.attempt_journal import ATTEMPT_PREFIX
 from yewrill.persistence.disk import Disk, Unreadable
@@ -177,7 +177,7 @@
         busy = await w.client()
         await busy.send(X_Request_ID="busy")  # so that the old run stays
         await w.until(lambda: peer.exchanges)
-        new = await start_heir(w)
+        new = await start_new_process(w)
         assert not new.persistent_state.store_open
         w.old_process.listener.stop_accepting()  # the new run alone accepts
         client = await w.client()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -99,7 +99,7 @@
         shared.sock.close()
 
 
-async def start_heir(w, **config) -> Service:
+async def start_new_process(w, **config) -> Service:
     new_process = Service(read_config({**w.raw, **config}, w.shared.environment()))
     await w.nursery.start(
         lambda task_status: new_process.run(signals=False, task_status=task_status)
@@ -123,7 +123,7 @@
         slow, kept, unread = [await w.shared.client() for _ in range(3)]
         await slow.send(X_Request_ID="slow")
         await w.until(lambda: peer.exchanges and len(w.old_process.listener.clients) == 3)
-        new_process = await start_heir(w)
+        new_process = await start_new_process(w)
         assert (await w.call("GET /_ready")).status == 200
         w.nursery.start_soon(w.old_process.drain)
         await w.until(lambda: w.old_process.run_state.draining)
@@ -151,7 +151,7 @@
 @story
 async def test_a_stop_right_after_the_yes_finds_the_elder_knowing_its_heir():
     async with shared_world(Peer("d1", done)) as w:
-        new_process = await start_heir(w)
+        new_process = await start_new_process(w)
         # The program that asked has nothing but the yes: by then the elder must know.
         assert new_process.run_state.serving and w.old_process.hot_restart.new_process_ready
         assert w.old_process.listener._max_clients + new_process.listener._max_clients <= 541
@@ -170,7 +170,7 @@
         before = await w.shared.client()
         await before.send(X_Request_ID="r7")
         await w.until(lambda: peer.exchanges)
-        new_process = await start_heir(w)
+        new_process = await start_new_process(w)
         assert new_process.hot_restart.open_elsewhere("r7")  # what the elder had before
         w.old_process.listener.stop_accepting()
         assert (await (await w.shared.client()).ask(X_Request_ID="r7")).status == 409
@@ -202,7 +202,7 @@
         else:
             path.write_text("x")
         began = trio.current_time()
-        await start_heir(w)
+        await start_new_process(w)
         assert trio.current_time() - began < 0.9
         assert (await w.call("GET /_ready")).status == 200
         other.close()
@@ -246,12 +246,12 @@
 async def test_an_heir_that_dies_leaves_the_elder_as_it_was():
     async with shared_world(Peer("d1", done)) as w:
         whole = w.old_process.listener._max_clients
-        new_process = await start_heir(w)
+        new_process = await start_new_process(w)
         assert w.old_process.listener._max_clients < whole
         new_process.tasks.nursery.cancel_scope.cancel()
         await w.until(lambda: not w.old_process.hot_restart.new_process_ready)
         assert w.old_process.listener._max_clients == whole
-        await start_heir(w)  # the next one finds the elder again
+        await start_new_process(w)  # the next one finds the elder again
         assert w.old_process.hot_restart.new_process_ready
 
 
@@ -327,7 +327,7 @@
         for name in ("d0", "d1", "d2"):
             assert (await w.call(OUT + name)).status == 200
         assert (await w.call(BACK + "d2")).status == 200
-        old_process, new_process = w.old_process, await start_heir(w)
+        old_process, new_process = w.old_process, await start_new_process(w)
         assert (
             new_process.endpoints.detached == ["d0", "d1"]
             and "d2" in new_process.endpoints.recently_attached
@@ -439,7 +439,7 @@
 async def test_the_operators_drain_holds_over_an_upgrade():
     async with shared_world(Peer("d1", done)) as w:
         assert (await w.call("PUT /_lameduck/on")).status == 200
-        old_process, new_process = w.old_process, await start_heir(w)
+        old_process, new_process = w.old_process, await start_new_process(w)
         assert new_process.operator_drain.active and (await w.call("GET /_ready")).status == 200
         assert (
             await w.call("PUT /_lameduck/off")
@@ -800,5 +800,5 @@
             os.close(directory)
             await w.until(lambda: faults)
         await trio.sleep(0.2)  # the standing task begins anew
-        await start_heir(w)
+        await start_new_process(w)
         assert w.old_process.hot_restart.new_process_ready
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -318,12 +318,12 @@
 
 @story
 async def test_a_new_process_opens_the_store_when_the_old_one_has_exited(tmp_path, caplog):
-    from test_operators import shared_world, start_heir
+    from test_operators import shared_world, start_new_process
 
     caplog.set_level("INFO")
     async with shared_world(Peer("d1", done), Peer("d2", done), **state(tmp_path)) as w:
         await w.call("PUT /_profilers/detach?name=d1")
-        new_process = await start_heir(w)
+        new_process = await start_new_process(w)
         assert not new_process.persistent_state.store_open and new_process.endpoints.detached == [
             "d1"
         ]
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -512,7 +512,7 @@
 
 @story
 async def test_an_upgrade_and_a_reload_are_seen_in_the_lives_they_fall_into(tmp_path, monkeypatch):
-    from test_operators import shared_world, start_heir
+    from test_operators import shared_world, start_new_process
 
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     gate = trio.Event()
@@ -528,7 +528,7 @@
         await slow.send(X_Request_ID="slow", traceparent=f"00-{TRACE}-{SPAN}-01")
         await w.until(lambda: w.old_process.tracing_hooks.tracer.open == 1)
         w.old_process.reload()
-        await start_heir(w, tracing={"file": str(paths[1]), "share": 1.0})
+        await start_new_process(w, tracing={"file": str(paths[1]), "share": 1.0})
         w.nursery.start_soon(w.old_process.drain)
         await w.until(lambda: w.old_process.run_state.draining)
         assert (await w.ask(X_Request_ID="next", traceparent=f"00-{TRACE}-{SPAN}-01")).status == 200
