--- a/tests/test_expired_requests.py
+++ b/tests/test_expired_requests.py
@@ -1,4 +1,7 @@
-"""A request whose time is over before the module can be asked: rejected where a retry does no harm."""
+"""Requests whose deadline passes before the decision module sees them, for example in the listener's backlog.
+
+The engine must reject such a request if a retry is safe, and fail it if an earlier attempt may have run.
+"""
 
 import logging
 
@@ -11,7 +14,7 @@
 from yewrill.dispatch.request import Failure, Rejection, Request
 
 IDEMPOTENT, BY_KEY, NON_IDEMPOTENT = range(3)  # the positions of the helper's classes
-RAN_BEFORE = 100.0
+RAN_AGO_MS = 100.0
 
 
 @pytest.mark.parametrize(
@@ -20,23 +23,23 @@
         (IDEMPOTENT, -1.0, Rejection),
         (BY_KEY, -1.0, Rejection),
         (NON_IDEMPOTENT, -1.0, Rejection),
-        (IDEMPOTENT, RAN_BEFORE, Rejection),
-        (BY_KEY, RAN_BEFORE, Failure),
-        (NON_IDEMPOTENT, RAN_BEFORE, Failure),
+        (IDEMPOTENT, RAN_AGO_MS, Rejection),
+        (BY_KEY, RAN_AGO_MS, Failure),
+        (NON_IDEMPOTENT, RAN_AGO_MS, Failure),
     ],
 )
-def test_an_expired_request_is_rejected_unless_a_retry_may_do_harm(
+def test_an_expired_request_is_rejected_unless_a_retry_is_unsafe(
     request_class, ran_ago, answer, caplog
 ):
-    async def ask():
+    async def pick_expired_request():
         engine = DecisionEngine(read_settings(SETTINGS), 1)
-        deadline = engine.now() - 50.0  # it lay in the backlog for so long
+        deadline = engine.now() - 50.0  # the request waited in the backlog past its deadline
         request = Request("late", request_class, deadline, ran_ago=ran_ago)
         assert isinstance(await engine.pick(request), answer)
-        assert engine.pending == 1 and request.closed  # until the module has been told
+        assert engine.pending == 1 and request.closed  # the module learns of it at the next tick
         engine.tick()
         assert engine.pending == 0
 
     with caplog.at_level(logging.INFO):
-        trio.run(ask)
-    assert not caplog.records  # that is no fault of the module
+        trio.run(pick_expired_request)
+    assert not caplog.records  # the module is not at fault, so nothing is logged as an error
--- a/tests/test_rejection_watch.py
+++ b/tests/test_rejection_watch.py
@@ -1,4 +1,4 @@
-"""A class that gets nothing but rejections is noticed in time, and a served request ends the streak."""
+"""Detection of request classes of which every request is rejected, and its log line."""
 
 import logging
 
@@ -13,7 +13,7 @@
 )
 
 
-def test_a_streak_is_reported_once_it_is_long_and_again_after_a_pause():
+def test_a_long_streak_of_rejections_is_reported_once_and_again_after_a_pause():
     watch = RejectionWatch()
     times = [100.0 * i for i in range(200)]
     found = {now: shut_out for now in times if (shut_out := watch.rejected("tour", now))}
@@ -21,7 +21,7 @@
     assert found[SHUT_OUT_MS] == ShutOut("tour", 31, SHUT_OUT_MS)
 
 
-def test_a_served_request_ends_a_streak_and_classes_are_apart():
+def test_a_served_request_ends_the_streak_of_its_class_only():
     watch = RejectionWatch()
     for i in range(MIN_REJECTIONS):
         assert watch.rejected("tour", 1.0 * i) is None
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules, under generated event sequences and in small cases."""
+"""The rules of dispatching, checked under generated event sequences and in small hand-written cases."""
 
 import random
 
@@ -50,7 +50,7 @@
 
 
 class World:
-    """A made-up fleet: answers actions with odd but legal events and checks what the rules ask."""
+    """A simulated fleet: answers actions with unusual but legal events, and checks each by the rules."""
 
     def __init__(self, seed: int, dispatchers: int):
         self.rng = random.Random(seed)
@@ -93,15 +93,20 @@
         events, self.pending = self.pending, []
         events += [api.TimerFired(token) for at, token in self.timers if at <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
-        for job in sorted(self.requests):
-            events += self.job_events(job)
+        for request_id in sorted(self.requests):
+            events += self.request_events(request_id)
         for _ in range(rng.randrange(3)):
             self.number += 1
             name = f"j{self.number}"
-            cls = rng.randrange(4)
-            deadline = self.now + CLASSES[cls].deadline * rng.choice((1.0, 1.0, 0.3))
-            self.requests[name] = {"cls": cls, "deadline": deadline, "final": False, "attempts": []}
-            events.append(api.RequestArrived(name, cls, deadline))
+            class_index = rng.randrange(4)
+            deadline = self.now + CLASSES[class_index].deadline * rng.choice((1.0, 1.0, 0.3))
+            self.requests[name] = {
+                "cls": class_index,
+                "deadline": deadline,
+                "final": False,
+                "attempts": [],
+            }
+            events.append(api.RequestArrived(name, class_index, deadline))
         if rng.random() < 0.1:
             entry = self.workers[rng.choice(sorted(self.workers))]
             entry.state = rng.choice(
@@ -123,16 +128,17 @@
         self.trace.append(repr(actions))
         for action in actions:
             self.check(action)
-        for name, job in self.requests.items():
+        for name, request in self.requests.items():
             assert (
-                job["final"] or self.now <= job["deadline"] + self.settings.answer_slack + 80.0
+                request["final"]
+                or self.now <= request["deadline"] + self.settings.answer_slack + 80.0
             ), name
 
-    def job_events(self, name: str) -> list[api.Event]:
+    def request_events(self, name: str) -> list[api.Event]:
         rng = self.rng
-        job = self.requests[name]
+        request = self.requests[name]
         events: list[api.Event] = []
-        for attempt in job["attempts"]:
+        for attempt in request["attempts"]:
             if attempt["outcome"]:
                 continue
             if rng.random() < 0.1:
@@ -152,8 +158,8 @@
                     )
                 )
                 attempt["outcome"] = outcome
-                final = job["final"] or outcome == api.PolicyOutcome.SERVED
-                job["final"] = final
+                final = request["final"] or outcome == api.PolicyOutcome.SERVED
+                request["final"] = final
                 report = {"x0": rng.randrange(-1, 5), "odd": 1.0} if rng.random() < 0.5 else None
                 events.append(
                     api.AttemptEnded(
@@ -162,8 +168,8 @@
                 )
                 if rng.random() < 0.1:
                     events.append(api.AttemptStarted(name, attempt["n"], attempt["worker"]))
-        if not job["final"] and not events and rng.random() < 0.005:
-            job["final"] = True
+        if not request["final"] and not events and rng.random() < 0.005:
+            request["final"] = True
             events.append(api.ClientLeft(name))
         return events
 
@@ -176,36 +182,45 @@
             outcome = self.rng.choice((api.PolicyOutcome.SERVED, api.PolicyOutcome.TIMEOUT))
             self.pending.append(api.ProbeEnded(action.worker, outcome, {"x0": 2}))
         elif isinstance(action, api.Send):
-            self.check_send(action)
+            self.check_sent_attempt(action)
         elif isinstance(action, FINAL):
-            job = self.requests[action.request_id]
-            assert not job["final"], "two final answers"
-            job["final"] = True
+            request = self.requests[action.request_id]
+            assert not request["final"], "two final answers for one request"
+            request["final"] = True
             if isinstance(action, api.Reject):
-                ran = [a for a in job["attempts"] if a["outcome"] not in api.NEVER_RAN]
-                spec = CLASSES[job["cls"]]
+                ran = [a for a in request["attempts"] if a["outcome"] not in api.NEVER_RAN]
+                spec = CLASSES[request["cls"]]
                 shared = (
                     spec.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY and spec.group == "all"
                 )
                 assert not ran or spec.idempotency == api.Idempotency.IDEMPOTENT or shared
 
-    def check_send(self, action: api.Send) -> None:
-        job = self.requests[action.request_id]
-        spec = CLASSES[job["cls"]]
-        assert not job["final"], "a send after the final answer"
-        assert action.worker not in self.stopped, "a send to a draining worker"
+    def check_sent_attempt(self, action: api.Send) -> None:
+        request = self.requests[action.request_id]
+        spec = CLASSES[request["cls"]]
+        assert not request["final"], "attempt sent after the final answer"
+        assert action.worker not in self.stopped, (
+            "attempt sent to a worker that drains or was removed"
+        )
         entry = self.workers[action.worker]
         assert spec.kind in (-1, entry.kind)
-        assert len(job["attempts"]) < self.settings.max_attempts
-        ran = [a for a in job["attempts"] if a["outcome"] not in api.NEVER_RAN]
+        assert len(request["attempts"]) < self.settings.max_attempts
+        ran = [a for a in request["attempts"] if a["outcome"] not in api.NEVER_RAN]
         if ran and spec.idempotency != api.Idempotency.IDEMPOTENT:
-            assert spec.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY, "an unsafe job sent again"
+            assert spec.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY, (
+                "non-idempotent request sent again after it may have run"
+            )
             assert all(self.now - a["at"] <= spec.window for a in ran)
             assert spec.group == "all" or all(
                 self.workers[a["worker"]].cell == entry.cell for a in ran
             )
-        job["attempts"].append(
-            {"n": len(job["attempts"]), "worker": action.worker, "outcome": None, "at": self.now}
+        request["attempts"].append(
+            {
+                "n": len(request["attempts"]),
+                "worker": action.worker,
+                "outcome": None,
+                "at": self.now,
+            }
         )
 
 
@@ -222,8 +237,9 @@
 
 @pytest.mark.parametrize("dispatchers", [1, 50])
 def test_all_dispatchers_together_keep_a_workers_slow_start_budget(dispatchers):
-    # Slots 4, multiple 3, start 0.2, window 2 s: 3 * 0.2 * 4 * 2 s = 4.8 s of work in the first window, and
-    # no warmer than 0.2 + 0.8 * 2 / 10 = 0.36 in it: 3 * 0.36 * 4 * 2 s = 8.6 s.
+    # With 4 slots, multiple 3, start capacity 0.2 and a window of 2 s, the budget of the first window is
+    # 3 * 0.2 * 4 * 2 s = 4.8 s of work at the initial capacity. The worker reaches at most
+    # 0.2 + 0.8 * 2 / 10 = 0.36 of its capacity in that window: 3 * 0.36 * 4 * 2 s = 8.6 s.
     sent = 0
     for number in range(dispatchers):
         cls = api.RequestClass("c", 2000.0, 20_000.0)
@@ -255,7 +271,7 @@
     assert sent * 1.0 <= 6.0
 
 
-def test_a_fast_failing_worker_does_not_draw_the_work():
+def test_a_worker_that_fails_fast_does_not_attract_requests():
     classes = [api.RequestClass("c", 500.0, 5000.0)]
     d = Dispatcher(Settings(classes=classes, max_attempts=3, reports_start=True), 1)
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(6)])])
@@ -279,7 +295,7 @@
     assert 0 < sends["w0"] < sum(sends.values()) / 15
 
 
-def test_the_final_answer_does_not_wait_for_an_outcome():
+def test_a_request_fails_before_its_deadline_although_its_attempt_has_no_outcome():
     d = Dispatcher(
         Settings(
             classes=[
@@ -298,7 +314,7 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, 400])
-def test_any_size_of_fleet(count):
+def test_a_request_is_sent_once_and_answered_with_any_number_of_workers(count):
     d = Dispatcher(Settings(classes=[api.RequestClass("c", 500.0, 5000.0)], max_attempts=3), 1)
     d.handle(
         0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(count)])]
--- a/tests/test_rules_checks.py
+++ b/tests/test_rules_checks.py
@@ -1,4 +1,4 @@
-"""The one place that decides what may be sent, and the checks that are made while the program runs."""
+"""The safety rules in `yewrill.dispatch.safety`, and how the running service applies them."""
 
 import pytest
 from helper import Peer, done, story, timed_story, world
@@ -25,7 +25,7 @@
         (SendFacts(10.0, 20.0, True, False, record_kept=False), HeldBack.RECORD_NOT_KEPT),
     ],
 )
-def test_a_first_byte_is_held_back_for_one_reason(facts, expected):
+def test_may_send_returns_the_reason_that_holds_an_attempt_back(facts, expected):
     assert may_send(facts) is expected
 
 
@@ -41,27 +41,29 @@
         (api.Idempotency.IDEMPOTENT_BY_KEY, False, 4000.0, Rule.WINDOW_OVER),
     ],
 )
-def test_an_attempt_is_checked_against_what_may_have_run(idempotency, out, ran_at, expected):
+def test_check_attempt_returns_the_rule_that_a_repeat_would_violate(
+    idempotency, out, ran_at, expected
+):
     facts = AttemptFacts(10_000.0, idempotency, 5000.0, attempt_out=out, ran_at=ran_at)
     assert check_attempt(facts) is expected
 
 
-def test_a_worker_is_never_given_more_time_than_is_left():
+def test_check_timeout_finds_a_timeout_longer_than_the_time_that_is_left():
     assert check_timeout(900, 0.0, 1000.0) is None
     assert check_timeout(1, 1000.0, 1000.0) is None
     assert check_timeout(1200, 0.0, 1000.0) is Rule.TOLD_TOO_LONG
 
 
 @timed_story
-async def test_an_attempt_that_would_break_a_rule_is_counted_logged_and_not_sent(
+async def test_an_attempt_that_would_violate_a_rule_is_counted_logged_and_not_sent(
     caplog, monkeypatch
 ):
-    async def breaks(exchange):
+    async def reset_connection(exchange):
         exchange.reset()
 
-    peers = [Peer("d1", breaks), Peer("d2", done)]
+    peers = [Peer("d1", reset_connection), Peer("d2", done)]
     async with world(*peers) as w:
-        # A module with a fault: it forgets that an unsafe job may have run.
+        # Simulates a bug in the decision module: it forgets that a non-idempotent request may have run.
         monkeypatch.setattr(
             "yewrill.policy.requests.PendingRequest.must_not_repeat", lambda job, now: False
         )
@@ -77,7 +79,7 @@
 
 
 @story
-async def test_a_close_without_an_answer_is_counted_and_logged(caplog, monkeypatch):
+async def test_a_close_without_an_answer_is_counted_as_a_violation(caplog, monkeypatch):
     async with world(Peer("d1", done), mgmt="127.0.0.1:0") as w:
 
         async def no_answer(client, request, carried, closing):
@@ -90,6 +92,6 @@
         assert await client.stream.receive_some() == b""
         await w.until(lambda: not w.service.listener.clients)
         assert w.service.engine.violations.counts[Rule.CLOSED_UNANSWERED] == 1
-        told = (await w.call("GET /_vars")).body.decode()
-        assert "app.rule_violations_total:1|c" in told
-        assert "app.closed.last_answer:1|c" in told
+        metrics_text = (await w.call("GET /_vars")).body.decode()
+        assert "app.rule_violations_total:1|c" in metrics_text
+        assert "app.closed.last_answer:1|c" in metrics_text
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: framing, bad input, instances."""
+"""The simulator's host: framing of batches, assignment of requests, faulty input and settings."""
 
 import io
 import subprocess
@@ -43,16 +43,16 @@
     return [orjson.loads(line) for line in sink.getvalue().splitlines()]
 
 
-def test_a_request_is_assigned_and_every_reply_is_closed():
+def test_a_request_is_assigned_and_every_reply_ends_with_end():
     tick, end = {"what": "Tick", "sim_time": 10.0}, {"what": "End"}
-    job = {
+    request = {
         "what": "Inbound",
         "dispatcher_id": 3,
         "ticket": "t-1",
         "tier_class": 0,
         "client_deadline": 5010.0,
     }
-    reply = run(lines(tick, end, tick, *boot(), job, end))
+    reply = run(lines(tick, end, tick, *boot(), request, end))
     assert reply[0] == end and reply[-1] == end
     assert [(m["ticket"], m["worker"]) for m in reply if m["what"] == "Assign"] == [
         ("t-1", "worker.a")
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(
-    "source, word",
+    "source, expected_text",
     [
         (b"not json\n", "line 1"),
         (
@@ -72,12 +72,12 @@
         (b'{"what":"Tick","sim_time":1}\n{"what":"Elapsed"}\n{"what":"End"}\n', "line 3"),
     ],
 )
-def test_bad_input_is_one_plain_error(source, word):
-    with pytest.raises(WireError, match=word):
+def test_faulty_input_raises_an_error_that_names_the_fault(source, expected_text):
+    with pytest.raises(WireError, match=expected_text):
         run(source)
 
 
-def test_bad_input_ends_the_process_with_one_message():
+def test_faulty_input_ends_the_process_with_one_line_on_standard_error():
     done = subprocess.run(
         [sys.executable, "-m", "yewrill.simulator.host"], input=b"[1\n", capture_output=True
     )
@@ -85,7 +85,7 @@
     assert done.stderr.startswith(b"yewrill: line 1:") and done.stderr.count(b"\n") == 1
 
 
-def test_settings_absent_or_impossible():
+def test_absent_settings_get_defaults_and_impossible_ones_raise():
     settings = decode_settings(CONFIG)
     assert settings.dispatchers == 1 and not settings.tenants and not settings.report_fields
     tick, end = {"what": "Tick", "sim_time": 1.0}, {"what": "End"}
