--- a/tests/test_call_errors.py
+++ b/tests/test_call_errors.py
@@ -56,13 +56,13 @@
 @timed_story
 async def test_calls_that_fail_for_a_moment_lose_no_answer(calls, error, faults):
     async with world(Peer("d1", done), Peer("d2", done)) as w:
-        before = Retries.counted
+        before = Retries.total
         faults.append((calls, error, trio.current_time() + 0.1))
         clients = [await w.client() for _ in range(CLIENTS)]
         for number, client in enumerate(clients):
             await client.send(X_Request_ID=f"r{number}")
         assert [(await client.reply()).status for client in clients] == [200] * CLIENTS
-        assert Retries.counted > before
+        assert Retries.total > before
 
 
 @timed_story
--- a/yewrill/frontends/platform.py
+++ b/yewrill/frontends/platform.py
@@ -55,7 +55,7 @@
     return value
 
 
-class Reader:
+class RequestReader:
     """Turns an HTTP request into a request; used by every frontend."""
 
     def __init__(self, settings: Settings, margin: float):
@@ -79,7 +79,7 @@
             raise BadRequest(400, "malformed target")
         if http_request.method != "POST":
             raise BadRequest(405, "POST only", (("Allow", "POST"),))
-        named = http_request.one(b"x-priority-class")
+        named = http_request.single_header(b"x-priority-class")
         if named is not None and named not in self._classes:
             raise BadRequest(400, "unknown class in X-Priority-Class")
         if named is not None and named != first:
@@ -93,27 +93,27 @@
         """
         request_class = self.request_class(http_request)
         http_request.passed = self._forwarded_headers(http_request)
-        id = http_request.one(b"x-request-id")
+        id = http_request.single_header(b"x-request-id")
         if not id:
             raise BadRequest(400, "X-Request-ID is missing")
         tenant = 0
         if self._tenants:
-            name = http_request.one(b"x-tenant-id")
+            name = http_request.single_header(b"x-tenant-id")
             if name not in self._tenants:
                 raise BadRequest(400, "unknown tenant in X-Tenant-Id")
             tenant = self._tenants[name]
-        client_timeout = http_request.one(b"x-timeout-ms")
+        client_timeout = http_request.single_header(b"x-timeout-ms")
         if client_timeout is None:
             wait = self.settings.classes[request_class].deadline
         elif client_timeout.isascii() and client_timeout.isdigit():
             wait = _number(client_timeout, "X-Timeout-Ms", 1, 86_400_000)
         else:
             raise BadRequest(400, "bad number in X-Timeout-Ms")
-        retried = http_request.one(b"x-retried")
+        retried = http_request.single_header(b"x-retried")
         if retried not in (None, "0", "1"):
             raise BadRequest(400, "X-Retried is neither 0 nor 1")
-        attributes = self._attributes(http_request.one(b"x-attrs"))
-        cost = http_request.one(b"x-cost")
+        attributes = self._attributes(http_request.single_header(b"x-attrs"))
+        cost = http_request.single_header(b"x-cost")
         return Request(
             id,
             request_class,
@@ -126,7 +126,7 @@
             if cost is not None
             else attributes.get("expected", 0.0),
             retry=retried == "1",
-            subject=self._subject(http_request.one(b"cookie")),
+            subject=self._subject(http_request.single_header(b"cookie")),
             payload=http_request,
         )
 
@@ -135,7 +135,7 @@
         """The headers that go on to a worker, each there once and well-formed."""
         passed = []
         for name, form in _FORWARDED_HEADERS.items():
-            value = http_request.one(name)
+            value = http_request.single_header(name)
             if value is not None:
                 if not form.fullmatch(value):
                     raise BadRequest(400, f"malformed {name.decode()}")
@@ -242,7 +242,7 @@
     content_type = ""
     takes_while_draining = True
 
-    def __init__(self, reader: Reader):
+    def __init__(self, reader: RequestReader):
         self.reader = reader
 
     def encode_request(self, attempt: Attempt, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
@@ -269,7 +269,7 @@
         if answer is None or client.disconnected:
             return False
         close = closes_after_answer()
-        return await client.send(client.http.whole(self.reply(answer), close)) and not close
+        return await client.send(client.http.encode_reply(self.reply(answer), close)) and not close
 
     def reply(self, answer: Answer) -> Reply:
         """The HTTP reply to a final answer."""
--- a/yewrill/frontends/progress.py
+++ b/yewrill/frontends/progress.py
@@ -17,7 +17,7 @@
 from yewrill.dispatch.request import Attempt, Rejection, Request
 from yewrill.frontends.platform import (
     ClosesAfterAnswer,
-    Reader,
+    RequestReader,
     RunToAnswer,
     forwarded_request,
     parse_worker_message,
@@ -156,7 +156,7 @@
     content_type = CONTENT_TYPE
     takes_while_draining = False
 
-    def __init__(self, reader: Reader):
+    def __init__(self, reader: RequestReader):
         self.reader = reader
 
     def encode_request(self, attempt: Attempt, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
@@ -169,7 +169,7 @@
 
     def early_reply(self, http_request: HttpRequest) -> Reply | None:
         """A reader that reconnects by itself would send its request again: 204 tells it to stop."""
-        return Reply(204) if http_request.one(b"last-event-id") is not None else None
+        return Reply(204) if http_request.single_header(b"last-event-id") is not None else None
 
     async def respond(
         self,
@@ -179,8 +179,8 @@
         closes_after_answer: ClosesAfterAnswer,
     ) -> bool:
         """Open the stream, send progress on, write the one final event. The connection ends with it."""
-        head = client.http.head(200, HEADERS, close=True)
-        if not await client.send(head + client.http.part(b": taken\n\n")):
+        head = client.http.encode_head(200, HEADERS, close=True)
+        if not await client.send(head + client.http.encode_body_part(b": taken\n\n")):
             client.disconnect()
         buffer = _ProgressBuffer(request)
         request.on_progress = buffer.progress
@@ -204,13 +204,15 @@
             event = encode_event(
                 "progress", {"id": request.id, "attempt": number, "share": share}, f"{events_sent}"
             )
-            if not await client.send(client.http.part(event)):
+            if not await client.send(client.http.encode_body_part(event)):
                 # Gone, or not reading: an event that is half written can't be followed by another.
                 client.disconnect()
                 return
         if buffer.answer is not None and not client.disconnected:
-            final = client.http.part(final_event(request, buffer.answer, f"{events_sent + 1}"))
-            await client.send(final + client.http.end())
+            final = client.http.encode_body_part(
+                final_event(request, buffer.answer, f"{events_sent + 1}")
+            )
+            await client.send(final + client.http.encode_end())
 
 
 def final_event(request: Request, answer: Answer, id: str) -> bytes:
--- a/yewrill/leases/commands.py
+++ b/yewrill/leases/commands.py
@@ -20,12 +20,12 @@
 def _fetch_status(addresses: tuple[str, ...]) -> tuple[dict[str, dict], bool]:
     """The status of each dispatcher by address, and whether all have answered."""
     replies, complete = {}, True
-    for address, status, body in at.each(addresses, "GET", "/_ownership"):
+    for address, status, body in at.call_all(addresses, "GET", "/_ownership"):
         if status == 200:
             replies[address] = ujson.loads(body)
         else:
             complete = False
-            click.echo(at.told(address, status, body), err=True)
+            click.echo(at.describe_failure(address, status, body), err=True)
     return replies, complete
 
 
@@ -83,10 +83,10 @@
 def move(role: str, addresses: tuple[str, ...]) -> None:
     """Have the owner, whichever of these dispatchers it is, give a duty up; another gets it."""
     failed = False
-    for address, status, body in at.each(
+    for address, status, body in at.call_all(
         addresses, "PUT", f"/_ownership/release?name={quote(role, safe='')}"
     ):
         if status != 200:
             failed = True
-            click.echo(at.told(address, status, body), err=True)
+            click.echo(at.describe_failure(address, status, body), err=True)
     sys.exit(failed)
--- a/yewrill/net/client_connection.py
+++ b/yewrill/net/client_connection.py
@@ -186,7 +186,7 @@
                 return None
 
     @asynccontextmanager
-    async def watched(self, nursery: trio.Nursery) -> AsyncIterator[None]:
+    async def reading_ahead(self, nursery: trio.Nursery) -> AsyncIterator[None]:
         """Read ahead in the meantime."""
         scope, ended = trio.CancelScope(), trio.Event()
         nursery.start_soon(self._read_ahead, scope, ended)
--- a/yewrill/net/connection.py
+++ b/yewrill/net/connection.py
@@ -52,7 +52,7 @@
 class Retries:
     """Tries again a read or a write that failed for want of memory: after a growing pause, for a while."""
 
-    counted = 0  # of all connections
+    total = 0  # of all connections
 
     def __init__(self) -> None:
         self._pause = FIRST_PAUSE
@@ -65,8 +65,8 @@
             self._since = now
         if error.errno not in TRANSIENT or now - self._since >= MOST_RETRIED:
             raise error
-        Retries.counted += 1
-        if Retries.counted == 1:
+        Retries.total += 1
+        if Retries.total == 1:
             log.warning(
                 "socket_call_retried errno=%s: %s", errno.errorcode[error.errno], error.strerror
             )
--- a/yewrill/net/http.py
+++ b/yewrill/net/http.py
@@ -39,7 +39,7 @@
         default_factory=list
     )  # the checked headers that go on
 
-    def one(self, name: bytes) -> str | None:
+    def single_header(self, name: bytes) -> str | None:
         """A header's value, None if absent. One given twice is ambiguous, so it is a bad request."""
         found = [value for key, value in self.headers if key == name]
         if len(found) > 1:
@@ -49,7 +49,7 @@
         except UnicodeDecodeError:
             raise BadRequest(400, f"header {name.decode()} is not plain ASCII") from None
 
-    def each(self, name: bytes) -> list[str]:
+    def header_values(self, name: bytes) -> list[str]:
         """All values of a header that must never fail a request, whatever they hold."""
         return [value.decode("latin-1") for key, value in self.headers if key == name]
 
@@ -102,23 +102,23 @@
             status = status if status in (413, 431, 501) else 400
             raise BadRequest(status, f"malformed HTTP: {error}") from None
 
-    def whole(self, reply: Reply, close: bool) -> bytes:
+    def encode_reply(self, reply: Reply, close: bool) -> bytes:
         """A reply with its length, as bytes."""
         headers = [("Content-Type", reply.content_type), ("Content-Length", str(len(reply.body)))]
-        head = self.head(reply.status, headers + reply.headers, close)
-        return head + self.part(reply.body) + self.end()
+        head = self.encode_head(reply.status, headers + reply.headers, close)
+        return head + self.encode_body_part(reply.body) + self.encode_end()
 
-    def head(self, status: int, headers: list[tuple[str, str]], close: bool) -> bytes:
+    def encode_head(self, status: int, headers: list[tuple[str, str]], close: bool) -> bytes:
         """Encode the head of a reply."""
         if close:
             headers = [*headers, ("Connection", "close")]
         return self.parser.send(h11.Response(status_code=status, headers=headers))
 
-    def part(self, data: bytes) -> bytes:
+    def encode_body_part(self, data: bytes) -> bytes:
         """A piece of a body whose length is not known beforehand."""
         return self.parser.send(h11.Data(data=data)) or b""
 
-    def end(self) -> bytes:
+    def encode_end(self) -> bytes:
         """Encode the end of a reply's body."""
         return self.parser.send(h11.EndOfMessage()) or b""
 
--- a/yewrill/net/listener.py
+++ b/yewrill/net/listener.py
@@ -348,13 +348,13 @@
             return
         client.closing = True
         reply = Reply(bad.status, bad.text.encode() + b"\n", list(bad.headers))
-        await client.send(client.http.whole(reply, close=True))
+        await client.send(client.http.encode_reply(reply, close=True))
         await self._linger(client, in_order=bad.status >= 500)
 
     async def _answer_fault(self, client: ClientConnection) -> None:
         if client.disconnected or not client.http.can_answer:
             return
-        await client.send(client.http.whole(Reply(500, b"internal fault\n"), close=True))
+        await client.send(client.http.encode_reply(Reply(500, b"internal fault\n"), close=True))
         await self._linger(client)
 
     async def _next_request(self, client: ClientConnection) -> HttpRequest | None:
--- a/yewrill/net/management.py
+++ b/yewrill/net/management.py
@@ -51,7 +51,7 @@
         self._listener.stop_accepting()  # nobody is left to serve it
 
     async def _handle(self, client: ClientConnection, http_request: HttpRequest) -> bool:
-        await client.send(client.http.whole(await self._reply(http_request), close=True))
+        await client.send(client.http.encode_reply(await self._reply(http_request), close=True))
         return False
 
     async def _reply(self, http_request: HttpRequest) -> Reply:
--- a/yewrill/net/management_client.py
+++ b/yewrill/net/management_client.py
@@ -35,13 +35,13 @@
         connection.close()
 
 
-def each(addresses: Sequence[str], method: str, target: str) -> list[tuple[str, int, bytes]]:
+def call_all(addresses: Sequence[str], method: str, target: str) -> list[tuple[str, int, bytes]]:
     """The same call at all of them: address, status, body."""
     with ThreadPoolExecutor(AT_ONCE) as pool:
         answers = pool.map(lambda address: call(address, method, target), addresses)
         return [(address, *answer) for address, answer in zip(addresses, answers, strict=True)]
 
 
-def told(address: str, status: int, body: bytes) -> str:
+def describe_failure(address: str, status: int, body: bytes) -> str:
     """A line for a management listener that did not do what was asked."""
     return f"{address}: {status or 'no answer'}: {body.decode(errors='replace').strip()}"
--- a/yewrill/persistence/attempt_journal.py
+++ b/yewrill/persistence/attempt_journal.py
@@ -265,4 +265,4 @@
 
 def _idempotency_key(request: Request) -> str:
     """Return the name under which a client repeats a request: its key, else the request's own id."""
-    return request.payload.one(b"idempotency-key") or request.id
+    return request.payload.single_header(b"idempotency-key") or request.id
--- a/yewrill/service/metrics_report.py
+++ b/yewrill/service/metrics_report.py
@@ -70,7 +70,7 @@
             **{f"held_back.{reason.name.lower()}": held_back[reason] for reason in HeldBack},
             **{f"closed.{reason.value}": closes[reason] for reason in CloseReason},
             "accept_failures": self._listener.accept_failures,
-            "call_retries": Retries.counted,
+            "call_retries": Retries.total,
         }
 
 
--- a/yewrill/service/request_handler.py
+++ b/yewrill/service/request_handler.py
@@ -76,7 +76,7 @@
             # Still at a client or out at a worker: two of one id can't be told apart there.
             raise BadRequest(409, "X-Request-ID is in use")
         if (early_reply := self._front.early_reply(http_request)) is not None:
-            await client.send(client.http.whole(early_reply, close=True))
+            await client.send(client.http.encode_reply(early_reply, close=True))
             return False
         self._open_requests.add(request.id)
         self._begin_observing(request, http_request, now)
@@ -91,7 +91,7 @@
             raise BadRequest(405, "GET only", (("Allow", "GET"),))
         reply = self._readiness()
         close = self._closes_after_answer(client)
-        return await client.send(client.http.whole(reply, close)) and not close
+        return await client.send(client.http.encode_reply(reply, close)) and not close
 
     async def _respond(self, client: ClientConnection, request: Request) -> bool:
         request_class = self._front.reader.settings.classes[request.request_class].name
@@ -101,7 +101,7 @@
             True,
         )
         request.has_left = client.has_left
-        async with client.watched(self._tasks.nursery):
+        async with client.reading_ahead(self._tasks.nursery):
             if request.trace is not None:
                 bind_request(request.id, request.trace.context.trace)
             return await self._front.respond(
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -21,7 +21,7 @@
 from yewrill.dispatch.lifecycle import AttemptRunner
 from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.dispatch.request import Attempt
-from yewrill.frontends.platform import PlatformFront, Reader
+from yewrill.frontends.platform import PlatformFront, RequestReader
 from yewrill.net.discovery import DiscoveryWatch
 from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.listener import Listener
@@ -357,7 +357,7 @@
 
 
 def _front(config: Config) -> PlatformFront | ProgressFront:
-    reader = Reader(config.settings, config.answer_margin_ms)
+    reader = RequestReader(config.settings, config.answer_margin_ms)
     if config.front == "platform":
         return PlatformFront(reader)
     from yewrill.frontends.progress import ProgressFront
--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -99,7 +99,7 @@
         now: float,
     ) -> None:
         """`now`: the module's clock, in ms."""
-        parents = http_request.each(b"traceparent")
+        parents = http_request.header_values(b"traceparent")
         request.trace = self.tracer.begin(
             request.id,
             spec.name,
@@ -108,7 +108,7 @@
             objective_run_factor=spec.objective_run_factor,
             deadline=request.deadline - now,
             parent=parents[0] if len(parents) == 1 else None,
-            state=",".join(http_request.each(b"tracestate")),
+            state=",".join(http_request.header_values(b"tracestate")),
             first_byte=http_request.arrived,
         )
         if request.ran_ago >= 0:
--- a/yewrill/zone_failover/commands.py
+++ b/yewrill/zone_failover/commands.py
@@ -13,7 +13,7 @@
 import click
 import ujson
 
-from yewrill.net.management_client import addresses_option, each, told
+from yewrill.net.management_client import addresses_option, call_all, describe_failure
 
 
 @click.group()
@@ -28,7 +28,7 @@
 )
 def show(addresses: tuple[str, ...], as_json: bool) -> None:
     """The plan as each dispatcher holds it, and why."""
-    answers = each(addresses, "GET", "/_zones")
+    answers = call_all(addresses, "GET", "/_zones")
     plans = {address: ujson.loads(body) for address, status, body in answers if status == 200}
     failed = [(address, status, body) for address, status, body in answers if status != 200]
     if as_json:
@@ -51,7 +51,7 @@
 
 
 def _order(order: str, zone: str, addresses: tuple[str, ...]) -> None:
-    answers = each(addresses, "PUT", f"/_zones/{order}?name={quote(zone, safe='')}")
+    answers = call_all(addresses, "PUT", f"/_zones/{order}?name={quote(zone, safe='')}")
     click.echo(
         f"{order} {zone}: {sum(status == 200 for _, status, _ in answers)} of {len(addresses)} dispatchers"
     )
@@ -60,7 +60,7 @@
 
 def _tell_failed(failed: list[tuple[str, int, bytes]]) -> None:
     for address, status, body in failed:
-        click.echo(told(address, status, body), err=True)
+        click.echo(describe_failure(address, status, body), err=True)
     if failed:
         sys.exit(1)
 
