--- a/yewrill/net/endpoint_list.py
+++ b/yewrill/net/endpoint_list.py
@@ -13,7 +13,7 @@
 from yewrill.policy import interface as api
 
 MAX_DETACHED = 10_000
-ATTACH_MEMORY_SECONDS = 60.0  # for which a new process learns that a worker was attached again
+REATTACHED_RETENTION_SECONDS = 60.0  # for which a new process learns that a worker was attached again
 
 
 class EndpointList:
@@ -70,7 +70,7 @@
         Whoever sends there for the first time must take it for a worker that is warming up.
         """
         now = self._engine.now()
-        oldest = now - ATTACH_MEMORY_SECONDS * 1000.0
+        oldest = now - REATTACHED_RETENTION_SECONDS * 1000.0
         self._attached_at = {name: at for name, at in self._attached_at.items() if at > oldest}
         return {name: now - at for name, at in self._attached_at.items()}
 
--- a/yewrill/persistence/operator_state.py
+++ b/yewrill/persistence/operator_state.py
@@ -9,7 +9,7 @@
 
 import ujson
 
-from yewrill.net.endpoint_list import ATTACH_MEMORY_SECONDS
+from yewrill.net.endpoint_list import REATTACHED_RETENTION_SECONDS
 from yewrill.persistence.attempts import Clocks, min_age_ms
 from yewrill.persistence.clock import EXPIRY_MARGIN_MS
 from yewrill.persistence.disk import Disk, Unreadable
@@ -18,7 +18,7 @@
 DETACHED_PREFIX, REATTACHED_PREFIX = b"out/", b"back/"
 OPERATOR_DRAIN_KEY = b"lame"
 ENDPOINT_LIST_KEY = b"list"
-REATTACHED_RETENTION_MS = ATTACH_MEMORY_SECONDS * 1000.0
+REATTACHED_RETENTION_MS = REATTACHED_RETENTION_SECONDS * 1000.0
 
 
 @dataclass(slots=True)
--- a/yewrill/service/state_exchange.py
+++ b/yewrill/service/state_exchange.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from yewrill.net.discovery import DiscoveryWatch
-from yewrill.net.endpoint_list import ATTACH_MEMORY_SECONDS, EndpointList
+from yewrill.net.endpoint_list import REATTACHED_RETENTION_SECONDS, EndpointList
 from yewrill.service.open_requests import OpenRequests
 from yewrill.service.operator_drain import OperatorDrain
 from yewrill.service.socket_budget import SocketBudget
@@ -82,6 +82,6 @@
 def _ages(times_ms: dict[str, float]) -> dict[str, float]:
     """Wall clock times as ages, both in ms. A time that is in the future or too long ago counts as now."""
     now = time.time() * 1000.0
-    max_age = ATTACH_MEMORY_SECONDS * 1000.0
+    max_age = REATTACHED_RETENTION_SECONDS * 1000.0
     ages = {name: now - at for name, at in times_ms.items()}
     return {name: age if 0.0 <= age <= max_age else 0.0 for name, age in ages.items()}
