--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -119,22 +119,22 @@
 @timed_story
 async def test_a_backlog_that_was_seen_empty_makes_nobody_look_as_if_it_had_waited(monkeypatch):
     # A system that does not tell how long data has lain: only the wait itself bounds it.
-    monkeypatch.setattr("yewrill.net.backlog.since_last_data", lambda sock: float("inf"))
+    monkeypatch.setattr("yewrill.net.backlog.seconds_since_last_data", lambda sock: float("inf"))
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
         backlog = Backlog(SimpleNamespace(sock=listening))
-        backlog.readable()  # somebody waited, and another run took them
-        assert not backlog.somebody_waits()
+        backlog.note_readable()  # somebody waited, and another run took them
+        assert not backlog.has_waiting()
         await trio.sleep(5.0)
         with socket.create_connection(listening.getsockname()):
             accepted = backlog.accept()
-            assert accepted.came == pytest.approx(trio.current_time(), abs=0.05)
+            assert accepted.earliest_arrival == pytest.approx(trio.current_time(), abs=0.05)
             accepted.sock.close()
 
 
 @timed_story
 async def test_the_first_client_after_a_quiet_start_has_not_waited(monkeypatch):
-    monkeypatch.setattr("yewrill.net.backlog.since_last_data", lambda sock: float("inf"))
+    monkeypatch.setattr("yewrill.net.backlog.seconds_since_last_data", lambda sock: float("inf"))
     told = []
 
     async def note(exchange):
--- a/tests/test_call_errors.py
+++ b/tests/test_call_errors.py
@@ -74,7 +74,7 @@
         await client.send(X_Request_ID="r")
         await w.until(lambda: len(w.service.listener.clients) == 1)
         await w.until(lambda: not w.service.listener.clients)
-        assert trio.current_time() - began < connection.MOST_RETRIED + 0.5
+        assert trio.current_time() - began < connection.MAX_RETRY_SECONDS + 0.5
 
 
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.EAGAIN])
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 from yewrill.config.schema import TopologyNames
 from yewrill.config.settings import read_settings
 from yewrill.dispatch.engine import DecisionEngine
-from yewrill.net import discovery as poolconfig
+from yewrill.net import discovery as discovery_module
 from yewrill.net.discovery import DiscoveryWatch
 from yewrill.net.endpoint_list import EndpointList
 
@@ -148,14 +148,14 @@
     hole = Swallowing()
     opened = []
 
-    async def connect(address, ring):
+    async def connect(address, ring_bytes):
         opened.append(trio.current_time())
         # The system sends a swallowed SYN again late and in its own time: what was begun never comes up.
-        return await came_up(hole.address if len(opened) < 4 else address, ring)
+        return await came_up(hole.address if len(opened) < 4 else address, ring_bytes)
 
     async with world(peer, settings=MANY) as w:
-        came_up = poolconfig.Connection.open
-        monkeypatch.setattr(poolconfig.Connection, "open", connect)
+        came_up = discovery_module.Connection.open
+        monkeypatch.setattr(discovery_module.Connection, "open", connect)
         w.discovery.peer.script = reset
         w.discovery.tell(peer.entry())
         while len(opened) < 3:
@@ -264,19 +264,19 @@
     for rng in rngs:
         at = 0.0
         for failures in range(40):
-            pause = poolconfig.pause_after(failures, callers, rng.random())
+            pause = discovery_module.retry_pause(failures, callers, rng.random())
             assert (
-                pause >= poolconfig.RETRY_PAUSE_SECONDS
-                and pause + poolconfig.RECOVERY_TIMEOUT_SECONDS < TOLD
+                pause >= discovery_module.RETRY_PAUSE_SECONDS
+                and pause + discovery_module.RECOVERY_TIMEOUT_SECONDS < TOLD
             )
             calls.append(at := at + pause)
     for second in range(20):
         assert sum(second <= at < second + 1 for at in calls) <= a_second
     assert (
-        poolconfig.RETRY_PAUSE_SECONDS
-        + poolconfig.HOLD_MS / 1000.0
-        + poolconfig.ANSWER_GRACE_SECONDS
-        + poolconfig.CONNECT_TIMEOUT_SECONDS
+        discovery_module.RETRY_PAUSE_SECONDS
+        + discovery_module.HOLD_MS / 1000.0
+        + discovery_module.ANSWER_GRACE_SECONDS
+        + discovery_module.CONNECT_TIMEOUT_SECONDS
         < TOLD
     )
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -20,7 +20,7 @@
 
 from yewrill.net import client_connection, listener
 from yewrill.net.client_connection import ClientConnection as Served
-from yewrill.net.connection import RING, Connection
+from yewrill.net.connection import RING_BYTES, Connection
 from yewrill.net.worker_connections import WorkerConnectionPool
 from yewrill.policy import interface as api
 
@@ -262,13 +262,13 @@
     monkeypatch,
 ):
     reads = []
-    real = Connection.drop_now
+    real = Connection.discard_now
 
     def counted(connection):
         reads.append(real(connection))
         return reads[-1]
 
-    monkeypatch.setattr(Connection, "drop_now", counted)
+    monkeypatch.setattr(Connection, "discard_now", counted)
     monkeypatch.setattr(
         client_connection, "OVERRUN_PAUSE_PER_CLIENT_SECONDS", 1e9
     )  # so that the pause after the first read has no end
@@ -283,7 +283,7 @@
         [sender] = w.service.listener.clients
         sender._drop_input()
         assert len(reads) == 1 and reads[0] <= 65536  # however much there is
-        assert len(sender.connection.inbound) == RING
+        assert len(sender.connection.inbound) == RING_BYTES
         gate.open("d1")
         reply = await client.reply()
         assert (reply.status, reply.headers["connection"]) == (200, "close")
@@ -354,7 +354,7 @@
     peer = Reluctant("d1", done)
     async with world(peer, settings=ROOMY) as w:
         opened = open_with_little_room(monkeypatch)
-        real, crossed = Connection._ready, []
+        real, crossed = Connection._wait_ready, []
 
         async def ready(connection, wait):
             await real(connection, wait)
@@ -364,7 +364,7 @@
                 connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 200_000)
                 left.disconnect()  # read in the same turn of the loop in which there is room again
 
-        monkeypatch.setattr(Connection, "_ready", ready)
+        monkeypatch.setattr(Connection, "_wait_ready", ready)
         client = await w.client()
         await client.send(body=b"x" * 60000, **LONG)
         await w.until(lambda: opened and opened[0].unsent)
@@ -625,7 +625,7 @@
 
 def as_it_is_looked_at(monkeypatch, act) -> None:
     """Have something happen between the look at a resting connection and what follows from it."""
-    real, looked = Connection.quiet, []
+    real, looked = Connection.check_idle, []
 
     def looks(connection):
         seen = real(connection)
@@ -634,7 +634,7 @@
             act()
         return seen
 
-    monkeypatch.setattr(Connection, "quiet", looks)
+    monkeypatch.setattr(Connection, "check_idle", looks)
 
 
 def restart(w) -> None:
@@ -875,7 +875,7 @@
             sock.sendall(raw_request(f"r{i}"))
         w.service.listener.limit(2)
         # Not a turn of the loop since they came, and no time to wait for a place.
-        await w.service.listener.drain_backlog(until=trio.current_time())
+        await w.service.listener.drain_backlog(deadline=trio.current_time())
         streams = [trio.SocketStream(trio.socket.from_stdlib_socket(sock)) for sock in late]
         for stream in streams[:2]:
             assert (await stream.receive_some()).startswith(b"HTTP/1.1 200 ")
@@ -1150,7 +1150,7 @@
 
         await w.until(lambda: w.service.worker_connections._idle.get("d1"))
         [line] = w.service.worker_connections._idle["d1"]
-        real = Connection.quiet
+        real = Connection.check_idle
 
         def looks(connection):
             seen = real(connection)
@@ -1159,7 +1159,7 @@
                 peer.live.clear()
             return seen
 
-        monkeypatch.setattr(Connection, "quiet", looks)
+        monkeypatch.setattr(Connection, "check_idle", looks)
         assert (await w.ask(X_Request_ID="r1", **LONG)).status == 200
         assert blameless(w, peer)
         assert [e.id for p in (peer, other) for e in p.exchanges] == ["r0", "r1"]
--- a/yewrill/frontends/__init__.py
+++ b/yewrill/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""The codecs before the core: the platform's protocol, and server-sent events for progress."""
+"""Frontends: protocol codecs for clients and workers, with plain replies or with event streams."""
--- a/yewrill/frontends/platform.py
+++ b/yewrill/frontends/platform.py
@@ -1,4 +1,4 @@
-"""The platform's protocol: HTTP requests, replies to clients, attempts and the messages of workers."""
+"""The platform frontend: reads requests, encodes replies and attempts, decodes worker messages."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from yewrill.dispatch.lifecycle import Answer, Served
 from yewrill.dispatch.request import Attempt, Rejection, Request
 from yewrill.net.client_connection import ClientConnection
-from yewrill.net.http import MAX_BODY, BadRequest, HttpRequest, Reply
+from yewrill.net.http import MAX_BODY_BYTES, BadRequest, HttpRequest, Reply
 from yewrill.net.worker_protocol import MalformedResponse, WorkerMessage
 from yewrill.policy.interface import Settings
 
 RunToAnswer = Callable[[], Awaitable[Answer | None]]
-ClosesAfterAnswer = Callable[[], bool]  # whether connections are to be closed after their answer
+ClosesAfterAnswer = Callable[[], bool]  # whether the connection is to be closed after its answer
 
-MAX_TARGET = 2048
-MAX_SUBJECT_CHARS = 128  # characters of the cookie `user`
-# The headers that are passed on, and the form that each must have. A worker closes its connection on
-# what it can't read, which would count against the worker: so nothing else gets there.
+MAX_TARGET_CHARS = 2048
+MAX_SUBJECT_CHARS = 128  # of the value of the cookie `user`
+# The headers that are forwarded to workers, and the pattern that each must match. A worker closes the
+# connection on input that it can't parse, which would count against the worker; so only these are sent.
 _ID = re.compile(r"[A-Za-z0-9._~:/+=@-]{1,128}")
 _NAME = re.compile(r"[!-~]{1,128}")
 _TEXT = re.compile(r"[ -~]{1,1024}")
@@ -37,62 +37,65 @@
     b"cookie": _TEXT,
     b"content-type": _TEXT,
 }
-# RFC 3986: a path and a query of plain characters.
+# Path and query of RFC 3986, limited to ASCII.
 _TARGET = re.compile(
     r"/(?:[A-Za-z0-9._~!$&'()*+,;=:@/-]|%[0-9A-Fa-f]{2})*"
     r"(?:\?(?:[A-Za-z0-9._~!$&'()*+,;=:@/?-]|%[0-9A-Fa-f]{2})*)?"
 )
 
 
-# Python's own float() also takes spaces, underscores and words, which a worker may not.
+# Python's float() also accepts spaces, underscores and words such as `nan`, which a worker may not.
 _NUMBER = re.compile(r"[+-]?(?:[0-9]+(?:\.[0-9]*)?|\.[0-9]+)(?:[eE][+-]?[0-9]{1,3})?")
 
 
-def _number(text: str, what: str, low: float, high: float) -> float:
+def _number(text: str, field: str, low: float, high: float) -> float:
     value = float(text) if _NUMBER.fullmatch(text) else math.nan
-    if not low <= value <= high:  # not a number fails too
-        raise BadRequest(400, f"bad number in {what}")
+    if not low <= value <= high:  # also rejects NaN
+        raise BadRequest(400, f"bad number in {field}")
     return value
 
 
 class RequestReader:
-    """Turns an HTTP request into a request; used by every frontend."""
+    """Validates an HTTP request and builds the dispatcher's request from it; used by every frontend."""
 
     def __init__(self, settings: Settings, margin: float):
         self.reconfigure(settings, margin)
 
     def reconfigure(self, settings: Settings, margin: float) -> None:
-        """Take up settings; `margin`: ms of the client's timeout that are kept for the answer."""
+        """Apply settings; `margin` is the part of a client's timeout reserved for the answer, in ms."""
         self.settings = settings
         self.margin = margin
         self._classes = {c.name: i for i, c in enumerate(settings.classes)}
         self._tenants = {t.name: i for i, t in enumerate(settings.tenants)}
 
     def request_class(self, http_request: HttpRequest) -> int:
-        """The class; 404 and 405 come before any look at the headers."""
-        first = http_request.target.partition("?")[0][1:].partition("/")[0]
-        if first not in self._classes:
+        """Return the index of the request class in the path. Raises BadRequest.
+
+        Unknown paths (404) and methods (405) are rejected before the headers are read.
+        """
+        path_class = http_request.target.partition("?")[0][1:].partition("/")[0]
+        if path_class not in self._classes:
             raise BadRequest(404, "no such path")
-        if len(http_request.target) > MAX_TARGET:
+        if len(http_request.target) > MAX_TARGET_CHARS:
             raise BadRequest(414, "target too long")
         if not _TARGET.fullmatch(http_request.target):
             raise BadRequest(400, "malformed target")
         if http_request.method != "POST":
             raise BadRequest(405, "POST only", (("Allow", "POST"),))
-        named = http_request.single_header(b"x-priority-class")
-        if named is not None and named not in self._classes:
+        stated = http_request.single_header(b"x-priority-class")
+        if stated is not None and stated not in self._classes:
             raise BadRequest(400, "unknown class in X-Priority-Class")
-        if named is not None and named != first:
+        if stated is not None and stated != path_class:
             raise BadRequest(400, "X-Priority-Class and path name different classes")
-        return self._classes[first]
+        return self._classes[path_class]
 
     def read_request(self, http_request: HttpRequest, now: float) -> Request:
-        """`now`: when the request's first byte was read, by the decision engine's clock, in ms.
+        """Validate and build a request. Raises BadRequest.
 
-        Raises BadRequest.
+        `now` is when its first byte was read, by the decision engine's clock, in ms.
         """
         request_class = self.request_class(http_request)
-        http_request.passed = self._forwarded_headers(http_request)
+        http_request.forwarded_headers = self._forwarded_headers(http_request)
         id = http_request.single_header(b"x-request-id")
         if not id:
             raise BadRequest(400, "X-Request-ID is missing")
@@ -104,9 +107,9 @@
             tenant = self._tenants[name]
         client_timeout = http_request.single_header(b"x-timeout-ms")
         if client_timeout is None:
-            wait = self.settings.classes[request_class].deadline
+            timeout = self.settings.classes[request_class].deadline
         elif client_timeout.isascii() and client_timeout.isdigit():
-            wait = _number(client_timeout, "X-Timeout-Ms", 1, 86_400_000)
+            timeout = _number(client_timeout, "X-Timeout-Ms", 1, 86_400_000)
         else:
             raise BadRequest(400, "bad number in X-Timeout-Ms")
         retried = http_request.single_header(b"x-retried")
@@ -117,8 +120,8 @@
         return Request(
             id,
             request_class,
-            # A short timeout keeps at least half of its time, however wide the margin.
-            now + max(wait - self.margin, wait * 0.5),
+            # The margin takes at most half of the timeout.
+            now + max(timeout - self.margin, timeout * 0.5),
             tenant,
             width=attributes.get("width", attributes.get("slots", 1.0)),
             memory=attributes.get("memory", 0.0),
@@ -132,19 +135,19 @@
 
     @staticmethod
     def _forwarded_headers(http_request: HttpRequest) -> list[tuple[bytes, bytes]]:
-        """The headers that go on to a worker, each there once and well-formed."""
-        passed = []
-        for name, form in _FORWARDED_HEADERS.items():
+        """Return the headers to forward to a worker. Raises BadRequest if one is repeated or malformed."""
+        forwarded = []
+        for name, pattern in _FORWARDED_HEADERS.items():
             value = http_request.single_header(name)
             if value is not None:
-                if not form.fullmatch(value):
+                if not pattern.fullmatch(value):
                     raise BadRequest(400, f"malformed {name.decode()}")
-                passed.append((name, value.encode()))
-        return passed
+                forwarded.append((name, value.encode()))
+        return forwarded
 
     @staticmethod
     def _subject(cookies: str | None) -> str:
-        """What the request concerns, by its cookie `user`; a cookie of another form says nothing of it."""
+        """Return the value of the cookie `user`, the request's subject; empty if absent or too long."""
         for cookie in (cookies or "").split(";"):
             name, _, value = cookie.strip().partition("=")
             if name == "user":
@@ -162,7 +165,7 @@
                 raise BadRequest(400, "malformed X-Attrs")
             if name in ("width", "slots", "memory", "expected"):
                 attributes[name] = _number(value, f"X-Attrs {name}", 0, 1e9)
-            else:  # a number that the policy has no use for, but the worker may
+            else:  # not used by the policy, but possibly by the worker
                 attributes[name] = _number(value, f"X-Attrs {name}", -1e18, 1e18)
         return attributes
 
@@ -170,10 +173,10 @@
 def forwarded_request(
     attempt: Attempt, wait_ms: int, accept: str = ""
 ) -> tuple[str, str, list[tuple], bytes]:
-    """The client's request as it goes to a worker: what was checked is as it came, the rest is new."""
+    """Return the request to a worker: validated client headers unchanged, all other headers set here."""
     http_request: HttpRequest = attempt.request.payload
     headers: list[tuple] = [("Host", "destination")]
-    headers += http_request.passed
+    headers += http_request.forwarded_headers
     if attempt.trace is not None:
         headers += attempt.trace.headers
     headers.append(("X-Timeout-Ms", str(wait_ms)))
@@ -184,7 +187,7 @@
 
 
 def parse_worker_message(text: bytes | str) -> WorkerMessage:
-    """One JSON object of a worker's answer. Raises MalformedResponse."""
+    """Parse one JSON object of a worker's answer. Raises MalformedResponse."""
     try:
         message = ujson.loads(text)
         share = message.get("share", 0.0)
@@ -194,20 +197,20 @@
             or isinstance(share, bool)
             or not isinstance(share, (int, float))
         ):
-            raise MalformedResponse("fields of the wrong type")
-        if not 0.0 <= share <= 1.0:  # not a number fails too
-            raise MalformedResponse("share out of bounds")
+            raise MalformedResponse("field state or share of the wrong type")
+        if not 0.0 <= share <= 1.0:  # also rejects NaN
+            raise MalformedResponse("share not between 0 and 1")
         if state == "done":
-            body_of(message["result"])  # a result that can't be written to a client is none
+            encode_result(message["result"])  # raises if the result can't be encoded for the client
         return WorkerMessage(
             message["id"], state, float(share), message.get("result"), message.get("load")
         )
     except (ValueError, KeyError, AttributeError, TypeError, OverflowError) as error:
-        raise MalformedResponse(f"not a job's line: {type(error).__name__}") from None
+        raise MalformedResponse(f"not a valid message: {type(error).__name__}") from None
 
 
-def body_of(result: Any) -> bytes:
-    """A result as the client gets it. Raises ValueError or OverflowError for what JSON can't hold."""
+def encode_result(result: Any) -> bytes:
+    """Encode a result for the client. Raises ValueError or OverflowError if JSON can't represent it."""
     return (
         result.encode()
         if isinstance(result, str)
@@ -215,13 +218,13 @@
     )
 
 
-def retry_after(answer: Rejection) -> str:
-    """The value of Retry-After, in seconds."""
+def format_retry_after(answer: Rejection) -> str:
+    """Return the value of the header Retry-After, in seconds."""
     return f"{answer.retry_after / 1000.0:.3f}".rstrip("0").rstrip(".")
 
 
 class _JsonLinesDecoder:
-    """A worker's lines of JSON, in whatever pieces they come."""
+    """Decodes a worker's JSON lines, however the bytes are split."""
 
     __slots__ = ("_incomplete",)
 
@@ -229,15 +232,15 @@
         self._incomplete = b""
 
     def feed(self, data: bytes) -> list[WorkerMessage]:
-        """Take the next bytes. Raises MalformedResponse."""
+        """Decode the next bytes; returns the messages they complete. Raises MalformedResponse."""
         *lines, self._incomplete = (self._incomplete + data).split(b"\n")
-        if len(self._incomplete) > MAX_BODY:
+        if len(self._incomplete) > MAX_BODY_BYTES:
             raise MalformedResponse("line too long")
         return [parse_worker_message(line) for line in lines if line.strip()]
 
 
 class PlatformFront:
-    """One request, one reply."""
+    """The frontend that answers each request with one plain HTTP reply."""
 
     content_type = ""
     takes_while_draining = True
@@ -246,15 +249,15 @@
         self.reader = reader
 
     def encode_request(self, attempt: Attempt, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
-        """The request as it goes to a worker."""
+        """Return method, target, headers and body of the request to a worker."""
         return forwarded_request(attempt, wait_ms)
 
     def decoder(self) -> _JsonLinesDecoder:
-        """A decoder for one answer."""
+        """Return a new decoder for one answer."""
         return _JsonLinesDecoder()
 
     def early_reply(self, http_request: HttpRequest) -> Reply | None:
-        """A reply to what is no request, though it looks like one; here there is none."""
+        """Return None: every valid request is run."""
         return None
 
     async def respond(
@@ -264,7 +267,7 @@
         run_to_answer: RunToAnswer,
         closes_after_answer: ClosesAfterAnswer,
     ) -> bool:
-        """Run a request and reply. Returns whether the connection may carry another."""
+        """Run a request and send the reply. Returns whether the connection may carry another."""
         answer = await run_to_answer()
         if answer is None or client.disconnected:
             return False
@@ -272,10 +275,12 @@
         return await client.send(client.http.encode_reply(self.reply(answer), close)) and not close
 
     def reply(self, answer: Answer) -> Reply:
-        """The HTTP reply to a final answer."""
+        """Return the HTTP reply for a final answer."""
         if isinstance(answer, Served):
-            return Reply(200, body_of(answer.result), content_type="application/octet-stream")
+            return Reply(200, encode_result(answer.result), content_type="application/octet-stream")
         if isinstance(answer, Rejection):
-            headers = [("Retry-After", retry_after(answer))] if answer.retry_after > 0 else []
+            headers = (
+                [("Retry-After", format_retry_after(answer))] if answer.retry_after > 0 else []
+            )
             return Reply(503, b"busy\n", headers)
         return Reply(502, answer.text.encode() + b"\n")
--- a/yewrill/frontends/progress.py
+++ b/yewrill/frontends/progress.py
@@ -1,8 +1,8 @@
-"""Server-sent events (WHATWG event-stream format): progress to the client, and exactly one final event.
+"""The progress frontend: server-sent events (WHATWG event-stream format) with exactly one final event.
 
-Requests are the platform's. The reply is a stream of `progress` events and then one `served`, `refused` or
-`failed`, after which it closes. Workers are asked for the same format; each event's data is one of the
-platform's JSON objects.
+Requests are read as by the platform frontend. The reply is a stream of `progress` events that ends with one
+`served`, `refused` or `failed` event, after which the connection closes. Workers answer in the same format;
+the data of each event is one JSON object, as in the platform frontend.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
     parse_worker_message,
 )
 from yewrill.net.client_connection import ClientConnection
-from yewrill.net.http import MAX_BODY, HttpRequest, Reply
+from yewrill.net.http import MAX_BODY_BYTES, HttpRequest, Reply
 from yewrill.net.worker_protocol import MalformedResponse, WorkerMessage
 
 CONTENT_TYPE = "text/event-stream"
-HEADERS = [
+RESPONSE_HEADERS = [
     ("Content-Type", CONTENT_TYPE),
     ("Cache-Control", "no-store"),
     ("X-Accel-Buffering", "no"),
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event of a stream."""
+    """One event of an event stream."""
 
     type: str
     data: str
@@ -44,42 +44,42 @@
 
 
 def encode_event(type: str, data: object, id: str = "") -> bytes:
-    """One event. The data is JSON on a single line, so no line of it can be taken for a field."""
+    """Encode one event. Its data is JSON on a single line, so that it can't be mistaken for other fields."""
     head = f"event: {type}\n" + (f"id: {id}\n" if id else "")
     return f"{head}data: {ujson.dumps(data, escape_forward_slashes=False, allow_nan=False)}\n\n".encode()
 
 
 class EventStreamParser:
-    """Reads an event stream in whatever pieces it comes; an event cut off at the end is dropped."""
+    """Parses an event stream, however the bytes are split; an incomplete event at the end is dropped."""
 
-    _ENDS = re.compile(rb"\r\n|\n|\r")
+    _LINE_ENDS = re.compile(rb"\r\n|\n|\r")
 
-    def __init__(self, max_bytes: int = MAX_BODY):
+    def __init__(self, max_bytes: int = MAX_BODY_BYTES):
         self._max_bytes = max_bytes
         self._incomplete = b""
-        self._begun = False
+        self._bom_checked = False
         self._type = ""
         self._data: list[str] = []
         self._size = 0
         self._id = ""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take the next bytes; returns the events that are whole. Raises MalformedResponse."""
+        """Parse the next bytes; returns the events they complete. Raises MalformedResponse."""
         buffer = self._incomplete + data
-        if not self._begun:
+        if not self._bom_checked:
             if len(buffer) < 3 and b"\xef\xbb\xbf".startswith(buffer):
                 self._incomplete = buffer
                 return []
             buffer = buffer.removeprefix(b"\xef\xbb\xbf")
-            self._begun = True
+            self._bom_checked = True
         events: list[Event] = []
-        at = 0
-        for end in self._ENDS.finditer(buffer):
+        line_start = 0
+        for end in self._LINE_ENDS.finditer(buffer):
             if end.group() == b"\r" and end.end() == len(buffer):
-                break  # it may be the first half of CR LF
-            self._line(buffer[at : end.start()].decode("utf-8", "replace"), events)
-            at = end.end()
-        self._incomplete = buffer[at:]
+                break  # may be the first byte of CR LF
+            self._line(buffer[line_start : end.start()].decode("utf-8", "replace"), events)
+            line_start = end.end()
+        self._incomplete = buffer[line_start:]
         if len(self._incomplete) + self._size > self._max_bytes:
             raise MalformedResponse("event too long")
         return events
@@ -101,11 +101,11 @@
             self._type = value
         elif name == "id" and "\0" not in value:
             self._id = value
-        # A comment (no name), `retry` and unknown fields say nothing about a request.
+        # Comments (no name), `retry` and unknown fields are ignored.
 
 
 class _EventStreamDecoder:
-    """A worker's event stream as its messages on a request."""
+    """Decodes a worker's event stream into worker messages."""
 
     __slots__ = ("_parser",)
 
@@ -113,12 +113,12 @@
         self._parser = EventStreamParser()
 
     def feed(self, data: bytes) -> list[WorkerMessage]:
-        """Take the next bytes. Raises MalformedResponse."""
+        """Decode the next bytes; returns the messages they complete. Raises MalformedResponse."""
         return [parse_worker_message(event.data) for event in self._parser.feed(data)]
 
 
 class _ProgressBuffer:
-    """What waits to be written to a client: the latest progress only, so a slow reader holds up no memory."""
+    """The progress to send to a client; keeps only the latest, so that a slow reader uses no more memory."""
 
     def __init__(self, request: Request):
         self._request = request
@@ -128,21 +128,21 @@
         self.answer: Answer | None = None
 
     def progress(self, attempt: Attempt, share: float) -> None:
-        """Note the share of an attempt's work that is done."""
+        """Store the share of an attempt's work that is done."""
         self._latest = (attempt, share)
         self._changed.set()
 
     def end(self, answer: Answer | None) -> None:
-        """There is no more progress; None if the client has left."""
+        """Store the final answer, None if the client has left; progress ends."""
         self.answer = answer
         self._ended = True
         self._changed.set()
 
     async def next(self) -> tuple[int, float] | None:
-        """The next progress to send, as attempt number and share; None at the end."""
+        """Wait for the next progress; returns attempt number and share, or None at the end."""
         while not self._ended:
             latest, self._latest = self._latest, None
-            # Progress of an attempt that has ended is stale, even if it was never sent on.
+            # Progress of an attempt that has ended is out of date, even if it was never sent.
             if latest is not None and self._request.live is latest[0]:
                 return latest[0].number, latest[1]
             self._changed = trio.Event()
@@ -151,7 +151,7 @@
 
 
 class ProgressFront:
-    """One request, one event stream."""
+    """The frontend that answers each request with an event stream."""
 
     content_type = CONTENT_TYPE
     takes_while_draining = False
@@ -160,15 +160,18 @@
         self.reader = reader
 
     def encode_request(self, attempt: Attempt, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
-        """The request as it goes to a worker."""
+        """Return method, target, headers and body of the request to a worker."""
         return forwarded_request(attempt, wait_ms, accept=CONTENT_TYPE)
 
     def decoder(self) -> _EventStreamDecoder:
-        """A decoder for one answer."""
+        """Return a new decoder for one answer."""
         return _EventStreamDecoder()
 
     def early_reply(self, http_request: HttpRequest) -> Reply | None:
-        """A reader that reconnects by itself would send its request again: 204 tells it to stop."""
+        """Return 204 for a reconnecting reader, else None.
+
+        An EventSource reconnects by repeating its request; status 204 tells it to stop.
+        """
         return Reply(204) if http_request.single_header(b"last-event-id") is not None else None
 
     async def respond(
@@ -178,8 +181,8 @@
         run_to_answer: RunToAnswer,
         closes_after_answer: ClosesAfterAnswer,
     ) -> bool:
-        """Open the stream, send progress on, write the one final event. The connection ends with it."""
-        head = client.http.encode_head(200, HEADERS, close=True)
+        """Run a request and stream its progress and final event. The connection closes after that."""
+        head = client.http.encode_head(200, RESPONSE_HEADERS, close=True)
         if not await client.send(head + client.http.encode_body_part(b": taken\n\n")):
             client.disconnect()
         buffer = _ProgressBuffer(request)
@@ -205,7 +208,7 @@
                 "progress", {"id": request.id, "attempt": number, "share": share}, f"{events_sent}"
             )
             if not await client.send(client.http.encode_body_part(event)):
-                # Gone, or not reading: an event that is half written can't be followed by another.
+                # Disconnected or not reading: no event can follow one that was only partly written.
                 client.disconnect()
                 return
         if buffer.answer is not None and not client.disconnected:
@@ -216,7 +219,7 @@
 
 
 def final_event(request: Request, answer: Answer, id: str) -> bytes:
-    """The event that ends a stream."""
+    """Return the final event of a stream."""
     if isinstance(answer, Served):
         return encode_event("served", {"id": request.id, "result": answer.result}, id)
     if isinstance(answer, Rejection):
--- a/yewrill/net/__init__.py
+++ b/yewrill/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: buffers, connections, the listener, destinations, discovery."""
+"""Networking: connections and their buffers, the client listener, the worker client, discovery."""
--- a/yewrill/net/backlog.py
+++ b/yewrill/net/backlog.py
@@ -1,11 +1,12 @@
-"""The listening socket's backlog: connections taken from it one by one, and calls on it that fail.
+"""The backlog of a listening socket: accepts its connections one at a time and handles failing calls.
 
-`accept` fails in more ways than by an empty backlog: for want of descriptors or memory, because the client
-that was next has gone, or with a network error of the new connection. None of these says that nobody else
-waits, so none of them ends a pass: it goes on after a pause that grows while calls keep failing.
+`accept` can fail although connections are waiting: descriptors or memory are exhausted, the next client has
+disconnected, or its connection has a network error. After such a failure the listener goes on accepting,
+with a pause that grows while calls keep failing.
 
-Connections that had to wait in the backlog may have brought their requests long before these are read. How
-long ago is asked of the system, and never taken for more than since the backlog was last known to be empty.
+The requests of connections that waited in the backlog may have arrived long before they are read. The kernel
+reports how long ago the last data arrived; the wait counted is at most the time since the backlog was last
+known to be empty.
 """
 
 from __future__ import annotations
@@ -19,80 +20,87 @@
 
 import trio
 
-from yewrill.net.connection import events_now
+from yewrill.net.connection import poll_events
 
-FIRST_PAUSE, PAUSE_FACTOR, MOST_PAUSE = 0.002, 2.0, 0.05  # seconds
-UNNOTICED = 0.005  # seconds in the backlog that are nobody's wait: a turn of the event loop
-# tcp_info of linux/tcp.h: eight bytes of flags, then words of 32 bits; milliseconds since the last data came.
-_LAST_DATA_RECEIVED = 8 + 4 * 11
-_TCP_INFO_BYTES = _LAST_DATA_RECEIVED + 4
+# The pause after a failed accept.
+INITIAL_PAUSE_SECONDS = 0.002
+MAX_PAUSE_SECONDS = 0.05
+PAUSE_GROWTH = 2.0
+# One iteration of the event loop can take this long; a shorter time in the backlog is not counted as a wait.
+MIN_COUNTED_WAIT_SECONDS = 0.005
+# struct tcp_info of linux/tcp.h: eight bytes of flags, then 32-bit words; tcpi_last_data_recv is the twelfth
+# word, in milliseconds.
+_LAST_DATA_RECEIVED_OFFSET = 8 + 4 * 11
+_TCP_INFO_BYTES = _LAST_DATA_RECEIVED_OFFSET + 4
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """A connection from the backlog, and when its data came at the earliest (the event loop's time)."""
+    """An accepted connection, and the earliest time its data may have arrived, in event loop time."""
 
     sock: socket.socket
-    came: float
+    earliest_arrival: float
 
 
-class Listening(Protocol):
-    """Whatever has a listening socket."""
+class HasListeningSocket(Protocol):
+    """An object with a listening socket."""
 
     sock: socket.socket
 
 
 class Backlog:
-    """Takes connections from a listening socket that does not block."""
+    """Accepts connections from a non-blocking listening socket."""
 
-    def __init__(self, listener: Listening, listening_before: bool = False):
-        """`listening_before`: the socket listened before this process had it."""
+    def __init__(self, listener: HasListeningSocket, already_listening: bool = False):
+        """`already_listening`: the socket was listening before this process received it."""
         self._listener = listener
-        # Nobody can have waited for longer than the socket has listened.
-        self._waiting_since: float | None = -math.inf if listening_before else trio.current_time()
-        self.pause = FIRST_PAUSE  # seconds to wait after a call that failed
+        # A connection cannot have waited for longer than the socket has been listening.
+        self._waiting_since: float | None = -math.inf if already_listening else trio.current_time()
+        self.pause = INITIAL_PAUSE_SECONDS  # seconds to wait after a failed accept
 
-    def readable(self) -> None:
-        """The event loop says that somebody waits."""
+    def note_readable(self) -> None:
+        """Note that the event loop has reported the socket as readable."""
         if self._waiting_since is None:
             self._waiting_since = trio.current_time()
 
-    def somebody_waits(self) -> bool:
-        """A look at the socket. One that another run takes first is missed by nobody."""
-        waits = bool(events_now(self._listener.sock, select.POLLIN))
-        if not waits:
+    def has_waiting(self) -> bool:
+        """Return whether a connection is waiting now; another process on the socket may still accept it."""
+        is_waiting = bool(poll_events(self._listener.sock, select.POLLIN))
+        if not is_waiting:
             self._waiting_since = None
-        return waits
+        return is_waiting
 
     def accept(self) -> Accepted | None:
-        """The next connection, None if nobody waits. Raises OSError if neither can be told: then `pause` has
-        been lengthened."""
-        self.readable()
+        """Return the next connection, or None if the backlog is empty.
+
+        Raises OSError if `accept` fails otherwise; `pause` has then been lengthened.
+        """
+        self.note_readable()
         try:
             sock, _ = self._listener.sock.accept()
         except BlockingIOError:
             self._waiting_since = None
-            self.pause = FIRST_PAUSE
+            self.pause = INITIAL_PAUSE_SECONDS
             return None
         except OSError:
-            self.pause = min(MOST_PAUSE, self.pause * PAUSE_FACTOR)
+            self.pause = min(MAX_PAUSE_SECONDS, self.pause * PAUSE_GROWTH)
             raise
-        self.pause = FIRST_PAUSE
-        return Accepted(sock, self._came(sock))
+        self.pause = INITIAL_PAUSE_SECONDS
+        return Accepted(sock, self._earliest_arrival(sock))
 
-    def _came(self, sock: socket.socket) -> float:
+    def _earliest_arrival(self, sock: socket.socket) -> float:
         now = trio.current_time()
         waited = 0.0 if self._waiting_since is None else now - self._waiting_since
-        if waited < UNNOTICED:
+        if waited < MIN_COUNTED_WAIT_SECONDS:
             return now
-        lain = min(waited, since_last_data(sock))
-        return now - lain if math.isfinite(lain) else now
+        data_age = min(waited, seconds_since_last_data(sock))
+        return now - data_age if math.isfinite(data_age) else now
 
 
-def since_last_data(sock: socket.socket) -> float:
-    """Seconds since data last came on a connection, or since it was made; infinite if that can't be told."""
+def seconds_since_last_data(sock: socket.socket) -> float:
+    """Return the seconds since a connection last received data or was opened; infinite if unknown."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
-        return struct.unpack_from("=I", info, _LAST_DATA_RECEIVED)[0] / 1000.0
+        return struct.unpack_from("=I", info, _LAST_DATA_RECEIVED_OFFSET)[0] / 1000.0
     except (OSError, struct.error):
         return float("inf")
--- a/yewrill/net/client_connection.py
+++ b/yewrill/net/client_connection.py
@@ -1,6 +1,6 @@
-"""A client's connection: its requests one after another, and how it ends.
+"""A client's connection: reads its requests one after another, and detects its end.
 
-While a request is under way the connection is read ahead, so that its end is seen.
+While a request is processed the connection is read ahead, so that a disconnect is noticed.
 """
 
 from __future__ import annotations
@@ -15,18 +15,19 @@
 from yewrill.dispatch.safety import CloseReason
 from yewrill.net.backlog import Accepted
 from yewrill.net.connection import Connection
-from yewrill.net.http import MAX_BODY, BadRequest, HttpRequest, ServerSide, check_framing
+from yewrill.net.http import MAX_BODY_BYTES, BadRequest, HttpRequest, ServerSide, check_framing
 
-SEND_TIMEOUT_SECONDS = 5.0  # for a client to take a reply
-# Between two reads from a client whose input buffer is full, and at least so much for each such client there
-# is: what it sends is dropped at this pace, only so that its end is seen.
-MIN_OVERRUN_PAUSE_SECONDS, OVERRUN_PAUSE_PER_CLIENT_SECONDS = 0.02, 0.0004
+SEND_TIMEOUT_SECONDS = 5.0  # for one write to a client
+# The pause between two reads from a client whose input buffer is full: at least the minimum, longer the more
+# such clients there are. Their further input is read only to notice a disconnect, and discarded.
+MIN_OVERRUN_PAUSE_SECONDS = 0.02
+OVERRUN_PAUSE_PER_CLIENT_SECONDS = 0.0004
 
 
 class ClientConnection:
     """A client's connection. Times are the event loop's, in seconds."""
 
-    overrunning_clients = 0  # of all clients: those whose input buffer is full
+    overrunning_clients = 0  # over all connections: clients whose input buffer is full
 
     def __init__(self, connection: Connection):
         self.connection = connection
@@ -35,30 +36,31 @@
         self.on_left: Callable[[Request], None] = lambda request: None
         self.disconnected = False
         self.close_reason: CloseReason | None = None
-        self.answering = False  # a whole request is under way
-        self.input_dropped = False  # part of its pipelined input: nothing after that can be read
-        self.has_sent_request = False  # one that was accepted
+        self.answering = False  # a complete request is being processed or answered
+        # Part of the pipelined input was discarded, so no later request can be parsed.
+        self.input_dropped = False
+        self.has_sent_request = False  # at least one valid request
         self.idle_since = self.opened_at = trio.current_time()
-        self.first_byte = 0.0  # when it came, of the next request
-        self.closing = False  # whatever it sends from here on is dropped
-        self._idle_wait = trio.CancelScope()  # the wait for its next request
+        self.first_byte = 0.0  # when the next request began to arrive; 0 if it has not
+        self.closing = False  # further input is discarded
+        self._idle_wait = trio.CancelScope()  # of the wait for the next request
 
-    def note_wait(self, accepted: Accepted) -> None:
-        """It may have waited in the backlog: what it has sent by now came then."""
-        if accepted.came < self.opened_at and self.connection.has_unread():
-            self.first_byte = accepted.came
+    def note_backlog_wait(self, accepted: Accepted) -> None:
+        """Date the first request back to its arrival in the backlog, if its data is already here."""
+        if accepted.earliest_arrival < self.opened_at and self.connection.has_unread():
+            self.first_byte = accepted.earliest_arrival
 
-    async def _read_ahead(self, scope: trio.CancelScope, ended: trio.Event) -> None:
+    async def _read_ahead(self, scope: trio.CancelScope, reading_ended: trio.Event) -> None:
         try:
             with scope:
                 while not self.disconnected and self.connection.inbound.room:
                     await self._fill()
                 await self._watch_overrun()
         finally:
-            ended.set()
+            reading_ended.set()
 
     async def _watch_overrun(self) -> None:
-        """Look for the end of a client that has filled the input buffer before its answer."""
+        """Watch for the disconnect of a client that has filled its input buffer before its answer."""
         ClientConnection.overrunning_clients += 1
         try:
             while not self.disconnected:
@@ -75,8 +77,9 @@
     def _drop_input(self) -> None:
         self.input_dropped = True
         try:
-            # The end may lie behind more than one read takes; behind a full window only reading brings it.
-            if self.connection.ended() or self.connection.drop_now() == 0:
+            # The end of the stream may follow more data than one read returns; if the receive window is full,
+            # only reading lets it arrive.
+            if self.connection.ended() or self.connection.discard_now() == 0:
                 self.disconnect()
         except OSError:
             self.disconnect()
@@ -92,17 +95,20 @@
 
     @property
     def has_pipelined_input(self) -> bool:
-        """Whether it has sent more before its answer, which the protocol does not allow."""
+        """Whether the client has sent more before its answer, which the protocol does not allow."""
         return bool(len(self.connection.inbound) or self.http.parser.trailing_data[0].strip())
 
     def has_left(self) -> bool:
-        """A look at the socket itself: in a burst of ends, this one's may not have been read yet."""
+        """Return whether the client has disconnected, by the socket itself.
+
+        When many clients disconnect at once, the end of this connection may not have been read yet.
+        """
         if not self.disconnected and self.connection.ended():
             self.disconnect()
         return self.disconnected
 
     def disconnect(self, reason: CloseReason = CloseReason.CLIENT_ENDED) -> None:
-        """Close at once: the client has gone away, or is closed for the reason given."""
+        """Close immediately, because the client has disconnected or for another reason."""
         if not self.disconnected:
             self.disconnected = True
             self.close_reason = reason
@@ -112,54 +118,55 @@
 
     @property
     def owes_answer(self) -> bool:
-        """Whether a whole request of its has been read, and no answer has begun."""
+        """Whether a complete request has been read and no answer to it has begun."""
         return self.answering and self.http.can_answer
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of it is under way, as far as has been read."""
+        """Whether no request is being received, processed or answered, as far as input was read."""
         return not self.answering and not self.first_byte and not self.closing
 
     async def wait_for_request(self) -> bool:
-        """Wait for the next request to begin; False if the connection is to close instead."""
+        """Wait for the next request to begin; returns False if the connection is to be closed instead."""
         self._idle_wait = trio.CancelScope()
         with self._idle_wait:
             if not self.closing:
-                await self.readable()
+                await self.wait_readable()
         return not self.closing
 
-    def close_in_order(self) -> None:
-        """Take no more requests. A connection that was answered before is closed by its own task.
+    def close_gracefully(self) -> None:
+        """Take no more requests. A connection that has had an answer is closed by its own task.
 
-        A plain close while bytes arrive would reset the connection and lose the last answer on its way.
+        Closing the socket while input arrives would reset the connection, and the client could lose its last
+        answer.
         """
         if self.idle_since == self.opened_at:
             self.disconnect(CloseReason.DRAINED)
             return
         self.closing = True
-        self.connection.end()
+        self.connection.shutdown_write()
         self._idle_wait.cancel()
 
-    async def readable(self) -> None:
-        """Wait until bytes have come or the client has disconnected."""
+    async def wait_readable(self) -> None:
+        """Wait until input is available or the client has disconnected."""
         while not len(self.connection.inbound) and not self.disconnected:
             await self._fill()
 
     async def receive(self) -> bytes:
-        """The next bytes; empty once the client has disconnected."""
-        await self.readable()
+        """Return the next bytes, empty once the client has disconnected."""
+        await self.wait_readable()
         return b"" if self.disconnected else self.connection.inbound.take()
 
     async def read_request(self) -> HttpRequest | None:
-        """The next whole request; None when the client has gone. Raises BadRequest."""
+        """Return the next complete request, None if the client has disconnected. Raises BadRequest."""
         http_request: HttpRequest | None = None
         body = bytearray()
         while True:
-            event = self.http.next()
+            event = self.http.next_event()
             if event is h11.NEED_DATA:
                 if http_request is not None and self.http.parser.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=())
-                    await self.connection.send(self.http.parser.send(go_on))
+                    continue_response = h11.InformationalResponse(status_code=100, headers=())
+                    await self.connection.send(self.http.parser.send(continue_response))
                 data = await self.receive()
                 if not data:
                     return None
@@ -173,40 +180,41 @@
                     arrived=self.first_byte or trio.current_time(),
                 )
                 lengths = [value for name, value in event.headers if name == b"content-length"]
-                if lengths and int(lengths[0]) > MAX_BODY:
+                if lengths and int(lengths[0]) > MAX_BODY_BYTES:
                     raise BadRequest(413, "body over 64 KiB")
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MAX_BODY:
+                if len(body) > MAX_BODY_BYTES:
                     raise BadRequest(413, "body over 64 KiB")
             elif isinstance(event, h11.EndOfMessage):
                 http_request.body = bytes(body)
                 return http_request
-            else:  # h11.ConnectionClosed or PAUSED: no request can follow
+            else:  # h11.ConnectionClosed or h11.PAUSED: no request can follow
                 return None
 
     @asynccontextmanager
     async def reading_ahead(self, nursery: trio.Nursery) -> AsyncIterator[None]:
-        """Read ahead in the meantime."""
-        scope, ended = trio.CancelScope(), trio.Event()
-        nursery.start_soon(self._read_ahead, scope, ended)
+        """Read ahead while the context is open."""
+        scope, reading_ended = trio.CancelScope(), trio.Event()
+        nursery.start_soon(self._read_ahead, scope, reading_ended)
         try:
             yield
         finally:
             scope.cancel()
-            with trio.CancelScope(shield=True):  # a moment only: two must not read at once
-                await ended.wait()
+            # Brief, and shielded: two tasks must not read the connection at once.
+            with trio.CancelScope(shield=True):
+                await reading_ended.wait()
 
     def next_cycle(self) -> None:
-        """Be ready for the next request, once the answer has gone out."""
+        """Prepare for the next request, after the answer has been sent."""
         self.http.parser.start_next_cycle()
         self.answering = False
         self.idle_since = trio.current_time()
-        # What has been read ahead already is the next request: its time runs from now at the latest.
+        # Input that was read ahead begins the next request, whose time limit runs from now.
         self.first_byte = self.idle_since if len(self.connection.inbound) else 0.0
 
     async def send(self, data: bytes) -> bool:
-        """Write, within a limit of time; False if the client has disconnected or does not take it."""
+        """Send within SEND_TIMEOUT_SECONDS; returns False if the client has disconnected or does not read."""
         if self.disconnected:
             return False
         with trio.move_on_after(SEND_TIMEOUT_SECONDS) as scope:
--- a/yewrill/net/connection.py
+++ b/yewrill/net/connection.py
@@ -1,4 +1,4 @@
-"""A TCP connection with one ring buffer for each direction."""
+"""A non-blocking TCP connection with one ring buffer per direction."""
 
 from __future__ import annotations
 
@@ -19,51 +19,55 @@
 
 log = logging.getLogger("yewrill.connections")
 
-RING = 8192
-_SCRATCH = bytearray(64 * 1024)  # where bytes go that nobody wants; shared, for nobody reads it
-ENDS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-# For want of descriptors or memory here: who gives a connection up makes room for another.
-NO_DESCRIPTORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-# A new connection failed for a reason of this machine's: that tells nothing of its peer.
-OWN_SHORTAGE = NO_DESCRIPTORS | {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENETDOWN}
-# A read or write of a connection failed for want of memory: the connection is as it was.
-TRANSIENT = frozenset({errno.ENOBUFS, errno.ENOMEM, errno.EINTR})
-# A wait for a socket could not be set up (epoll_ctl): the socket is as it was.
-NO_WAIT = frozenset({errno.ENOMEM, errno.ENOSPC})
-FIRST_PAUSE, PAUSE_FACTOR, MOST_PAUSE = 0.002, 2.0, 0.02  # seconds before it is tried again
-MOST_RETRIED = 1.0  # seconds in a row
-
-
-class Quiet(Enum):
-    """What a connection that should be idle shows."""
+RING_BYTES = 8192
+# Receives input that is discarded; it is never read, so all connections share it.
+_DISCARD_BUFFER = bytearray(64 * 1024)
+HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+# Descriptors or memory are exhausted on this machine; closing a connection makes room for another.
+OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+# Opening a connection failed for a local reason, which says nothing about the peer.
+LOCAL_CONNECT_ERRORS = OUT_OF_RESOURCES | {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENETDOWN}
+# A read or write failed for lack of memory or was interrupted; the connection itself is unchanged.
+TRANSIENT_ERRORS = frozenset({errno.ENOBUFS, errno.ENOMEM, errno.EINTR})
+# Waiting for a socket could not be set up (epoll_ctl failed); the socket itself is unchanged.
+WAIT_SETUP_ERRORS = frozenset({errno.ENOMEM, errno.ENOSPC})
+# The pause before a failed read or write is retried.
+INITIAL_PAUSE_SECONDS = 0.002
+MAX_PAUSE_SECONDS = 0.02
+PAUSE_GROWTH = 2.0
+MAX_RETRY_SECONDS = 1.0  # of uninterrupted failures, after which the error is raised
+
+
+class IdleCheck(Enum):
+    """The state of a connection that is expected to be idle."""
 
     IDLE = "idle"
     ENDED = "ended"
     STRAY = "stray bytes"
 
 
-def events_now(sock: socket.socket, wanted: int) -> int:
-    """Which of the wanted events of `select.poll` a socket has at this moment, and any error or hang-up."""
-    poll = select.poll()  # not select(), which knows no descriptor over 1023
+def poll_events(sock: socket.socket, wanted: int) -> int:
+    """Return the wanted `select.poll` events that a socket has now, with any error or hang-up."""
+    poll = select.poll()  # select() does not support descriptors above 1023
     poll.register(sock, wanted)
     return next((events for _, events in poll.poll(0)), 0)
 
 
 class Retries:
-    """Tries again a read or a write that failed for want of memory: after a growing pause, for a while."""
+    """Retries a read or write that fails with a transient error, with growing pauses, for a limited time."""
 
-    total = 0  # of all connections
+    total = 0  # over all connections of the process
 
     def __init__(self) -> None:
-        self._pause = FIRST_PAUSE
+        self._pause = INITIAL_PAUSE_SECONDS
         self._since: float | None = None
 
     async def pause_after(self, error: OSError) -> None:
-        """Wait until it may be tried again. Raises the error if it is another one, or has lasted too long."""
+        """Wait before the next try. Raises the error if it is not transient or has lasted too long."""
         now = trio.current_time()
         if self._since is None:
             self._since = now
-        if error.errno not in TRANSIENT or now - self._since >= MOST_RETRIED:
+        if error.errno not in TRANSIENT_ERRORS or now - self._since >= MAX_RETRY_SECONDS:
             raise error
         Retries.total += 1
         if Retries.total == 1:
@@ -71,41 +75,41 @@
                 "socket_call_retried errno=%s: %s", errno.errorcode[error.errno], error.strerror
             )
         await trio.sleep(self._pause)
-        self._pause = min(MOST_PAUSE, self._pause * PAUSE_FACTOR)
+        self._pause = min(MAX_PAUSE_SECONDS, self._pause * PAUSE_GROWTH)
 
-    def lasted(self) -> float:
-        """Seconds since the first failure, 0 if there was none."""
+    def elapsed(self) -> float:
+        """Return the seconds since the first failure, 0 if there was none."""
         return 0.0 if self._since is None else trio.current_time() - self._since
 
 
 class Connection:
-    """A non-blocking TCP socket with its buffers. Not closed by cancellation: its user closes it."""
+    """A non-blocking TCP socket with its buffers. Cancellation does not close it; its user does."""
 
     __slots__ = ("sock", "inbound", "outbound", "closed", "unsent", "retried_for")
 
-    def __init__(self, sock: socket.socket, ring: int = RING):
+    def __init__(self, sock: socket.socket, ring_bytes: int = RING_BYTES):
         sock.setblocking(False)
         with suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock = sock
-        self.inbound = RingBuffer(ring)
-        self.outbound = RingBuffer(ring)
+        self.inbound = RingBuffer(ring_bytes)
+        self.outbound = RingBuffer(ring_bytes)
         self.closed = False
-        self.unsent = 0  # bytes of the present `send` that the system has not taken
-        self.retried_for = 0.0  # seconds for which the last read failed before it succeeded
+        self.unsent = 0  # bytes of the current `send` that the kernel has not accepted
+        self.retried_for = 0.0  # seconds that the last read was retried before it succeeded
 
     @classmethod
-    async def open(cls, address: tuple[str, int], ring: int = RING) -> Connection:
+    async def open(cls, address: tuple[str, int], ring_bytes: int = RING_BYTES) -> Connection:
         """Connect to an address. Raises OSError; on cancellation the socket is closed."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        connection = cls(sock, ring)
+        connection = cls(sock, ring_bytes)
         try:
             try:
                 sock.connect(address)
-            except (BlockingIOError, InterruptedError) as waits:
-                if waits.errno == errno.EAGAIN:
-                    raise  # no port is free here: nothing is under way
-                await connection._ready(trio.lowlevel.wait_writable)
+            except (BlockingIOError, InterruptedError) as pending:
+                if pending.errno == errno.EAGAIN:
+                    raise  # no local port is free, so no connect is in progress
+                await connection._wait_ready(trio.lowlevel.wait_writable)
                 error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
                 if error:
                     raise OSError(error, "connect failed") from None
@@ -114,19 +118,21 @@
             raise
         return connection
 
-    async def _ready(self, wait: Callable[[socket.socket], Awaitable[None]]) -> None:
+    async def _wait_ready(self, wait: Callable[[socket.socket], Awaitable[None]]) -> None:
         try:
             await wait(self.sock)
         except trio.ClosedResourceError:
-            # Another task closed it meanwhile: to whoever waits, that is one more way to lose it.
-            raise OSError("connection closed here") from None
+            # Another task closed it meanwhile: the waiting task handles that like any lost connection.
+            raise OSError("connection closed locally") from None
         except OSError as error:
-            if error.errno not in NO_WAIT:
+            if error.errno not in WAIT_SETUP_ERRORS:
                 raise
-            await trio.sleep(MOST_PAUSE)  # the wait could not be set up: whoever waits looks again
+            await trio.sleep(
+                MAX_PAUSE_SECONDS
+            )  # in place of the wait; the caller tries its call again
 
     async def fill(self) -> int:
-        """Read what has come into the inbound ring; 0 at the end of the stream."""
+        """Read available data into the inbound buffer; returns the byte count, 0 at the end of the stream."""
         retries: Retries | None = None
         while True:
             try:
@@ -136,14 +142,14 @@
                 await retries.pause_after(error)
                 continue
             if count is not None:
-                self.retried_for = 0.0 if retries is None else retries.lasted()
+                self.retried_for = 0.0 if retries is None else retries.elapsed()
                 return count
-            await self._ready(trio.lowlevel.wait_readable)
+            await self._wait_ready(trio.lowlevel.wait_readable)
 
     def fill_now(self) -> int | None:
-        """As `fill`, or None if nothing has come."""
+        """Like `fill` without waiting; returns None if no data is available."""
         if self.closed:
-            raise OSError("connection closed here")
+            raise OSError("connection closed locally")
         try:
             count = self.sock.recv_into(self.inbound.space())
         except BlockingIOError:
@@ -151,27 +157,27 @@
         self.inbound.filled(count)
         return count
 
-    def drop_now(self) -> int | None:
-        """Read and forget a bounded part of what has come: how much, 0 at the end; None if nothing has."""
+    def discard_now(self) -> int | None:
+        """Read and discard up to 64 KiB; returns the byte count, 0 at the end, None without data."""
         if self.closed:
-            raise OSError("connection closed here")
+            raise OSError("connection closed locally")
         try:
-            return self.sock.recv_into(_SCRATCH)
+            return self.sock.recv_into(_DISCARD_BUFFER)
         except BlockingIOError:
             return None
         except OSError as error:
-            if error.errno in TRANSIENT:
+            if error.errno in TRANSIENT_ERRORS:
                 return None
             raise
 
     async def receive(self) -> bytes:
-        """The next bytes, empty at the end of the stream."""
+        """Return the next bytes, empty at the end of the stream."""
         if not len(self.inbound):
             await self.fill()
         return self.inbound.take()
 
     async def send(self, data: bytes) -> None:
-        """Send all of `data`. Raises OSError; `unsent` tells how much the system had not taken."""
+        """Send all of `data`. Raises OSError; `unsent` then counts the bytes not handed to the kernel."""
         view = memoryview(data)
         done = 0
         retries: Retries | None = None
@@ -179,12 +185,13 @@
         while self.unsent:
             done += self.outbound.put(view[done:])
             if self.closed:
-                raise OSError("connection closed here")
+                raise OSError("connection closed locally")
             try:
                 count = self.sock.send(self.outbound.pending())
             except BlockingIOError:
-                await self._ready(trio.lowlevel.wait_writable)
-                # Given up in the same turn in which there was room again: then no more goes out.
+                await self._wait_ready(trio.lowlevel.wait_writable)
+                # If the send was cancelled in the event loop iteration in which the socket became writable,
+                # no more bytes are written.
                 await trio.lowlevel.checkpoint_if_cancelled()
                 continue
             except OSError as error:
@@ -195,42 +202,42 @@
             self.outbound.used(count)
             self.unsent -= count
 
-    def quiet(self) -> Quiet:
-        """Whether an idle connection may be used again: never one with its end or stray bytes waiting."""
+    def check_idle(self) -> IdleCheck:
+        """Return whether an idle connection is still usable, has been closed, or has unexpected input."""
         if len(self.inbound):
-            return Quiet.STRAY
+            return IdleCheck.STRAY
         try:
-            return Quiet.STRAY if self.sock.recv(1, socket.MSG_PEEK) else Quiet.ENDED
+            return IdleCheck.STRAY if self.sock.recv(1, socket.MSG_PEEK) else IdleCheck.ENDED
         except BlockingIOError:
-            return Quiet.IDLE
+            return IdleCheck.IDLE
         except OSError as error:
-            # If it can't be told, it is not to be used, and nobody is to be sent away.
-            return Quiet.STRAY if error.errno in TRANSIENT else Quiet.ENDED
+            # The state is unknown: STRAY prevents both reuse of the connection and its eviction.
+            return IdleCheck.STRAY if error.errno in TRANSIENT_ERRORS else IdleCheck.ENDED
 
     def has_unread(self) -> bool:
-        """Whether bytes, or the end, wait in the system."""
-        return bool(events_now(self.sock, select.POLLIN))
+        """Return whether the kernel holds unread bytes or the end of the stream."""
+        return bool(poll_events(self.sock, select.POLLIN))
 
-    def on_its_way(self) -> int:
-        """Bytes that the system has taken and the peer's has not acknowledged."""
+    def unacknowledged_bytes(self) -> int:
+        """Return the number of bytes handed to the kernel that the peer has not acknowledged."""
         try:
             return struct.unpack("i", fcntl.ioctl(self.sock, termios.TIOCOUTQ, bytes(4)))[0]
         except OSError:
             return 0
 
     def ended(self) -> bool:
-        """Whether the peer has closed or reset by now, also where that still lies behind unread bytes."""
+        """Return whether the peer has closed or reset the connection, even if unread bytes precede that."""
         if self.closed:
             return True
-        return bool(events_now(self.sock, select.POLLRDHUP) & ENDS)
+        return bool(poll_events(self.sock, select.POLLRDHUP) & HANGUP_EVENTS)
 
-    def end(self) -> None:
-        """Say that nothing more is sent; what was sent before goes on its way."""
+    def shutdown_write(self) -> None:
+        """Shut down the sending side; data sent before is still delivered."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Close the socket, at once and without an error."""
+        """Close the socket immediately; never raises."""
         if not self.closed:
             self.closed = True
             trio.lowlevel.notify_closing(self.sock)
--- a/yewrill/net/discovery.py
+++ b/yewrill/net/discovery.py
@@ -1,4 +1,4 @@
-"""The watch that keeps the endpoint list fresh by long polls at discovery."""
+"""The discovery watch: keeps the endpoint list up to date by long polls."""
 
 from __future__ import annotations
 
@@ -17,86 +17,92 @@
 
 log = logging.getLogger("yewrill.discovery")
 
-PATH = "/discovery/hosts"
-# A change must be known here 6 s after discovery had it and could be reached, whatever became of the calls
-# before. So between two chances to learn of it there is never more than that: a call without an answer is
-# given up after the hold and its grace, a rejected one is repeated within the first and the longest pause,
-# and the call that follows any such end, a recovery call, is answered or given up within its timeout.
+HOSTS_PATH = "/discovery/hosts"
+# A change must be known here within 6 s of the time when discovery has it and is reachable, whatever happened
+# to earlier calls. So the time between two chances to learn of a change never exceeds that: a call without an
+# answer is given up after the hold time and the grace; a rejected call is repeated after RETRY_PAUSE_SECONDS
+# plus at most MAX_PAUSE_SECONDS; the next call after such an end, the recovery call, is answered or given up
+# within RECOVERY_TIMEOUT_SECONDS.
 HOLD_MS = 4000
-ANSWER_GRACE_SECONDS = 0.8  # past the hold before discovery counts as silent
-RECOVERY_TIMEOUT_SECONDS = 3.0  # given up early, a call still takes its turn in discovery's queue
-RECOVERY_HOLD_MS = (
-    1000  # answered soon with or without a change, so that contact is known to be there
+ANSWER_GRACE_SECONDS = 0.8  # beyond the hold time, before discovery counts as silent
+RECOVERY_TIMEOUT_SECONDS = (
+    3.0  # not shorter: an abandoned call still takes its turn in discovery's queue
 )
-CONNECT_TIMEOUT_SECONDS = 0.5  # a SYN that was lost is sent again late, 1 s on
-RETRY_PAUSE_SECONDS = 0.1  # after a failed call: within the 200 ms that keep a watch whole
-# A discovery that rejects calls has too many of them: those of a whole fleet at once. So they spread, each
-# dispatcher's at random over as many of these seconds as there are callers, and grow rarer. One that many
-# call may end what it has no time for by a reset too: there only the first pause in a row is short.
-REJECTED_PAUSE_SECONDS, PAUSE_GROWTH, MAX_PAUSE_SECONDS = 0.3, 1.5, 2.7
-MAX_COUNTED_FAILURES = 10  # in a row; the pause grows no more by then
-MAX_LIST_BYTES = 4 * 1024 * 1024  # a list of some ten thousand endpoints
+# Short, so that an answer soon shows that discovery is reachable, with or without a change.
+RECOVERY_HOLD_MS = 1000
+CONNECT_TIMEOUT_SECONDS = 0.5  # the kernel retransmits a lost SYN only after 1 s
+RETRY_PAUSE_SECONDS = 0.1  # after a failed call; a gap of up to 200 ms does not interrupt a watch
+# Discovery rejects calls when a whole fleet calls at once. So each dispatcher retries at a random time within
+# REJECTED_PAUSE_SECONDS per caller, a range that grows with each rejection. An overloaded discovery that many
+# dispatchers call may also reset connections: then only the first pause in a row is short.
+REJECTED_PAUSE_SECONDS = 0.3
+PAUSE_GROWTH = 1.5
+MAX_PAUSE_SECONDS = 2.7  # of the random part of a pause
+MAX_COUNTED_FAILURES = 10  # in a row; by then the pause has reached its maximum
+MAX_LIST_BYTES = 4 * 1024 * 1024  # enough for about ten thousand endpoints
 INPUT_BUFFER_BYTES = 65536
 
 
 class CallRejected(Exception):
-    """Discovery has not taken the call. It says nothing against what is known of the list."""
+    """Discovery rejected the call (429 or 503). The known endpoint list remains valid."""
 
 
-def pause_after(failures: int, callers: int, chance: float) -> float:
-    """Seconds until a discovery that so many dispatchers call is asked again, after a call that failed and so
-    many others before it in a row; `chance` from 0 to 1. A fleet that asked again at once would keep a queue
-    full in which all fail."""
+def retry_pause(failures: int, callers: int, jitter: float) -> float:
+    """Return the seconds to wait before the next call, after `failures` earlier failures in a row.
+
+    `callers` is the number of dispatchers that call this discovery, `jitter` a random number from 0 to 1. If
+    a whole fleet retried at once, it would keep discovery's queue full and all calls would fail.
+    """
     spread = REJECTED_PAUSE_SECONDS * callers * PAUSE_GROWTH**failures
-    return RETRY_PAUSE_SECONDS + chance * min(MAX_PAUSE_SECONDS, spread)
+    return RETRY_PAUSE_SECONDS + jitter * min(MAX_PAUSE_SECONDS, spread)
 
 
 @dataclass(slots=True)
 class _Session:
-    """Where the watch stands with the discovery at one address."""
+    """The state of the watch at one address of discovery."""
 
     address: tuple[str, int]
-    side: ClientSide | None = None
-    needs_whole_list: bool = True  # the list known before may be old: begin with all of it
-    recovering: bool = True  # the call before did not get its answer
-    lost: bool = False  # that has been logged
+    http: ClientSide | None = None
+    needs_full_list: bool = True  # a list known from before may be out of date
+    recovering: bool = True  # the previous call was not answered
+    unavailable: bool = False  # logged as unavailable
     failures: int = 0  # in a row
 
     def close(self) -> None:
-        if self.side is not None:
-            self.side.connection.close()
-            self.side = None
+        if self.http is not None:
+            self.http.connection.close()
+            self.http = None
 
 
 class DiscoveryWatch:
-    """Keeps the endpoint list fresh for good, also when discovery is silent, gone, malformed or moves."""
+    """Keeps the endpoint list up to date, also while discovery is silent, unreachable, malformed or moved."""
 
     def __init__(
         self, address: tuple[str, int], endpoints: EndpointList, seed: int = 0, callers: int = 1
     ):
-        """`callers`: how many dispatchers call this discovery, this one among them."""
+        """`callers`: the number of dispatchers that call this discovery, including this one."""
         self.address = address
         self.callers = callers
         self._endpoints = endpoints
-        self._list_source = address  # the discovery whose version numbers the list has
+        self._list_source = address  # the discovery whose version numbers apply to the list
         self._rng = random.Random(seed)
         self._scope = trio.CancelScope()
-        self.answered = trio.Event()  # discovery has given a list
+        self.answered = trio.Event()  # set when discovery has returned a list
 
     def move(self, address: tuple[str, int]) -> None:
-        """Go on at another address at once, even from within a held call, and take the whole list there."""
+        """Switch to another address immediately, even during a call, and fetch the full list there."""
         if address != self.address:
             self.address = address
             self._scope.cancel()
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Poll discovery until cancelled."""
         while True:
             self._scope = trio.CancelScope()
             with self._scope:
-                await self._follow(_Session(self.address))
+                await self._poll_forever(_Session(self.address))
 
-    async def _follow(self, session: _Session) -> None:
+    async def _poll_forever(self, session: _Session) -> None:
         try:
             while True:
                 try:
@@ -117,83 +123,83 @@
             session.close()
 
     async def _poll(self, session: _Session) -> None:
-        """One call and its answer."""
-        whole = session.needs_whole_list
+        """Make one call and apply its answer. Raises on any failure."""
+        full = session.needs_full_list
         timeout = HOLD_MS / 1000.0 + ANSWER_GRACE_SECONDS
         with trio.fail_after(RECOVERY_TIMEOUT_SECONDS if session.recovering else timeout):
-            if session.side is None:
+            if session.http is None:
                 with trio.fail_after(CONNECT_TIMEOUT_SECONDS):
-                    session.side = ClientSide(
-                        await Connection.open(session.address, ring=INPUT_BUFFER_BYTES)
+                    session.http = ClientSide(
+                        await Connection.open(session.address, ring_bytes=INPUT_BUFFER_BYTES)
                     )
             response, body = await self._call(
-                session.side, whole, RECOVERY_HOLD_MS if session.recovering else HOLD_MS
+                session.http, full, RECOVERY_HOLD_MS if session.recovering else HOLD_MS
             )
-        self._apply(response, body, whole)
+        self._apply(response, body, full)
         self._note_success(session)
-        if not session.side.settled():
+        if not session.http.exchange_complete():
             session.close()
 
     def _note_success(self, session: _Session) -> None:
         self._list_source = session.address
         self.answered.set()
-        session.needs_whole_list = session.recovering = False
+        session.needs_full_list = session.recovering = False
         session.failures = 0
-        if session.lost:
+        if session.unavailable:
             log.info(
                 "discovery_recovered version=%d endpoints=%d",
                 self._endpoints.version,
                 len(self._endpoints),
             )
-            session.lost = False
+            session.unavailable = False
 
     def _note_failure(self, session: _Session, error: Exception) -> float:
-        """Take a failed call into account; returns the seconds to the next one."""
+        """Record a failed call; returns the seconds to wait before the next one."""
         session.recovering = True
-        if not session.lost:
+        if not session.unavailable:
             log.warning(
                 "discovery_unavailable version=%d: %s %s",
                 self._endpoints.version,
                 type(error).__name__,
                 error,
             )
-            session.lost = True
+            session.unavailable = True
         pause = RETRY_PAUSE_SECONDS
         rejected = isinstance(error, CallRejected)
         if rejected or (session.failures and self.callers > 1):
-            pause = pause_after(session.failures, self.callers, self._rng.random())
+            pause = retry_pause(session.failures, self.callers, self._rng.random())
         session.failures = min(session.failures + 1, MAX_COUNTED_FAILURES)
         if rejected:
-            current = len(self._endpoints) and self._list_source == session.address
-            session.needs_whole_list = session.needs_whole_list and not current
+            list_is_current = len(self._endpoints) and self._list_source == session.address
+            session.needs_full_list = session.needs_full_list and not list_is_current
         elif isinstance(error, (ConfigError, ValueError)):
-            session.needs_whole_list = True  # after malformed changes only the whole list is safe
+            session.needs_full_list = True  # after malformed changes only the full list is reliable
         return pause
 
-    async def _call(
-        self, side: ClientSide, whole: bool, hold_ms: int
-    ) -> tuple[h11.Response, bytes]:
-        """Ask for the whole list, or for changes that may take so long to come."""
-        target = PATH if whole else f"{PATH}?from={self._endpoints.version}&hold_ms={hold_ms}"
-        await side.connection.send(side.encode("GET", target, [("Host", "discovery")]))
-        response = await side.response()
-        return response, await side.body(MAX_LIST_BYTES)
-
-    def _apply(self, response: h11.Response, body: bytes, whole: bool) -> None:
-        """Apply an answer to the list. Raises CallRejected, ConfigError or ValueError."""
+    async def _call(self, http: ClientSide, full: bool, hold_ms: int) -> tuple[h11.Response, bytes]:
+        """Request the full list, or changes, which discovery waits for up to `hold_ms`."""
+        target = (
+            HOSTS_PATH if full else f"{HOSTS_PATH}?from={self._endpoints.version}&hold_ms={hold_ms}"
+        )
+        await http.connection.send(http.encode("GET", target, [("Host", "discovery")]))
+        response = await http.response()
+        return response, await http.body(MAX_LIST_BYTES)
+
+    def _apply(self, response: h11.Response, body: bytes, full: bool) -> None:
+        """Apply an answer to the endpoint list. Raises CallRejected, ConfigError or ValueError."""
         if response.status_code in (429, 503):
             raise CallRejected(f"status {response.status_code}")
         if response.status_code != 200:
-            raise ConfigError(f"discovery: status {response.status_code}")
+            raise ConfigError(f"discovery: expected status 200, found {response.status_code}")
         answer = ujson.loads(body)
         known = self._endpoints.version
         if (
-            not whole
+            not full
             and isinstance(answer, dict)
             and not answer.get("full")
             and isinstance(version := answer.get("version"), int)
             and version < known
         ):
-            # Its versions begin anew, so a change would be missed until they had come up to ours.
-            raise ConfigError(f"discovery.version: {version}, after {known}")
+            # Discovery has restarted its version numbers: changes would be missed until they exceed ours.
+            raise ConfigError(f"discovery.version: {version}, lower than the known {known}")
         self._endpoints.apply(answer)
--- a/yewrill/net/endpoint_list.py
+++ b/yewrill/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoints that this dispatcher knows: discovery's list, and what operators have detached from it."""
+"""The endpoint list: the endpoints from discovery, and the workers that operators have detached."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
 from yewrill.policy import interface as api
 
 MAX_DETACHED = 10_000
-REATTACHED_RETENTION_SECONDS = 60.0  # for which a new process learns that a worker was attached again
+# How long a new process is told that a worker was attached again.
+REATTACHED_RETENTION_SECONDS = 60.0
 
 
 class EndpointList:
-    """The endpoints known now; every change goes to the decision engine and to the subscribers too."""
+    """Holds the known endpoints; reports each change to the decision engine and the subscribers."""
 
     def __init__(self, engine: DecisionEngine, topology: TopologyNames):
         self._engine = engine
         self.topology = topology
         self._known: dict[str, Endpoint] = {}
-        self._detached: set[str] = set()  # by operators, listed or not
-        self._attached_at: dict[str, float] = {}  # lately, by the engine's clock, in ms
+        self._detached: set[str] = set()  # by operators; may hold names that are not listed
+        self._attached_at: dict[str, float] = {}  # recently attached again; engine clock, ms
         self.version = 0
         self._change_subscribers: list[Callable[[Endpoint | None, str], None]] = []
         self._list_subscribers: list[Callable[[], None]] = []
@@ -33,24 +34,24 @@
         return len(self._known)
 
     def subscribe_to_changes(self, callback: Callable[[Endpoint | None, str], None]) -> None:
-        """Call back with each endpoint that has changed, None for one that is gone, and its name."""
+        """Register a callback for each changed endpoint and its name; the endpoint is None if removed."""
         self._change_subscribers.append(callback)
 
     def subscribe_to_lists(self, callback: Callable[[], None]) -> None:
-        """Call back whenever the list is another one."""
+        """Register a callback for each change of the list."""
         self._list_subscribers.append(callback)
 
     @property
     def names(self) -> list[str]:
-        """All names of the list."""
+        """The names of all listed endpoints."""
         return list(self._known)
 
     def get(self, name: str) -> Endpoint | None:
-        """The endpoint of this name, if it is listed."""
+        """Return the endpoint of this name, None if it is not listed."""
         return self._known.get(name)
 
     def may_send(self, name: str) -> bool:
-        """Whether new work may still go there: not once it drains, is gone or was detached."""
+        """Return whether an endpoint may get new attempts: it is listed, running and not detached."""
         endpoint = self._known.get(name)
         return (
             endpoint is not None
@@ -60,14 +61,14 @@
 
     @property
     def detached(self) -> list[str]:
-        """What operators have detached, listed or not."""
+        """The sorted names of the workers that operators have detached, listed or not."""
         return sorted(self._detached)
 
     @property
     def recently_attached(self) -> dict[str, float]:
-        """What was attached again lately, and how long ago, in ms.
+        """The workers attached again within the retention period, with the time since then in ms.
 
-        Whoever sends there for the first time must take it for a worker that is warming up.
+        A process that sends to such a worker for the first time must assume that it is warming up.
         """
         now = self._engine.now()
         oldest = now - REATTACHED_RETENTION_SECONDS * 1000.0
@@ -75,9 +76,9 @@
         return {name: now - at for name, at in self._attached_at.items()}
 
     def detach(self, name: str, listed: bool = True) -> bool:
-        """Send nothing more there, whatever lists say, until it is attached again.
+        """Stop sending to a worker, whatever discovery lists, until it is attached again.
 
-        Returns False if `listed` and no list has it, or if too many are detached.
+        Returns False if `listed` is set and the worker is not listed, or if too many are detached.
         """
         if name not in self._detached:
             if (listed and name not in self._known) or len(self._detached) >= MAX_DETACHED:
@@ -88,7 +89,10 @@
         return True
 
     def attach(self, name: str, age_ms: float = 0.0) -> bool:
-        """End that, so many ms ago; it may have been restarted meanwhile. False if the name is unknown."""
+        """Undo `detach`, as of `age_ms` ago; returns False if the worker is unknown.
+
+        The worker may have been restarted since it was detached.
+        """
         if name in self._detached:
             self._detached.discard(name)
             self._attached_at[name] = self._engine.now() - age_ms
@@ -108,13 +112,13 @@
             callback(endpoint, name)
 
     def _as_seen_by_policy(self, endpoint: Endpoint) -> Endpoint:
-        """An endpoint as the policy is to see it: one that is detached drains."""
+        """Return the endpoint as the policy sees it: a detached one is draining."""
         if endpoint.id in self._detached and endpoint.state == api.WorkerState.RUNNING:
             return replace(endpoint, state=api.WorkerState.DRAINING)
         return endpoint
 
     def snapshot(self) -> dict[str, Any]:
-        """The list in discovery's form, for another process of this dispatcher."""
+        """Return the list in discovery's format, for another process of this dispatcher."""
         return {
             "version": self.version,
             "full": True,
@@ -134,7 +138,7 @@
         }
 
     def apply(self, answer: dict[str, Any], cached: bool = False) -> None:
-        """Take an answer of discovery's. Raises ConfigError if it is malformed; the list stays then."""
+        """Apply an answer of discovery. Raises ConfigError if it is malformed; the list is then unchanged."""
         endpoints = read_endpoints(answer, "discovery", self.topology)
         version, full = answer["version"], cached or bool(answer.get("full"))
         before = dict(self._known)
--- a/yewrill/net/http.py
+++ b/yewrill/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on a connection, parsed by h11: what clients ask here, and what is asked of others."""
+"""HTTP/1.1 on a connection, parsed by h11: the server side for clients, the client side for other peers."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from yewrill.net.connection import Connection
 
-MAX_HEAD = 16 * 1024
-MAX_BODY = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
 
 
 class BadRequest(Exception):
-    """Input that is answered with a status and goes no further."""
+    """A request that is rejected with an HTTP status before it reaches the policy."""
 
     def __init__(self, status: int, text: str, headers: tuple[tuple[str, str], ...] = ()):
         super().__init__(text)
@@ -23,7 +23,7 @@
 
 
 class PeerEnded(Exception):
-    """The other side closed the connection."""
+    """The peer closed the connection before the end of its response."""
 
 
 @dataclass(slots=True)
@@ -34,13 +34,12 @@
     target: str
     headers: list[tuple[bytes, bytes]]
     body: bytes = b""
-    arrived: float = 0.0  # when its first byte was read, on the loop's clock
-    passed: list[tuple[bytes, bytes]] = field(
-        default_factory=list
-    )  # the checked headers that go on
+    arrived: float = 0.0  # when its first byte was read, in event loop time
+    # The validated headers that are forwarded to the worker.
+    forwarded_headers: list[tuple[bytes, bytes]] = field(default_factory=list)
 
     def single_header(self, name: bytes) -> str | None:
-        """A header's value, None if absent. One given twice is ambiguous, so it is a bad request."""
+        """Return a header's value, None if absent. Raises BadRequest if it is repeated or not ASCII."""
         found = [value for key, value in self.headers if key == name]
         if len(found) > 1:
             raise BadRequest(400, f"duplicate header {name.decode()}")
@@ -50,7 +49,7 @@
             raise BadRequest(400, f"header {name.decode()} is not plain ASCII") from None
 
     def header_values(self, name: bytes) -> list[str]:
-        """All values of a header that must never fail a request, whatever they hold."""
+        """Return all values of a header. Never raises, whatever bytes they hold."""
         return [value.decode("latin-1") for key, value in self.headers if key == name]
 
 
@@ -64,37 +63,37 @@
     content_type: str = "text/plain; charset=utf-8"
 
 
-# Framing headers under another spelling: h11 takes them for headers of no concern, someone else might not.
-_FRAMING = {b"content-length", b"transfer-encoding"}
+# h11 ignores a misspelt framing header such as Content_Length; another HTTP implementation might act on it.
+_FRAMING_HEADERS = {b"content-length", b"transfer-encoding"}
 
 
 def check_framing(event: h11.Request) -> None:
-    """Refuse a request whose end others may see elsewhere than h11 does: its body may hide a second one."""
+    """Reject ambiguous framing (raises BadRequest), which could smuggle a second request in the body."""
     if event.http_version not in (b"1.0", b"1.1"):
         raise BadRequest(505, "unsupported HTTP version")
     names = {name for name, _ in event.headers}
-    if names >= _FRAMING:
+    if names >= _FRAMING_HEADERS:
         raise BadRequest(400, "Content-Length with Transfer-Encoding")
     if b"transfer-encoding" in names and event.http_version == b"1.0":
         raise BadRequest(400, "Transfer-Encoding in HTTP/1.0")
-    if any(b"_" in name and name.replace(b"_", b"-") in _FRAMING for name in names):
+    if any(b"_" in name and name.replace(b"_", b"-") in _FRAMING_HEADERS for name in names):
         raise BadRequest(400, "misspelt framing header")
 
 
 class ServerSide:
-    """The parser's state of one client connection."""
+    """The server side of HTTP on one client connection: parses requests, encodes replies."""
 
     __slots__ = ("parser",)
 
     def __init__(self) -> None:
-        self.parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
+        self.parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
 
     def feed(self, data: bytes) -> None:
         """Pass received bytes to the parser."""
         self.parser.receive_data(data)
 
-    def next(self):
-        """The next event of the request, h11.NEED_DATA or h11.PAUSED."""
+    def next_event(self):
+        """Return the next event of the request, h11.NEED_DATA or h11.PAUSED. Raises BadRequest."""
         try:
             return self.parser.next_event()
         except h11.RemoteProtocolError as error:
@@ -103,7 +102,7 @@
             raise BadRequest(status, f"malformed HTTP: {error}") from None
 
     def encode_reply(self, reply: Reply, close: bool) -> bytes:
-        """A reply with its length, as bytes."""
+        """Encode a complete reply with its Content-Length."""
         headers = [("Content-Type", reply.content_type), ("Content-Length", str(len(reply.body)))]
         head = self.encode_head(reply.status, headers + reply.headers, close)
         return head + self.encode_body_part(reply.body) + self.encode_end()
@@ -115,7 +114,7 @@
         return self.parser.send(h11.Response(status_code=status, headers=headers))
 
     def encode_body_part(self, data: bytes) -> bytes:
-        """A piece of a body whose length is not known beforehand."""
+        """Encode one chunk of a reply's body."""
         return self.parser.send(h11.Data(data=data)) or b""
 
     def encode_end(self) -> bytes:
@@ -124,23 +123,23 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether the connection may carry another request."""
+        """Whether both sides of the exchange are complete, so that the connection can carry another."""
         return self.parser.our_state is h11.DONE and self.parser.their_state is h11.DONE
 
     @property
     def can_answer(self) -> bool:
-        """Whether a reply may still be sent."""
+        """Whether a reply can still be sent."""
         return self.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
 
 class ClientSide:
-    """One exchange after another on a connection to a destination or to discovery."""
+    """The client side of HTTP on a connection to a worker or to discovery: one exchange at a time."""
 
     __slots__ = ("connection", "parser")
 
     def __init__(self, connection: Connection):
         self.connection = connection
-        self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD)
+        self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
 
     def encode(self, method: str, target: str, headers: list[tuple], body: bytes = b"") -> bytes:
         """Encode a whole request."""
@@ -153,12 +152,12 @@
         return data + (send(h11.EndOfMessage()) or b"")
 
     async def event(self):
-        """The next event of the answer. Raises h11.RemoteProtocolError, OSError or PeerEnded."""
+        """Return the next event of the response. Raises h11.RemoteProtocolError, OSError or PeerEnded."""
         while True:
             event = self.parser.next_event()
             if event is h11.NEED_DATA:
                 data = await self.connection.receive()
-                if not data and not self._until_close():
+                if not data and not self._body_ends_at_close():
                     raise PeerEnded
                 self.parser.receive_data(data)
             elif isinstance(event, h11.ConnectionClosed):
@@ -166,37 +165,44 @@
             else:
                 return event
 
-    def _until_close(self) -> bool:
-        """h11 itself takes the end of the stream as the body's end only where the framing says so."""
+    def _body_ends_at_close(self) -> bool:
+        """Whether the end of the stream may end the body, as in HTTP/1.0; h11 checks the framing itself."""
         return self.parser.their_state is h11.SEND_BODY and self.parser.their_http_version == b"1.0"
 
     async def response(self) -> h11.Response:
-        """Wait for the head of the response; raises as `event`."""
+        """Wait for the head of the response. Raises the errors of `event`."""
         while True:
             event = await self.event()
             if isinstance(event, h11.Response):
                 return event
 
-    async def body(self, most: int = MAX_BODY) -> bytes:
-        """Read the body, at most `most` bytes; raises as `event`."""
+    async def body(self, max_bytes: int = MAX_BODY_BYTES) -> bytes:
+        """Read the body. Raises the errors of `event`, h11.RemoteProtocolError also over `max_bytes`."""
         parts = bytearray()
         while True:
             event = await self.event()
             if isinstance(event, h11.EndOfMessage):
                 return bytes(parts)
             parts += event.data
-            if len(parts) > most:
-                raise h11.RemoteProtocolError("body too long")
+            if len(parts) > max_bytes:
+                raise h11.RemoteProtocolError("response body too long")
 
-    def settled(self) -> bool:
-        """Whether the exchange is over on both sides, so that the connection can carry another."""
+    def exchange_complete(self) -> bool:
+        """Return whether both sides of the exchange are complete, so that the connection can be reused.
+
+        Reads the rest of the response as far as it is available. Raises OSError or h11.RemoteProtocolError.
+        """
         parser = self.parser
         read = 0
         while parser.their_state is h11.SEND_BODY:
             event = parser.next_event()
             if event is h11.NEED_DATA:
-                # One that never stops talking after its answer must not hold up everyone else.
-                if self.connection.closed or read > MAX_BODY or not self.connection.fill_now():
+                # A worker that keeps sending after its answer must not block the event loop.
+                if (
+                    self.connection.closed
+                    or read > MAX_BODY_BYTES
+                    or not self.connection.fill_now()
+                ):
                     return False
                 data = self.connection.inbound.take()
                 read += len(data)
--- a/yewrill/net/listener.py
+++ b/yewrill/net/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepting clients within a bound, serving each, eviction, and draining."""
+"""The client listener: accepts a bounded number of clients, serves, evicts and drains them."""
 
 from __future__ import annotations
 
@@ -16,28 +16,32 @@
 from yewrill.net import client_connection
 from yewrill.net.backlog import Backlog
 from yewrill.net.client_connection import ClientConnection
-from yewrill.net.connection import NO_DESCRIPTORS, Connection, Quiet
+from yewrill.net.connection import OUT_OF_RESOURCES, Connection, IdleCheck
 from yewrill.net.http import BadRequest, HttpRequest, Reply
 
 log = logging.getLogger("yewrill.clients")
 
-BACKLOG = 1024
-# Seconds for a request to be whole, from its first byte, or the connection's beginning for the first one:
-# whoever says nothing, or half of something, has its error or its close within 3 s.
+BACKLOG_SIZE = 1024
+# Time limit for a complete request from its first byte, and for a connection's first request from the accept:
+# a client that sends nothing or an incomplete request has its error reply or its close within 3 s.
 REQUEST_TIMEOUT_SECONDS = 2.5
-# A connection that has asked for nothing yet may be evicted for a new one after this time.
+# A connection without a request so far may be evicted for a new one after this time.
 MIN_EVICTION_AGE_SECONDS = 0.2
-# Read after the last reply, so that it arrives; what else is sent is left unread.
+# Input that is read and discarded after the last reply so that the reply arrives; the rest is left unread.
 LINGER_MAX_BYTES = 64 * 1024
-LINGER_TIMEOUT_SECONDS = 0.2  # for a client to take its last reply and close
-ACCEPT_PAUSE_SECONDS = 0.05  # when there are no descriptors
+LINGER_TIMEOUT_SECONDS = 0.2  # for a client to read its last reply and close
+# The pause after a failed wait for the socket, and the longest wait for a free place before a new eviction.
+ACCEPT_PAUSE_SECONDS = 0.05
 
 
 Handler = Callable[[ClientConnection, HttpRequest], Awaitable[bool]]
 
 
-def _inherited(descriptor: int) -> socket.socket:
-    """The listening socket that the platform holds: others accept on it too, so here it is only closed."""
+def _adopt_socket(descriptor: int) -> socket.socket:
+    """Return the listening socket of an inherited descriptor.
+
+    Other processes accept on it too, so it is closed but never shut down. Raises OSError.
+    """
     try:
         sock = socket.socket(fileno=descriptor)
         if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -45,12 +49,12 @@
             return sock
         sock.detach()
     except OSError as error:
-        raise OSError(error.errno, f"descriptor {descriptor}: {error.strerror}") from None
-    raise OSError(errno.EINVAL, f"descriptor {descriptor} is not a listening socket")
+        raise OSError(error.errno, f"inherited descriptor {descriptor}: {error.strerror}") from None
+    raise OSError(errno.EINVAL, f"inherited descriptor {descriptor} is not a listening socket")
 
 
 class Listener:
-    """Accepts clients within a bound and serves each until it or the program ends."""
+    """Accepts at most `max_clients` clients and serves each until it disconnects or the process stops."""
 
     def __init__(
         self,
@@ -68,57 +72,56 @@
         )
         self._log_name = log_name
         if inherited is not None:
-            self.sock = _inherited(inherited)
+            self.sock = _adopt_socket(inherited)
         else:
             self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.sock.bind(address)
-            self.sock.listen(BACKLOG)
+            self.sock.listen(BACKLOG_SIZE)
         self.sock.setblocking(False)
-        self._backlog = Backlog(self, listening_before=inherited is not None)
+        self._backlog = Backlog(self, already_listening=inherited is not None)
         self.address: tuple[str, int] = self.sock.getsockname()
         self._handler = handler
         self._max_clients = max_clients
         self.clients: set[ClientConnection] = set()
-        self._place_freed = trio.Event()
+        self._capacity_freed = trio.Event()
         self._failed_accepts = 0  # in a row
-        self._full_logged = False  # nobody can be evicted, and that has been logged
+        self._full_logged = False  # that no client can be evicted
         self._nursery: trio.Nursery
         self.accept_failures = 0
         self.closes: Counter[CloseReason] = Counter()
-        # Called for a client whose connection closes though its request has no answer.
+        # Called for a client whose connection closes although its request has no answer.
         self._closed_unanswered = closed_unanswered
         self.accepting = True
-        self._closed = trio.Event()  # set once the listening socket is
-        self.stopping = False  # idle connections go, the others once they are answered
+        self._closed = trio.Event()  # set when the listening socket is closed
+        self.stopping = False  # idle connections are closed, the others after their answer
 
     async def run(self) -> None:
-        """Accept until the listening socket is closed, then return once every client has been served."""
+        """Accept until the listening socket is closed, then return when every client has been served."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            self._backlog.somebody_waits()  # if not, nobody has waited so far
+            self._backlog.has_waiting()  # an empty backlog resets the time counted as waited
             while self.accepting:
                 try:
                     await trio.lowlevel.wait_readable(self.sock)
                 except trio.ClosedResourceError:
                     break
-                except (
-                    OSError
-                ) as error:  # the wait could not be set up: a look at the socket does as well
+                except OSError as error:
+                    # The wait could not be set up: poll the socket instead.
                     self._accept_failed(error)
                     await trio.sleep(ACCEPT_PAUSE_SECONDS)
-                self._backlog.readable()
-                await self._accept_some()
+                self._backlog.note_readable()
+                await self._accept_waiting()
             await self._closed.wait()
 
-    async def _accept_some(self) -> None:
-        """Accept until nobody waits."""
+    async def _accept_waiting(self) -> None:
+        """Accept until the backlog is empty."""
         while self.accepting:
             full = len(self.clients) >= self._max_clients
-            if full and not self._backlog.somebody_waits():
-                return  # nobody is evicted for nobody
+            if full and not self._backlog.has_waiting():
+                return  # without a waiting client none is evicted
             if full and not self._evict():
-                await self._wait_for_place()
+                await self._wait_for_capacity()
                 continue
             self._full_logged = False
             try:
@@ -130,7 +133,7 @@
             if len(self.clients) % 16 == 0:
                 await trio.lowlevel.checkpoint()
 
-    async def _wait_for_place(self) -> None:
+    async def _wait_for_capacity(self) -> None:
         if not self._full_logged:
             log.warning(
                 "%s_full open=%d: new connections wait in the backlog",
@@ -138,14 +141,13 @@
                 len(self.clients),
             )
             self._full_logged = True
-        self._place_freed = trio.Event()
-        with trio.move_on_after(
-            ACCEPT_PAUSE_SECONDS
-        ):  # by then others may have stayed silent for too long
-            await self._place_freed.wait()
+        self._capacity_freed = trio.Event()
+        # By then further silent connections may have reached the eviction age.
+        with trio.move_on_after(ACCEPT_PAUSE_SECONDS):
+            await self._capacity_freed.wait()
 
     def _accept_one(self) -> bool:
-        """Whether somebody waited. Raises OSError if that can't be found out."""
+        """Accept one client; returns False if none was waiting. Raises OSError if `accept` fails."""
         accepted = self._backlog.accept()
         if self._failed_accepts and accepted is not None:
             log.info("%s_accept_recovered failed=%d", self._log_name, self._failed_accepts)
@@ -153,13 +155,13 @@
         if accepted is None:
             return False
         client = ClientConnection(Connection(accepted.sock))
-        client.note_wait(accepted)
+        client.note_backlog_wait(accepted)
         self.clients.add(client)
         self._nursery.start_soon(self._serve, client)
         return True
 
     def _accept_failed(self, error: OSError) -> None:
-        """Count and log it. Clients that wait stay in the backlog; the connected ones are served on."""
+        """Count and log a failed accept. Waiting clients stay in the backlog, the others are still served."""
         self._failed_accepts += 1
         self.accept_failures += 1
         if self._failed_accepts == 1:
@@ -170,27 +172,28 @@
                 errno.errorcode.get(error.errno, error.errno),
                 error.strerror,
             )
-        if error.errno in NO_DESCRIPTORS:
+        if error.errno in OUT_OF_RESOURCES:
             self._evict()
 
     def _evict(self) -> bool:
-        """Close connections that have no request under way, to make room for new ones.
-
-        First those that never sent a request, after a while and several at once: a flood consists of them.
-        Then the one that has been idle for longest, as the protocol allows. A connection with unread bytes in
-        the system is passed over: they may be a whole request, which a close would reset. So is one, for as
-        long as a reply may take, whose client has not taken all of its last answer: a request that crosses
-        the close would lose it.
+        """Close connections without a request in progress to make room; returns whether any was closed.
+
+        Connections that never sent a request are closed first, several at once and after a minimum age,
+        because a connection flood consists of them. Otherwise the one that has been idle longest is closed,
+        which the protocol permits. Connections with unread bytes in the kernel are skipped: the bytes may be
+        a complete request, which the close would reset. For up to the send timeout, connections whose client
+        has not acknowledged all of its last answer are skipped too: if its next request crossed the close,
+        the reset would destroy that answer.
         """
         now = trio.current_time()
-        settled = now - MIN_EVICTION_AGE_SECONDS
-        latest = now - client_connection.SEND_TIMEOUT_SECONDS
+        newest_evictable = now - MIN_EVICTION_AGE_SECONDS
+        answer_cutoff = now - client_connection.SEND_TIMEOUT_SECONDS
         silent = [c for c in self.clients if not c.has_sent_request and not c.answering]
         evicted = self._longest_idle(
-            [c for c in silent if c.idle_since < settled], max(1, self._max_clients // 32)
+            [c for c in silent if c.idle_since < newest_evictable], max(1, self._max_clients // 32)
         )
         if not evicted and len(silent) > self._max_clients // 8:
-            return False  # new ones wait the moment until these have had their time
+            return False  # new clients wait until these have reached the eviction age
         if not evicted:
             evicted = self._longest_idle(
                 [
@@ -198,7 +201,7 @@
                     for c in self.clients
                     if c.has_sent_request
                     and c.idle
-                    and (c.idle_since < latest or not c.connection.on_its_way())
+                    and (c.idle_since < answer_cutoff or not c.connection.unacknowledged_bytes())
                 ],
                 1,
             )
@@ -209,30 +212,36 @@
 
     @staticmethod
     def _longest_idle(clients: list[ClientConnection], count: int) -> list[ClientConnection]:
-        """The first of those without unread bytes; one whose bytes are read is idle if they are but half."""
-        waiting = (
+        """Return the `count` longest idle clients without unread bytes in the kernel.
+
+        A client whose bytes have been read has sent only part of a request, and counts as idle.
+        """
+        candidates = (
             c
             for c in sorted(clients, key=lambda c: c.idle_since)
-            if len(c.connection.inbound) or c.connection.quiet() is not Quiet.STRAY
+            if len(c.connection.inbound) or c.connection.check_idle() is not IdleCheck.STRAY
         )
-        return list(islice(waiting, count))
+        return list(islice(candidates, count))
 
     def _forget(self, client: ClientConnection) -> None:
         self.clients.discard(client)
-        self._place_freed.set()
+        self._capacity_freed.set()
 
     def limit(self, max_clients: int) -> None:
-        """Set another bound; clients that are connected already stay."""
+        """Change the maximum number of clients; connected clients stay connected."""
         self._max_clients = max_clients
-        self._place_freed.set()
+        self._capacity_freed.set()
 
-    async def drain_backlog(self, until: float) -> None:
-        """Accept whoever waits, then close the listening socket. Calls that fail, and places that are taken,
-        are waited for until a time of the event loop; whoever is left then is reset and tries elsewhere."""
+    async def drain_backlog(self, deadline: float) -> None:
+        """Accept all waiting clients, then close the listening socket.
+
+        Failing calls are retried, and capacity is awaited, until `deadline` (event loop time). Clients that
+        still wait then are reset, and connect to another dispatcher.
+        """
         if not self.accepting:
             return
         self.accepting = False
-        while self._backlog.somebody_waits() or self._failed_accepts:
+        while self._backlog.has_waiting() or self._failed_accepts:
             try:
                 if len(self.clients) < self._max_clients or self._evict():
                     if not self._accept_one():
@@ -240,14 +249,14 @@
                     continue
             except OSError as error:
                 self._accept_failed(error)
-            if trio.current_time() >= until:
+            if trio.current_time() >= deadline:
                 log.warning("%s_backlog_abandoned open=%d", self._log_name, len(self.clients))
                 break
             await trio.sleep(self._backlog.pause)
         self._close_socket()
 
     def stop_accepting(self) -> None:
-        """Close the listening socket at once: another process accepts who waits, or none does."""
+        """Close the listening socket now. Another process on it, if any, accepts the waiting clients."""
         self.accepting = False
         if not self._closed.is_set():
             self._close_socket()
@@ -256,37 +265,37 @@
         trio.lowlevel.notify_closing(self.sock)
         self.sock.close()
         self._closed.set()
-        self._place_freed.set()
+        self._capacity_freed.set()
 
     async def wait_until_empty(self) -> None:
-        """Wait until no client is connected any more."""
+        """Wait until no client is connected."""
         while self.clients:
-            self._place_freed = trio.Event()
-            await self._place_freed.wait()
+            self._capacity_freed = trio.Event()
+            await self._capacity_freed.wait()
 
     def close(self) -> None:
-        """Close idle connections, and each of the others after its answer."""
+        """Close idle connections now, and each of the others after its answer."""
         self.stopping = True
         for client in list(self.clients):
             self._close_if_idle(client)
 
     def close_without_request(self) -> None:
-        """Close whoever has no whole request here and no reply on its way: nobody would answer it in time."""
+        """Close connections without a complete request or a pending reply; an answer would be too late."""
         for client in list(self.clients):
             if not client.answering and not client.closing:
                 client.disconnect(CloseReason.CUT)
 
     def close_idle(self, age: float) -> None:
-        """Close connections that have been idle for so many seconds; new ones are accepted on."""
+        """Close connections that have been idle for `age` seconds; new ones are still accepted."""
         before = trio.current_time() - age
         for client in list(self.clients):
             if client.idle_since <= before:
                 self._close_if_idle(client)
 
     def _close_if_idle(self, client: ClientConnection) -> None:
-        # A request that has come but was not read yet is served first.
-        if client.idle and client.connection.quiet() is Quiet.IDLE:
-            client.close_in_order()
+        # A request that has arrived but is still unread is served first.
+        if client.idle and client.connection.check_idle() is IdleCheck.IDLE:
+            client.close_gracefully()
 
     async def _serve(self, client: ClientConnection) -> None:
         reason = CloseReason.FAULT
@@ -305,7 +314,7 @@
             self._forget(client)
 
     async def _serve_requests(self, client: ClientConnection) -> CloseReason:
-        """Serve a client's requests; why that came to its end."""
+        """Serve a client's requests; returns why the connection is closed."""
         reason: CloseReason | None = None
         while reason is None:
             try:
@@ -314,14 +323,14 @@
                 await self._reject(client, bad)
                 reason = CloseReason.BAD_REQUEST
             except Exception:
-                # A fault in one exchange must lose neither the program nor this client's answer.
+                # A bug in one exchange must neither stop the process nor cost this client its answer.
                 log.exception("exchange_raised")
                 await self._answer_fault(client)
                 reason = CloseReason.FAULT
         return reason
 
     async def _exchange(self, client: ClientConnection) -> CloseReason | None:
-        """One request and its answer; None if another may follow. Raises BadRequest."""
+        """Serve one request; returns None if another may follow, else the close reason. Raises BadRequest."""
         http_request = await self._next_request(client)
         if http_request is None:
             if not client.closing:
@@ -329,13 +338,13 @@
             await self._linger(client)
             return CloseReason.DRAINED
         if client.has_pipelined_input:
-            # Pipelined requests: rejected here, where it costs least.
+            # Pipelined requests are rejected before any work is done for them.
             raise BadRequest(400, "one request at a time on a connection")
         client.answering = True
-        go_on = await self._handler(client, http_request)
+        keep_open = await self._handler(client, http_request)
         if client.disconnected:
             return CloseReason.CLIENT_ENDED
-        if not go_on or not client.http.reusable or client.input_dropped:
+        if not keep_open or not client.http.reusable or client.input_dropped:
             await self._linger(client)
             return CloseReason.DRAINED if self.stopping else CloseReason.LAST_ANSWER
         client.next_cycle()
@@ -349,7 +358,7 @@
         client.closing = True
         reply = Reply(bad.status, bad.text.encode() + b"\n", list(bad.headers))
         await client.send(client.http.encode_reply(reply, close=True))
-        await self._linger(client, in_order=bad.status >= 500)
+        await self._linger(client, valid_request=bad.status >= 500)
 
     async def _answer_fault(self, client: ClientConnection) -> None:
         if client.disconnected or not client.http.can_answer:
@@ -366,14 +375,16 @@
             return await client.read_request()
         raise BadRequest(408, "the request took too long")
 
-    async def _linger(self, client: ClientConnection, in_order: bool = True) -> None:
-        """Close after the last reply so that it arrives: with unread bytes waiting, a plain close resets.
-        `in_order`: it answers a request that was in order."""
-        client.connection.end()
-        if not in_order and len(self.clients) > self._max_clients // 2:
-            # A flood: its descriptors are needed more than it is waited for. What is there already is taken.
+    async def _linger(self, client: ClientConnection, valid_request: bool = True) -> None:
+        """Wait after the last reply until the client has it: closing with unread input resets the connection.
+
+        `valid_request`: the reply answers a valid request. In a flood only such a reply is waited for.
+        """
+        client.connection.shutdown_write()
+        if not valid_request and len(self.clients) > self._max_clients // 2:
+            # In a flood descriptors matter more than this reply. Only input that is already here is read.
             with suppress(OSError):
-                client.connection.drop_now()
+                client.connection.discard_now()
             return
         with trio.move_on_after(LINGER_TIMEOUT_SECONDS):
             read = 0
--- a/yewrill/net/management.py
+++ b/yewrill/net/management.py
@@ -1,4 +1,4 @@
-"""The management listener, with one call to a connection; what the calls do is given to it."""
+"""The management listener: operators' HTTP calls, one per connection, dispatched to given actions."""
 
 from __future__ import annotations
 
@@ -10,45 +10,45 @@
 from yewrill.net.http import BadRequest, HttpRequest, Reply
 from yewrill.net.listener import Listener
 
-MAX_CALLERS = 24  # at once, of the reserved descriptors
-REQUEST_TIMEOUT_SECONDS = 1.0  # for a whole call to come
-NAME = "name"  # the parameter that names what a call is about
+MAX_CONCURRENT_CALLS = 24  # taken from the reserved descriptors
+REQUEST_TIMEOUT_SECONDS = 1.0  # for a complete call to arrive
+NAME_PARAMETER = "name"  # the query parameter that names the worker, zone or role concerned
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call of operators. If it is `named`, its action gets the name that the call states."""
+    """A management call. If it is `named`, its action receives the value of the `name` parameter."""
 
     method: str
-    act: Callable[..., Awaitable[Reply]]
+    action: Callable[..., Awaitable[Reply]]
     named: bool = False
 
 
 class ManagementListener:
-    """Answers operators' calls, by method and path."""
+    """Serves management calls by method and path."""
 
     def __init__(self, address: tuple[str, int], calls: Mapping[str, Call]):
         self._calls = calls
         self._listener = Listener(
             address,
             self._handle,
-            MAX_CALLERS,
+            MAX_CONCURRENT_CALLS,
             request_timeout=REQUEST_TIMEOUT_SECONDS,
             log_name="management",
         )
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address and port of the listening socket."""
         return self._listener.address
 
     async def run(self) -> None:
-        """Answer until `close`."""
+        """Serve calls until `close`."""
         await self._listener.run()
 
     def close(self) -> None:
-        """Take no more calls."""
-        self._listener.stop_accepting()  # nobody is left to serve it
+        """Accept no more calls."""
+        self._listener.stop_accepting()  # waiting calls are not drained: nothing would serve them
 
     async def _handle(self, client: ClientConnection, http_request: HttpRequest) -> bool:
         await client.send(client.http.encode_reply(await self._reply(http_request), close=True))
@@ -62,8 +62,12 @@
         if http_request.method != call.method:
             raise BadRequest(405, f"{call.method} only", (("Allow", call.method),))
         if not call.named:
-            return await call.act()
-        names = [value for key, value in parse_qsl(query, keep_blank_values=True) if key == NAME]
+            return await call.action()
+        names = [
+            value
+            for key, value in parse_qsl(query, keep_blank_values=True)
+            if key == NAME_PARAMETER
+        ]
         if len(names) != 1 or not names[0]:
-            raise BadRequest(400, f"one {NAME} is needed")
-        return await call.act(names[0])
+            raise BadRequest(400, f"one {NAME_PARAMETER} is needed")
+        return await call.action(names[0])
--- a/yewrill/net/management_client.py
+++ b/yewrill/net/management_client.py
@@ -1,4 +1,4 @@
-"""Calls at management listeners, for the command line. Blocking; no call takes longer than its patience."""
+"""A blocking client of management listeners for the command line; each call has a time limit."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 import click
 
-PATIENCE = 3.0  # seconds for a management listener to answer
-AT_ONCE = 32
+TIMEOUT_SECONDS = 3.0  # for connecting and for each read
+MAX_CONCURRENT_CALLS = 32
 
 addresses_option = click.option(
     "--management",
-    "--door",  # its former name
+    "--door",  # former name of the option
     "addresses",
     multiple=True,
     required=True,
@@ -23,8 +23,8 @@
 
 
 def call(address: str, method: str, target: str) -> tuple[int, bytes]:
-    """The status and the body; 0 and the reason where nobody answers."""
-    connection = http.client.HTTPConnection(address, timeout=PATIENCE)
+    """Return the status and the body, or 0 and the reason if there is no answer."""
+    connection = http.client.HTTPConnection(address, timeout=TIMEOUT_SECONDS)
     try:
         connection.request(method, target)
         response = connection.getresponse()
@@ -36,12 +36,12 @@
 
 
 def call_all(addresses: Sequence[str], method: str, target: str) -> list[tuple[str, int, bytes]]:
-    """The same call at all of them: address, status, body."""
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    """Make the same call at all addresses at once; returns address, status and body for each."""
+    with ThreadPoolExecutor(MAX_CONCURRENT_CALLS) as pool:
         answers = pool.map(lambda address: call(address, method, target), addresses)
         return [(address, *answer) for address, answer in zip(addresses, answers, strict=True)]
 
 
 def describe_failure(address: str, status: int, body: bytes) -> str:
-    """A line for a management listener that did not do what was asked."""
+    """Return an error line for a management listener that did not carry out a call."""
     return f"{address}: {status or 'no answer'}: {body.decode(errors='replace').strip()}"
--- a/yewrill/net/ring.py
+++ b/yewrill/net/ring.py
@@ -1,10 +1,10 @@
-"""A ring buffer of fixed size: a connection has one for each direction."""
+"""A ring buffer of fixed size; a connection has one per direction."""
 
 from __future__ import annotations
 
 
 class RingBuffer:
-    """Bytes between a socket and its reader or writer. It never grows."""
+    """Holds bytes between a socket and its reader or writer. Its capacity never grows."""
 
     __slots__ = ("_data", "_view", "_head", "_size")
 
@@ -23,26 +23,26 @@
         return len(self._data) - self._size
 
     def space(self) -> memoryview:
-        """The next free stretch, to be filled and then counted by `filled`."""
+        """Return the next contiguous free region; after writing into it, call `filled`."""
         capacity = len(self._data)
         tail = (self._head + self._size) % capacity
         return self._view[tail : tail + min(self.room, capacity - tail)]
 
     def filled(self, count: int) -> None:
-        """Count bytes that were written into `space`."""
+        """Add the bytes that were written into `space`."""
         self._size += count
 
     def pending(self) -> memoryview:
-        """The oldest stretch of bytes, to be used and then dropped by `used`."""
+        """Return the oldest contiguous bytes; after reading them, call `used`."""
         return self._view[self._head : self._head + min(self._size, len(self._data) - self._head)]
 
     def used(self, count: int) -> None:
-        """Drop bytes that were taken from `pending`."""
+        """Remove the bytes that were read from `pending`."""
         self._size -= count
         self._head = (self._head + count) % len(self._data) if self._size else 0
 
     def put(self, data: bytes | memoryview) -> int:
-        """Copy in as much as fits; returns how much that was."""
+        """Copy in as many bytes as fit; returns their number."""
         done = 0
         while done < len(data) and self.room:
             space = self.space()
@@ -53,7 +53,7 @@
         return done
 
     def take(self) -> bytes:
-        """Everything in it."""
+        """Remove and return all bytes."""
         first = bytes(self.pending())
         self.used(len(first))
         if self._size:
--- a/yewrill/net/worker_client.py
+++ b/yewrill/net/worker_client.py
@@ -1,7 +1,7 @@
-"""One attempt's exchange with a worker, and its health check, each over a connection of the pool.
+"""The worker client: runs attempts and health checks over connections of the pool.
 
-Order matters: an attempt's record is on disk before its connection is opened, and the last look at the rules
-comes directly before the first byte, because recording and opening take time.
+Order matters: an attempt's record is on disk before its connection is opened, and the rules are checked again
+directly before the first byte is written, because recording and connecting take time.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from yewrill.dispatch.engine import DecisionEngine
 from yewrill.dispatch.outcome import AttemptOutcome
 from yewrill.dispatch.request import Attempt, Request
-from yewrill.net.connection import OWN_SHORTAGE
+from yewrill.net.connection import LOCAL_CONNECT_ERRORS
 from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import PeerEnded
 from yewrill.net.worker_connections import WorkerConnection, WorkerConnectionPool
@@ -31,11 +31,13 @@
 log = logging.getLogger("yewrill.destinations")
 
 PROBE_PATH = "/alive"
-LOAD_PATH = "/metrics/load"  # the same, with a load report as its body, where workers report
+LOAD_PATH = (
+    "/metrics/load"  # a health check that returns a load report, for workers that report load
+)
 MAX_REPORT_BYTES = 4096
 PROBE_TIMEOUT_SECONDS = 0.2
-# An answer that names no request may come a second time some milliseconds later, and nothing would tell it
-# from the next request's: so its connection carries none until then.
+# A response without a request id may be sent twice, some milliseconds apart, and the second one would be
+# taken for the answer to the next request: so its connection is not reused for this time.
 UNNAMED_ANSWER_PAUSE_SECONDS = 0.05
 
 _FINAL_STATES = {
@@ -45,12 +47,12 @@
     "lost": AttemptOutcome.RESET,
 }
 _PROBE_STATUSES = {200: AttemptOutcome.SERVED, 503: AttemptOutcome.REJECTED}
-# What an answer in order can mean; after any other outcome the connection is closed.
+# Outcomes of well-formed answers; after any other outcome the connection is closed.
 _REUSABLE_AFTER = frozenset({AttemptOutcome.SERVED, AttemptOutcome.FAILED, AttemptOutcome.REJECTED})
 
 
 class _ConnectFailed(Exception):
-    """There is no connection for an attempt, which has this outcome."""
+    """No connection could be had for an attempt; carries the attempt's outcome."""
 
     def __init__(self, outcome: AttemptOutcome):
         super().__init__(outcome)
@@ -58,7 +60,7 @@
 
 
 class WorkerClient:
-    """Runs attempts and health checks."""
+    """Runs attempts and health checks on workers."""
 
     def __init__(
         self,
@@ -70,10 +72,10 @@
         on_written: Callable[[], None],
         record_attempt: Callable[[Attempt], Awaitable[bool]] | None = None,
     ):
-        """`on_written` is called after an attempt's last byte.
+        """`on_written` is called after the last byte of an attempt was written.
 
-        `record_attempt` waits until an attempt's record is on disk, and returns whether it is; no byte of
-        the attempt is written before.
+        `record_attempt` waits until an attempt's record is on disk and returns whether it is; before that no
+        byte of the attempt is sent.
         """
         self._engine = engine
         self._endpoints = endpoints
@@ -81,13 +83,13 @@
         self._connections = connections
         self._on_written = on_written
         self.record_attempt = record_attempt
-        # Attempts whose first byte was not written.
+        # Counts attempts that were not sent, by reason.
         self.held_back: Counter[rules.HeldBack] = Counter()
 
     async def run_attempt(self, attempt: Attempt) -> tuple[AttemptOutcome, Any]:
         """Run an attempt to its outcome. Its connection is closed or back in the pool on return.
 
-        The attempt's own cancel scope ends it early, with an outcome; a cancellation from outside goes on.
+        Cancelling the attempt's own scope ends it with an outcome; other cancellations propagate.
         """
         scope = attempt.scope
         scope.deadline = min(scope.deadline, self._engine.loop_time(attempt.until))
@@ -98,8 +100,8 @@
             return answer
         if attempt.written:
             return attempt.withdrawn or AttemptOutcome.TIMED_OUT, None
-        # Given up before its last byte went out: the worker never starts on it, and unless it was slow to
-        # take the bytes, that says nothing against it.
+        # Cancelled before its last byte was written, so the worker does not run it. That counts against the
+        # worker only if it was slow to read.
         if not attempt.sent or attempt.withdrawn is AttemptOutcome.NOT_SENT:
             return AttemptOutcome.NOT_SENT, None
         return AttemptOutcome.UNREACHABLE, None
@@ -121,21 +123,21 @@
             attempt.trace.connected = trio.current_time()
         reusable = False
         try:
-            # Opening took time: the last look before the first byte.
-            if (held := self._check_may_send(attempt)) is not None:
+            # Connecting took time: check again directly before the first byte.
+            if (held_back := self._check_may_send(attempt)) is not None:
                 reusable = True
-                return held
+                return held_back
             outcome, result = await self._exchange(attempt, connection)
             reusable = outcome in _REUSABLE_AFTER
             return outcome, result
         finally:
             if reusable:
-                self._connections.give_back(attempt.worker, connection)
+                self._connections.release(attempt.worker, connection)
             else:
                 self._connections.discard(connection)
 
     async def _connection(self, endpoint: Endpoint) -> WorkerConnection:
-        """An idle connection or a new one. Raises _ConnectFailed."""
+        """Return an idle connection or open one. Raises _ConnectFailed."""
         connection = self._connections.take_idle(endpoint)
         if connection is not None:
             return connection
@@ -149,9 +151,9 @@
         except trio.TooSlowError:
             raise _ConnectFailed(AttemptOutcome.UNREACHABLE) from None
         except OSError as error:
-            if error.errno not in OWN_SHORTAGE:
+            if error.errno not in LOCAL_CONNECT_ERRORS:
                 raise _ConnectFailed(AttemptOutcome.UNREACHABLE) from None
-            # A shortage of this process says nothing against the worker.
+            # A local shortage of resources says nothing about the worker.
             log.warning(
                 "worker_sockets_exhausted open=%d: %s", self._connections.open, error.strerror
             )
@@ -201,7 +203,7 @@
     def _check_may_send(
         self, attempt: Attempt, record_kept: bool = True
     ) -> tuple[AttemptOutcome, None] | None:
-        """None if an attempt's first byte may be written now; else its outcome, counted and logged."""
+        """Return None if the attempt may be sent now, else its outcome, which is counted and logged."""
         reason = rules.may_send(
             rules.SendFacts(
                 self._engine.now(),
@@ -244,7 +246,7 @@
         while True:
             event = await connection.http.event()
             if isinstance(event, h11.EndOfMessage):
-                return AttemptOutcome.RESET, None  # the answer ended before its last line
+                return AttemptOutcome.RESET, None  # the response ended before a final message
             for message in decoder.feed(bytes(event.data)):
                 outcome = self._take_message(attempt, message)
                 if outcome is not None:
@@ -257,12 +259,12 @@
         types = [value for name, value in response.headers if name == b"content-type"]
         expected = self._codec.content_type.encode()
         if not types or types[0].split(b";")[0].strip().lower() != expected:
-            raise MalformedResponse("wrong content type")
+            raise MalformedResponse("unexpected Content-Type of the response")
 
     def _take_message(self, attempt: Attempt, message: WorkerMessage) -> AttemptOutcome | None:
-        """The attempt's outcome if a message is the last one. Raises MalformedResponse."""
+        """Return the attempt's outcome if a message is final, else None. Raises MalformedResponse."""
         if message.id != attempt.request.id:
-            raise MalformedResponse(f"answer for {str(message.id)[:64]!r}")
+            raise MalformedResponse(f"answer to another request: id {str(message.id)[:64]!r}")
         if message.state == "started":
             self._engine.started(attempt)
             return None
@@ -271,19 +273,19 @@
             return None
         outcome = _FINAL_STATES.get(message.state)
         if outcome is None:
-            raise MalformedResponse(f"state {message.state[:64]!r}")
+            raise MalformedResponse(f"unknown state {message.state[:64]!r}")
         return outcome
 
     async def probe(self, worker: str) -> tuple[AttemptOutcome, Any]:
-        """Ask a worker whether it is alive, and for its load where it reports one.
+        """Check a worker's health, and read its load report if it sends one.
 
-        A probe that was not sent counts as turned away, which the policy takes for no information; any
-        other outcome would keep the worker ejected for a while.
+        A probe that was not sent counts as REJECTED, which the policy treats as no information; any other
+        failure would keep the worker ejected.
         """
         endpoint = self._endpoints.get(worker)
         if endpoint is None or not self._endpoints.may_send(worker):
             return AttemptOutcome.REJECTED, None
-        # On a new connection: how an old one fares says little of the worker.
+        # On a new connection, because the state of an old one says little about the worker.
         connection: WorkerConnection | None = None
         reusable = False
         load = None
@@ -292,7 +294,7 @@
                 if not self._connections.make_room():
                     return AttemptOutcome.REJECTED, None
                 connection = await self._connections.connect(endpoint)
-                if not self._endpoints.may_send(worker):  # opening took time
+                if not self._endpoints.may_send(worker):  # may have changed while connecting
                     return AttemptOutcome.REJECTED, None
                 path = LOAD_PATH if self._engine.reports_load else PROBE_PATH
                 await connection.http.connection.send(
@@ -305,14 +307,14 @@
                         load = ujson.loads(await connection.http.body(MAX_REPORT_BYTES))
                 reusable = True
         except (OSError, trio.TooSlowError, PeerEnded) as error:
-            short = isinstance(error, OSError) and error.errno in OWN_SHORTAGE
-            return AttemptOutcome.REJECTED if short else AttemptOutcome.UNREACHABLE, None
+            local_shortage = isinstance(error, OSError) and error.errno in LOCAL_CONNECT_ERRORS
+            return AttemptOutcome.REJECTED if local_shortage else AttemptOutcome.UNREACHABLE, None
         except h11.RemoteProtocolError:
             return AttemptOutcome.MALFORMED_RESPONSE, None
         finally:
             if connection is not None:
                 if reusable:
-                    self._connections.give_back(worker, connection)
+                    self._connections.release(worker, connection)
                 else:
                     self._connections.discard(connection)
         return _PROBE_STATUSES.get(response.status_code, AttemptOutcome.FAILED), load
@@ -323,7 +325,7 @@
 
 
 def _outcome_of_status(attempt: Attempt, response: h11.Response) -> AttemptOutcome:
-    """What any status but 200 means; a load report among the headers is noted."""
+    """Return the outcome for a status other than 200; keeps a load report found in the headers."""
     for name, value in response.headers:
         if name == b"x-server-load":
             attempt.load = load_report.from_header(value.decode("latin-1"))
--- a/yewrill/net/worker_connections.py
+++ b/yewrill/net/worker_connections.py
@@ -1,4 +1,4 @@
-"""The pool of connections to workers: opening, reuse, retirement, and the bound on their number."""
+"""The pool of connections to workers: opens, reuses, retires and limits them."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 import trio
 
 from yewrill.dispatch.endpoint import Endpoint
-from yewrill.net.connection import Connection, Quiet
+from yewrill.net.connection import Connection, IdleCheck
 from yewrill.net.endpoint_list import EndpointList
 from yewrill.net.http import ClientSide
 
 log = logging.getLogger("yewrill.destinations")
 
-IDLE_LIMIT_SHARE = 0.7  # connections are retired after this share of the workers' idle limit
-# After a stale connection, a worker gets only new ones for this long, longer each time.
-MIN_REUSE_PAUSE_SECONDS, MAX_REUSE_PAUSE_SECONDS = 5.0, 60.0
-MESSAGE_END_TIMEOUT_SECONDS = 0.25  # from an answer's last line to the end of its HTTP message
+IDLE_LIMIT_SHARE = 0.7  # idle connections are closed after this share of the workers' idle limit
+# After a stale connection a worker gets only new ones for this time, which doubles with each further one.
+MIN_REUSE_PAUSE_SECONDS = 5.0
+MAX_REUSE_PAUSE_SECONDS = 60.0
+MESSAGE_END_TIMEOUT_SECONDS = 0.25  # from the last line of an answer to the end of its HTTP message
 SWEEP_INTERVAL_SECONDS = 0.1
 
 
@@ -31,19 +32,19 @@
     http: ClientSide
     address: tuple[str, int]
     idle_since: float = 0.0
-    reused: bool = False  # it has carried an exchange before
-    reusable_from: float = 0.0
+    reused: bool = False  # it has carried a complete exchange
+    reusable_from: float = 0.0  # not reused before this time
 
 
 class _ReusePause(NamedTuple):
-    """While it lasts, no connection to a worker is kept."""
+    """A period in which no connection to a worker is kept for reuse."""
 
     until: float
     duration: float
 
 
-class _EndingMessage(NamedTuple):
-    """An answered exchange whose HTTP message has not ended yet."""
+class _UnfinishedMessage(NamedTuple):
+    """An answered exchange whose HTTP message is not complete yet."""
 
     worker: str
     connection: WorkerConnection
@@ -51,7 +52,7 @@
 
 
 class WorkerConnectionPool:
-    """Idle connections by worker, and the count of all open ones."""
+    """Holds idle connections by worker and counts all open ones."""
 
     def __init__(
         self,
@@ -67,17 +68,17 @@
         self.reconfigure(connect_timeout, idle_limit)
         self._idle: dict[str, list[WorkerConnection]] = {}
         self.open = 0
-        self._ending: list[_EndingMessage] = []
+        self._unfinished: list[_UnfinishedMessage] = []
         self._reuse_pauses: dict[str, _ReusePause] = {}
         endpoints.subscribe_to_changes(self._endpoint_changed)
 
     def reconfigure(self, connect_timeout: float, idle_limit: float) -> None:
-        """In seconds: how long a connection may take to come up, and how long workers let it stay idle."""
+        """Set the connect timeout and the idle time after which workers close connections, in seconds."""
         self._connect_timeout = connect_timeout
         self._max_idle = idle_limit * IDLE_LIMIT_SHARE
 
     async def connect(self, endpoint: Endpoint) -> WorkerConnection:
-        """Open a connection; `make_room` comes first. Raises OSError or trio.TooSlowError."""
+        """Open a connection; call `make_room` first. Raises OSError or trio.TooSlowError."""
         self.open += 1
         try:
             with trio.fail_after(self._connect_timeout):
@@ -88,8 +89,11 @@
         return WorkerConnection(ClientSide(connection), endpoint.address)
 
     def take_idle(self, endpoint: Endpoint) -> WorkerConnection | None:
-        """An idle connection that is young, quiet and leads to the present address; the latest used first."""
-        if self._ending and not self._idle.get(endpoint.id):
+        """Return the most recently used idle connection that is still usable, None if there is none.
+
+        It must be within the idle limit, without unread input, and to the endpoint's current address.
+        """
+        if self._unfinished and not self._idle.get(endpoint.id):
             self._collect_ended()
         now, not_yet_reusable = trio.current_time(), []
         idle = self._idle.get(endpoint.id, [])
@@ -97,7 +101,7 @@
             connection = idle.pop()
             fresh = now - connection.idle_since < self._max_idle
             usable = fresh and connection.address == endpoint.address
-            if not usable or connection.http.connection.quiet() is not Quiet.IDLE:
+            if not usable or connection.http.connection.check_idle() is not IdleCheck.IDLE:
                 self.discard(connection)
             elif connection.reusable_from > now:
                 not_yet_reusable.append(connection)
@@ -108,7 +112,7 @@
         return None
 
     def pause_reuse(self, worker: str) -> None:
-        """A kept connection to this worker was stale, so the others may be too: close them all."""
+        """Close all idle connections to a worker, after one was stale, and keep none for a while."""
         now = trio.current_time()
         until, duration = self._reuse_pauses.get(worker, (0.0, 0.0))
         if now >= until:
@@ -123,14 +127,14 @@
             worker in self._reuse_pauses and trio.current_time() < self._reuse_pauses[worker].until
         )
 
-    def give_back(self, worker: str, connection: WorkerConnection) -> None:
-        """Keep a connection whose exchange is over, or close it if it can't carry another."""
+    def release(self, worker: str, connection: WorkerConnection) -> None:
+        """Take back a connection whose exchange is over; closes it if it can't be reused."""
         try:
-            settled = connection.http.settled()
+            complete = connection.http.exchange_complete()
         except (OSError, h11.RemoteProtocolError):
             self.discard(connection)
             return
-        if settled or connection.http.parser.our_state is h11.IDLE:
+        if complete or connection.http.parser.our_state is h11.IDLE:
             if not self._endpoints.may_send(worker) or self._reuse_paused(worker):
                 self.discard(connection)
                 return
@@ -140,26 +144,26 @@
             connection.http.parser.their_state is h11.SEND_BODY
             and not connection.http.connection.closed
         ):
-            # The last line came without the end of the message: most often that is one read away.
+            # The last line arrived without the end of the message, which usually follows with the next read.
             deadline = trio.current_time() + MESSAGE_END_TIMEOUT_SECONDS
-            self._ending.append(_EndingMessage(worker, connection, deadline))
+            self._unfinished.append(_UnfinishedMessage(worker, connection, deadline))
         else:
             self.discard(connection)
 
     def discard(self, connection: WorkerConnection) -> None:
-        """Close a connection; nothing happens if it is closed already."""
+        """Close a connection, if it is not closed already."""
         if not connection.http.connection.closed:
             connection.http.connection.close()
             self.open -= 1
 
     def limit(self, max_open: int) -> None:
-        """Set another bound; idle connections beyond it are closed."""
+        """Change the maximum number of connections; idle ones above it are closed."""
         self._max_open = max_open
         while self.open > max_open and self.make_room():
             pass
 
     def make_room(self) -> bool:
-        """Whether one more connection may be opened; an idle one is closed for it if need be."""
+        """Return whether one more connection may be opened, closing the oldest idle one if necessary."""
         if self.open < self._max_open:
             return True
         oldest = min(
@@ -173,7 +177,7 @@
         return True
 
     def _endpoint_changed(self, endpoint: Endpoint | None, worker: str) -> None:
-        """Close idle connections to a worker that is gone, drains or has moved."""
+        """Close the idle connections to a worker that was removed, is draining or has another address."""
         if endpoint is None:
             self._reuse_pauses.pop(worker, None)
         for connection in self._idle.get(worker, ()):
@@ -193,7 +197,7 @@
                 del self._idle[worker]
 
     def sweep(self) -> None:
-        """Retire idle connections before the other side does, and collect those whose message has ended."""
+        """Close idle connections before the workers do, and reuse those whose message is now complete."""
         self._collect_ended()
         now = trio.current_time()
         for worker, connections in list(self._idle.items()):
@@ -201,7 +205,7 @@
             for connection in connections:
                 if (
                     now - connection.idle_since < self._max_idle
-                    and connection.http.connection.quiet() is Quiet.IDLE
+                    and connection.http.connection.check_idle() is IdleCheck.IDLE
                 ):
                     fresh.append(connection)
                 else:
@@ -212,32 +216,32 @@
                 del self._idle[worker]
 
     def _collect_ended(self) -> None:
-        """Look whether answered exchanges have ended by now."""
+        """Return connections whose HTTP message is now complete to the pool; close overdue ones."""
         now = trio.current_time()
-        ending, self._ending = self._ending, []
-        for message in ending:
+        unfinished, self._unfinished = self._unfinished, []
+        for message in unfinished:
             if now >= message.deadline:
                 self.discard(message.connection)
                 continue
             with suppress(OSError, h11.RemoteProtocolError):
-                if message.connection.http.settled():
-                    self.give_back(message.worker, message.connection)
+                if message.connection.http.exchange_complete():
+                    self.release(message.worker, message.connection)
                     continue
-                self._ending.append(message)
+                self._unfinished.append(message)
                 continue
             self.discard(message.connection)
 
     async def keep_tidy(self, interval_seconds: float = SWEEP_INTERVAL_SECONDS) -> None:
-        """Sweep until cancelled."""
+        """Call `sweep` at intervals until cancelled."""
         while True:
             await trio.sleep(interval_seconds)
             self.sweep()
 
     def close(self) -> None:
-        """Close every connection that carries no exchange."""
+        """Close every connection that is not in use by an attempt."""
         for connections in self._idle.values():
             for connection in connections:
                 self.discard(connection)
-        for message in self._ending:
+        for message in self._unfinished:
             self.discard(message.connection)
-        self._idle, self._ending = {}, []
+        self._idle, self._unfinished = {}, []
--- a/yewrill/net/worker_protocol.py
+++ b/yewrill/net/worker_protocol.py
@@ -1,4 +1,4 @@
-"""What the frontends and the exchange with workers share: a worker's messages, and how they are read."""
+"""The interface between frontends and the worker client: worker messages and the codec that reads them."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class MalformedResponse(Exception):
-    """A worker's answer that is not of the protocol's form."""
+    """A worker's answer that violates the protocol."""
 
 
 @dataclass(slots=True)
 class WorkerMessage:
-    """What a worker states about a request: started, running, done, failed, returned or lost."""
+    """A worker's message on a request; `state` is started, running, done, failed, returned or lost."""
 
     id: Any
     state: str
-    share: float = 0.0  # of the work that is done, from 0 to 1
+    share: float = 0.0  # the part of the work that is done, from 0 to 1
     result: Any = None
-    load: Any = None  # a load report, not yet checked
+    load: Any = None  # a load report, not yet validated
 
 
 class Decoder(Protocol):
-    """A frontend's reader of a worker's answer."""
+    """Decodes one worker answer for a frontend."""
 
     def feed(self, data: bytes) -> list[WorkerMessage]:
-        """Take the next bytes; returns the messages that are whole. Raises MalformedResponse."""
+        """Decode the next bytes; returns the messages they complete. Raises MalformedResponse."""
 
 
 class WorkerCodec(Protocol):
-    """How a frontend speaks with workers."""
+    """Encodes requests to workers and decodes their answers for a frontend."""
 
-    content_type: str  # what a 200 must be; empty: anything
+    content_type: str  # required of responses with status 200; empty: any
 
     def encode_request(self, attempt: Attempt, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
-        """Method, target, headers and body of an attempt, which may take so many milliseconds."""
+        """Return method, target, headers and body of an attempt whose time limit is `wait_ms`."""
 
     def decoder(self) -> Decoder:
-        """A decoder for one answer."""
+        """Return a new decoder for one answer."""
