--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -97,7 +97,7 @@
         now: float,
     ) -> None:
         """Begins the trace of a request. `now`: the time on the engine's clock, in ms."""
-        parents = http_request.each(b"traceparent")
+        parents = http_request.header_values(b"traceparent")
         request.trace = self.tracer.begin(
             request.id,
             spec.name,
@@ -106,7 +106,7 @@
             objective_run_factor=spec.objective_run_factor,
             deadline=request.deadline - now,
             parent=parents[0] if len(parents) == 1 else None,
-            state=",".join(http_request.each(b"tracestate")),
+            state=",".join(http_request.header_values(b"tracestate")),
             first_byte=http_request.arrived,
         )
         if request.ran_ago >= 0:
