--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -103,7 +103,7 @@
             for i in range(at_once):
                 nodes["v0"].propose(COMMAND, b"%d" % i)
             done += settle()
-            nodes["v0"].beat()
+            nodes["v0"].send_heartbeats()
             settle()
             for raft in nodes.values():
                 if raft.commit_index - raft.snapshot.index > 256:
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -78,7 +78,7 @@
 def false_leaves(seed: int, seconds: float) -> tuple[int, float]:
     """Plans made in a fleet whose zones are well, on a network that loses a fifth; and zone-hours."""
     net = ZoneNet(seed, 24, 3, path=Wire(delay=0.02, jitter=0.05, loss=0.2, twice=0.1)).run(seconds)
-    return sum(m.machine.statistics.made for m in net.members.values()), 3 * seconds / 3600
+    return sum(m.machine.statistics.plans_made for m in net.members.values()), 3 * seconds / 3600
 
 
 def main() -> None:
--- a/tests/fixture_conversation.py
+++ b/tests/fixture_conversation.py
@@ -105,7 +105,9 @@
     nodes = {}
     for at, name in enumerate(VOTERS):
         disk = raft_types.PersistentRaftState(snapshot=raft_types.Snapshot(0, 0, VOTERS))
-        nodes[name] = LeaseNode(name, VOTERS, disk, 100 + at, random.Random(at), 0.0, span=1.0)
+        nodes[name] = LeaseNode(
+            name, VOTERS, disk, 100 + at, random.Random(at), 0.0, lease_seconds=1.0
+        )
         nodes[name].want("zones")
     said: list[str] = []
     for step in range(STEPS):
--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -209,7 +209,7 @@
     ),
     ("plan", zones.ZoneMessage(zones.PLAN, PLAN.version, plan=PLAN)),
     ("get", zones.ZoneMessage(zones.GET, PLAN.version)),
-    ("hint", zones.ZoneMessage(zones.HINT, PLAN.version, dark=("south",))),
+    ("hint", zones.ZoneMessage(zones.HINT, PLAN.version, unreachable_zones=("south",))),
 )
 
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -207,21 +207,21 @@
     run("c")
     assert nodes["a"].propose(COMMAND, b"x")
     run("c")
-    nodes["a"].beat()
+    nodes["a"].send_heartbeats()
     run("c")
     assert nodes["b"].commit_index == 2
     nodes["b"] = Raft("b", 2, disk)  # nothing of it was on disk
-    nodes["b"].beat()
+    nodes["b"].send_heartbeats()
     run("a")
     nodes["c"].campaign()
     run("a")
     assert nodes["c"].role != "leader" and not nodes["b"].is_voting
-    nodes["b"].beat()
+    nodes["b"].send_heartbeats()
     run()
     assert nodes["b"].lost_tail and not nodes["b"].is_voting
-    nodes["a"].beat()
+    nodes["a"].send_heartbeats()
     run()
-    nodes["a"].beat()
+    nodes["a"].send_heartbeats()
     run()
     assert nodes["b"].is_voting and nodes["b"].commit_index == nodes["a"].commit_index == 2
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -102,7 +102,7 @@
     evidence, now, log = Evidence(), 0.0, []
     for wait, zone, lost in ended:
         now += wait
-        evidence.note(now, zone, lost)
+        evidence.record_attempt(now, zone, lost)
         log.append((now, zone, lost))
         for thin, span, most in ((), 2.5, 8), ("ab", 4.0, 64):
             for name in "ab":
@@ -228,7 +228,7 @@
     machine.regions = lambda: regions
     for zone in ("z0", "z1", "z2"):
         for _ in range(4):
-            machine.note(0.0, zone, zone != "z0")
+            machine.record_attempt(0.0, zone, zone != "z0")
     assert machine.is_degraded() == doubts
 
 
@@ -379,7 +379,7 @@
     net.spared = {"m0001"}
     net.loss["z0"] = 1.0
     assert net.until(lambda: left(net, "z0"), 6) is not None
-    assert [m.name for m in net.members.values() if m.machine.statistics.made] == ["m0001"]
+    assert [m.name for m in net.members.values() if m.machine.statistics.plans_made] == ["m0001"]
     late = FailoverPlan(EPOCH + 9, {"z2": ZoneEntry(0)})  # of grant 1
     for member in net.living():
         member.machine.receive(
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -15,7 +15,7 @@
 from yewrill.lab.zonenet import ZoneNet
 from yewrill.policy import Dispatcher
 from yewrill.policy import interface as api
-from yewrill.zone_failover.facade import HANGING
+from yewrill.zone_failover.facade import STUCK_ATTEMPT_MS
 from yewrill.zone_failover.machine import FailoverRules
 
 TRIP = 0.0005  # seconds to a worker and back
@@ -126,11 +126,11 @@
         self.modules[name] = Dispatcher(settings, self.rng.getrandbits(32))
         member = super().start(name, address, zone, rate)
         member.machine.busy = 0.0
-        member.machine.hanging = lambda: self._hanging(name)
+        member.machine.stuck_attempts = lambda: self._hanging(name)
         return member
 
     def _hanging(self, name: str) -> dict[str, int]:
-        found = self.modules[name].fleet.stuck_attempts(1e3 * self.now, HANGING)
+        found = self.modules[name].fleet.stuck_attempts(1e3 * self.now, STUCK_ATTEMPT_MS)
         return {f"z{zone}": count for zone, count in found.items()}
 
     def begin(self) -> Fleet:
@@ -289,7 +289,7 @@
         machine.busy -= 1.0
         if outcome in LOST:
             self.lost_at[w.zone].append(self.now)
-        if machine.note(self.now + member.clock, f"z{w.zone}", outcome in LOST):
+        if machine.record_attempt(self.now + member.clock, f"z{w.zone}", outcome in LOST):
             self._look_again(member)
         self._feed(
             member,
--- a/yewrill/lab/ownnet.py
+++ b/yewrill/lab/ownnet.py
@@ -74,7 +74,7 @@
             member.incarnation,
             random.Random(self.rng.getrandbits(64)),
             self.now * member.rate,
-            span=self.span,
+            lease_seconds=self.span,
             machines=self.machines() if self.machines is not None else None,
         )
         member.joiner = FragmentAssembler()
--- a/yewrill/lab/raftcheck.py
+++ b/yewrill/lab/raftcheck.py
@@ -91,7 +91,10 @@
             if raft.role != LEADER and raft.term < bounds.term:
                 yield f"{name} stands", partial(self._after, world, name, _stands)
             if raft.role == LEADER or not raft.is_voting:
-                yield f"{name} speaks", partial(self._after, world, name, lambda r: r.beat())
+                yield (
+                    f"{name} speaks",
+                    partial(self._after, world, name, lambda r: r.send_heartbeats()),
+                )
             if (
                 raft.role == LEADER
                 and world.orders < bounds.orders
--- a/yewrill/lab/zonenet.py
+++ b/yewrill/lab/zonenet.py
@@ -162,7 +162,7 @@
         for zone in self.rng.choices(self.zones, weights, k=jobs):
             lost = (member.zone, zone) in self.cuts or self.rng.random() < self.loss[zone]
             lost = lost and member.name not in self.spared
-            member.machine.note(self.now + member.clock, zone, lost)
+            member.machine.record_attempt(self.now + member.clock, zone, lost)
             self.attempts[zone].append(self.now)
 
     def _note(self, member: Dispatcher) -> None:
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -186,7 +186,7 @@
             self._incarnation,
             rng,
             trio.current_time(),
-            span=self._config.span,
+            lease_seconds=self._config.span,
             trust_disk=self._config.trust_disk,
             machines=self._machines,
         )
--- a/yewrill/leases/node.py
+++ b/yewrill/leases/node.py
@@ -109,14 +109,14 @@
         rng: random.Random,
         now: float,
         *,
-        span: float = 3.0,
+        lease_seconds: float = 3.0,
         trust_disk: bool = False,
         times: Times | None = None,
         machines: Mapping[str, StateMachine] | None = None,
     ):
         self.machines = dict(machines or {})
         self.results: dict[int, bytes | None] = {}  # of what was submitted; None: no such machine
-        self.me, self.voters, self.span = me, tuple(voters), span
+        self.me, self.voters, self.lease_seconds = me, tuple(voters), lease_seconds
         self._rng = rng
         self.driver = (
             Driver(Raft(me, incarnation, disk, trust_disk=trust_disk), rng, now, times)
@@ -154,7 +154,9 @@
     def give_up(self, role: str, now: float) -> None:
         """Release the role. It is not ours any more from this call on, whatever becomes of the message."""
         self.wanted_roles.discard(role)
-        self._next_request_at[role] = now + self.span  # should we want it again, others come first
+        self._next_request_at[role] = (
+            now + self.lease_seconds
+        )  # should we want it again, others come first
         lease = self.held_leases.pop(role, None)
         if lease is not None:
             self._ask(LeaseCommand(GIVE_UP, role, self.me, self._next_id(), lease.number), now)
@@ -188,8 +190,10 @@
                 if now >= self._next_request_at.get(role, 0.0):
                     lease = self.held_leases.get(role)
                     what, number = (CLAIM, 0) if lease is None else (RENEW, lease.number)
-                    span = int(1000 * self.span)
-                    self._ask(LeaseCommand(what, role, self.me, self._next_id(), number, span), now)
+                    duration_ms = int(1000 * self.lease_seconds)
+                    self._ask(
+                        LeaseCommand(what, role, self.me, self._next_id(), number, duration_ms), now
+                    )
                     break
         if self._pending_request is not None and now >= self._pending_request.retry_at:
             pending = self._pending_request
@@ -270,13 +274,13 @@
             return
         if result.ok and role in self.wanted_roles:
             self.held_leases[role] = HeldLease.from_result(command, result, pending.first_sent_at)
-            self._next_request_at[role] = pending.first_sent_at + self.span / 3.0
+            self._next_request_at[role] = pending.first_sent_at + self.lease_seconds / 3.0
         else:
             self.held_leases.pop(role, None)
-            left = min(result.remaining_ms / 1000.0, self.span) if result.holder else 0.0
+            left = min(result.remaining_ms / 1000.0, self.lease_seconds) if result.holder else 0.0
             # All who want it come back at its end; by chance not all at once.
             self._next_request_at[role] = (
-                now + left + self.span * (0.02 + 0.08 * self._rng.random())
+                now + left + self.lease_seconds * (0.02 + 0.08 * self._rng.random())
             )
 
     def _on_submitted(self, reply: Submitted, sender: str, now: float) -> None:
--- a/yewrill/leases/raft.py
+++ b/yewrill/leases/raft.py
@@ -2,9 +2,9 @@
 or randomness.
 
 Theory of operation. Raft (Ongaro and Ousterhout, 2014; Ongaro's thesis, 2014) with pre-vote, check-quorum,
-single-step changes of voters, reads that a quorum confirms, and snapshots sent whole. Time is not here: who
-drives the machine says when the election timeout is over (`campaign`), when a heartbeat is due (`beat`) and
-when to check the quorum (`check`).
+single-step changes of voters, reads that a quorum confirms, and snapshots sent whole. The machine has no
+timers: its driver (`timing.py`) calls `campaign` when the election timeout expires, `send_heartbeats` when
+a heartbeat is due, and `check_quorum` once per election timeout.
 
 Beyond the published protocol, *recovery*, for disks that lose synced data. Every start of a voter is a new
 incarnation, numbered above the earlier ones. It asks all other voters what those acknowledged: votes given,
@@ -121,7 +121,7 @@
 
     # -- what the driver tells
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Time to speak: the leader to all, one on probation to those who have not answered it."""
         if not self.is_voting:
             for name in self._others():
@@ -149,7 +149,7 @@
                 entry_term=self.term_at(self.last_index),
             )
 
-    def check(self) -> None:
+    def check_quorum(self) -> None:
         """Once in an election's time: a leader that has not heard a majority steps down."""
         if self.role == LEADER:
             if not self._majority(self.active_followers | {self.me}):
@@ -183,7 +183,7 @@
         if self.role != LEADER or self.term_at(self.commit_index) != self.term:
             return False
         self.pending_reads.append(PendingRead(number, self.heartbeat_round + 1, {self.me}))
-        self.beat()
+        self.send_heartbeats()
         self._confirm_reads("")
         return True
 
@@ -386,7 +386,7 @@
             LogEntry(self.term)
         )  # what came before is committed with it, never by itself
         self._save()
-        self.beat()
+        self.send_heartbeats()
         self._advance()
 
     def _become_follower(self, term: int, leader: str) -> None:
--- a/yewrill/leases/timing.py
+++ b/yewrill/leases/timing.py
@@ -21,8 +21,8 @@
 class Times:
     """Durations in seconds."""
 
-    beat: float = 0.1  # between two heartbeats of a leader
-    election: float = 0.6  # the shortest election timeout; the longest is twice that
+    heartbeat_interval: float = 0.1
+    election_timeout: float = 0.6  # the shortest; the longest is twice that
 
 
 class Driver:
@@ -30,30 +30,33 @@
 
     def __init__(self, raft: Raft, rng: random.Random, now: float, times: Times | None = None):
         self.raft, self._rng, self._times = raft, rng, times or Times()
-        self._beat = now
-        self._check = now + self._times.election
-        self._wait(now)
+        self._next_heartbeat_at = now
+        self._next_quorum_check_at = now + self._times.election_timeout
+        self._restart_election_timeout(now)
 
     @property
     def due(self) -> float:
         """When `tick` is to be called next."""
-        return min(self._beat, self._check if self.raft.role == LEADER else self._election)
+        return min(
+            self._next_heartbeat_at,
+            self._next_quorum_check_at if self.raft.role == LEADER else self._election_timeout_at,
+        )
 
     def tick(self, now: float) -> Ready:
         """Run the timers that are due."""
         raft = self.raft
-        if now >= self._beat:
-            self._beat = now + self._times.beat
-            raft.beat()
+        if now >= self._next_heartbeat_at:
+            self._next_heartbeat_at = now + self._times.heartbeat_interval
+            raft.send_heartbeats()
         if raft.role == LEADER:
-            if now >= self._check:
-                self._check = now + self._times.election
-                raft.check()
-            self._wait(now)
-        elif now >= self._election:
+            if now >= self._next_quorum_check_at:
+                self._next_quorum_check_at = now + self._times.election_timeout
+                raft.check_quorum()
+            self._restart_election_timeout(now)
+        elif now >= self._election_timeout_at:
             raft.campaign()
-            self._wait(now)
-            self._check = now + 2 * self._times.election
+            self._restart_election_timeout(now)
+            self._next_quorum_check_at = now + 2 * self._times.election_timeout
         return raft.take()
 
     def receive(self, now: float, message: RaftMessage) -> Ready:
@@ -66,8 +69,8 @@
             and raft.leader == message.sender
         )
         if from_leader or (raft.vote != vote and raft.vote == message.sender):
-            self._wait(now)
+            self._restart_election_timeout(now)
         return raft.take()
 
-    def _wait(self, now: float) -> None:
-        self._election = now + self._times.election * (1.0 + self._rng.random())
+    def _restart_election_timeout(self, now: float) -> None:
+        self._election_timeout_at = now + self._times.election_timeout * (1.0 + self._rng.random())
--- a/yewrill/zone_failover/evidence.py
+++ b/yewrill/zone_failover/evidence.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self._ended: dict[str, deque[tuple[float, bool]]] = {}
 
-    def note(self, now: float, zone: str, lost: bool) -> None:
+    def record_attempt(self, now: float, zone: str, lost: bool) -> None:
         """One attempt in a zone has ended."""
         ended = self._ended.get(zone)
         if ended is None:
@@ -44,7 +44,7 @@
                 total[zone] = count, losses
         return total
 
-    def forget(self, zone: str = "") -> None:
+    def clear(self, zone: str = "") -> None:
         """Drop what was counted of a zone, or of all."""
         if zone:
             self._ended.pop(zone, None)
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -23,7 +23,7 @@
 log = logging.getLogger("yewrill.zones")
 
 ROLE = "zones"
-HANGING = (
+STUCK_ATTEMPT_MS = (
     1000.0  # ms without a start, from which on what waits at a worker that runs none of ours hangs
 )
 
@@ -96,7 +96,9 @@
             zone
             and outcome not in _TELL_NOTHING
             and not (outcome is AttemptOutcome.CANCELLED and attempt.request.client_left)
-        ) and machine.note(trio.current_time(), zone, outcome is not AttemptOutcome.SERVED):
+        ) and machine.record_attempt(
+            trio.current_time(), zone, outcome is not AttemptOutcome.SERVED
+        ):
             self._woken.set()
         return outcome, result
 
@@ -112,7 +114,8 @@
 
     def _hanging(self) -> Mapping[str, int]:
         return {
-            self._name(zone): count for zone, count in self._engine.stuck_attempts(HANGING).items()
+            self._name(zone): count
+            for zone, count in self._engine.stuck_attempts(STUCK_ATTEMPT_MS).items()
         }
 
     def _regions(self) -> Mapping[str, str]:
@@ -136,7 +139,7 @@
         machine = FailoverMachine(
             me.name, me.zone, self._others, rng, trio.current_time(), self._rules
         )
-        machine.capacity, machine.hanging, machine.regions = (
+        machine.capacity, machine.stuck_attempts, machine.regions = (
             self._capacity,
             self._hanging,
             self._regions,
@@ -299,10 +302,10 @@
         counted = self._machine.statistics
         return {
             "zones_polls": counted.polls,
-            "zones_plans_made": counted.made,
-            "zones_plans_taken": counted.taken,
-            "zones_plans_refused": counted.refused,
+            "zones_plans_made": counted.plans_made,
+            "zones_plans_taken": counted.plans_adopted,
+            "zones_plans_refused": counted.plans_refused,
             "zones_malformed": counted.malformed,
-            "zones_late": counted.late,
-            "zones_cut": counted.cut,
+            "zones_late": counted.late_ticks,
+            "zones_cut": counted.inconclusive_polls,
         }
--- a/yewrill/zone_failover/format.py
+++ b/yewrill/zone_failover/format.py
@@ -30,7 +30,7 @@
     is_degraded: bool = False  # the teller doubts itself: its counts are not to be used
     busy: float = 0.0  # slots of its running work
     counts: Mapping[str, tuple[int, int]] = field(default_factory=dict)
-    dark: tuple[
+    unreachable_zones: tuple[
         str, ...
     ] = ()  # zones none of whose members it hears; of a HINT, the one that fails
     plan: FailoverPlan | None = None
@@ -51,7 +51,7 @@
             message.is_degraded,
             message.busy,
             counts,
-            list(message.dark[:MAX_ZONES]),
+            list(message.unreachable_zones[:MAX_ZONES]),
         ]
     elif message.kind == PLAN:
         assert message.plan is not None
@@ -62,7 +62,7 @@
             ]
         ]
     elif message.kind == HINT:
-        rest = [message.dark[0]]
+        rest = [message.unreachable_zones[0]]
     return msgpack.packb([message.kind, *message.version, *rest])
 
 
@@ -74,7 +74,7 @@
         if kind == ASK:
             return ZoneMessage(ASK, version, whole(rest[0], 2**32))
         if kind == ANSWER:
-            asked, is_degraded, busy, counts, dark = rest
+            asked, is_degraded, busy, counts, unreachable_zones = rest
             if not isinstance(busy, float) or not 0.0 <= busy <= 1e9 or len(counts) > MAX_ZONES:
                 raise ValueError("busy")
             read = {}
@@ -87,7 +87,7 @@
                 bool(is_degraded),
                 busy,
                 read,
-                tuple(text(zone) for zone in dark[:MAX_ZONES]),
+                tuple(text(zone) for zone in unreachable_zones[:MAX_ZONES]),
             )
         if kind == PLAN:
             if len(rest[0]) > MAX_ZONES:
@@ -107,7 +107,7 @@
                 raise ValueError("digest")
             return ZoneMessage(PLAN, version, plan=plan)
         if kind == HINT:
-            return ZoneMessage(HINT, version, dark=(text(rest[0]),))
+            return ZoneMessage(HINT, version, unreachable_zones=(text(rest[0]),))
         if kind in (DIGEST, GET):
             return ZoneMessage(kind, version)
     except (
--- a/yewrill/zone_failover/machine.py
+++ b/yewrill/zone_failover/machine.py
@@ -134,12 +134,12 @@
     """What happened, for figures."""
 
     polls: int = 0
-    made: int = 0
-    taken: int = 0
-    refused: int = 0
+    plans_made: int = 0
+    plans_adopted: int = 0
+    plans_refused: int = 0
     malformed: int = 0
-    late: int = 0
-    cut: int = 0  # polls with too few answers
+    late_ticks: int = 0
+    inconclusive_polls: int = 0  # fewer than half of the members asked have answered
 
 
 @dataclass
@@ -160,7 +160,7 @@
         )
         self.regions: Callable[[], Mapping[str, str]] = dict  # of zones, where members tell theirs
         # Attempts that are out at workers which start nothing of ours.
-        self.hanging: Callable[[], Mapping[str, int]] = dict
+        self.stuck_attempts: Callable[[], Mapping[str, int]] = dict
         self.busy = 0.0  # slots of our own running work
         self.health_score = (
             0  # of ourselves, by the membership; 4 and more: our own eyes don't count
@@ -202,7 +202,7 @@
     def _counts(self) -> Mapping[str, Counts]:
         """Our own counts; of zones that get little by plan, over a longer time. What hangs counts as lost."""
         counts = dict(self.evidence.counts(self.now, self.plan.zones))
-        for zone, hanging in self.hanging().items():
+        for zone, hanging in self.stuck_attempts().items():
             ended, lost = counts.get(zone, (0, 0))
             counts[zone] = ended + hanging, lost + hanging
         return counts
@@ -222,9 +222,9 @@
 
     # -- time
 
-    def note(self, now: float, zone: str, lost: bool) -> bool:
+    def record_attempt(self, now: float, zone: str, lost: bool) -> bool:
         """One attempt in a zone has ended. Whether that is cause to look at once."""
-        self.evidence.note(now, zone, lost)
+        self.evidence.record_attempt(now, zone, lost)
         if (
             not lost
             or self._poll is not None
@@ -247,8 +247,8 @@
         self.due = now + self.rules.tick
         out: list[Out] = []
         if late > 1.0:  # we slept: what we counted is old, and so may the plan be
-            self.statistics.late += 1
-            self.evidence.forget()
+            self.statistics.late_ticks += 1
+            self.evidence.clear()
             self._poll = None
             self._degraded_until = now + 2.0
             self._since = dict.fromkeys(self._since, now)
@@ -287,8 +287,10 @@
         others = self.others()
         if others is not self._membership_cache[0]:
             living = [m for m in others if m.living]
-            dark = {m.zone for m in others} - {m.zone for m in living} - {self.zone, ""}
-            self._membership_cache = others, living, dark
+            unreachable_zones = (
+                {m.zone for m in others} - {m.zone for m in living} - {self.zone, ""}
+            )
+            self._membership_cache = others, living, unreachable_zones
         return self._membership_cache
 
     def _push_plan(self, plan: FailoverPlan, out: list[Out]) -> None:
@@ -366,7 +368,7 @@
             return
         self._poll = None
         if 2 * len(poll.answers) < len(poll.asked):
-            self.statistics.cut += 1  # rather we are cut off than they all
+            self.statistics.inconclusive_polls += 1  # rather we are cut off than they all
             return
         outside = [m for m in others if m.zone != poll.zone]
         mine = self.zone != poll.zone
@@ -382,7 +384,7 @@
         told = [
             (
                 said.counts.get(zone, (0, 0)),
-                zone in said.dark or (held is not None and said.version >= held),
+                zone in said.unreachable_zones or (held is not None and said.version >= held),
             )
             for said in poll.answers.values()
             if not said.is_degraded
@@ -431,7 +433,7 @@
             if verdict.fails and (
                 zone not in self.plan.zones or self.plan.zones[zone].is_recovering
             ):
-                hint = pack(ZoneMessage(HINT, self.plan.version, dark=(zone,)))
+                hint = pack(ZoneMessage(HINT, self.plan.version, unreachable_zones=(zone,)))
                 out += [(m.address, hint) for m in self._membership()[1] if m.name == self.owner]
             return
         if any(
@@ -489,7 +491,7 @@
         )
 
     def _adopt_new_plan(self, zone: str, entry: ZoneEntry | None, why: str) -> None:
-        self.statistics.made += 1
+        self.statistics.plans_made += 1
         self._adopt(self.plan.with_entry(zone, entry, self.epoch), why)
 
     def _adopt(self, plan: FailoverPlan, why: str) -> None:
@@ -501,7 +503,7 @@
             else:
                 self._since[zone] = self.now
                 self._recovered_zones.pop(zone, None)
-            self.evidence.forget(zone)  # it was counted under another share
+            self.evidence.clear(zone)  # it was counted under another share
             self._verdicts.pop(zone, None)
         self._before, self.plan, self.why = self.plan, plan, why
         self._proposal_delay = self.rng.random() * (
@@ -527,13 +529,13 @@
             else:
                 checks = [self._is_confirmed(plan, zone, poll) for zone in plan.differs(self.plan)]
                 if any(check is False for check in checks):
-                    self.statistics.refused += 1
+                    self.statistics.plans_refused += 1
                     self._refused[plan.version] = self.now
                     del self._unconfirmed_plans[sender]
                 elif all(checks) and any(check is True for check in checks):
                     self._adopt(plan, "made by another, and borne out by the others' counts")
             if self.plan is plan:
-                self.statistics.taken += 1
+                self.statistics.plans_adopted += 1
                 return
 
     def _is_confirmed(self, plan: FailoverPlan, zone: str, poll: _Poll) -> bool | str | None:
@@ -600,7 +602,7 @@
         elif said.kind == GET:
             out.append((address, pack(ZoneMessage(PLAN, mine, plan=self.plan))))
         elif said.kind == HINT and not self.owner:
-            for zone in said.dark[:1]:
+            for zone in said.unreachable_zones[:1]:
                 self._hinted_zones = {
                     **dict(list(self._hinted_zones.items())[-MAX_UNCONFIRMED_PLANS:]),
                     zone: self.now,
