--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -62,10 +62,10 @@
     """A zone dies: how long until all hold the plan."""
     net = ZoneNet(seed, members, zones).run(5)
     net.loss["z0"] = 1.0
-    began, bytes_before = net.now, sum(m.sent for m in net.members.values())
+    began, bytes_before = net.now, sum(m.bytes_sent for m in net.members.values())
     agreed = net.until(lambda: net.agreed() and max(net.traffic_weight("z0")) < 0.5, 10, 0.05)
     took = [next(at for at, version, _ in m.changes if version[0]) for m in net.living()]
-    sent = sum(m.sent for m in net.members.values()) - bytes_before
+    sent = sum(m.bytes_sent for m in net.members.values()) - bytes_before
     return {
         "members": members,
         "zones": zones,
--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -188,7 +188,7 @@
 # -- zones
 
 PLAN = plan.FailoverPlan(
-    3 * plan.EPOCH + 2,
+    3 * plan.PLANS_PER_EPOCH + 2,
     {"north": plan.ZoneEntry(0, 3, False), "south": plan.ZoneEntry(200, 64, True)},
 )
 ZONE_MESSAGES = (
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -25,8 +25,8 @@
 )
 from yewrill.zone_failover.machine import FailoverMachine, Member
 from yewrill.zone_failover.plan import (
-    EPOCH,
     FULL_WEIGHT,
+    PLANS_PER_EPOCH,
     FailoverPlan,
     ZoneEntry,
     min_traffic_weight,
@@ -171,7 +171,7 @@
         made = FailoverPlan(number, plan or {rng.choice(net.zones): ZoneEntry(0, 64)})
         return pack(ZoneMessage(3, made.version, plan=made))
 
-    net.members[name].lie = lie
+    net.members[name].rewrite_message = lie
 
 
 @pytest.mark.parametrize(("members", "zones"), [(6, 3), (24, 3)])
@@ -192,14 +192,14 @@
 
 def test_a_zone_that_is_cut_off_from_one_other_only_is_not_left_by_all():
     net = ZoneNet(4, 24, 4).run(2)
-    net.cuts.add(("z1", "z0"))
+    net.blocked_zone_pairs.add(("z1", "z0"))
     net.run(15)
     assert not any(m.machine.plan.number for m in net.living())
 
 
 def test_what_a_third_of_the_members_sees_and_the_rest_does_not_moves_nobody():
     net = ZoneNet(21, 24, 4).run(2)
-    net.spared = set(sorted(net.members)[8:])
+    net.unaffected = set(sorted(net.members)[8:])
     net.loss["z2"] = 1.0
     net.run(15)
     assert not any(m.machine.plan.number for m in net.living())
@@ -234,8 +234,8 @@
 
 def test_who_is_cut_off_itself_blames_nobody():
     net = ZoneNet(4, 24, 4).run(2)
-    net.cuts |= {("z1", zone) for zone in net.zones if zone != "z1"}
-    net.part(net.of("z1"), net.of("z0", "z2", "z3"), heal_after=12)
+    net.blocked_zone_pairs |= {("z1", zone) for zone in net.zones if zone != "z1"}
+    net.partition(net.members_of("z1"), net.members_of("z0", "z2", "z3"), heal_after=12)
     net.run(25)
     assert not any(m.machine.plan.number for m in net.living())
 
@@ -264,8 +264,8 @@
 def test_a_minority_makes_no_plan_and_joins_the_rest_later():
     net = ZoneNet(9, 24, 3).run(2)
     few = [f"m{i:04d}" for i in range(8)]
-    net.part(few, [name for name in net.members if name not in few], heal_after=40)
-    net.run(net.detect + 1)
+    net.partition(few, [name for name in net.members if name not in few], heal_after=40)
+    net.run(net.detection_delay + 1)
     net.loss["z2"] = 1.0
     net.run(12)
     assert all(net.members[name].machine.plan.number == 0 for name in few)
@@ -293,7 +293,7 @@
 
 def test_a_clock_that_is_an_hour_ahead_changes_nothing():
     net = ZoneNet(11, 12, 3)
-    net.members["m0002"].clock = 3600.0
+    net.members["m0002"].clock_offset = 3600.0
     net.members["m0002"].machine.due += 3600.0
     net.run(3)
     net.loss["z0"] = 1.0
@@ -376,11 +376,11 @@
     for member in net.members.values():
         member.machine.epoch = 2
         member.machine.owner = "" if member.name == "m0001" else "m0001"
-    net.spared = {"m0001"}
+    net.unaffected = {"m0001"}
     net.loss["z0"] = 1.0
     assert net.until(lambda: left(net, "z0"), 6) is not None
     assert [m.name for m in net.members.values() if m.machine.statistics.plans_made] == ["m0001"]
-    late = FailoverPlan(EPOCH + 9, {"z2": ZoneEntry(0)})  # of grant 1
+    late = FailoverPlan(PLANS_PER_EPOCH + 9, {"z2": ZoneEntry(0)})  # of grant 1
     for member in net.living():
         member.machine.receive(
             net.now, pack(ZoneMessage(3, late.version, plan=late)), "m0002", ("10.0.0.1", 1026)
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -176,7 +176,7 @@
 
     # -- work
 
-    def _work(self, member: Member) -> None:
+    def _generate_attempts(self, member: Member) -> None:
         shares = (
             {int(z[1:]): s for z, s in member.machine.traffic_weights().items()}
             if self.with_plan
@@ -289,8 +289,8 @@
         machine.busy -= 1.0
         if outcome in LOST:
             self.lost_at[w.zone].append(self.now)
-        if machine.record_attempt(self.now + member.clock, f"z{w.zone}", outcome in LOST):
-            self._look_again(member)
+        if machine.record_attempt(self.now + member.clock_offset, f"z{w.zone}", outcome in LOST):
+            self._reschedule_if_earlier(member)
         self._feed(
             member,
             api.AttemptEnded(
--- a/yewrill/lab/zonenet.py
+++ b/yewrill/lab/zonenet.py
@@ -1,8 +1,9 @@
-"""A virtual fleet of zone machines with traffic: seeded, in virtual time.
+"""Simulates a fleet of failover machines with traffic, in virtual time and from a seed.
 
-Each member sends work to the zones by its plan's shares; zones fail, are cut off, flap, and come back. What
-the membership would tell is told with its delay: whoever is dead, or out of reach, counts as living for
-`detect` seconds yet. Messages cross paths that lose, delay and double them. Seconds, jobs a second.
+Each member sends attempts to the zones by its plan's traffic weights; zones fail, are cut off, flap and
+recover. Membership changes become visible with a delay: a member that died or can't be reached still counts
+as alive for `detection_delay` seconds. Paths lose, delay and duplicate messages. Times are in seconds, rates
+in attempts per second.
 """
 
 from __future__ import annotations
@@ -17,21 +18,27 @@
 
 @dataclass(eq=False)
 class Dispatcher:
+    """One simulated member."""
+
     name: str
     address: tuple[str, int]
     zone: str
     machine: FailoverMachine
-    rate: float  # jobs a second it sends
+    rate: float  # attempts per second
     dead: bool = False
     paused_until: float = -1.0
-    clock: float = 0.0  # how far its clock is off
-    sent: int = 0  # bytes
-    next: float = 0.0  # when it looks next
+    clock_offset: float = 0.0
+    bytes_sent: int = 0
+    next_step_at: float = 0.0
+    # When its plan changed, to which version, and the traffic weights from then on.
     changes: list[tuple[float, tuple[int, str], dict[str, float]]] = field(default_factory=list)
-    lie: Callable[[bytes], bytes] | None = None
+    # Replaces each message that it sends, to simulate a faulty member.
+    rewrite_message: Callable[[bytes], bytes] | None = None
 
 
 class ZoneNet(Wires):
+    """The simulated fleet. `load` is the fraction of all slots in use; `plan`: members follow their plan."""
+
     def __init__(
         self,
         seed: int,
@@ -42,38 +49,37 @@
         load: float = 0.6,
         path: Path | None = None,
         rules: FailoverRules | None = None,
-        detect: float = 9.0,
+        detection_delay: float = 9.0,
         plan: bool = True,
     ):
         super().__init__(seed, path or Path(delay=0.005, jitter=0.002))
         self.rules = rules or FailoverRules()
-        self.detect = detect
+        self.detection_delay = detection_delay
         self.with_plan = plan
         self.zones = [f"z{i}" for i in range(zones)]
-        self.loss = dict.fromkeys(self.zones, 0.0)  # part of the attempts lost in each zone
-        self.regions: dict[str, str] = {}  # of the zones, where they have any
-        self.cuts: set[tuple[str, str]] = (
-            set()
-        )  # (a zone's dispatchers, a zone's workers): nothing passes
-        self.spared: set[str] = set()  # members that meet no loss
+        self.loss = dict.fromkeys(self.zones, 0.0)  # fraction of the attempts lost in each zone
+        self.regions: dict[str, str] = {}  # by zone, for zones that have one
+        # Pairs (zone of dispatchers, zone of workers) between which all attempts are lost.
+        self.blocked_zone_pairs: set[tuple[str, str]] = set()
+        self.unaffected: set[str] = set()  # members whose attempts are never lost
         self.capacity = dict.fromkeys(self.zones, members * rate * 0.2 / load / zones)
         self.attempts: dict[str, list[float]] = {zone: [] for zone in self.zones}  # when they ended
-        self._epoch = 0
+        self._membership_version = 0
         self._dead_at: dict[str, float] = {}
-        self._views: dict[str, tuple[int, list[Member]]] = {}
+        self._seen_members: dict[str, tuple[int, list[Member]]] = {}
         self.members: dict[str, Dispatcher] = {}
-        self._at: dict[tuple[str, int], Dispatcher] = {}
+        self._by_address: dict[tuple[str, int], Dispatcher] = {}
         for i in range(members):
             self.start(f"m{i:04d}", ("10.0.0.1", 1024 + i), self.zones[i % zones], rate)
 
-    # -- who is there
+    # -- members
 
     def start(self, name: str, address: tuple[str, int], zone: str, rate: float) -> Dispatcher:
-        """Start a member, or start it anew without what it knew."""
+        """Start a member, or restart it without its earlier state."""
         machine = FailoverMachine(
             name,
             zone,
-            lambda: self._view(name),
+            lambda: self._members_seen_by(name),
             random.Random(self.rng.getrandbits(64)),
             self.now,
             self.rules,
@@ -82,100 +88,110 @@
         machine.regions = lambda: self.regions
         machine.busy = rate * 0.2
         member = Dispatcher(name, address, zone, machine, rate)
-        self.members[name] = self._at[address] = member
+        self.members[name] = self._by_address[address] = member
         self._dead_at.pop(name, None)
-        self._epoch += 1
+        self._membership_version += 1
         self._step(member)
         return member
 
     def kill(self, *names: str) -> None:
+        """Stop members for good."""
         for name in names:
             self.members[name].dead = True
             self._dead_at[name] = self.now
-        self.at(self.now + self.detect, self._changed)
+        self.at(self.now + self.detection_delay, self._update_membership)
 
     def restart(self, name: str) -> Dispatcher:
+        """Kill a member and start it again at once, without its earlier state."""
         old = self.members[name]
         old.dead = True
         return self.start(name, old.address, old.zone, old.rate)
 
     def pause(self, name: str, span: float) -> None:
+        """Suspend a member for `span` seconds."""
         self.members[name].paused_until = self.now + span
 
-    def of(self, *zones: str) -> list[str]:
+    def members_of(self, *zones: str) -> list[str]:
+        """The names of the members in the zones."""
         return [m.name for m in self.members.values() if m.zone in zones]
 
-    def part(self, one: list[str], other: list[str], heal_after: float = 0.0) -> None:
-        """Cut two groups of members off from each other; the membership sees it after its time."""
-        self.cut(one, other, heal_after=heal_after)
-        self.at(self.now + self.detect, self._changed)
+    def partition(self, group: list[str], other_group: list[str], heal_after: float = 0.0) -> None:
+        """Cut two groups of members off from each other; the membership detects it after its delay."""
+        self.cut(group, other_group, heal_after=heal_after)
+        self.at(self.now + self.detection_delay, self._update_membership)
         if heal_after:
-            self.at(self.now + heal_after + 2.0, self._changed)
+            self.at(self.now + heal_after + 2.0, self._update_membership)
 
-    def _changed(self) -> None:
-        self._epoch += 1
+    def _update_membership(self) -> None:
+        self._membership_version += 1
 
-    def _view(self, name: str) -> list[Member]:
-        epoch, view = self._views.get(name, (-1, []))
-        if epoch != self._epoch:
-            view = [
-                Member(m.name, m.address, m.zone, self._sees(name, m))
+    def _members_seen_by(self, name: str) -> list[Member]:
+        version, seen = self._seen_members.get(name, (-1, []))
+        if version != self._membership_version:
+            seen = [
+                Member(m.name, m.address, m.zone, self._considers_alive(name, m))
                 for m in self.members.values()
                 if m.name != name
             ]
-            self._views[name] = (self._epoch, view)
-        return view
+            self._seen_members[name] = (self._membership_version, seen)
+        return seen
 
-    def _sees(self, name: str, other: Dispatcher) -> bool:
+    def _considers_alive(self, name: str, other: Dispatcher) -> bool:
         if other.dead:
-            return self.now - self._dead_at.get(other.name, self.now) < self.detect
+            return self.now - self._dead_at.get(other.name, self.now) < self.detection_delay
         return not (self.path(name, other.name).cut and self.path(other.name, name).cut)
 
     # -- time
 
     def _step(self, member: Dispatcher) -> None:
-        if self.members.get(member.name) is not member or member.dead or self.now < member.next:
+        if (
+            self.members.get(member.name) is not member
+            or member.dead
+            or self.now < member.next_step_at
+        ):
             return
         if self.now >= member.paused_until:
             machine = member.machine
-            machine.now = max(machine.now, self.now + member.clock)
-            self._work(member)
-            self._send(member, machine.tick(self.now + member.clock))
-            self._note(member)
-            due = machine.due - member.clock
+            machine.now = max(machine.now, self.now + member.clock_offset)
+            self._generate_attempts(member)
+            self._send(member, machine.tick(self.now + member.clock_offset))
+            self._record_plan_change(member)
+            due = machine.due - member.clock_offset
         else:
             due = member.paused_until
-        self._arm(member, due)
+        self._schedule(member, due)
 
-    def _arm(self, member: Dispatcher, due: float) -> None:
-        member.next = max(due, self.now + 1e-3)
-        self.at(member.next, lambda: self._step(member))
+    def _schedule(self, member: Dispatcher, due: float) -> None:
+        member.next_step_at = max(due, self.now + 1e-3)
+        self.at(member.next_step_at, lambda: self._step(member))
 
-    def _work(self, member: Dispatcher) -> None:
-        """What it sent since its last look, ended: parted by its plan's shares."""
-        shares = member.machine.traffic_weights() if self.with_plan else {}
-        weights = [shares.get(zone, 1.0) for zone in self.zones]
+    def _generate_attempts(self, member: Dispatcher) -> None:
+        """The attempts that a member ended since its last step, spread over the zones by traffic weight."""
+        traffic_weights = member.machine.traffic_weights() if self.with_plan else {}
+        weights = [traffic_weights.get(zone, 1.0) for zone in self.zones]
         if not sum(weights):
             weights = [1.0] * len(weights)
-        whole = member.rate * self.rules.tick
-        jobs = int(whole) + (self.rng.random() < whole % 1.0)
-        for zone in self.rng.choices(self.zones, weights, k=jobs):
-            lost = (member.zone, zone) in self.cuts or self.rng.random() < self.loss[zone]
-            lost = lost and member.name not in self.spared
-            member.machine.record_attempt(self.now + member.clock, zone, lost)
+        expected_attempts = member.rate * self.rules.tick_interval
+        count = int(expected_attempts) + (self.rng.random() < expected_attempts % 1.0)
+        for zone in self.rng.choices(self.zones, weights, k=count):
+            lost = (member.zone, zone) in self.blocked_zone_pairs or self.rng.random() < self.loss[
+                zone
+            ]
+            lost = lost and member.name not in self.unaffected
+            member.machine.record_attempt(self.now + member.clock_offset, zone, lost)
             self.attempts[zone].append(self.now)
 
-    def _note(self, member: Dispatcher) -> None:
+    def _record_plan_change(self, member: Dispatcher) -> None:
         version = member.machine.plan.version
         if not member.changes or member.changes[-1][1] != version:
             member.changes.append((self.now, version, member.machine.traffic_weights()))
 
-    def _send(self, member: Dispatcher, out: list[tuple[tuple[str, int], bytes]]) -> None:
-        for address, data in out:
-            if member.lie is not None:
-                data = member.lie(data)
-            member.sent += len(data) + 60  # what the members' datagram adds
-            to = self._at.get(address)
+    def _send(self, member: Dispatcher, outgoing: list[tuple[tuple[str, int], bytes]]) -> None:
+        for address, data in outgoing:
+            if member.rewrite_message is not None:
+                data = member.rewrite_message(data)
+            member.bytes_sent += len(data) + 60  # overhead of a membership datagram
+            to = self._by_address.get(address)
             if to is not None:
                 self.carry(
                     self.path(member.name, to.name),
@@ -188,22 +204,25 @@
         if self.now < to.paused_until:
             self.at(to.paused_until + 1e-3, lambda: self._arrive(to, data, member))
             return
-        self._send(to, to.machine.receive(self.now + to.clock, data, member.name, member.address))
-        self._note(to)
-        self._look_again(to)
+        self._send(
+            to, to.machine.receive(self.now + to.clock_offset, data, member.name, member.address)
+        )
+        self._record_plan_change(to)
+        self._reschedule_if_earlier(to)
 
-    def _look_again(self, member: Dispatcher) -> None:
-        """It may be due earlier than it was."""
-        if member.machine.due - member.clock < member.next:
-            self._arm(member, member.machine.due - member.clock)
+    def _reschedule_if_earlier(self, member: Dispatcher) -> None:
+        """Move the member's next step forward if its machine has become due earlier."""
+        if member.machine.due - member.clock_offset < member.next_step_at:
+            self._schedule(member, member.machine.due - member.clock_offset)
 
-    # -- what they think
+    # -- what the members hold
 
     def living(self) -> list[Dispatcher]:
+        """The members that are neither dead nor suspended."""
         return [m for m in self.members.values() if not m.dead and self.now >= m.paused_until]
 
     def traffic_weight(self, zone: str) -> list[float]:
-        """The share of a zone that each living member goes by."""
+        """The traffic weight of a zone at each living member."""
         return [m.machine.traffic_weights().get(zone, 1.0) for m in self.living()]
 
     def agreed(self) -> bool:
--- a/yewrill/zone_failover/commands.py
+++ b/yewrill/zone_failover/commands.py
@@ -1,8 +1,8 @@
-"""`yewrill zones ...`: see the fleet's plan of zones, and order or forbid a leave, at management listeners.
+"""`yewrill zones ...`: shows the failover plan, and orders a zone left or kept, through management listeners.
 
-An order holds at the dispatchers that took it, until `return`; it stands above any plan, so it is given to
-all of them: nothing that one member says to others can stand in for an operator. Exit status: 0 done
-everywhere, 1 at some only.
+An order holds at the dispatchers that accepted it, until `return`, and overrides any plan. Dispatchers don't
+pass orders on to each other, since no message from a member may count as an operator's order; so an order is
+sent to all of them. Exit status: 0 if all dispatchers answered with success, else 1.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 @click.group()
 def zones() -> None:
-    """See the fleet's plan of zones; order or forbid a leave."""
+    """Show the zone failover plan; order a zone left, or kept whatever the plan says."""
 
 
 @zones.command()
 @addresses_option
 @click.option(
-    "--json", "as_json", is_flag=True, help="What each management listener said, as JSON."
+    "--json", "as_json", is_flag=True, help="Print the answer of each management listener as JSON."
 )
 def show(addresses: tuple[str, ...], as_json: bool) -> None:
-    """The plan as each dispatcher holds it, and why."""
+    """Show the plan that each dispatcher holds, and why it last changed."""
     answers = each(addresses, "GET", "/_zones")
     plans = {address: ujson.loads(body) for address, status, body in answers if status == 200}
     failed = [(address, status, body) for address, status, body in answers if status != 200]
@@ -35,9 +35,9 @@
         click.echo(ujson.dumps(plans, indent=1))
     else:
         for address, said in plans.items():
-            doubt = "  doubts itself" if said.get("own_doubt") else ""
+            degraded = "  degraded" if said.get("own_doubt") else ""
             click.echo(
-                f"{address}  plan {said['plan']} {said.get('digest', '')}{doubt}  {said.get('why', '')}"
+                f"{address}  plan {said['plan']} {said.get('digest', '')}{degraded}  {said.get('why', '')}"
             )
             for zone in said["zones"]:
                 order = f"  order: {zone['order']}" if zone["order"] else ""
@@ -46,8 +46,8 @@
                     f"slots {zone['slots']:g}  lost {zone['lost']} of {zone['ended']}{order}"
                 )
         if len({said.get("digest", "") for said in plans.values()}) > 1:
-            click.echo("the plans differ")
-    _tell_failed(failed)
+            click.echo("the dispatchers hold different plans")
+    _report_failures(failed)
 
 
 def _order(order: str, zone: str, addresses: tuple[str, ...]) -> None:
@@ -55,10 +55,10 @@
     click.echo(
         f"{order} {zone}: {sum(status == 200 for _, status, _ in answers)} of {len(addresses)} dispatchers"
     )
-    _tell_failed([answer for answer in answers if answer[1] != 200])
+    _report_failures([answer for answer in answers if answer[1] != 200])
 
 
-def _tell_failed(failed: list[tuple[str, int, bytes]]) -> None:
+def _report_failures(failed: list[tuple[str, int, bytes]]) -> None:
     for address, status, body in failed:
         click.echo(told(address, status, body), err=True)
     if failed:
@@ -69,7 +69,7 @@
 @click.argument("zone")
 @addresses_option
 def leave(zone: str, addresses: tuple[str, ...]) -> None:
-    """Send nothing new to a zone, whatever the plan says."""
+    """Send no new requests to a zone, whatever the plan says."""
     _order("leave", zone, addresses)
 
 
@@ -77,7 +77,7 @@
 @click.argument("zone")
 @addresses_option
 def pin(zone: str, addresses: tuple[str, ...]) -> None:
-    """Never leave a zone by plan."""
+    """Send a zone its normal traffic, whatever the plan says."""
     _order("pin", zone, addresses)
 
 
@@ -85,5 +85,5 @@
 @click.argument("zone")
 @addresses_option
 def bring_back(zone: str, addresses: tuple[str, ...]) -> None:
-    """Lift an order; a zone that is left by plan gets its whole share at once."""
+    """Lift an order. A zone that is also left by plan gets its normal traffic until the plan drops it."""
     _order("return", zone, addresses)
--- a/yewrill/zone_failover/evidence.py
+++ b/yewrill/zone_failover/evidence.py
@@ -1,6 +1,6 @@
-"""Attempts by zone that ended lately: how many, and how many of these came to nothing.
+"""Counts of recent attempts by zone: how many ended, and how many of these were lost.
 
-Numbers, not verdicts: what is told to others is what was counted, and each judges for itself. Pure.
+Members exchange these counts, not verdicts, and each member judges them itself. No I/O or clock.
 """
 
 from __future__ import annotations
@@ -9,43 +9,48 @@
 from collections.abc import Container, Mapping
 
 Counts = tuple[int, int]  # attempts ended, of these lost
-RECENT, NEWEST = (
-    2.5,
-    8,
-)  # seconds back, and at most so many: where much is sent, a failure shows sooner
-LONG, MOST = 4.0, 64  # the same where little is sent
+# A zone with its normal traffic: a short window, so that a failure shows soon.
+RECENT_WINDOW_SECONDS = 2.5
+RECENT_MAX_ATTEMPTS = 8
+# A zone with little traffic needs a longer window to have enough attempts.
+LONG_WINDOW_SECONDS = 4.0
+LONG_MAX_ATTEMPTS = 64
 
 
 class Evidence:
-    """The last endings in each zone. Seconds."""
+    """The last attempts that ended in each zone. Times are in seconds."""
 
     def __init__(self) -> None:
         self._ended: dict[str, deque[tuple[float, bool]]] = {}
 
     def record_attempt(self, now: float, zone: str, lost: bool) -> None:
-        """One attempt in a zone has ended."""
-        ended = self._ended.get(zone)
-        if ended is None:
-            ended = self._ended[zone] = deque(maxlen=MOST)
-        ended.append((now, lost))
-
-    def counts(self, now: float, thin: Container[str] = ()) -> Mapping[str, Counts]:
-        """What was counted lately, by zone; of those that are `thin`, over a longer time."""
-        total: dict[str, Counts] = {}
-        for zone, ended in self._ended.items():
-            span, most = (LONG, MOST) if zone in thin else (RECENT, NEWEST)
-            count = losses = 0
-            for at, lost in reversed(ended):
-                if at < now - span or count == most:
+        """Count an attempt that ended in a zone."""
+        endings = self._ended.get(zone)
+        if endings is None:
+            endings = self._ended[zone] = deque(maxlen=LONG_MAX_ATTEMPTS)
+        endings.append((now, lost))
+
+    def counts(self, now: float, low_traffic_zones: Container[str] = ()) -> Mapping[str, Counts]:
+        """The counts by zone within the window; `low_traffic_zones` have a longer one."""
+        counts: dict[str, Counts] = {}
+        for zone, endings in self._ended.items():
+            window, max_count = (
+                (LONG_WINDOW_SECONDS, LONG_MAX_ATTEMPTS)
+                if zone in low_traffic_zones
+                else (RECENT_WINDOW_SECONDS, RECENT_MAX_ATTEMPTS)
+            )
+            ended = lost_count = 0
+            for at, lost in reversed(endings):
+                if at < now - window or ended == max_count:
                     break
-                count += 1
-                losses += lost
-            if count:
-                total[zone] = count, losses
-        return total
+                ended += 1
+                lost_count += lost
+            if ended:
+                counts[zone] = ended, lost_count
+        return counts
 
     def clear(self, zone: str = "") -> None:
-        """Drop what was counted of a zone, or of all."""
+        """Drop the counts of a zone, or of all zones."""
         if zone:
             self._ended.pop(zone, None)
         else:
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -1,5 +1,5 @@
-"""What the rest of the program uses of the plan: a hook that counts attempts, agrees with the other
-dispatchers through the membership, and tells the module each zone's share."""
+"""The subsystem of the service: counts attempts by zone, runs this member's `FailoverMachine` on the
+membership's datagrams, and sets the engine's traffic weight of each zone."""
 
 from __future__ import annotations
 
@@ -17,18 +17,24 @@
 from yewrill.membership.suspicion import MAX_HEALTH_SCORE
 from yewrill.membership.transport import ZONES
 from yewrill.service.subsystems import SubsystemContext
-from yewrill.zone_failover.machine import Address, FailoverMachine, FailoverRules, Member, Out
+from yewrill.zone_failover.machine import (
+    Address,
+    FailoverMachine,
+    FailoverRules,
+    Member,
+    OutgoingMessage,
+)
 from yewrill.zone_failover.plan import FULL_WEIGHT
 
 log = logging.getLogger("yewrill.zones")
 
 ROLE = "zones"
-STUCK_ATTEMPT_MS = (
-    1000.0  # ms without a start, from which on what waits at a worker that runs none of ours hangs
-)
+# An attempt counts as stuck if it has waited this long at a worker that runs no attempt of this dispatcher.
+STUCK_ATTEMPT_MS = 1000.0
 
-# Endings that say nothing of a zone: the job came back unseen, or we held it back or gave it up ourselves.
-_TELL_NOTHING = frozenset(
+# Outcomes that are no evidence about a zone: the worker rejected the request, a pooled connection was closed
+# before the worker read it, or the dispatcher didn't send it or had an error of its own.
+_INCONCLUSIVE_OUTCOMES = frozenset(
     {
         AttemptOutcome.REJECTED,
         AttemptOutcome.NOT_SENT,
@@ -40,69 +46,76 @@
 
 
 class ZonesConfig(Protocol):
-    """What the operators' file says of the plan. Seconds; `most_out` is a part of all capacity."""
+    """The section `zones` of the settings file; `FailoverRules` explains the fields.
+
+    Durations are in seconds; `most_out` is a fraction of all capacity.
+    """
 
     hold: float
-    attempt: float
+    step: float
     most_out: float
     stands: float
 
 
 class Zones:
-    """A hook of the service. It needs the membership's hook."""
+    """A subsystem of the service. It needs the membership subsystem."""
 
     name = "zones"
 
     def __init__(self, config: ZonesConfig):
         self._rules = FailoverRules(
-            hold=config.hold, step=config.step, most_out=config.most_out, stands=config.stands
+            hold_time=config.hold,
+            recovery_step_interval=config.step,
+            max_excluded_fraction=config.most_out,
+            plan_validity=config.stands,
         )
-        self._orders: dict[str, str] = {}  # zone: what operators have ordered here
-        self._told: dict[int, float] = {}
+        self._orders: dict[str, str] = {}  # operators' orders to this dispatcher, by zone
+        self._sent_weights: dict[int, float] = {}
         self._machine: FailoverMachine | None = None
-        self._woken = trio.Event()
-        self._list: tuple[object, list[Member]] = (None, [])
-        self.calls = {order: self._calling(order) for order in ("leave", "pin", "return")}
+        self._wake_up = trio.Event()
+        self._members_cache: tuple[object, list[Member]] = (None, [])
+        self.calls = {order: self._order_call(order) for order in ("leave", "pin", "return")}
 
     def attach(self, context: SubsystemContext) -> None:
+        """Take the subsystems that this one uses, and wrap `run_attempt` to count outcomes."""
         members = context.subsystems["members"]
         assert isinstance(members, Members)
         self._members, self._engine, self._endpoints = members, context.engine, context.endpoints
         self._views = context.subsystems.get("views")
         if self._views is not None:
-            self._views.watch(lambda: self._woken.set())  # noqa: PLW0108 - the event is replaced
+            self._views.watch(lambda: self._wake_up.set())  # noqa: PLW0108 - the event is replaced
         self._ownership = context.subsystems.get("ownership")
         if self._ownership is not None:
             self._ownership.want(ROLE)
-        self._carry = context.run_attempt
+        self._run_attempt = context.run_attempt
         context.run_attempt = self._attempt
 
     # -- evidence
 
     async def _attempt(self, attempt: Attempt) -> tuple[AttemptOutcome, Any]:
-        """Carry a route step, and count how it ended."""
+        """Run an attempt, and count its outcome for the worker's zone."""
         machine = self._machine
         endpoint = self._endpoints.get(attempt.worker)
         if machine is None or endpoint is None:
-            return await self._carry(attempt)
+            return await self._run_attempt(attempt)
         width = attempt.request.width
         machine.busy += width
         try:
-            outcome, result = await self._carry(attempt)
+            outcome, result = await self._run_attempt(attempt)
         finally:
             machine.busy -= width
-        zone = self._name(endpoint.zone)
+        zone = self._zone_name(endpoint.zone)
         if (
             zone
-            and outcome not in _TELL_NOTHING
+            and outcome not in _INCONCLUSIVE_OUTCOMES
             and not (outcome is AttemptOutcome.CANCELLED and attempt.request.client_left)
         ) and machine.record_attempt(
             trio.current_time(), zone, outcome is not AttemptOutcome.SERVED
         ):
-            self._woken.set()
+            self._wake_up.set()
         return outcome, result
 
-    def _name(self, position: int) -> str:
+    def _zone_name(self, position: int) -> str:
         names = self._endpoints.topology.zones
         return names[position] if position < len(names) else ""
 
@@ -112,14 +125,14 @@
             name: slots[i] for i, name in enumerate(self._endpoints.topology.zones) if i in slots
         }
 
-    def _hanging(self) -> Mapping[str, int]:
+    def _stuck_attempts(self) -> Mapping[str, int]:
         return {
-            self._name(zone): count
+            self._zone_name(zone): count
             for zone, count in self._engine.stuck_attempts(STUCK_ATTEMPT_MS).items()
         }
 
     def _regions(self) -> Mapping[str, str]:
-        """The region of each zone that has members, as these tell it."""
+        """The region of each zone, as the zone's members announce it."""
         link = self._members.link
         claims = (
             []
@@ -131,6 +144,7 @@
     # -- agreement
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Take part in the agreement until cancelled."""
         await self._members.opened.wait()
         link = self._members.link
         assert link is not None
@@ -141,7 +155,7 @@
         )
         machine.capacity, machine.stuck_attempts, machine.regions = (
             self._capacity,
-            self._hanging,
+            self._stuck_attempts,
             self._regions,
         )
         self._machine = machine
@@ -150,8 +164,8 @@
         version = machine.plan.version
         while True:
             with trio.move_on_at(link.next_turn(machine.due)):
-                await self._woken.wait()
-            self._woken = trio.Event()
+                await self._wake_up.wait()
+            self._wake_up = trio.Event()
             now = trio.current_time()
             if now >= machine.due:
                 outside = self._views is not None and self._views.view() is None
@@ -169,33 +183,36 @@
                         for zone, entry in sorted(machine.plan.zones.items())
                     )
                     or "all well",
-                    machine.why,
+                    machine.last_change_reason,
                 )
-            self._tell_module()
+            self._update_engine()
 
     def _take_ownership(self, machine: FailoverMachine, now: float) -> None:
-        """With owners, the one of this duty alone makes plans, while it is heard of."""
+        """Pass the holder of the lease on this role to the machine; without leases any member makes plans."""
         if self._ownership is not None:
             number, owner = self._ownership.seen(ROLE, now)
             machine.epoch = max(machine.epoch, number)
             machine.owner = "" if owner == machine.me else owner
 
-    def _receive(self, data: bytes, sender: str, address: Address) -> list[Out]:
+    def _receive(self, data: bytes, sender: str, address: Address) -> list[OutgoingMessage]:
         assert self._machine is not None
-        out = self._machine.receive(trio.current_time(), data, sender, address)
-        self._woken.set()
-        return out
+        outgoing = self._machine.receive(trio.current_time(), data, sender, address)
+        self._wake_up.set()
+        return outgoing
 
     def _others(self) -> Sequence[Member]:
-        """The others as the agreed view has them, or else the membership; the same object until that changes.
-        Without a view we doubt ourselves, and the last one is as good as any."""
+        """The other members by the agreed view, or by the membership if there are no views.
+
+        Returns the same object until its source changes. A member outside all views counts as degraded and
+        keeps the members of its last view.
+        """
         link = self._members.link
         if link is None:
             return []
         if self._views is not None:
             view = self._views.view()
-            if view is not None and self._list[0] is not view:
-                self._list = (
+            if view is not None and self._members_cache[0] is not view:
+                self._members_cache = (
                     view,
                     [
                         Member(e.name, e.address, e.zone, True)
@@ -203,9 +220,9 @@
                         if e.name != link.machine.me.name
                     ],
                 )
-            return self._list[1]
-        if self._list[0] is not link.list_changed:
-            self._list = (
+            return self._members_cache[1]
+        if self._members_cache[0] is not link.list_changed:
+            self._members_cache = (
                 link.list_changed,
                 [
                     Member(name, m.claim.address, m.claim.zone, m.claim.state != DEAD)
@@ -213,61 +230,64 @@
                     if m.claim.state != LEFT
                 ],
             )
-        return self._list[1]
+        return self._members_cache[1]
 
-    def _tell_module(self) -> None:
-        shares = self.shares()
-        told = {
-            i: shares[name]
+    def _update_engine(self) -> None:
+        traffic_weights = self.traffic_weights()
+        weights = {
+            i: traffic_weights[name]
             for i, name in enumerate(self._endpoints.topology.zones)
-            if name in shares
+            if name in traffic_weights
         }
-        if told != self._told:
-            self._told = told
-            self._engine.set_zone_weights(told)
+        if weights != self._sent_weights:
+            self._sent_weights = weights
+            self._engine.set_zone_weights(weights)
 
-    def shares(self) -> dict[str, float]:
-        """What the module goes by: the plan, under the orders that were given here."""
+    def traffic_weights(self) -> dict[str, float]:
+        """The traffic weight of each zone in use here: the plan's, overridden by operators' orders."""
         machine = self._machine
-        shares = {} if machine is None else dict(machine.traffic_weights())
+        traffic_weights = {} if machine is None else dict(machine.traffic_weights())
         for zone, order in list(self._orders.items()):
             if order == "leave":
-                shares[zone] = 0.0
+                traffic_weights[zone] = 0.0
             else:
-                known = shares.pop(zone, None)
+                known = traffic_weights.pop(zone, None)
                 if order == "return" and known is None:
-                    del self._orders[zone]  # it is back by plan too
-        return shares
+                    del self._orders[zone]  # the plan has no entry for it any more
+        return traffic_weights
 
     # -- operators
 
-    def _calling(self, order: str) -> Any:
+    def _order_call(self, order: str) -> Any:
         async def call(zone: str) -> bool:
             if zone not in self._endpoints.topology.zones:
                 return False
             self._orders[zone] = order
-            self._woken.set()
+            self._wake_up.set()
             return True
 
         return call
 
     def status(self) -> dict[str, Any]:
-        """For operators, as plain values."""
+        """The plan, counts and orders as plain values, for the management interface."""
         machine = self._machine
         if machine is None:
             return {"plan": 0, "zones": []}
-        shares, counts = self.shares(), machine.evidence.counts(trio.current_time())
+        traffic_weights, counts = (
+            self.traffic_weights(),
+            machine.evidence.counts(trio.current_time()),
+        )
         capacity = self._capacity()
         return {
             "plan": machine.plan.version[0],
             "digest": machine.plan.version[1],
-            "why": machine.why,
+            "why": machine.last_change_reason,
             "own_doubt": machine.is_degraded(),
-            "regions": self._by_region(shares, capacity),
+            "regions": self._by_region(traffic_weights, capacity),
             "zones": [
                 {
                     "zone": name,
-                    "share": shares.get(name, 1.0),
+                    "share": traffic_weights.get(name, 1.0),
                     "by_plan": machine.plan.traffic_weight(name) / FULL_WEIGHT,
                     "order": self._orders.get(name, ""),
                     "slots": round(capacity.get(name, 0.0), 1),
@@ -280,23 +300,23 @@
         }
 
     def _by_region(
-        self, shares: Mapping[str, float], capacity: Mapping[str, float]
+        self, traffic_weights: Mapping[str, float], capacity: Mapping[str, float]
     ) -> dict[str, float]:
-        """The share of each region's normal work that goes there, over its zones."""
-        whole: dict[str, list[float]] = {}
+        """The fraction of each region's normal traffic that goes there, weighted by its zones' slots."""
+        totals: dict[str, list[float]] = {}
         for zone, region in self._regions().items():
             slots = capacity.get(zone, 0.0)
-            parts = whole.setdefault(region, [0.0, 0.0])
-            parts[0] += slots * shares.get(zone, 1.0)
-            parts[1] += slots
+            sums = totals.setdefault(region, [0.0, 0.0])
+            sums[0] += slots * traffic_weights.get(zone, 1.0)
+            sums[1] += slots
         return {
-            region: round(part / total, 3)
-            for region, (part, total) in sorted(whole.items())
+            region: round(weighted / total, 3)
+            for region, (weighted, total) in sorted(totals.items())
             if total
         }
 
     def metrics(self) -> dict[str, int]:
-        """Counts since the start, by the names operators see."""
+        """Counts since the start, by metric name."""
         if self._machine is None:
             return {}
         counted = self._machine.statistics
--- a/yewrill/zone_failover/format.py
+++ b/yewrill/zone_failover/format.py
@@ -1,6 +1,6 @@
-"""What members say to each other of zones, as bytes and back. Whatever does not fit its form is refused.
+"""The codec of the failover messages between members. Malformed messages are refused.
 
-A message is a msgpack array that begins with its kind and the version its sender holds: (number, digest).
+A message is a msgpack array that begins with its kind and the version of the sender's plan: number, digest.
 """
 
 from __future__ import annotations
@@ -21,32 +21,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneMessage:
-    """One message. ASK: a question's number. TELL: the answer. PLAN: a whole plan. GET: send me yours. HINT:
-    to the owner of the duty of making plans, a zone that it should look at."""
+    """One message.
+
+    DIGEST has the sender's plan version only. ASK starts a poll; ANSWER replies with the sender's counts. GET
+    requests the receiver's plan; PLAN has a whole plan. HINT reports a failing zone to the member that makes
+    the plans.
+    """
 
     kind: int
     version: Version
-    number: int = 0
-    is_degraded: bool = False  # the teller doubts itself: its counts are not to be used
-    busy: float = 0.0  # slots of its running work
+    number: int = 0  # of the poll
+    is_degraded: bool = False  # the sender's counts can't be trusted
+    busy: float = 0.0  # slots that the sender's running attempts take
     counts: Mapping[str, tuple[int, int]] = field(default_factory=dict)
-    unreachable_zones: tuple[
-        str, ...
-    ] = ()  # zones none of whose members it hears; of a HINT, the one that fails
+    # The zones none of whose members the sender reaches; in a HINT, the failing zone.
+    unreachable_zones: tuple[str, ...] = ()
     plan: FailoverPlan | None = None
 
 
 class Malformed(Exception):
-    """Bytes that are no such message."""
+    """The bytes are not a valid message."""
 
 
 def pack(message: ZoneMessage) -> bytes:
-    rest: list[Any] = []
+    """Encode one message."""
+    fields: list[Any] = []
     if message.kind == ASK:
-        rest = [message.number]
+        fields = [message.number]
     elif message.kind == ANSWER:
         counts = [[zone, *pair] for zone, pair in sorted(message.counts.items())[:MAX_ZONES]]
-        rest = [
+        fields = [
             message.number,
             message.is_degraded,
             message.busy,
@@ -55,43 +59,43 @@
         ]
     elif message.kind == PLAN:
         assert message.plan is not None
-        rest = [
+        fields = [
             [
                 [z, e.traffic_weight, e.penalty_count, e.is_recovering]
                 for z, e in sorted(message.plan.zones.items())
             ]
         ]
     elif message.kind == HINT:
-        rest = [message.unreachable_zones[0]]
-    return msgpack.packb([message.kind, *message.version, *rest])
+        fields = [message.unreachable_zones[0]]
+    return msgpack.packb([message.kind, *message.version, *fields])
 
 
 def unpack(data: bytes) -> ZoneMessage:
-    """Raises Malformed."""
+    """Decode one message. Raises Malformed."""
     try:
-        kind, number, digest, *rest = msgpack.unpackb(data)
+        kind, number, digest, *fields = msgpack.unpackb(data)
         version = (whole(number, 2**48), text(digest, empty=True))
         if kind == ASK:
-            return ZoneMessage(ASK, version, whole(rest[0], 2**32))
+            return ZoneMessage(ASK, version, whole(fields[0], 2**32))
         if kind == ANSWER:
-            asked, is_degraded, busy, counts, unreachable_zones = rest
+            poll_number, is_degraded, busy, counts, unreachable_zones = fields
             if not isinstance(busy, float) or not 0.0 <= busy <= 1e9 or len(counts) > MAX_ZONES:
-                raise ValueError("busy")
-            read = {}
+                raise ValueError("busy slots or number of zones out of range")
+            valid_counts = {}
             for zone, ended, lost in counts:
-                read[text(zone)] = (whole(ended, MAX_ATTEMPT_COUNT), whole(lost, ended))
+                valid_counts[text(zone)] = (whole(ended, MAX_ATTEMPT_COUNT), whole(lost, ended))
             return ZoneMessage(
                 ANSWER,
                 version,
-                whole(asked, 2**32),
+                whole(poll_number, 2**32),
                 bool(is_degraded),
                 busy,
-                read,
+                valid_counts,
                 tuple(text(zone) for zone in unreachable_zones[:MAX_ZONES]),
             )
         if kind == PLAN:
-            if len(rest[0]) > MAX_ZONES:
-                raise ValueError("zones")
+            if len(fields[0]) > MAX_ZONES:
+                raise ValueError("too many zones in a plan")
             plan = FailoverPlan(
                 version[0],
                 {
@@ -100,14 +104,14 @@
                         whole(penalty_count, 64, 1),
                         is_recovering is True,
                     )
-                    for zone, traffic_weight, penalty_count, is_recovering in rest[0]
+                    for zone, traffic_weight, penalty_count, is_recovering in fields[0]
                 },
             )
             if plan.version != version:
-                raise ValueError("digest")
+                raise ValueError("version and content of a plan don't match")
             return ZoneMessage(PLAN, version, plan=plan)
         if kind == HINT:
-            return ZoneMessage(HINT, version, unreachable_zones=(text(rest[0]),))
+            return ZoneMessage(HINT, version, unreachable_zones=(text(fields[0]),))
         if kind in (DIGEST, GET):
             return ZoneMessage(kind, version)
     except (
@@ -118,4 +122,4 @@
         RecursionError,
     ) as error:
         raise Malformed(str(error)) from error
-    raise Malformed("kind")
+    raise Malformed("unknown kind of message")
--- a/yewrill/zone_failover/machine.py
+++ b/yewrill/zone_failover/machine.py
@@ -1,26 +1,34 @@
-"""The fleet's agreement on zones as a pure machine: messages and the time in, messages out.
-
-Theory of operation. Each member counts its own attempts by zone. Who has cause asks a random sample of the
-others, those outside the zone in question, for their counts (a *poll*), and judges the numbers:
-
-- *Leaving.* More than half of the answering members that have evidence, and no fewer than three, see the zone
-  lose half of its attempts: the next plan leaves it as far as the guards allow, and further if it serves
-  nothing and there is more room elsewhere. Only a majority of all members known outside it makes a plan.
-- *Taking over a plan.* Nobody's word for it is enough. A newer plan is taken once a poll of our own bears it
-  out, or once more than half of a sample hold it already; so it spreads as fast as it is seen to be true.
-- *Coming back.* After a hold, longer with each time that the zone was left in short order, a small share is
-  tried; each further step needs its time and a poll that sees the zone well. A step that fails leaves again.
-- *Versions.* A plan is higher by number, then by digest. Members tell each other their version once a second
-  at random, and fetch what is newer.
-- *Doubting oneself.* Who gets too few answers, or is distrusted by its membership, or slept through its own
-  time, or loses its attempts in most zones, answers that it doubts and proposes nothing.
-- *Without news* from anyone, the plan stands for a while, then no longer binds: own evidence is left.
-
-Where the duty of making plans has an owner (`yewrill/leases`), it alone proposes; its number stands in
-front of the plan's, so that whatever an earlier owner sends late is lower, and refused. Polls bear its plans
-out like anybody's. Without an owner all of this holds as it is.
-
-No clock is compared between members: all spans are counted by each member's own from when it heard.
+"""The state machine by which the dispatchers agree on a failover plan. No I/O: it takes messages and the time
+and returns messages to send.
+
+Theory of operation. Each member counts the attempts that it ended, by zone. A member that suspects a zone, or
+has a recovery step due, *polls*: it asks a random sample of the members outside that zone for their counts
+and judges the sum.
+
+- *Leaving a zone.* A zone is failing if more than half of the answering members that have evidence, and at
+  least three, see it lose half of its attempts. The next plan then lowers its traffic as far as the capacity
+  limits allow; it lowers it further if the zone serves nothing and the other zones have gained capacity. Only
+  a member that reaches a majority of all members outside the zone makes a plan.
+- *Adopting a plan.* No member adopts a plan only because another one sent it. It adopts a newer plan once its
+  own poll confirms it, or once more than half of a poll's sample hold it already.
+- *Recovery.* After a hold time, which doubles with each failure in quick succession, the zone gets a small
+  share of its traffic as a trial. Each further step needs a minimum time and a poll that finds the zone
+  healthy. If a step fails, the zone is left again.
+- *Versions.* Plans are ordered by number, then by digest. Once a second each member sends its version to a
+  random member, and members fetch newer plans.
+- *Degraded members.* A member doesn't trust its own counts if its membership health is poor, its process was
+  suspended, or its attempts fail in most zones. It says so in its answers and proposes nothing. A poll that
+  fewer than half of the asked members answer has no result.
+- *Isolation.* If a member receives no message for a while, the plan no longer binds it; it then goes by its
+  own evidence alone.
+
+Where a member holds the lease on the role of making plans (`yewrill/leases`), that member alone proposes. The
+lease's fencing number forms the high part of the plan number, so plans sent late by an earlier holder are
+lower and refused. Its plans need to be confirmed by polls like any others. Without leases every member may
+propose.
+
+Clocks are never compared between members: each measures durations on its own clock, from the moment it
+received a message.
 """
 
 from __future__ import annotations
@@ -44,8 +52,8 @@
     unpack,
 )
 from yewrill.zone_failover.plan import (
-    EPOCH,
     FULL_WEIGHT,
+    PLANS_PER_EPOCH,
     RECOVERY_RAMP,
     FailoverPlan,
     ZoneEntry,
@@ -54,84 +62,89 @@
 )
 
 MAX_UNCONFIRMED_PLANS = 8
-REFUSAL_SECONDS = 3.0  # seconds for which a plan that was spoken against is not looked at again
-CONFIRMATION_SECONDS = 4.0  # seconds in which a plan that was heard of has to be borne out
-MAX_NUMBER_GAP = (
-    64  # plans that we may have missed; a number further off needs a majority that holds it
-)
-WEIGHT_TOLERANCE = (
-    150  # thousandths by which another's reckoning of the guards may differ from ours
-)
+# A plan that a poll contradicted is ignored for this long.
+REFUSAL_SECONDS = 3.0
+# A plan that was received is dropped if no poll confirms it within this time.
+CONFIRMATION_SECONDS = 4.0
+# A plan whose number is further ahead than this is adopted only if a majority holds it.
+MAX_NUMBER_GAP = 64
+# Thousandths by which two members' minimum weights may differ, as they see different loads.
+WEIGHT_TOLERANCE = 150
 
 Address = tuple[str, int]
-Out = tuple[Address, bytes]
+OutgoingMessage = tuple[Address, bytes]
 
 
 class Member(NamedTuple):
-    """One of the others, as the membership lists it."""
+    """Another member, as the membership lists it."""
 
     name: str
     address: Address
     zone: str
-    living: bool
+    is_alive: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FailoverRules:
-    """Seconds, counts and parts."""
-
-    tick: float = 0.25
-    sample: int = 15  # members asked in a poll
-    wait: float = 0.4  # for their answers; who is silent for half of it is asked again
-    bad: float = 0.5  # part of the attempts lost, from which on a zone fails
-    good: float = 0.2  # up to which it is well
-    dead: float = 0.95  # from which on it may be left further, should the others have room by now
-    least: int = 6  # attempts in a poll that tell anything
-    most: int = 8  # attempts that count of one member
-    few: int = 3  # attempts that tell of a zone that is tried
-    voters: int = 3  # members that must see a zone fail
-    hold: float = 2.0  # from leaving a zone to its trial; doubled with each strike
-    longest: float = 60.0  # the longest hold; and after so long well, strikes are forgotten
-    step: float = 1.0  # from one step back to the next
-    patience: float = 2.5  # for a step without any evidence
-    stands: float = 10.0  # how long a plan binds without news from anybody
-    most_out: float = 0.5  # part of all capacity that may be left at once
-    pushes: int = 4  # rounds in which a new plan, taken or only heard of, is told to
-    fan: int = 3  # members each
+    """Thresholds of the zone failover. Durations are in seconds."""
+
+    tick_interval: float = 0.25
+    poll_sample_size: int = 15  # members asked in one poll
+    poll_timeout: float = 0.4  # after half of it, members that have not answered are asked again
+    failing_loss_ratio: float = 0.5  # from this fraction of lost attempts on, a zone is failing
+    healthy_loss_ratio: float = 0.2  # up to this fraction, a zone is healthy
+    # From this fraction on, a zone that is left in part may be left further, if the others have room by now.
+    dead_loss_ratio: float = 0.95
+    min_poll_attempts: int = 6  # fewer attempts in a poll are no evidence
+    max_attempts_per_member: int = 8  # more attempts of one member are scaled down to this weight
+    min_recovery_attempts: int = 3  # enough to show that a zone with a plan entry is failing again
+    min_failing_voters: int = 3  # members that must see the zone fail
+    hold_time: float = 2.0  # from leaving a zone to its trial; doubled with each penalty
+    max_hold_time: float = (
+        60.0  # also the time after which a recovered zone's penalties are dropped
+    )
+    recovery_step_interval: float = 1.0
+    unverified_step_interval: float = 2.5  # for a recovery step without evidence
+    plan_validity: float = 10.0  # how long a plan binds while no message arrives
+    max_excluded_fraction: float = 0.5  # of all capacity, that may be left at once
+    push_rounds: int = 4  # ticks in which a new plan, adopted or unconfirmed, is sent out
+    push_fanout: int = 3  # members that it is sent to in each of them
 
 
 @dataclass(slots=True)
 class _UnconfirmedPlan:
-    """A newer plan that was heard of and not borne out yet."""
+    """A newer plan that was received and is neither adopted nor refused yet."""
 
     plan: FailoverPlan
-    until: float
+    expires_at: float
 
 
 @dataclass(slots=True)
 class _Poll:
+    """A poll under way on one zone."""
+
     zone: str
     number: int
     asked: dict[str, Address]
-    again_at: float
-    until: float
+    resend_at: float
+    deadline: float
     answers: dict[str, ZoneMessage] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a poll showed of a zone. `fails` and `well` are both False where it told too little."""
+    """The result of a poll on a zone. With too little evidence it is neither failing nor healthy."""
 
-    at: float
-    fails: bool
-    well: bool
-    lost: float  # part of the attempts
-    ended: int
+    judged_at: float
+    is_failing: bool
+    is_healthy: bool
+    loss_ratio: float
+    attempts: int
 
 
 @dataclass(slots=True)
 class FailoverStatistics:
-    """What happened, for figures."""
+    """Counters since the start, for metrics."""
 
     polls: int = 0
     plans_made: int = 0
@@ -144,9 +157,15 @@
 
 @dataclass
 class FailoverMachine:
+    """One member's part in the agreement. Call `tick` when `due` is reached, and `receive` for each message.
+
+    Both return the messages to send. `others` returns all known members except this one, and the same object
+    as long as the membership hasn't changed.
+    """
+
     me: str
     zone: str
-    others: Callable[[], Sequence[Member]]  # all known but ourselves
+    others: Callable[[], Sequence[Member]]
     rng: random.Random
     now: float
     rules: FailoverRules = field(default_factory=FailoverRules)
@@ -155,303 +174,345 @@
     def __post_init__(self) -> None:
         self.plan = FailoverPlan()
         self.evidence = Evidence()
-        self.capacity: Callable[[], Mapping[str, float]] = (
-            dict  # slots of each zone, as discovery lists it
-        )
-        self.regions: Callable[[], Mapping[str, str]] = dict  # of zones, where members tell theirs
-        # Attempts that are out at workers which start nothing of ours.
+        # Slots of each zone, as discovery lists it.
+        self.capacity: Callable[[], Mapping[str, float]] = dict
+        # The region of each zone, where its members announce one.
+        self.regions: Callable[[], Mapping[str, str]] = dict
+        # Attempts by zone that wait at workers which start none of this dispatcher's requests.
         self.stuck_attempts: Callable[[], Mapping[str, int]] = dict
-        self.busy = 0.0  # slots of our own running work
-        self.health_score = (
-            0  # of ourselves, by the membership; 4 and more: our own eyes don't count
-        )
-        self.epoch = 0  # the highest number under which the duty of making plans was granted
-        self.owner = ""  # who else has that duty
-        self._hinted_zones: dict[str, float] = {}  # zones that others see fail, since we have it
-        self.why = ""  # the last change of the plan, in plain words
-        self._since: dict[str, float] = {}  # when each zone's entry came into force here
-        self._recovered_zones: dict[
-            str, tuple[int, float]
-        ] = {}  # strikes of zones well again, and since when
+        self.busy = 0.0  # slots that this dispatcher's running attempts take
+        # This member's health score by the membership; from 4 on its own counts are not trusted.
+        self.health_score = 0
+        # The highest fencing number seen of the lease on the role of making plans.
+        self.epoch = 0
+        self.owner = ""  # the other member that holds that lease, if any
+        # Zones that other members reported as failing while this one makes the plans, and when.
+        self._hinted_zones: dict[str, float] = {}
+        self.last_change_reason = ""  # why the plan last changed, for operators
+        # When each zone's entry was adopted here.
+        self._in_force_since: dict[str, float] = {}
+        # The penalty count of each recovered zone, and when it recovered.
+        self._recovered_zones: dict[str, tuple[int, float]] = {}
         self._verdicts: dict[str, Verdict] = {}
-        self._before = self.plan  # the one that ours took the place of
-        self._unconfirmed_plans: dict[str, _UnconfirmedPlan] = {}  # by who told them first
-        self._refused: dict[tuple[int, str], float] = {}
+        self._previous_plan = self.plan
+        self._unconfirmed_plans: dict[str, _UnconfirmedPlan] = {}  # by the first sender
+        self._refused_versions: dict[tuple[int, str], float] = {}
         self._poll: _Poll | None = None
-        self._polled: dict[str, float] = {}
-        self._unconfirmed_polled_at = -1e9  # when another's plan alone was cause for a poll
-        self._number = 0
-        self._proposal_delay = 0.0  # seconds by which we let others make the next step first
-        self._plans_to_push: dict[
-            FailoverPlan, int
-        ] = {}  # plans that are still told, and in how many rounds
+        self._last_polled_at: dict[str, float] = {}
+        # When an unconfirmed plan or a hint was last the only cause for a poll.
+        self._last_unconfirmed_poll_at = -1e9
+        self._last_poll_number = 0
+        # Random delay of this member's next recovery step, so that rarely two members propose it at once.
+        self._proposal_delay = 0.0
+        # The plans that are still sent out, and for how many more ticks.
+        self._plans_to_push: dict[FailoverPlan, int] = {}
         self._membership_cache: tuple[Sequence[Member], list[Member], set[str]] = ([], [], set())
         self._last_received_at = self.now
         self._degraded_until = -1.0
-        self._digest_at = self.now + self.rng.random()
-        self.due = self._ticked = self.now + self.rng.random() * self.rules.tick
+        self._next_digest_at = self.now + self.rng.random()
+        self.due = self._last_tick_at = self.now + self.rng.random() * self.rules.tick_interval
 
-    # -- what others see
+    # -- results
 
     def traffic_weights(self) -> dict[str, float]:
-        """The part of its normal work that each zone gets, where less than the whole; none without news."""
-        if self.now - self._last_received_at > self.rules.stands:
+        """The fraction of its normal traffic that each zone in the plan gets. Zones without an entry get all.
+
+        Empty if no message was received for `plan_validity`: then the plan no longer binds.
+        """
+        if self.now - self._last_received_at > self.rules.plan_validity:
             return {}
         return {zone: entry.traffic_weight / FULL_WEIGHT for zone, entry in self.plan.zones.items()}
 
     def _counts(self) -> Mapping[str, Counts]:
-        """Our own counts; of zones that get little by plan, over a longer time. What hangs counts as lost."""
+        """The counts of this member's own attempts. Stuck attempts count as lost.
+
+        Zones with a plan entry get little traffic, so they are counted over a longer window.
+        """
         counts = dict(self.evidence.counts(self.now, self.plan.zones))
-        for zone, hanging in self.stuck_attempts().items():
+        for zone, stuck in self.stuck_attempts().items():
             ended, lost = counts.get(zone, (0, 0))
-            counts[zone] = ended + hanging, lost + hanging
+            counts[zone] = ended + stuck, lost + stuck
         return counts
 
     def is_degraded(self) -> bool:
-        """Whether our own counts are not to be believed."""
+        """Whether this member's own counts can't be trusted."""
         if self.health_score >= 4 or self.now < self._degraded_until:
             return True
         counts = {z: c for z, c in self._counts().items() if c[0] >= 3}
-        failing = [zone for zone, (ended, lost) in counts.items() if lost >= self.rules.bad * ended]
+        failing = [
+            zone
+            for zone, (ended, lost) in counts.items()
+            if lost >= self.rules.failing_loss_ratio * ended
+        ]
         if len(counts) <= 2 or len(failing) * 2 <= len(counts):
             return False
-        # Of three zones two at once: rather us. Unless they are just one region, and that is not our own.
+        # If most zones fail at once, the fault is more likely here, unless they make up one other region.
         regions = self.regions()
-        hit = {regions.get(zone, "") for zone in failing}
-        return len(hit) != 1 or hit <= {"", regions.get(self.zone, "")}
+        failing_regions = {regions.get(zone, "") for zone in failing}
+        return len(failing_regions) != 1 or failing_regions <= {"", regions.get(self.zone, "")}
 
     # -- time
 
     def record_attempt(self, now: float, zone: str, lost: bool) -> bool:
-        """One attempt in a zone has ended. Whether that is cause to look at once."""
+        """Count an attempt that ended in a zone. Returns whether `tick` should be called at once."""
         self.evidence.record_attempt(now, zone, lost)
         if (
             not lost
             or self._poll is not None
-            or now - self._polled.get(zone, -1e9) < self.rules.wait
+            or now - self._last_polled_at.get(zone, -1e9) < self.rules.poll_timeout
         ):
             return False
         entry = self.plan.zones.get(zone)
         if entry is not None and not entry.is_recovering:
             return False
         ended, losses = self.evidence.counts(now, self.plan.zones)[zone]
-        if ended < 2 or losses < self.rules.bad * ended:
+        if ended < 2 or losses < self.rules.failing_loss_ratio * ended:
             return False
         self.due = min(self.due, now)
         return True
 
-    def tick(self, now: float) -> list[Out]:
-        """Whatever is due: a poll's end, the next one, the plan's spread."""
-        late = now - max(self.due, self._ticked)
-        self.now = self._ticked = now
-        self.due = now + self.rules.tick
-        out: list[Out] = []
-        if late > 1.0:  # we slept: what we counted is old, and so may the plan be
+    def tick(self, now: float) -> list[OutgoingMessage]:
+        """Run what is due: advance or start a poll, send plans and the version digest, drop old records."""
+        delay = now - max(self.due, self._last_tick_at)
+        self.now = self._last_tick_at = now
+        self.due = now + self.rules.tick_interval
+        outgoing: list[OutgoingMessage] = []
+        if delay > 1.0:  # the process was suspended: its counts are old, and its plan may be
             self.statistics.late_ticks += 1
             self.evidence.clear()
             self._poll = None
             self._degraded_until = now + 2.0
-            self._since = dict.fromkeys(self._since, now)
-            self._digest_at = now
-        others, living, _ = self._membership()
+            self._in_force_since = dict.fromkeys(self._in_force_since, now)
+            self._next_digest_at = now
+        others, live_members, _ = self._membership()
         for sender, unconfirmed in list(self._unconfirmed_plans.items()):
-            if now > unconfirmed.until:
+            if now > unconfirmed.expires_at:
                 del self._unconfirmed_plans[sender]
         if self._poll is not None:
-            self._advance_poll(self._poll, others, out)
-        if self._poll is None and now >= self._degraded_until and living:
-            self._start_poll(living, out)
+            self._advance_poll(self._poll, others, outgoing)
+        if self._poll is None and now >= self._degraded_until and live_members:
+            self._start_poll(live_members, outgoing)
         for plan, rounds in list(self._plans_to_push.items()):
-            self._push_plan(plan, out)
+            self._push_plan(plan, outgoing)
             if rounds > 1 and plan.version >= self.plan.version:
                 self._plans_to_push[plan] = rounds - 1
             else:
                 del self._plans_to_push[plan]
-        if now >= self._digest_at and living:
-            self._digest_at = now + 1.0
-            asleep = 5 if now < self._degraded_until else 1
-            out += [
+        if now >= self._next_digest_at and live_members:
+            self._next_digest_at = now + 1.0
+            receiver_count = 5 if now < self._degraded_until else 1
+            outgoing += [
                 (m.address, pack(ZoneMessage(DIGEST, self.plan.version)))
-                for m in self._sample(living, asleep)
+                for m in self._sample(live_members, receiver_count)
             ]
         for zone, (_, since) in list(self._recovered_zones.items()):
-            if now - since > self.rules.longest:
+            if now - since > self.rules.max_hold_time:
                 del self._recovered_zones[zone]
-        for version, at in list(self._refused.items()):
+        for version, at in list(self._refused_versions.items()):
             if now - at > REFUSAL_SECONDS:
-                del self._refused[version]
-        return out
+                del self._refused_versions[version]
+        return outgoing
 
     def _membership(self) -> tuple[Sequence[Member], list[Member], set[str]]:
-        """All others, the living ones, and the zones that have members none of whom we hear."""
+        """All other members, the live ones, and the zones whose members are all unreachable."""
         others = self.others()
         if others is not self._membership_cache[0]:
-            living = [m for m in others if m.living]
+            live_members = [m for m in others if m.is_alive]
             unreachable_zones = (
-                {m.zone for m in others} - {m.zone for m in living} - {self.zone, ""}
+                {m.zone for m in others} - {m.zone for m in live_members} - {self.zone, ""}
             )
-            self._membership_cache = others, living, unreachable_zones
+            self._membership_cache = others, live_members, unreachable_zones
         return self._membership_cache
 
-    def _push_plan(self, plan: FailoverPlan, out: list[Out]) -> None:
+    def _push_plan(self, plan: FailoverPlan, outgoing: list[OutgoingMessage]) -> None:
         data = pack(ZoneMessage(PLAN, plan.version, plan=plan))
-        out += [(m.address, data) for m in self._sample(self._membership()[1], self.rules.fan)]
+        outgoing += [
+            (m.address, data) for m in self._sample(self._membership()[1], self.rules.push_fanout)
+        ]
 
-    def _sample(self, among: Sequence[Member], most: int) -> Sequence[Member]:
-        return among if len(among) <= most else self.rng.sample(among, most)
+    def _sample(self, members: Sequence[Member], max_size: int) -> Sequence[Member]:
+        return members if len(members) <= max_size else self.rng.sample(members, max_size)
 
     # -- polls
 
-    def _start_poll(self, living: Sequence[Member], out: list[Out]) -> None:
-        """Poll on the zone that most needs it, if one does."""
+    def _start_poll(self, live_members: Sequence[Member], outgoing: list[OutgoingMessage]) -> None:
+        """Start a poll on the zone that has waited longest for one, if any needs it."""
         zone = self._zone_to_poll()
         if zone is None:
             return
-        outside = [m for m in living if m.zone != zone]
-        asked = {m.name: m.address for m in self._sample(outside, self.rules.sample)}
+        outside = [m for m in live_members if m.zone != zone]
+        asked = {m.name: m.address for m in self._sample(outside, self.rules.poll_sample_size)}
         self.statistics.polls += 1
-        self._number += 1
-        self._polled[zone] = self.now
-        wait = self.rules.wait
-        self._poll = _Poll(zone, self._number, asked, self.now + wait / 2, self.now + wait)
-        data = pack(ZoneMessage(ASK, self.plan.version, self._number))
-        out += [(address, data) for address in asked.values()]
+        self._last_poll_number += 1
+        self._last_polled_at[zone] = self.now
+        timeout = self.rules.poll_timeout
+        self._poll = _Poll(
+            zone, self._last_poll_number, asked, self.now + timeout / 2, self.now + timeout
+        )
+        data = pack(ZoneMessage(ASK, self.plan.version, self._last_poll_number))
+        outgoing += [(address, data) for address in asked.values()]
 
     def _zone_to_poll(self) -> str | None:
-        rules, zones, heard = self.rules, [], set()
+        rules, zones, reported_zones = self.rules, [], set()
         if not self.is_degraded():
             for zone, (ended, lost) in self._counts().items():
                 entry = self.plan.zones.get(zone)
                 if (
                     ended >= 2
-                    and lost >= rules.bad * ended
+                    and lost >= rules.failing_loss_ratio * ended
                     and (
                         entry is None
                         or entry.is_recovering
-                        or (entry.traffic_weight and lost >= rules.dead * ended)
+                        or (entry.traffic_weight and lost >= rules.dead_loss_ratio * ended)
                     )
                 ):
                     zones.append(zone)
             zones += [
                 zone
                 for zone, entry in self.plan.zones.items()
-                if self.now - self._since[zone] > self._min_duration(entry) + self._proposal_delay
+                if self.now - self._in_force_since[zone]
+                > self._min_duration(entry) + self._proposal_delay
             ]
         for unconfirmed in self._unconfirmed_plans.values():
-            heard |= {*unconfirmed.plan.differs(self.plan)}
-        heard |= {zone for zone, at in self._hinted_zones.items() if self.now - at < 1.0}
-        own = [zone for zone in zones if self.now - self._polled.get(zone, -1e9) >= rules.wait]
-        # Polls for hearsay are what a liar can cost: few in all, and less often of each zone.
-        if not own and self.now - self._unconfirmed_polled_at >= rules.wait:
-            own = [
+            reported_zones |= {*unconfirmed.plan.changed_zones(self.plan)}
+        reported_zones |= {zone for zone, at in self._hinted_zones.items() if self.now - at < 1.0}
+        candidates = [
+            zone
+            for zone in zones
+            if self.now - self._last_polled_at.get(zone, -1e9) >= rules.poll_timeout
+        ]
+        # A faulty member can cause polls by unconfirmed plans and hints, so those are limited: one at a time
+        # for all zones together, and less often for each zone.
+        if not candidates and self.now - self._last_unconfirmed_poll_at >= rules.poll_timeout:
+            candidates = [
                 zone
-                for zone in heard
-                if self.now - self._polled.get(zone, -1e9) >= 2.0 * rules.wait
+                for zone in reported_zones
+                if self.now - self._last_polled_at.get(zone, -1e9) >= 2.0 * rules.poll_timeout
             ]
-            if own:
-                self._unconfirmed_polled_at = self.now
-        return min(own, key=lambda z: (self._polled.get(z, -1e9), z), default=None)
+            if candidates:
+                self._last_unconfirmed_poll_at = self.now
+        return min(candidates, key=lambda z: (self._last_polled_at.get(z, -1e9), z), default=None)
 
     def _min_duration(self, entry: ZoneEntry) -> float:
-        """How long an entry is in force at the least, before the next step back."""
+        """The shortest time that an entry is in force before the next recovery step."""
         if entry.is_recovering:
-            return self.rules.step
-        return min(self.rules.longest, self.rules.hold * 2.0 ** (entry.penalty_count - 1))
+            return self.rules.recovery_step_interval
+        return min(
+            self.rules.max_hold_time, self.rules.hold_time * 2.0 ** (entry.penalty_count - 1)
+        )
 
-    def _advance_poll(self, poll: _Poll, others: Sequence[Member], out: list[Out]) -> None:
+    def _advance_poll(
+        self, poll: _Poll, others: Sequence[Member], outgoing: list[OutgoingMessage]
+    ) -> None:
         missing = [a for name, a in poll.asked.items() if name not in poll.answers]
-        if missing and self.now < poll.until:
-            if self.now >= poll.again_at:
-                poll.again_at = poll.until
+        if missing and self.now < poll.deadline:
+            if self.now >= poll.resend_at:
+                poll.resend_at = poll.deadline
                 data = pack(ZoneMessage(ASK, self.plan.version, poll.number))
-                out += [(address, data) for address in missing]
+                outgoing += [(address, data) for address in missing]
             return
         self._poll = None
         if 2 * len(poll.answers) < len(poll.asked):
-            self.statistics.inconclusive_polls += 1  # rather we are cut off than they all
+            # So few answers mean that this member is cut off, rather than all the others.
+            self.statistics.inconclusive_polls += 1
             return
         outside = [m for m in others if m.zone != poll.zone]
-        mine = self.zone != poll.zone
+        is_outside = self.zone != poll.zone
         verdict = self._verdicts[poll.zone] = self._judge(poll)
-        self._consider_unconfirmed(poll)
-        if 2 * (sum(m.living for m in outside) + mine) > len(outside) + mine:
-            self._propose(poll, verdict, out)
+        self._evaluate_unconfirmed_plans(poll)
+        if 2 * (sum(m.is_alive for m in outside) + is_outside) > len(outside) + is_outside:
+            self._propose(poll, verdict, outgoing)
 
     def _judge(self, poll: _Poll, held: tuple[int, str] | None = None) -> Verdict:
-        """What the numbers say. Each member's count for no more than `most` attempts. Members that hold the
-        version `held` or a newer one have judged already, and forgotten what they counted."""
+        """The verdict on the poll's zone by the answers and this member's own counts.
+
+        Each member weighs at most `max_attempts_per_member` attempts. Members that hold the plan version
+        `held` or a newer one count as seeing the zone fail: they cleared their counts when they adopted it.
+        """
         rules, zone = self.rules, poll.zone
-        told = [
+        reports = [
             (
-                said.counts.get(zone, (0, 0)),
-                zone in said.unreachable_zones or (held is not None and said.version >= held),
+                message.counts.get(zone, (0, 0)),
+                zone in message.unreachable_zones or (held is not None and message.version >= held),
             )
-            for said in poll.answers.values()
-            if not said.is_degraded
+            for message in poll.answers.values()
+            if not message.is_degraded
         ]
         if self.zone != zone and not self.is_degraded():
-            told.append((self._counts().get(zone, (0, 0)), zone in self._membership()[2]))
+            reports.append((self._counts().get(zone, (0, 0)), zone in self._membership()[2]))
         ended = lost = 0.0
         failing = voters = 0
-        for (one_ended, one_lost), gone in told:
+        for (one_ended, one_lost), is_unreachable in reports:
             if one_ended:
-                part = min(1.0, rules.most / one_ended)
-                ended += one_ended * part
-                lost += one_lost * part
-            if one_ended or gone:
+                scale = min(1.0, rules.max_attempts_per_member / one_ended)
+                ended += one_ended * scale
+                lost += one_lost * scale
+            if one_ended or is_unreachable:
                 voters += 1
-                failing += gone or one_lost >= rules.bad * one_ended
-        traffic_weight = lost / ended if ended else 0.0
+                failing += is_unreachable or one_lost >= rules.failing_loss_ratio * one_ended
+        loss_ratio = lost / ended if ended else 0.0
         outside = sum(m.zone != zone for m in self.others()) + (self.zone != zone)
-        needed = rules.few if zone in self.plan.zones else rules.least
-        enough = traffic_weight >= rules.bad and ended >= needed if ended and held is None else True
-        fails = 2 * failing > voters and failing >= min(rules.voters, outside // 2 + 1) and enough
+        min_attempts = (
+            rules.min_recovery_attempts if zone in self.plan.zones else rules.min_poll_attempts
+        )
+        has_enough_evidence = (
+            loss_ratio >= rules.failing_loss_ratio and ended >= min_attempts
+            if ended and held is None
+            else True
+        )
+        is_failing = (
+            2 * failing > voters
+            and failing >= min(rules.min_failing_voters, outside // 2 + 1)
+            and has_enough_evidence
+        )
         return Verdict(
             self.now,
-            fails,
-            ended >= rules.least and traffic_weight <= rules.good,
-            traffic_weight,
+            is_failing,
+            ended >= rules.min_poll_attempts and loss_ratio <= rules.healthy_loss_ratio,
+            loss_ratio,
             int(ended),
         )
 
-    def _fleet_busy(self, poll: _Poll) -> float:
-        """Slots of the whole fleet's running work: the middle half of what is told, times the members."""
-        told = sorted([self.busy, *(said.busy for said in poll.answers.values())])
-        cut = len(told) // 4
-        middle = told[cut : len(told) - cut]
+    def _fleet_busy_slots(self, poll: _Poll) -> float:
+        """An estimate of the slots in use fleet-wide: the mean of the middle half of the reports, times the
+        number of members. The outer quarters are dropped so that one wrong report can't move it far."""
+        reports = sorted([self.busy, *(message.busy for message in poll.answers.values())])
+        trimmed = len(reports) // 4
+        middle = reports[trimmed : len(reports) - trimmed]
         return sum(middle) / len(middle) * (1 + len(self._membership()[1]))
 
     # -- plans
 
-    def _propose(self, poll: _Poll, verdict: Verdict, out: list[Out]) -> None:
+    def _propose(self, poll: _Poll, verdict: Verdict, outgoing: list[OutgoingMessage]) -> None:
         zone, entry = poll.zone, self.plan.zones.get(poll.zone)
         if self.is_degraded():
             return
-        if (
-            self.owner
-        ):  # it is the owner's to make plans, and it may see less of this zone than we do
-            if verdict.fails and (
+        if self.owner:
+            # Only the owner makes plans, and it may send too little to this zone to see it fail.
+            if verdict.is_failing and (
                 zone not in self.plan.zones or self.plan.zones[zone].is_recovering
             ):
                 hint = pack(ZoneMessage(HINT, self.plan.version, unreachable_zones=(zone,)))
-                out += [(m.address, hint) for m in self._membership()[1] if m.name == self.owner]
+                outgoing += [
+                    (m.address, hint) for m in self._membership()[1] if m.name == self.owner
+                ]
             return
         if any(
-            zone in unconfirmed.plan.differs(self.plan)
+            zone in unconfirmed.plan.changed_zones(self.plan)
             for unconfirmed in self._unconfirmed_plans.values()
         ):
             return
-        since = self._since.get(zone, -1e9)
-        dead = verdict.lost >= self.rules.dead
-        if verdict.fails and (
-            entry is None or entry.is_recovering or (entry.traffic_weight and dead)
+        since = self._in_force_since.get(zone, -1e9)
+        is_dead = verdict.loss_ratio >= self.rules.dead_loss_ratio
+        if verdict.is_failing and (
+            entry is None or entry.is_recovering or (entry.traffic_weight and is_dead)
         ):
             penalty_count = (
                 entry.penalty_count
                 if entry is not None
                 else self._recovered_zones.get(zone, (0, 0.0))[0]
             )
-            # A trial that failed was cheap. Only work that came back and was lost again makes it wait longer.
+            # A failed trial cost little, so it adds no penalty; a failure after the first step does.
             penalty_count = min(
                 penalty_count
                 + (
@@ -464,12 +525,12 @@
             if traffic_weight < 0.9 * FULL_WEIGHT and (
                 entry is None or traffic_weight < entry.traffic_weight
             ):
-                why = f"{zone}: {verdict.lost:.0%} of {verdict.ended} attempts lost"
-                self._adopt_new_plan(zone, ZoneEntry(traffic_weight, penalty_count), why)
+                reason = f"{zone}: {verdict.loss_ratio:.0%} of {verdict.attempts} attempts lost"
+                self._adopt_new_plan(zone, ZoneEntry(traffic_weight, penalty_count), reason)
         elif (
             entry is not None
             and self.now - since > self._min_duration(entry)
-            and not verdict.fails
+            and not verdict.is_failing
             and (entry.is_recovering or zone not in self._membership()[2])
         ):
             if not entry.is_recovering:
@@ -478,70 +539,81 @@
                     traffic_weight=max(RECOVERY_RAMP[0], entry.traffic_weight),
                     is_recovering=True,
                 )
-                self._adopt_new_plan(zone, trial, f"{zone}: tried again")
-            elif verdict.well or (
-                self._has_little_evidence(verdict) and self.now - since > self.rules.patience
+                self._adopt_new_plan(zone, trial, f"{zone}: recovery trial")
+            elif verdict.is_healthy or (
+                self._has_little_evidence(verdict)
+                and self.now - since > self.rules.unverified_step_interval
             ):
-                why = f"{zone}: a step back, {verdict.lost:.0%} of {verdict.ended} attempts lost"
-                self._adopt_new_plan(zone, next_recovery_step(entry), why)
+                reason = f"{zone}: next step, {verdict.loss_ratio:.0%} of {verdict.attempts} attempts lost"
+                self._adopt_new_plan(zone, next_recovery_step(entry), reason)
 
     def _min_weight(self, poll: _Poll) -> int:
         return min_traffic_weight(
-            self.plan, poll.zone, self.capacity(), self._fleet_busy(poll), self.rules.most_out
+            self.plan,
+            poll.zone,
+            self.capacity(),
+            self._fleet_busy_slots(poll),
+            self.rules.max_excluded_fraction,
         )
 
-    def _adopt_new_plan(self, zone: str, entry: ZoneEntry | None, why: str) -> None:
+    def _adopt_new_plan(self, zone: str, entry: ZoneEntry | None, reason: str) -> None:
         self.statistics.plans_made += 1
-        self._adopt(self.plan.with_entry(zone, entry, self.epoch), why)
+        self._adopt(self.plan.with_entry(zone, entry, self.epoch), reason)
 
-    def _adopt(self, plan: FailoverPlan, why: str) -> None:
-        for zone in plan.differs(self.plan):
+    def _adopt(self, plan: FailoverPlan, reason: str) -> None:
+        for zone in plan.changed_zones(self.plan):
             entry, before = plan.zones.get(zone), self.plan.zones.get(zone)
             if entry is None:
-                self._since.pop(zone, None)
+                self._in_force_since.pop(zone, None)
                 self._recovered_zones[zone] = (before.penalty_count if before else 0, self.now)
             else:
-                self._since[zone] = self.now
+                self._in_force_since[zone] = self.now
                 self._recovered_zones.pop(zone, None)
-            self.evidence.clear(zone)  # it was counted under another share
+            self.evidence.clear(zone)  # counted under another traffic weight
             self._verdicts.pop(zone, None)
-        self._before, self.plan, self.why = self.plan, plan, why
+        self._previous_plan, self.plan, self.last_change_reason = self.plan, plan, reason
         self._proposal_delay = self.rng.random() * (
             0.3 + min(2.0, len(self._membership()[1]) / 200)
         )
-        self._plans_to_push[plan] = self.rules.pushes
+        self._plans_to_push[plan] = self.rules.push_rounds
         self._unconfirmed_plans = {
             s: r for s, r in self._unconfirmed_plans.items() if r.plan.version > plan.version
         }
 
-    def _consider_unconfirmed(self, poll: _Poll) -> None:
-        """Take the highest newer plan that a majority holds, or that our own polls bear out."""
+    def _evaluate_unconfirmed_plans(self, poll: _Poll) -> None:
+        """Adopt the highest newer plan that a majority holds or this member's polls confirm; refuse any that
+        they contradict."""
         highest_first = sorted(
             self._unconfirmed_plans.items(), key=lambda item: item[1].plan.version, reverse=True
         )
         for sender, unconfirmed in highest_first:
             plan = unconfirmed.plan
-            held = sum(said.version >= plan.version for said in poll.answers.values())
+            held = sum(message.version >= plan.version for message in poll.answers.values())
             if 2 * held > len(poll.asked) and len(poll.asked) > 1:
-                self._adopt(plan, "held by most of the others")
-            elif plan.number - max(self.plan.number, self.epoch * EPOCH) > MAX_NUMBER_GAP:
+                self._adopt(plan, "held by most members of a poll")
+            elif plan.number - max(self.plan.number, self.epoch * PLANS_PER_EPOCH) > MAX_NUMBER_GAP:
                 continue
             else:
-                checks = [self._is_confirmed(plan, zone, poll) for zone in plan.differs(self.plan)]
+                checks = [
+                    self._is_confirmed(plan, zone, poll) for zone in plan.changed_zones(self.plan)
+                ]
                 if any(check is False for check in checks):
                     self.statistics.plans_refused += 1
-                    self._refused[plan.version] = self.now
+                    self._refused_versions[plan.version] = self.now
                     del self._unconfirmed_plans[sender]
                 elif all(checks) and any(check is True for check in checks):
-                    self._adopt(plan, "made by another, and borne out by the others' counts")
+                    self._adopt(plan, "made by another member and confirmed by a poll")
             if self.plan is plan:
                 self.statistics.plans_adopted += 1
                 return
 
     def _is_confirmed(self, plan: FailoverPlan, zone: str, poll: _Poll) -> bool | str | None:
-        """Whether what we know supports a zone's new entry. None: not known yet; a text: nothing against."""
+        """Whether this member's polls support a zone's entry in a newer plan.
+
+        True: confirmed. False: contradicted. None: not known yet. A text: no objection, but no confirmation.
+        """
         new, old = plan.zones.get(zone), self.plan.zones.get(zone)
-        if plan.number == self.plan.number:  # made beside ours, from figures a little different
+        if plan.number == self.plan.number:  # made at the same time, from slightly different counts
             if (
                 new is not None
                 and old is not None
@@ -549,82 +621,91 @@
                 and abs(new.traffic_weight - old.traffic_weight) <= WEIGHT_TOLERANCE
             ):
                 return True
-            if new == self._before.zones.get(zone):
-                return "the last step undone, to be made again after the other's"
+            if new == self._previous_plan.zones.get(zone):
+                return "reverts this member's last change, which is proposed again later"
         verdict = self._verdicts.get(zone)
-        if verdict is None or self.now - verdict.at > 2.0:
+        if verdict is None or self.now - verdict.judged_at > 2.0:
             return None
-        was = FULL_WEIGHT if old is None else old.traffic_weight
+        old_weight = FULL_WEIGHT if old is None else old.traffic_weight
         if new is not None and not new.is_recovering:
-            if verdict.well:
+            if verdict.is_healthy:
                 return False
-            fails = verdict.fails or (poll.zone == zone and self._judge(poll, plan.version).fails)
+            is_failing = verdict.is_failing or (
+                poll.zone == zone and self._judge(poll, plan.version).is_failing
+            )
             return (
-                fails
+                is_failing
                 and new.traffic_weight >= self._min_weight(poll) - WEIGHT_TOLERANCE
                 and (old is None or old.is_recovering or new.traffic_weight < old.traffic_weight)
             ) or None
-        if old is None or verdict.fails:
+        if old is None or verdict.is_failing:
             return False
-        right = (
+        is_expected_step = (
             new == next_recovery_step(old)
             if old.is_recovering
-            else new is not None and new.traffic_weight <= max(RECOVERY_RAMP[0], was)
+            else new is not None and new.traffic_weight <= max(RECOVERY_RAMP[0], old_weight)
+        )
+        is_due = self.now - self._in_force_since[zone] > 0.6 * self._min_duration(old)
+        return is_expected_step and (
+            is_due and (verdict.is_healthy or self._has_little_evidence(verdict)) or None
         )
-        ripe = self.now - self._since[zone] > 0.6 * self._min_duration(old)
-        return right and (ripe and (verdict.well or self._has_little_evidence(verdict)) or None)
 
     def _has_little_evidence(self, verdict: Verdict) -> bool:
-        """Whether a verdict rests on next to nothing, and speaks against nothing."""
-        return verdict.ended < self.rules.least and verdict.lost <= self.rules.good
+        """Whether a verdict has too few attempts to be evidence, and few of them lost."""
+        return (
+            verdict.attempts < self.rules.min_poll_attempts
+            and verdict.loss_ratio <= self.rules.healthy_loss_ratio
+        )
 
     # -- messages
 
-    def receive(self, now: float, data: bytes, sender: str, address: Address) -> list[Out]:
-        """One message of an authenticated member; what is to be sent for it."""
+    def receive(
+        self, now: float, data: bytes, sender: str, address: Address
+    ) -> list[OutgoingMessage]:
+        """Handle one message of an authenticated member; returns the messages to send."""
         self.now = max(self.now, now)
         try:
-            said = unpack(data)
+            message = unpack(data)
         except Malformed:
             self.statistics.malformed += 1
             return []
         self._last_received_at = self.now
-        out: list[Out] = []
-        mine = self.plan.version
-        if said.kind == ASK:
-            out.append((address, pack(self._answer(said.number))))
-        elif said.kind == ANSWER:
+        outgoing: list[OutgoingMessage] = []
+        own_version = self.plan.version
+        if message.kind == ASK:
+            outgoing.append((address, pack(self._answer(message.number))))
+        elif message.kind == ANSWER:
             poll = self._poll
-            if poll is not None and said.number == poll.number and sender in poll.asked:
-                poll.answers.setdefault(sender, said)
+            if poll is not None and message.number == poll.number and sender in poll.asked:
+                poll.answers.setdefault(sender, message)
                 if len(poll.answers) == len(poll.asked):
-                    self.due = self.now  # judge at once
-        elif said.kind == GET:
-            out.append((address, pack(ZoneMessage(PLAN, mine, plan=self.plan))))
-        elif said.kind == HINT and not self.owner:
-            for zone in said.unreachable_zones[:1]:
+                    self.due = self.now  # judge the poll at once
+        elif message.kind == GET:
+            outgoing.append((address, pack(ZoneMessage(PLAN, own_version, plan=self.plan))))
+        elif message.kind == HINT and not self.owner:
+            for zone in message.unreachable_zones[:1]:
                 self._hinted_zones = {
                     **dict(list(self._hinted_zones.items())[-MAX_UNCONFIRMED_PLANS:]),
                     zone: self.now,
                 }
-        elif said.kind == PLAN and said.plan is not None:
-            self._receive_plan(said.plan, sender, out)
-        if said.version < mine and said.kind in (DIGEST, ASK):
-            out.append((address, pack(ZoneMessage(PLAN, mine, plan=self.plan))))
+        elif message.kind == PLAN and message.plan is not None:
+            self._receive_plan(message.plan, sender, outgoing)
+        if message.version < own_version and message.kind in (DIGEST, ASK):
+            outgoing.append((address, pack(ZoneMessage(PLAN, own_version, plan=self.plan))))
         elif (
-            said.version > mine
-            and said.kind != PLAN
-            and said.version not in self._refused
-            and all(r.plan.version != said.version for r in self._unconfirmed_plans.values())
+            message.version > own_version
+            and message.kind != PLAN
+            and message.version not in self._refused_versions
+            and all(r.plan.version != message.version for r in self._unconfirmed_plans.values())
         ):
-            out.append((address, pack(ZoneMessage(GET, mine))))
-        return out
+            outgoing.append((address, pack(ZoneMessage(GET, own_version))))
+        return outgoing
 
     def _answer(self, number: int) -> ZoneMessage:
         counts: dict[str, Counts] = {}
         for zone, (ended, lost) in self._counts().items():
-            part = min(1.0, 1000 / ended)
-            counts[zone] = (int(ended * part), int(lost * part))
+            scale = min(1.0, 1000 / ended)
+            counts[zone] = (int(ended * scale), int(lost * scale))
         return ZoneMessage(
             ANSWER,
             self.plan.version,
@@ -635,12 +716,14 @@
             tuple(sorted(self._membership()[2])),
         )
 
-    def _receive_plan(self, plan: FailoverPlan, sender: str, out: list[Out]) -> None:
-        """A plan that is newer than ours goes on as a rumour at once, and is taken once it is borne out."""
-        if plan.version <= self.plan.version or plan.version in self._refused:
+    def _receive_plan(
+        self, plan: FailoverPlan, sender: str, outgoing: list[OutgoingMessage]
+    ) -> None:
+        """Keep a newer plan as unconfirmed and pass it on at once; it is adopted once it is confirmed."""
+        if plan.version <= self.plan.version or plan.version in self._refused_versions:
             return
-        # Of an owner that has been followed by another, or heard of already.
-        if plan.number < self.epoch * EPOCH or any(
+        # Made by an earlier holder of the lease, or already known.
+        if plan.number < self.epoch * PLANS_PER_EPOCH or any(
             r.plan.version == plan.version for r in self._unconfirmed_plans.values()
         ):
             return
@@ -650,6 +733,6 @@
         ):
             return
         self._unconfirmed_plans[sender] = _UnconfirmedPlan(plan, self.now + CONFIRMATION_SECONDS)
-        self._push_plan(plan, out)
-        self._plans_to_push[plan] = self.rules.pushes - 1
-        self.due = self.now  # look at once
+        self._push_plan(plan, outgoing)
+        self._plans_to_push[plan] = self.rules.push_rounds - 1
+        self.due = self.now  # poll at once
--- a/yewrill/zone_failover/plan.py
+++ b/yewrill/zone_failover/plan.py
@@ -1,7 +1,7 @@
-"""The fleet's plan: each zone's share of the new work that would go there, and the guards that bound it.
+"""The failover plan: each zone's fraction of its normal traffic, and the capacity limits that bound it.
 
-Pure. Shares are in thousandths, so that all members hold the same bytes; capacities are in slots, of whatever
-size, as long as one unit serves for all.
+No I/O or clock. Traffic weights are integers in thousandths, so that all members encode a plan to the same
+bytes. Capacities are in slots of any size, as long as it is the same for all zones.
 """
 
 from __future__ import annotations
@@ -12,32 +12,37 @@
 from functools import cached_property
 
 FULL_WEIGHT = 1000
-RECOVERY_RAMP = (50, 200, 500, FULL_WEIGHT)  # the way back; the first is the trial
+RECOVERY_RAMP = (50, 200, 500, FULL_WEIGHT)  # weights of a recovering zone; the first is the trial
 MAX_ZONES = 64
-EPOCH = 2**24  # plans of one owner; its grant's number counts in these
-FILL = 0.95  # the part of the other zones' capacity that may be spoken for
+# Each lease on the role of making plans has this range of plan numbers: fencing number * PLANS_PER_EPOCH on.
+PLANS_PER_EPOCH = 2**24
+# The fraction of the other zones' capacity that may be in use once a zone is left.
+MAX_UTILIZATION = 0.95
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneEntry:
-    """One zone. A zone without an entry is well."""
+    """The plan for one zone. A zone without an entry is healthy and gets all its traffic."""
 
     traffic_weight: int  # thousandths
-    penalty_count: int = (
-        1  # how often it was left in short order: each doubles the time until it is tried
-    )
-    is_recovering: bool = False  # it is being taken back, step by step
+    # How often the zone was left in quick succession. Each time doubles the hold time before its trial.
+    penalty_count: int = 1
+    is_recovering: bool = False  # its weight is being raised step by step
 
 
 @dataclass(frozen=True, eq=False)
 class FailoverPlan:
-    """Versions are ordered by number, and by digest among equal numbers; the higher one stands."""
+    """The entries of all zones that aren't healthy. Of two plans the one with the higher version is valid.
+
+    Versions are ordered by number, and by digest among equal numbers.
+    """
 
     number: int = 0
     zones: Mapping[str, ZoneEntry] = field(default_factory=dict)
 
     @cached_property
     def version(self) -> tuple[int, str]:
+        """The number, and a digest of the number and the entries; (0, "") for the initial plan."""
         if not self.number:
             return 0, ""
         text = ";".join(
@@ -49,46 +54,60 @@
         ).hexdigest()
 
     def traffic_weight(self, zone: str) -> int:
+        """The zone's traffic in thousandths of its normal traffic."""
         entry = self.zones.get(zone)
         return FULL_WEIGHT if entry is None else entry.traffic_weight
 
-    def differs(self, other: FailoverPlan) -> list[str]:
-        """The zones whose entries are not the same in both."""
+    def changed_zones(self, other: FailoverPlan) -> list[str]:
+        """The zones whose entries differ between the two plans."""
         return sorted(
             z for z in {*self.zones, *other.zones} if self.zones.get(z) != other.zones.get(z)
         )
 
     def with_entry(self, zone: str, entry: ZoneEntry | None, epoch: int = 0) -> FailoverPlan:
-        """The next plan, with another entry of a zone; None: it is well. `epoch`: its maker's grant."""
+        """The next plan, with a new entry for a zone; None removes the entry.
+
+        `epoch` is the fencing number of the proposer's lease, 0 without leases.
+        """
         zones = {name: e for name, e in self.zones.items() if name != zone}
         if entry is not None:
             zones[zone] = entry
-        return FailoverPlan(max(self.number, epoch * EPOCH) + 1, zones)
+        return FailoverPlan(max(self.number, epoch * PLANS_PER_EPOCH) + 1, zones)
 
 
 def next_recovery_step(entry: ZoneEntry) -> ZoneEntry | None:
-    """The next step of the way back; None: there it is well."""
+    """The entry after the next recovery step; None once the zone gets its full traffic."""
     step = next((s for s in RECOVERY_RAMP if s > entry.traffic_weight), FULL_WEIGHT)
     return replace(entry, traffic_weight=step, is_recovering=True) if step < FULL_WEIGHT else None
 
 
 def min_traffic_weight(
-    plan: FailoverPlan, zone: str, capacity: Mapping[str, float], busy: float, most_out: float
+    plan: FailoverPlan,
+    zone: str,
+    capacity: Mapping[str, float],
+    busy_slots: float,
+    max_excluded_fraction: float,
 ) -> int:
-    """The least share at which a zone may be left, in thousandths: what the guards leave there.
+    """The lowest traffic weight, in thousandths, that the capacity limits allow for a zone that is left.
 
-    `busy`: slots of the whole fleet's running work. What the others can't carry stays, even where nothing
-    comes back from there: each dispatcher's own beliefs hold it off those workers, and moved it would make
-    the others late (docs/measurements/zones.md).
+    `busy_slots` are in use fleet-wide. Traffic that the other zones have no capacity for stays with the zone,
+    even if the zone serves nothing: each dispatcher's own worker estimates keep most of it off the failing
+    workers, while moving it would make the other zones late (docs/measurements/zones.md). At most
+    `max_excluded_fraction` of all capacity may be left at once.
     """
-    own = capacity.get(zone, 0.0)
+    own_capacity = capacity.get(zone, 0.0)
     total = sum(capacity.values())
     others = {z: c * plan.traffic_weight(z) / FULL_WEIGHT for z, c in capacity.items() if z != zone}
-    if own <= 0 or not others or sum(others.values()) <= 0:
+    if own_capacity <= 0 or not others or sum(others.values()) <= 0:
         return FULL_WEIGHT
-    keep = 0.0
-    if busy > 1e-9:
-        keep = (busy - FILL * sum(others.values())) / (busy * own / total)
-    out = sum(capacity[z] - c for z, c in others.items())
-    keep = max(keep, 1.0 - max(0.0, most_out * total - out) / own)
-    return min(FULL_WEIGHT, max(0, round(FULL_WEIGHT * keep)))
+    min_fraction = 0.0
+    if busy_slots > 1e-9:
+        min_fraction = (busy_slots - MAX_UTILIZATION * sum(others.values())) / (
+            busy_slots * own_capacity / total
+        )
+    excluded_capacity = sum(capacity[z] - c for z, c in others.items())
+    min_fraction = max(
+        min_fraction,
+        1.0 - max(0.0, max_excluded_fraction * total - excluded_capacity) / own_capacity,
+    )
+    return min(FULL_WEIGHT, max(0, round(FULL_WEIGHT * min_fraction)))
