--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -87,7 +87,7 @@
                 for name, raft in nodes.items():
                     out = raft.take()
                     if out.save is not None:
-                        stores[name].write(on_disk.changes(disks[name], out.save, 1))
+                        stores[name].write(on_disk.state_batch(disks[name], out.save, 1))
                         disks[name] = out.save
                     for message in out.messages:
                         busy = True
--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -214,10 +214,10 @@
 
 def write_voter(path: Path) -> None:
     with Store(path) as store:
-        store.write(voters_disk.changes(None, DISK_BEFORE, INCARNATION - 1))
-        store.write(voters_disk.changes(DISK_BEFORE, DISK, INCARNATION))
+        store.write(voters_disk.state_batch(None, DISK_BEFORE, INCARNATION - 1))
+        store.write(voters_disk.state_batch(DISK_BEFORE, DISK, INCARNATION))
         for duty, number in FENCES.items():
-            store.write(voters_disk.fence(duty, number))
+            store.write(voters_disk.fence_batch(duty, number))
 
 
 def recover_voter(path: Path) -> tuple[raft_types.PersistentRaftState, int, dict[str, int]]:
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -118,11 +118,11 @@
     path, before = tmp_path_factory.mktemp("raft"), None
     with Store(path) as store:
         for i, state in enumerate(states, 1):
-            store.write(on_disk.changes(before, state, i))
+            store.write(on_disk.state_batch(before, state, i))
             before = state
     with Store(path) as store:
         assert on_disk.read(store, ("x",)) == (states[-1], len(states))
-        store.write(on_disk.fence("zones", 7))
+        store.write(on_disk.fence_batch("zones", 7))
         assert on_disk.read_fences(store) == {"zones": 7}
 
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -40,7 +40,7 @@
 
 
 class CommitsAnEarlierTerm(Raft):
-    def _advance(self):
+    def _advance_commit_index(self):
         for index in range(self.last_index, self.commit_index, -1):
             if self._majority(
                 {self.me} | {name for name, upto in self.match_index.items() if upto >= index}
@@ -131,15 +131,15 @@
 # ---------------------------------------------------------------------------------------------- random runs
 
 
-def chaos(seed, make=Raft, span=30.0, tails=True):
+def chaos(seed, create_raft=Raft, span=30.0, tails=True):
     """Everything that may befall five voters, or three, at random; then peace, and they must work again."""
     rng = random.Random(seed)
     voters = rng.choice((3, 5))
     path = Path(
         delay=0.005, jitter=rng.choice((0.005, 0.05)), loss=rng.choice((0.0, 0.05, 0.2)), twice=0.1
     )
-    net = RaftNet(seed, voters, path, make=make)
-    net.voters[rng.choice(net.names)].rate = 1.1
+    net = RaftNet(seed, voters, path, create_raft=create_raft)
+    net.voters[rng.choice(net.names)].clock_rate = 1.1
     orders, end = 0, net.now + span
     while net.now < end:
         net.run(0.1)
@@ -156,9 +156,9 @@
         elif chance < 0.12:
             rest = [name for name in net.names if name != who]
             net.cut([who], rest, both=rng.random() < 0.5, heal_after=4.0 * rng.random())
-        elif chance < 0.14 and (leader := net.leader()) is not None and leader.applied > 3:
-            leader.raft.compact(leader.applied - 2, b"state")
-            net._out(leader, leader.raft.take())
+        elif chance < 0.14 and (leader := net.leader()) is not None and leader.applied_index > 3:
+            leader.raft.compact(leader.applied_index - 2, b"state")
+            net._process_output(leader, leader.raft.take())
     for name in net.names:
         if not net.voters[name].up:
             net.restart(name)
--- a/yewrill/lab/raftnet.py
+++ b/yewrill/lab/raftnet.py
@@ -1,8 +1,8 @@
-"""Voters of a replicated log in a virtual network: seeded, in virtual time, with every fault at once.
+"""Simulates the voters of a replicated log, in virtual time and from a seed, with many faults at once.
 
-Messages are lost, late, doubled and out of order; ways are cut, one way or both; voters are killed and start
-anew, with their disks or with the disks' tails lost, are paused, and have clocks that run fast. After each
-step the invariants of `raftcheck.py` are looked at, and that what was acknowledged stays.
+Messages are lost, delayed, duplicated and reordered; paths are cut in one or both directions; voters are
+killed and restarted, with their disk intact or with its tail lost, are paused, and have clocks that run fast.
+Each step checks the invariants of `raftcheck.py`; `check` checks that acknowledged entries are kept.
 """
 
 from __future__ import annotations
@@ -28,32 +28,37 @@
 
 @dataclass(eq=False)
 class Voter:
+    """One simulated voter, with its disk."""
+
     name: str
     driver: Driver
     disk: PersistentRaftState
-    past: list[PersistentRaftState] = field(default_factory=list)
+    saved_states: list[PersistentRaftState] = field(default_factory=list)
     incarnation: int = 1
     up: bool = True
     paused_until: float = -1.0
-    rate: float = 1.0  # of its clock
-    applied: int = 0
+    clock_rate: float = 1.0
+    applied_index: int = 0
 
     @property
     def raft(self) -> Raft:
+        """The machine of the current incarnation."""
         return self.driver.raft
 
 
 class RaftNet(Wires):
+    """The simulated voters and the network between them. Raises Broken if an invariant fails."""
+
     def __init__(
         self,
         seed: int,
         voters: int = 3,
         path: Path | None = None,
         times: Times | None = None,
-        make: Callable[..., Raft] = Raft,
+        create_raft: Callable[..., Raft] = Raft,
     ):
         super().__init__(seed, path or Path(delay=0.005, jitter=0.005))
-        self.times, self.make = times or Times(), make
+        self.times, self.create_raft = times or Times(), create_raft
         self.names = tuple(f"v{i}" for i in range(voters))
         self.committed: list[LogEntry] = []
         self.leaders: dict[int, str] = {}
@@ -62,9 +67,9 @@
         self.voters: dict[str, Voter] = {}
         disk = PersistentRaftState(snapshot=Snapshot(0, 0, self.names))
         for name in self.names:
-            raft = self.make(name, 1, disk)
+            raft = self.create_raft(name, 1, disk)
             self.voters[name] = Voter(name, self._driver(raft), disk, [disk])
-            self._arm(self.voters[name])
+            self._schedule(self.voters[name])
 
     def _driver(self, raft: Raft) -> Driver:
         return Driver(raft, random.Random(self.rng.getrandbits(64)), self.now, self.times)
@@ -72,26 +77,28 @@
     # -- faults
 
     def kill(self, name: str) -> None:
+        """Stop a voter's process; its disk stays."""
         self.voters[name].up = False
 
     def restart(self, name: str, lose: int = 0) -> None:
-        """Start anew; the last `lose` states of the disk were never there."""
+        """Start a voter again. Its disk loses the last `lose` states that were saved."""
         voter = self.voters[name]
         voter.up = True
-        voter.disk = voter.past[max(0, len(voter.past) - 1 - lose)]
-        voter.past = [voter.disk]
+        voter.disk = voter.saved_states[max(0, len(voter.saved_states) - 1 - lose)]
+        voter.saved_states = [voter.disk]
         voter.incarnation += 1
-        voter.applied = 0
-        voter.driver = self._driver(self.make(name, voter.incarnation, voter.disk))
-        self._out(voter, voter.raft.take())
-        self._arm(voter)
+        voter.applied_index = 0
+        voter.driver = self._driver(self.create_raft(name, voter.incarnation, voter.disk))
+        self._process_output(voter, voter.raft.take())
+        self._schedule(voter)
 
     def pause(self, name: str, span: float) -> None:
+        """Suspend a voter for `span` seconds."""
         self.voters[name].paused_until = self.now + span
 
     # -- time
 
-    def _arm(self, voter: Voter) -> None:
+    def _schedule(self, voter: Voter) -> None:
         driver = voter.driver
 
         def step() -> None:
@@ -100,26 +107,26 @@
             if self.now < voter.paused_until:
                 self.at(voter.paused_until + 1e-4, step)
                 return
-            self._out(voter, driver.tick(self.now * voter.rate))
-            self.at(max(self.now + 1e-3, driver.due / voter.rate), step)
+            self._process_output(voter, driver.tick(self.now * voter.clock_rate))
+            self.at(max(self.now + 1e-3, driver.due / voter.clock_rate), step)
 
-        self.at(max(self.now, driver.due / voter.rate), step)
+        self.at(max(self.now, driver.due / voter.clock_rate), step)
 
-    def _out(self, voter: Voter, out: Ready) -> None:
-        if out.save is not None:
-            voter.disk = out.save
-            voter.past = [*voter.past, out.save][-6:]
-        for message in out.messages:
+    def _process_output(self, voter: Voter, output: Ready) -> None:
+        if output.save is not None:
+            voter.disk = output.save
+            voter.saved_states = [*voter.saved_states, output.save][-6:]
+        for message in output.messages:
             self.carry(self.path(voter.name, message.to), lambda m=message: self._arrive(m))
-        if out.installed is not None:
-            voter.applied = out.installed.index
-        for index, entry in out.committed:
+        if output.installed is not None:
+            voter.applied_index = output.installed.index
+        for index, entry in output.committed:
             if index <= len(self.committed):
                 if self.committed[index - 1] != entry:
                     raise Broken(f"{voter.name} commits another entry at {index}")
             else:
                 self.committed.append(entry)
-            voter.applied = index
+            voter.applied_index = index
             if entry.kind == COMMAND and voter.raft.role == LEADER:
                 self.acknowledged.add(entry.data)
         raft = voter.raft
@@ -129,7 +136,9 @@
             self.leaders[raft.term] = voter.name
             self.elections += 1
             if raft.last_index < len(self.committed):
-                raise Broken(f"{voter.name} leads in term {raft.term} without what was committed")
+                raise Broken(
+                    f"{voter.name} leads in term {raft.term} without all committed entries"
+                )
 
     def _arrive(self, message: RaftMessage) -> None:
         voter = self.voters[message.to]
@@ -138,25 +147,28 @@
         if self.now < voter.paused_until:
             self.at(voter.paused_until + 1e-3, lambda: self._arrive(message))
             return
-        self._out(voter, voter.driver.receive(self.now * voter.rate, message))
+        self._process_output(voter, voter.driver.receive(self.now * voter.clock_rate, message))
 
-    # -- what they do
+    # -- the log
 
     def leader(self) -> Voter | None:
-        """The one of the highest term."""
+        """The leader of the highest term, if there is one."""
         leading = [v for v in self.voters.values() if v.up and v.raft.role == LEADER]
         return max(leading, key=lambda v: v.raft.term, default=None)
 
     def propose(self, data: bytes) -> bool:
+        """Propose a command to the leader; returns whether it was appended."""
         voter = self.leader()
         if voter is None or self.now < voter.paused_until:
             return False
         index = voter.raft.propose(COMMAND, data)
-        self._out(voter, voter.raft.take())
+        self._process_output(voter, voter.raft.take())
         return bool(index)
 
     def check(self) -> None:
-        """All that was acknowledged is there, once each."""
-        there = [e.data for e in self.committed if e.kind == COMMAND]
-        if not self.acknowledged <= set(there) or len(there) != len(set(there)):
-            raise Broken("an acknowledged order is gone, or there twice")
+        """Raise Broken unless each acknowledged command is committed exactly once."""
+        committed_data = [e.data for e in self.committed if e.kind == COMMAND]
+        if not self.acknowledged <= set(committed_data) or len(committed_data) != len(
+            set(committed_data)
+        ):
+            raise Broken("an acknowledged command is missing, or committed twice")
--- a/yewrill/leases/commands.py
+++ b/yewrill/leases/commands.py
@@ -1,5 +1,5 @@
-"""`yewrill owners ...`: who owns the fleet's duties, at the management listeners of dispatchers. Exit status:
-0 done, 1 not at all of them."""
+"""`yewrill owners ...`: shows and moves the leases on the fleet's roles ("duties" in the output), through the
+management listeners of dispatchers. Exit status: 0 if all of them answered with success, else 1."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @click.group()
 def owners() -> None:
-    """See who owns the fleet's duties; have one given up."""
+    """Show which dispatcher owns each of the fleet's duties; move a duty to another one."""
 
 
 def _fetch_status(addresses: tuple[str, ...]) -> tuple[dict[str, dict], bool]:
@@ -32,7 +32,7 @@
 @owners.command(name="list")
 @at.addresses_option
 def list_roles(addresses: tuple[str, ...]) -> None:
-    """Each duty, its owner and number, as most of the management listeners know them."""
+    """List each duty with its owner and the highest fencing number that any dispatcher reports."""
     replies, complete = _fetch_status(addresses)
     latest: dict[str, dict] = {}
     for reply in replies.values():
@@ -49,12 +49,12 @@
 @owners.command()
 @at.addresses_option
 def show(addresses: tuple[str, ...]) -> None:
-    """What each dispatcher knows, and how the voters stand."""
+    """Show the owners that each dispatcher knows, and the state of the voters."""
     replies, complete = _fetch_status(addresses)
     for address, reply in replies.items():
         voter = reply.get("voter")
         state = (
-            "no voter"
+            "not a voter"
             if voter is None
             else (
                 f"{voter['role']} of {voter['leader'] or 'nobody'}, term {voter['term']}, "
@@ -62,9 +62,9 @@
                 + (
                     ""
                     if voter["counts"]
-                    else f", on probation: {', '.join(voter['unanswered']) or 'behind'}"
+                    else f", not voting yet: {', '.join(voter['unanswered']) or 'behind'}"
                 )
-                + (f", stood down: {voter['failed']}" if voter["failed"] else "")
+                + (f", disabled: {voter['failed']}" if voter["failed"] else "")
             )
         )
         click.echo(f"{address}  {state}")
@@ -81,7 +81,7 @@
 @click.argument("role", metavar="DUTY")
 @at.addresses_option
 def move(role: str, addresses: tuple[str, ...]) -> None:
-    """Have the owner, whichever of these dispatchers it is, give a duty up; another gets it."""
+    """Make the owner of a duty, if it is one of these dispatchers, give it up, so that another gets it."""
     failed = False
     for address, status, body in at.each(
         addresses, "PUT", f"/_ownership/release?name={quote(role, safe='')}"
--- a/yewrill/leases/disk.py
+++ b/yewrill/leases/disk.py
@@ -14,7 +14,7 @@
 META, SNAPSHOT, ENTRY, FENCE = b"raft/meta", b"raft/snapshot", b"raft/log/", b"fence/"
 
 
-def _entry(index: int) -> bytes:
+def _entry_key(index: int) -> bytes:
     return ENTRY + b"%020d" % index
 
 
@@ -24,36 +24,40 @@
     if meta is None:
         return PersistentRaftState(snapshot=Snapshot(0, 0, voters)), 0
     term, vote, incarnation = msgpack.unpackb(meta)
-    found = store.get(SNAPSHOT)
+    stored = store.get(SNAPSHOT)
     snapshot = Snapshot(0, 0, voters)
-    if found is not None:
-        index, entry_term, names, data = msgpack.unpackb(found)
+    if stored is not None:
+        index, entry_term, names, data = msgpack.unpackb(stored)
         snapshot = Snapshot(index, entry_term, tuple(names), data)
     log = []
     for key, value in store.scan(prefix=ENTRY):
-        if int(key[len(ENTRY) :]) == snapshot.index + len(log) + 1:  # nothing after a gap counts
+        if (
+            int(key[len(ENTRY) :]) == snapshot.index + len(log) + 1
+        ):  # entries after a gap are ignored
             entry_term, kind, data, names = msgpack.unpackb(value)
             log.append(LogEntry(entry_term, kind, data, tuple(names)))
     return PersistentRaftState(term, vote, tuple(log), snapshot), incarnation
 
 
-def changes(
+def state_batch(
     before: PersistentRaftState | None, now: PersistentRaftState, incarnation: int
 ) -> Batch:
     """The batch that turns the stored state `before` into `now`."""
     batch = Batch().put(META, msgpack.packb([now.term, now.vote, incarnation]))
     if before is None or before.snapshot != now.snapshot:
-        s = now.snapshot
-        batch.put(SNAPSHOT, msgpack.packb([s.index, s.term, s.voters, s.data]))
+        snapshot = now.snapshot
+        batch.put(
+            SNAPSHOT, msgpack.packb([snapshot.index, snapshot.term, snapshot.voters, snapshot.data])
+        )
     old = {} if before is None else dict(enumerate(before.log, before.snapshot.index + 1))
     new = dict(enumerate(now.log, now.snapshot.index + 1))
     for index, entry in new.items():
         if old.get(index) != entry:
             batch.put(
-                _entry(index), msgpack.packb([entry.term, entry.kind, entry.data, entry.voters])
+                _entry_key(index), msgpack.packb([entry.term, entry.kind, entry.data, entry.voters])
             )
     for index in old.keys() - new.keys():
-        batch.delete(_entry(index))
+        batch.delete(_entry_key(index))
     return batch
 
 
@@ -62,6 +66,6 @@
     return {key[len(FENCE) :].decode(): int(value) for key, value in store.scan(prefix=FENCE)}
 
 
-def fence(role: str, number: int) -> Batch:
+def fence_batch(role: str, number: int) -> Batch:
     """The batch that stores the highest fencing number of a role."""
     return Batch().put(FENCE + role.encode(), b"%d" % number)
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -26,15 +26,16 @@
 
 log = logging.getLogger("yewrill.ownership")
 
-MAX_QUEUED_MESSAGES = 512  # messages that wait for the disk; more are lost, as on any network
+# Received messages that wait while the disk is written; further ones are dropped, as a network may do.
+MAX_QUEUED_MESSAGES = 512
 
 
 class Unanswered(Exception):
-    """The log has not answered; whether it applied the submission is not known."""
+    """A submission to the log got no answer; it may have been applied or not."""
 
 
 class OwnershipConfig(Protocol):
-    """The section `ownership` of the operators' file. `span` is the lease duration in seconds."""
+    """The section `ownership` of the settings file. `span` is the lease duration in seconds."""
 
     voters: tuple[str, ...]
     dir: str
@@ -54,15 +55,13 @@
         self._disk: PersistentRaftState | None = None
         self._incarnation = 0
         self._queue: list[tuple[Any, str]] = []
-        self._woken = trio.Event()
-        self._wanted: set[str] = set()
+        self._wake_up = trio.Event()
+        self._wanted_roles: set[str] = set()
         self._machines: dict[str, StateMachine] = {}
-        self._answers: dict[
-            int, trio.Event
-        ] = {}  # who waits for what was submitted; bounded by the node
-        self._datagram_number = random.SystemRandom().getrandbits(
-            40
-        )  # of messages that are cut in parts
+        # Set when the reply to a submission arrives, by its number; the node limits how many there are.
+        self._reply_events: dict[int, trio.Event] = {}
+        # Numbers the messages that are split into several datagrams.
+        self._datagram_number = random.SystemRandom().getrandbits(40)
         self._dropped = self._malformed = 0
         self.calls = {"release": self._release}
 
@@ -73,27 +72,27 @@
         self._members = members
         self._views = context.subsystems.get("views")
         if self._views is not None:
-            self._views.watch(lambda: self._woken.set())  # noqa: PLW0108 - the event is replaced
+            self._views.watch(lambda: self._wake_up.set())  # noqa: PLW0108 - the event is replaced
 
     # -- what other parts use
 
     def want(self, role: str) -> None:
-        """Request the lease on a role from here on, whenever nobody else holds it."""
-        self._wanted.add(role)
+        """Request the lease on a role from now on, whenever no other member holds it."""
+        self._wanted_roles.add(role)
         if self._node is not None and not self._is_outside_views():
             self._node.want(role)
-        self._woken.set()
+        self._wake_up.set()
 
     def _is_outside_views(self) -> bool:
         """Whether group views are in use and this member is in none: then it holds and requests nothing."""
         return self._views is not None and self._views.view() is None
 
     def owns(self, role: str) -> int:
-        """The fencing number of our lease while it is certain to hold, else 0."""
+        """The fencing number of this member's lease while the lease is certain to hold, else 0."""
         outside = self._node is None or self._is_outside_views()
         return 0 if outside else self._node.owns(role, trio.current_time())
 
-    def seen(self, role: str, now: float) -> tuple[int, str]:
+    def last_known_holder(self, role: str, now: float) -> tuple[int, str]:
         """The highest known number and the holder; "" if not reported for two lease durations."""
         if self._node is None:
             return 0, ""
@@ -103,7 +102,7 @@
         is_recent = now - at < 2.0 * self._config.span
         return number, holder if is_recent and holder != self._node.me else ""
 
-    def carry(self, name: str, machine: StateMachine) -> None:
+    def register_machine(self, name: str, machine: StateMachine) -> None:
         """Register a state machine of the log; at all voters, and before `run`."""
         self._machines[name] = machine
 
@@ -119,20 +118,22 @@
             else node.submit(machine, data, trio.current_time())
         )
         if node is None or not number:
-            raise Unanswered("no log is to be reached")
-        waiting = self._answers[number] = trio.Event()
-        self._woken.set()
+            raise Unanswered(
+                "not submitted: the member is starting, in no view, or has too many pending submissions"
+            )
+        reply_event = self._reply_events[number] = trio.Event()
+        self._wake_up.set()
         try:
             with trio.move_on_after(timeout_seconds):
-                await waiting.wait()
+                await reply_event.wait()
             if number not in node.results:
-                raise Unanswered(f"no answer in {timeout_seconds:g} s")
-            said = node.results[number]
-            if said is None:
-                raise Unanswered(f"the voters have no {machine}")
-            return said
+                raise Unanswered(f"no voter answered within {timeout_seconds:g} s")
+            reply = node.results[number]
+            if reply is None:
+                raise Unanswered(f"the voters have no state machine {machine}")
+            return reply
         finally:
-            del self._answers[number]
+            del self._reply_events[number]
             node.withdraw(number)
 
     async def admits(self, role: str, number: int) -> bool:
@@ -145,7 +146,7 @@
             return False
         if number > before:
             try:
-                await self._store.awrite(on_disk.fence(role, number))
+                await self._store.awrite(on_disk.fence_batch(role, number))
             except (StoreError, OSError) as error:
                 log.error(
                     "fencing_number_not_stored role=%s number=%d reason=%s", role, number, error
@@ -175,9 +176,9 @@
     async def _open(self, store: Store, me: str) -> None:
         voters = self._config.voters
         self._disk, before = on_disk.read(store, voters)
-        # Above every earlier start's, also where the disk has forgotten some of them.
+        # Higher than any earlier incarnation, even if the disk has lost the number of the last one.
         self._incarnation = max(before + 1, time.time_ns() // 1_000_000)
-        await store.awrite(on_disk.changes(None, self._disk, self._incarnation))
+        await store.awrite(on_disk.state_batch(None, self._disk, self._incarnation))
         rng = random.Random(random.SystemRandom().getrandbits(64))
         node = LeaseNode(
             me,
@@ -192,7 +193,7 @@
         )
         node.fence.highest = on_disk.read_fences(store)
         self._node = node
-        self._woken.set()  # roles requested before the start are due now
+        self._wake_up.set()  # roles requested before the start are due now
         log.info(
             "lease_node_started name=%s voter=%s term=%d entries=%d",
             me,
@@ -204,40 +205,40 @@
     def _receive(self, data: bytes, sender: str, address: tuple[str, int]) -> list:
         if len(self._queue) < MAX_QUEUED_MESSAGES:
             self._queue.append((data, sender))
-            self._woken.set()
+            self._wake_up.set()
         else:
             self._dropped += 1
         return []
 
     async def _serve(self, link: MembershipLink) -> None:
-        node, joiner, owned = self._node, FragmentAssembler(), {}
+        node, assembler, held_numbers = self._node, FragmentAssembler(), {}
         assert node is not None
         while True:
             with trio.move_on_at(node.due):
-                await self._woken.wait()
-            self._woken = trio.Event()
+                await self._wake_up.wait()
+            self._wake_up = trio.Event()
             queue, self._queue = self._queue, []
             for data, sender in queue:
                 try:
-                    whole = joiner.take(sender, data)
-                    what = None if whole is None else unpack(whole)
+                    payload = assembler.take(sender, data)
+                    message = None if payload is None else unpack(payload)
                 except MalformedPayload:
                     self._malformed += 1
                     continue
-                if what is not None:
+                if message is not None:
                     await self._store_and_send(
-                        link, node.receive(trio.current_time(), what, sender)
+                        link, node.receive(trio.current_time(), message, sender)
                     )
             now = trio.current_time()
             self._follow_views(node, now)
             if now >= node.due:
                 await self._store_and_send(link, node.tick(now))
-            for number in node.results.keys() & self._answers.keys():
-                self._answers[number].set()
-            for role in sorted(self._wanted):
+            for number in node.results.keys() & self._reply_events.keys():
+                self._reply_events[number].set()
+            for role in sorted(self._wanted_roles):
                 number = self.owns(role)
-                if number != owned.get(role, 0):
-                    owned[role] = number
+                if number != held_numbers.get(role, 0):
+                    held_numbers[role] = number
                     if number:
                         log.info("lease_acquired role=%s number=%d", role, number)
                     else:
@@ -247,7 +248,7 @@
     def _follow_views(self, node: LeaseNode, now: float) -> None:
         """Give up all roles while outside the group views; request them again once back in one."""
         if not self._is_outside_views():
-            for role in self._wanted - node.wanted_roles:
+            for role in self._wanted_roles - node.wanted_roles:
                 node.want(role)
         elif node.wanted_roles:
             for role in sorted(node.wanted_roles):
@@ -260,7 +261,7 @@
         if output.save is not None and not node.failed:
             try:
                 await self._store.awrite(
-                    on_disk.changes(self._disk, output.save, self._incarnation)
+                    on_disk.state_batch(self._disk, output.save, self._incarnation)
                 )
                 self._disk = output.save
             except (StoreError, OSError) as error:
@@ -268,50 +269,50 @@
                 log.error("voter_disabled name=%s reason=%s", node.me, error)
                 return
         out = []
-        for name, what in output.messages:
+        for name, message in output.messages:
             listed = link.machine.entries.get(name)
             if listed is not None:
                 self._datagram_number += 1
                 out += [
                     (listed.claim.address, part)
-                    for part in split_payload(pack(what), self._datagram_number)
+                    for part in split_payload(pack(message), self._datagram_number)
                 ]
         await link.send_payloads(OWNERSHIP, out)
 
     # -- operators
 
     async def _release(self, role: str) -> bool:
-        """Give up the lease on a role if it is ours; another member gets it, or this one again later."""
+        """Give up the lease on a role if this member holds it; another member, or later this one, gets it."""
         node = self._node
-        if node is None or role not in self._wanted:
+        if node is None or role not in self._wanted_roles:
             return False
         if node.owns(role, trio.current_time()):
             node.give_up(role, trio.current_time())
             node.want(role)
-            self._woken.set()
+            self._wake_up.set()
         return True
 
     def status(self) -> dict[str, Any]:
-        """For operators, as plain values."""
+        """The leases and the state of the voter as plain values, for the management interface."""
         node, now = self._node, trio.current_time()
         if node is None:
             return {"duties": []}
-        found: dict[str, Any] = {
+        result: dict[str, Any] = {
             "duties": [
                 {
                     "duty": role,
-                    "number": self.seen(role, now)[0],
-                    "owner": self.seen(role, now)[1],
+                    "number": self.last_known_holder(role, now)[0],
+                    "owner": self.last_known_holder(role, now)[1],
                     "ours": bool(self.owns(role)),
                     "fence": node.fence.highest.get(role, 0),
                 }
-                for role in sorted(self._wanted)
+                for role in sorted(self._wanted_roles)
             ]
         }
         if node.driver is not None:
             raft = node.driver.raft
             missing = set() if raft.is_voting else set(raft.voters()) - raft.answered_by - {raft.me}
-            found["voter"] = {
+            result["voter"] = {
                 "role": raft.role.value,
                 "leader": raft.leader,
                 "term": raft.term,
@@ -321,10 +322,10 @@
                 "failed": node.failed,
                 "unanswered": sorted(missing),
             }
-        return {**found, **self.metrics()}
+        return {**result, **self.metrics()}
 
     def metrics(self) -> Mapping[str, int]:
-        """Counts since the start, by the names operators see."""
+        """Counts since the start, by metric name."""
         node = self._node
         if node is None:
             return {}
--- a/yewrill/leases/format.py
+++ b/yewrill/leases/format.py
@@ -20,7 +20,7 @@
 from yewrill.membership.parts import MAX_FRAGMENT_BYTES, MAX_FRAGMENTS, MalformedPayload
 
 LOG, REQUEST, REPLY, SUBMIT, SUBMITTED = 0, 1, 2, 3, 4
-MAX_DATA_BYTES = 60_000  # bytes that a state machine is given, or gives back
+MAX_DATA_BYTES = 60_000  # of a submission and of its reply
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer to a request. Not `final`: ask `leader`, if it is known."""
+    """The answer to a request. If not `final`, the request must be sent to `leader`, if that is known."""
 
     id: int
     final: bool
@@ -63,37 +63,60 @@
 LeaseMessage = RaftMessage | Request | Reply | Submit | Submitted
 
 
-def pack(what: LeaseMessage) -> bytes:
+def pack(message: LeaseMessage) -> bytes:
     """Encode one message."""
-    if isinstance(what, Submit):
-        return msgpack.packb([SUBMIT, what.machine, what.id, what.data])
-    if isinstance(what, Submitted):
-        return msgpack.packb([SUBMITTED, what.id, what.final, what.ok, what.data, what.leader])
-    if isinstance(what, Request):
-        c = what.command
-        return msgpack.packb([REQUEST, c.action, c.role, c.holder, c.id, c.number, c.duration_ms])
-    if isinstance(what, Reply):
-        r = what.result
+    if isinstance(message, Submit):
+        return msgpack.packb([SUBMIT, message.machine, message.id, message.data])
+    if isinstance(message, Submitted):
         return msgpack.packb(
-            [REPLY, what.id, what.final, r.ok, r.number, r.holder, r.remaining_ms, what.leader]
+            [SUBMITTED, message.id, message.final, message.ok, message.data, message.leader]
         )
-    m, s = what, what.snapshot
+    if isinstance(message, Request):
+        command = message.command
+        return msgpack.packb(
+            [
+                REQUEST,
+                command.action,
+                command.role,
+                command.holder,
+                command.id,
+                command.number,
+                command.duration_ms,
+            ]
+        )
+    if isinstance(message, Reply):
+        result = message.result
+        return msgpack.packb(
+            [
+                REPLY,
+                message.id,
+                message.final,
+                result.ok,
+                result.number,
+                result.holder,
+                result.remaining_ms,
+                message.leader,
+            ]
+        )
+    raft_message, snapshot = message, message.snapshot
     return msgpack.packb(
         [
             LOG,
-            m.kind,
-            m.sender,
-            m.to,
-            m.incarnation,
-            m.term,
-            m.number,
-            m.index,
-            m.entry_term,
-            m.accepted,
-            m.is_voting,
-            m.commit_index,
-            [[e.term, e.kind, e.data, e.voters] for e in m.entries],
-            None if s is None else [s.index, s.term, s.voters, s.data],
+            raft_message.kind,
+            raft_message.sender,
+            raft_message.to,
+            raft_message.incarnation,
+            raft_message.term,
+            raft_message.number,
+            raft_message.index,
+            raft_message.entry_term,
+            raft_message.accepted,
+            raft_message.is_voting,
+            raft_message.commit_index,
+            [[e.term, e.kind, e.data, e.voters] for e in raft_message.entries],
+            None
+            if snapshot is None
+            else [snapshot.index, snapshot.term, snapshot.voters, snapshot.data],
         ]
     )
 
@@ -136,7 +159,7 @@
             )
         if kind == LOG:
             (
-                name,
+                message_kind,
                 sender,
                 to,
                 incarnation,
@@ -144,14 +167,14 @@
                 number,
                 index,
                 entry_term,
-                yes,
-                counts,
-                commit,
+                accepted,
+                is_voting,
+                commit_index,
                 entries,
                 snapshot,
             ) = rest
             return RaftMessage(
-                _text(name),
+                _text(message_kind),
                 _text(sender),
                 _text(to),
                 _integer(incarnation),
@@ -159,9 +182,9 @@
                 _integer(number),
                 _integer(index),
                 _integer(entry_term),
-                _boolean(yes),
-                _boolean(counts),
-                _integer(commit),
+                _boolean(accepted),
+                _boolean(is_voting),
+                _integer(commit_index),
                 tuple(
                     LogEntry(_integer(t), _text(k), _bytes(d), _names(v)) for t, k, d, v in entries
                 ),
@@ -169,7 +192,7 @@
             )
     except (ValueError, TypeError, msgpack.exceptions.UnpackException, RecursionError) as error:
         raise MalformedPayload(str(error)) from error
-    raise MalformedPayload("kind")
+    raise MalformedPayload("unknown kind of message")
 
 
 def _snapshot(index: Any, term: Any, voters: Any, data: Any) -> Snapshot:
@@ -178,19 +201,19 @@
 
 def _names(value: Any) -> tuple[str, ...]:
     if not isinstance(value, list) or len(value) > 16:
-        raise ValueError("names")
+        raise ValueError("expected a list of at most 16 names")
     return tuple(_text(name) for name in value)
 
 
 def _bytes(value: Any, max_bytes: int = MAX_FRAGMENT_BYTES * MAX_FRAGMENTS) -> bytes:
     if not isinstance(value, bytes) or len(value) > max_bytes:
-        raise ValueError("bytes")
+        raise ValueError("expected bytes of limited length")
     return value
 
 
 def _boolean(value: Any) -> bool:
     if not isinstance(value, bool):
-        raise ValueError("truth")
+        raise ValueError("expected a boolean")
     return value
 
 
--- a/yewrill/leases/lease_table.py
+++ b/yewrill/leases/lease_table.py
@@ -1,9 +1,10 @@
-"""Who holds which role: the state machine of the replicated log, and the views of holder and resource. Pure.
+"""The lease table, which is the state machine of the replicated log; the holder's view of a lease; and the
+fence of whoever executes a holder's commands. No I/O or clock.
 
-The log's own time counts here: milliseconds that every entry carries, set by the leader that made it, never
-backwards. A lease expires by it, so all who apply the same entries agree on the holder. The holder counts its
-lease from before it asked, by its own clock, shortened by a bound on that clock's drift. Should the clock
-exceed that bound, whoever executes a command refuses a number below the highest it has seen (`Fence`).
+Leases expire by the log's own time: milliseconds that every entry carries, set by the leader that made it,
+and never decreasing. So all that apply the same entries agree on the holder. The holder counts its lease by
+its own clock, from before it sent the request, shortened by a bound on that clock's drift. If the clock
+drifts further, the fence still refuses commands with a number below the highest seen.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 import msgpack
 
 MAX_ROLES = 64
-MAX_CLIENTS = 4096  # whose last request is retained
-MAX_CLOCK_DRIFT = 0.1  # the fraction by which a holder's clock may be slow
+MAX_CLIENTS = 4096  # members whose last request is kept
+MAX_CLOCK_DRIFT = 0.1  # the fraction by which a holder's clock may run slow
 
 CLAIM, RENEW, GIVE_UP = "claim", "renew", "give up"
 
@@ -24,7 +25,7 @@
     """A command about the lease on a role.
 
     `number` is the fencing number of the lease to renew or give up. `id` counts a member's requests, so that
-    one that arrives twice takes effect once.
+    a duplicated request takes effect once.
     """
 
     action: str
@@ -56,7 +57,7 @@
 
 @dataclass
 class LeaseTable:
-    """All leases. Deterministic: equal entries in equal order make equal tables."""
+    """All leases. Deterministic: the same entries in the same order produce the same table."""
 
     clock: int = 0
     # The highest fencing number of each role; they only grow.
@@ -66,7 +67,7 @@
     last_requests: dict[str, tuple[int, LeaseResult]] = field(default_factory=dict)
 
     def view(self, role: str, at: int) -> LeaseResult:
-        """The holder of a role at a moment of the log's time."""
+        """The lease on a role at a moment of the log's time; without a holder if it has expired."""
         lease = self.leases.get(role)
         if lease is None or lease.expires_at <= at:
             return LeaseResult(False, self.highest_numbers.get(role, 0))
@@ -85,34 +86,37 @@
             del self.last_requests[next(iter(self.last_requests))]
         return result
 
-    def _apply(self, c: LeaseCommand) -> LeaseResult:
-        now = self.view(c.role, self.clock)
-        mine = now.holder == c.holder and now.number == c.number
+    def _apply(self, command: LeaseCommand) -> LeaseResult:
+        current = self.view(command.role, self.clock)
+        is_current = current.holder == command.holder and current.number == command.number
         if (
-            c.action == CLAIM
-            and not now.holder
-            and (c.role in self.highest_numbers or len(self.highest_numbers) < MAX_ROLES)
+            command.action == CLAIM
+            and not current.holder
+            and (command.role in self.highest_numbers or len(self.highest_numbers) < MAX_ROLES)
         ):
-            number = self.highest_numbers.get(c.role, 0) + 1
-            self.highest_numbers[c.role] = number
-        elif c.action == RENEW and mine:
-            number = c.number
-        elif c.action == GIVE_UP and mine:
-            del self.leases[c.role]
-            return LeaseResult(True, c.number)
+            number = self.highest_numbers.get(command.role, 0) + 1
+            self.highest_numbers[command.role] = number
+        elif command.action == RENEW and is_current:
+            number = command.number
+        elif command.action == GIVE_UP and is_current:
+            del self.leases[command.role]
+            return LeaseResult(True, command.number)
         else:
-            return now
-        self.leases[c.role] = Lease(c.holder, number, self.clock + c.duration_ms)
-        return LeaseResult(True, number, c.holder, c.duration_ms)
+            return current
+        self.leases[command.role] = Lease(command.holder, number, self.clock + command.duration_ms)
+        return LeaseResult(True, number, command.holder, command.duration_ms)
 
     # -- as bytes
 
     def pack(self) -> bytes:
         """The table as stored in a snapshot."""
-        leases = {role: [h.holder, h.number, h.expires_at] for role, h in self.leases.items()}
+        leases = {
+            role: [lease.holder, lease.number, lease.expires_at]
+            for role, lease in self.leases.items()
+        }
         last_requests = {
-            who: [id, r.ok, r.number, r.holder, r.remaining_ms]
-            for who, (id, r) in self.last_requests.items()
+            member: [id, r.ok, r.number, r.holder, r.remaining_ms]
+            for member, (id, r) in self.last_requests.items()
         }
         return msgpack.packb([self.clock, self.highest_numbers, leases, last_requests])
 
@@ -125,8 +129,8 @@
         return cls(
             clock,
             highest_numbers,
-            {role: Lease(*h) for role, h in leases.items()},
-            {who: (id, LeaseResult(*r)) for who, (id, *r) in last_requests.items()},
+            {role: Lease(*lease) for role, lease in leases.items()},
+            {member: (id, LeaseResult(*r)) for member, (id, *r) in last_requests.items()},
         )
 
 
@@ -166,7 +170,10 @@
 
 @dataclass
 class Fence:
-    """The highest number of each role that a command came with; stored before the command is executed."""
+    """The highest fencing number of each role among the commands so far.
+
+    It is stored before the command is executed.
+    """
 
     highest: dict[str, int] = field(default_factory=dict)
     refused: int = 0
--- a/yewrill/leases/node.py
+++ b/yewrill/leases/node.py
@@ -1,7 +1,7 @@
-"""One member of the lease protocol, pure: its requests and leases and, if it is a voter, its part of the log.
+"""One member of the lease protocol: its requests, its leases and, if it is a voter, its part of the log.
 
-Every event returns a `NodeOutput`: what must be on disk first, then the messages. Times are seconds of the
-member's own monotonic clock.
+It does no I/O. Every event returns a `NodeOutput`: the state to store first, then the messages to send. Times
+are in seconds of the member's own monotonic clock.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 SNAPSHOT_AFTER_ENTRIES = 256
 REPLY_TIMEOUT_SECONDS = 0.4  # then another voter is asked
 MAX_PENDING_PROPOSALS = 1024  # requests whose entries are not committed yet
-MAX_PENDING_SUBMISSIONS = 256  # of ours that have no answer yet
+MAX_PENDING_SUBMISSIONS = 256  # submissions of this member that have no answer yet
 
 
 @dataclass(slots=True)
@@ -60,6 +60,8 @@
 
 @dataclass(slots=True)
 class _PendingRequest:
+    """The lease request under way; there is one at a time."""
+
     command: LeaseCommand
     first_sent_at: float  # the lease counts from here
     retry_at: float
@@ -92,6 +94,8 @@
 
 @dataclass(slots=True)
 class _PendingSubmission:
+    """A submission of this member that has no answer yet."""
+
     message: Submit
     retry_at: float
     target: str
@@ -115,7 +119,8 @@
         machines: Mapping[str, StateMachine] | None = None,
     ):
         self.machines = dict(machines or {})
-        self.results: dict[int, bytes | None] = {}  # of what was submitted; None: no such machine
+        # Replies to submissions by their number; None if the voters have no such state machine.
+        self.results: dict[int, bytes | None] = {}
         self.me, self.voters, self.lease_seconds = me, tuple(voters), lease_seconds
         self._rng = rng
         self.driver = (
@@ -128,8 +133,8 @@
         self.wanted_roles: set[str] = set()
         self.held_leases: dict[str, HeldLease] = {}
         self.known_holders: dict[str, KnownHolder] = {}
-        self.elected = 0  # times that this member came to lead the log
-        self.failed = ""  # why it is no voter any more
+        self.elected = 0  # times that this member became leader of the log
+        self.failed = ""  # why it stopped being a voter
         self._id = incarnation << 20
         self._pending_request: _PendingRequest | None = None
         self._pending_submissions: dict[int, _PendingSubmission] = {}
@@ -143,23 +148,24 @@
     # -- leases
 
     def owns(self, role: str, now: float) -> int:
-        """The fencing number of our lease while it is certain to hold, else 0."""
+        """The fencing number of this member's lease while the lease is certain to hold, else 0."""
         lease = self.held_leases.get(role)
         return lease.number if lease is not None and lease.holds(now) else 0
 
     def want(self, role: str) -> None:
-        """Request the role from here on, whenever nobody else holds it."""
+        """Request the lease on a role from now on, whenever no other member holds it."""
         self.wanted_roles.add(role)
 
     def give_up(self, role: str, now: float) -> None:
-        """Release the role. It is not ours any more from this call on, whatever becomes of the message."""
+        """Release a role. The lease ends here with this call, even if the message is lost."""
         self.wanted_roles.discard(role)
-        self._next_request_at[role] = (
-            now + self.lease_seconds
-        )  # should we want it again, others come first
+        # If this member wants the role again, other members get it first.
+        self._next_request_at[role] = now + self.lease_seconds
         lease = self.held_leases.pop(role, None)
         if lease is not None:
-            self._ask(LeaseCommand(GIVE_UP, role, self.me, self._next_id(), lease.number), now)
+            self._start_request(
+                LeaseCommand(GIVE_UP, role, self.me, self._next_id(), lease.number), now
+            )
 
     @property
     def due(self) -> float:
@@ -169,7 +175,7 @@
             if self._pending_request is None
             else [self._pending_request.retry_at]
         )
-        at += [one.retry_at for one in self._pending_submissions.values()]
+        at += [submission.retry_at for submission in self._pending_submissions.values()]
         if self.driver is not None and not self.failed:
             at.append(self.driver.due)
         return min(at, default=float("inf"))
@@ -189,22 +195,27 @@
             for role in sorted(self.wanted_roles):
                 if now >= self._next_request_at.get(role, 0.0):
                     lease = self.held_leases.get(role)
-                    what, number = (CLAIM, 0) if lease is None else (RENEW, lease.number)
+                    action, number = (CLAIM, 0) if lease is None else (RENEW, lease.number)
                     duration_ms = int(1000 * self.lease_seconds)
-                    self._ask(
-                        LeaseCommand(what, role, self.me, self._next_id(), number, duration_ms), now
+                    self._start_request(
+                        LeaseCommand(action, role, self.me, self._next_id(), number, duration_ms),
+                        now,
                     )
                     break
         if self._pending_request is not None and now >= self._pending_request.retry_at:
             pending = self._pending_request
             pending.target = self._leader or self._rng.choice(self.voters)
-            self._leader = ""  # should it not answer, another is asked
+            self._leader = ""  # if it doesn't answer, another voter is asked
             pending.retry_at = now + REPLY_TIMEOUT_SECONDS
             self._deliver(output, pending.target, Request(pending.command), now)
-        for one in [one for one in self._pending_submissions.values() if now >= one.retry_at]:
-            one.target = self._leader or self._rng.choice(self.voters)
-            one.retry_at = now + REPLY_TIMEOUT_SECONDS
-            self._deliver(output, one.target, one.message, now)
+        for submission in [
+            submission
+            for submission in self._pending_submissions.values()
+            if now >= submission.retry_at
+        ]:
+            submission.target = self._leader or self._rng.choice(self.voters)
+            submission.retry_at = now + REPLY_TIMEOUT_SECONDS
+            self._deliver(output, submission.target, submission.message, now)
         return output
 
     def submit(self, machine: str, data: bytes, now: float) -> int:
@@ -214,30 +225,30 @@
         withdrawn, so the machine may apply it twice."""
         if len(self._pending_submissions) >= MAX_PENDING_SUBMISSIONS:
             return 0
-        what = Submit(machine, self._next_id(), data)
-        self._pending_submissions[what.id] = _PendingSubmission(what, now, "")
-        return what.id
+        message = Submit(machine, self._next_id(), data)
+        self._pending_submissions[message.id] = _PendingSubmission(message, now, "")
+        return message.id
 
     def withdraw(self, id: int) -> None:
         """Stop waiting for a reply; whether the submission took effect is not known."""
         self._pending_submissions.pop(id, None)
         self.results.pop(id, None)
 
-    def receive(self, now: float, what: LeaseMessage, sender: str) -> NodeOutput:
+    def receive(self, now: float, message: LeaseMessage, sender: str) -> NodeOutput:
         """Handle one message of an authenticated member."""
         output = NodeOutput()
-        if isinstance(what, RaftMessage):
-            if self.driver is not None and not self.failed and what.sender == sender:
-                self._apply(self.driver.receive(now, what), output, now)
-        elif isinstance(what, Request):
-            if what.command.holder == sender:
-                self._on_request(what.command, output, now)
-        elif isinstance(what, Submit):
-            self._on_submit(what, sender, output, now)
-        elif isinstance(what, Submitted):
-            self._on_submitted(what, sender, now)
+        if isinstance(message, RaftMessage):
+            if self.driver is not None and not self.failed and message.sender == sender:
+                self._apply(self.driver.receive(now, message), output, now)
+        elif isinstance(message, Request):
+            if message.command.holder == sender:
+                self._on_request(message.command, output, now)
+        elif isinstance(message, Submit):
+            self._on_submit(message, sender, output, now)
+        elif isinstance(message, Submitted):
+            self._on_submitted(message, sender, now)
         else:
-            self._on_reply(what, sender, now)
+            self._on_reply(message, sender, now)
         return output
 
     def fail(self, reason: str) -> None:
@@ -253,7 +264,7 @@
         self._id += 1
         return self._id
 
-    def _ask(self, command: LeaseCommand, now: float) -> None:
+    def _start_request(self, command: LeaseCommand, now: float) -> None:
         self._pending_request = _PendingRequest(command, now, now, "")
 
     def _on_reply(self, reply: Reply, sender: str, now: float) -> None:
@@ -277,15 +288,17 @@
             self._next_request_at[role] = pending.first_sent_at + self.lease_seconds / 3.0
         else:
             self.held_leases.pop(role, None)
-            left = min(result.remaining_ms / 1000.0, self.lease_seconds) if result.holder else 0.0
-            # All who want it come back at its end; by chance not all at once.
+            remaining_seconds = (
+                min(result.remaining_ms / 1000.0, self.lease_seconds) if result.holder else 0.0
+            )
+            # All members that want the role retry when the lease ends; a random delay spreads them.
             self._next_request_at[role] = (
-                now + left + self.lease_seconds * (0.02 + 0.08 * self._rng.random())
+                now + remaining_seconds + self.lease_seconds * (0.02 + 0.08 * self._rng.random())
             )
 
     def _on_submitted(self, reply: Submitted, sender: str, now: float) -> None:
-        one = self._pending_submissions.get(reply.id)
-        if one is None or sender not in self.voters:
+        submission = self._pending_submissions.get(reply.id)
+        if submission is None or sender not in self.voters:
             return
         if reply.final:
             self._leader = sender
@@ -293,24 +306,26 @@
             self.results[reply.id] = reply.data if reply.ok else None
         else:
             self._leader = reply.leader if reply.leader in self.voters else ""
-            one.retry_at = min(one.retry_at, now + (0.0 if self._leader else 0.1))
+            submission.retry_at = min(submission.retry_at, now + (0.0 if self._leader else 0.1))
 
-    # -- a voter
+    # -- voter
 
-    def _on_submit(self, what: Submit, sender: str, output: NodeOutput, now: float) -> None:
+    def _on_submit(self, message: Submit, sender: str, output: NodeOutput, now: float) -> None:
         raft = None if self.driver is None or self.failed else self.driver.raft
         if raft is None or raft.role != LEADER:
             hint = "" if raft is None else raft.leader
-            self._deliver(output, sender, Submitted(what.id, False, False, leader=hint), now)
+            self._deliver(output, sender, Submitted(message.id, False, False, leader=hint), now)
             return
-        if what.machine not in self.machines:
-            self._deliver(output, sender, Submitted(what.id, True, False), now)
+        if message.machine not in self.machines:
+            self._deliver(output, sender, Submitted(message.id, True, False), now)
             return
         index = 0
         if len(self._pending_replies) < MAX_PENDING_PROPOSALS:
-            index = raft.propose(STATE, pack_entry(self._log_time(now), what.machine, what.data))
+            index = raft.propose(
+                STATE, pack_entry(self._log_time(now), message.machine, message.data)
+            )
         if index:
-            self._pending_replies[index] = _PendingReply(raft.term, sender, what.id)
+            self._pending_replies[index] = _PendingReply(raft.term, sender, message.id)
         self._apply(raft.take(), output, now)
 
     def _log_time(self, now: float) -> int:
@@ -331,7 +346,7 @@
             return
         at = self._log_time(now)
         view = self.lease_table.view(command.role, at)
-        if command.action == CLAIM and view.holder:  # no entry for what will be refused
+        if command.action == CLAIM and view.holder:  # refused for certain, so no entry is needed
             self._deliver(output, command.holder, Reply(command.id, True, view), now)
             return
         index = (
@@ -344,7 +359,7 @@
         self._apply(raft.take(), output, now)
 
     def _apply(self, ready: Ready, output: NodeOutput, now: float) -> None:
-        """Take up what the log's machine has produced: state, messages and committed entries."""
+        """Process what `Raft` has produced: state to store, messages and committed entries."""
         assert self.driver is not None
         raft = self.driver.raft
         if ready.installed is not None:
@@ -372,8 +387,11 @@
     def _apply_state_entry(
         self, index: int, entry: LogEntry, output: NodeOutput, now: float
     ) -> bool:
-        """Apply an entry of a state machine. False: there is no such machine here, and this voter stops,
-        since no entry may be skipped."""
+        """Apply an entry of a state machine.
+
+        Returns False if this voter has no such machine; it then stops being a voter, since it must not skip
+        an entry.
+        """
         at, name, data = unpack_entry(entry.data)
         if name not in self.machines:
             self.fail(f"the log has an entry that this version can't read: {name}")
@@ -395,11 +413,11 @@
         if pending.request_id == command.id:
             self._deliver(output, pending.requester, Reply(command.id, True, result), now)
 
-    def _deliver(self, output: NodeOutput, name: str, what: LeaseMessage, now: float) -> None:
+    def _deliver(self, output: NodeOutput, name: str, message: LeaseMessage, now: float) -> None:
         """Queue a message for its receiver; one to this member is handled at once."""
         if name == self.me:
-            more = self.receive(now, what, self.me)
-            output.save = more.save or output.save
-            output.messages += more.messages
+            nested = self.receive(now, message, self.me)
+            output.save = nested.save or output.save
+            output.messages += nested.messages
         else:
-            output.messages.append((name, what))
+            output.messages.append((name, message))
--- a/yewrill/leases/raft.py
+++ b/yewrill/leases/raft.py
@@ -1,22 +1,23 @@
-"""The replicated log as a pure machine: events in, what must be on disk and then be sent out. No I/O, clock
-or randomness.
+"""The replicated log as a state machine: it takes events and returns what to store and what to send. No I/O,
+clock or randomness.
 
 Theory of operation. Raft (Ongaro and Ousterhout, 2014; Ongaro's thesis, 2014) with pre-vote, check-quorum,
 single-step changes of voters, reads that a quorum confirms, and snapshots sent whole. The machine has no
 timers: its driver (`timing.py`) calls `campaign` when the election timeout expires, `send_heartbeats` when
 a heartbeat is due, and `check_quorum` once per election timeout.
 
-Beyond the published protocol, *recovery*, for disks that lose synced data. Every start of a voter is a new
-incarnation, numbered above the earlier ones. It asks all other voters what those acknowledged: votes given,
-how far it had matched their log. Until all have answered it is a non-voting member: it grants no vote,
-doesn't campaign and counts in no majority; a vote or acknowledgement of an earlier incarnation that arrives
-late counts nowhere once the newer one is known. If a peer holds more of its acknowledgements than it had on
-disk at its start, its disk lost its tail: it adopts the highest term that a peer reported, and remains
-non-voting until a leader that has committed in its own term has replicated to it all that is committed
-(recovery confirmed). It votes in no term up to the one that was reported.
-
-Order, where it matters: what `Ready.save` holds is on disk before any of `Ready.messages` is sent. The
-machine handles one event at a time; after each, `take` returns what it has produced.
+Beyond the published protocol there is *recovery*, for disks that lose synced data. Every start of a voter is
+a new incarnation, numbered above the earlier ones. The voter asks all other voters what its earlier
+incarnations acknowledged to them: votes granted, and how far its log matched theirs. Until all have answered
+it is non-voting: it grants no vote, doesn't campaign and counts in no majority. A vote or acknowledgement of
+an earlier incarnation that arrives late is ignored once the newer incarnation is known. If a peer holds more
+acknowledgements than the voter's disk did at its start, the disk has lost the tail of the log. The voter then
+adopts the highest term that a peer reported, grants no vote in any term up to that one, and remains
+non-voting until a leader that has committed in its own term has replicated to it all committed entries
+(recovery confirmed).
+
+The state in `Ready.save` must be on disk before any of `Ready.messages` is sent. The machine handles one
+event at a time; after each, `take` returns what it has produced.
 """
 
 from __future__ import annotations
@@ -56,17 +57,18 @@
         self.role, self.leader = FOLLOWER, ""
         self.commit_index = self.snapshot.index
         self.ready = Ready(installed=self.snapshot if self.snapshot.index else None)
-        # Of this incarnation: who has answered it, whether its word counts, whether its tail was lost.
+        # Recovery of this incarnation: the state at its start, the voters that have answered, whether this
+        # voter votes, and whether its disk lost the tail of the log.
         self.state_at_start = StateAtStart(self.term, self.vote, self.last_index)
         self.answered_by: set[str] = set()
         self.is_voting = trust_disk or len(self.voters()) <= 1
         self.lost_tail = False
-        # Of the others: their incarnations, and what each gave us as its word: term, index, a vote.
+        # The other voters' incarnations, and what each has acknowledged to this one.
         self.incarnations: dict[str, int] = {}
         self.acknowledged: dict[str, Acknowledged] = {}
-        # A candidate's and a leader's.
+        # State of a candidate or leader.
         self.votes: set[str] = set()
-        self.pre_voting = False  # these votes are for standing at all
+        self.pre_voting = False  # `votes` are pre-votes
         self.match_index: dict[str, int] = {}
         self.next_index: dict[str, int] = {}
         self.active_followers: set[str] = set()
@@ -81,14 +83,14 @@
         return self.snapshot.index + len(self.log)
 
     def term_at(self, index: int) -> int:
-        """The term of the entry at an index; -1 where it is not known."""
+        """The term of the entry at an index; -1 if the log has no such entry."""
         if index == self.snapshot.index:
             return self.snapshot.term
         at = index - self.snapshot.index - 1
         return self.log[at].term if 0 <= at < len(self.log) else -1
 
     def voters(self) -> tuple[str, ...]:
-        """Those of the last entry that names them, committed or not."""
+        """The voters by the last entry of kind VOTERS, committed or not, or else by the snapshot."""
         for entry in reversed(self.log):
             if entry.kind == VOTERS:
                 return entry.voters
@@ -101,28 +103,31 @@
         voters = self.voters()
         return 2 * len(set(names) & set(voters)) > len(voters)
 
-    def disk(self) -> PersistentRaftState:
-        """The state that must be on disk now."""
+    def persistent_state(self) -> PersistentRaftState:
+        """The current state as it must be stored."""
         return PersistentRaftState(self.term, self.vote, tuple(self.log), self.snapshot)
 
     def _save(self) -> None:
-        self.ready.save = self.disk()
+        self.ready.save = self.persistent_state()
 
     def take(self) -> Ready:
-        """What the events since the last call have produced; it is handed over once."""
+        """Return what the events since the last call have produced, and reset it."""
         out, self.ready = self.ready, Ready()
         return out
 
-    def _send(self, kind: MessageKind, to: str, **more) -> None:
+    def _send(self, kind: MessageKind, to: str, **fields) -> None:
         message = RaftMessage(
-            kind, self.me, to, self.incarnation, more.pop("term", self.term), **more
+            kind, self.me, to, self.incarnation, fields.pop("term", self.term), **fields
         )
         self.ready.messages.append(message)
 
-    # -- what the driver tells
+    # -- calls of the driver
 
     def send_heartbeats(self) -> None:
-        """Time to speak: the leader to all, one on probation to those who have not answered it."""
+        """Send what is due at each heartbeat.
+
+        A leader sends entries or empty heartbeats to all; a non-voting voter repeats its recovery requests.
+        """
         if not self.is_voting:
             for name in self._others():
                 if name not in self.answered_by:
@@ -130,10 +135,10 @@
         if self.role == LEADER:
             self.heartbeat_round += 1
             for name in self._others():
-                self._append(name)
+                self._send_entries(name)
 
     def campaign(self) -> None:
-        """Nothing was heard of a leader for an election's time: ask whether it would be elected."""
+        """Start a pre-vote, since no message of a leader has arrived within the election timeout."""
         if self.role == LEADER or not self.is_voting or self.me not in self.voters():
             return
         self.role, self.pre_voting, self.votes, self.leader = CANDIDATE, True, {self.me}, ""
@@ -150,36 +155,40 @@
             )
 
     def check_quorum(self) -> None:
-        """Once in an election's time: a leader that has not heard a majority steps down."""
+        """Step down as leader if no majority has answered since the last call."""
         if self.role == LEADER:
             if not self._majority(self.active_followers | {self.me}):
                 self._become_follower(self.term, "")
             self.active_followers = set()
 
     def propose(self, kind: str, data: bytes = b"", voters: tuple[str, ...] = ()) -> int:
-        """A new entry; its index, 0 if this is not the leader or it may not be now."""
+        """Append a new entry. Returns its index, or 0 if this is not the leader or may not append it now."""
         if self.role != LEADER:
             return 0
         if kind == VOTERS:
-            # One change at a time, by one voter, and only after an entry of this term is committed: else two
-            # majorities could be formed that have nobody in common.
+            # One change of one voter at a time, and only after an entry of this term is committed: otherwise
+            # two majorities without a common voter could form.
             pending = any(
                 e.kind == VOTERS for e in self.log[self.commit_index - self.snapshot.index :]
             )
-            by_one = len(set(voters) ^ set(self.voters())) == 1
-            if pending or not by_one or self.term_at(self.commit_index) != self.term:
+            is_single_change = len(set(voters) ^ set(self.voters())) == 1
+            if pending or not is_single_change or self.term_at(self.commit_index) != self.term:
                 return 0
         self.log.append(LogEntry(self.term, kind, data, voters))
         self._save()
         for name in self._others():
             self.match_index.setdefault(name, 0)
             self.next_index.setdefault(name, self.last_index)
-            self._append(name)
-        self._advance()
+            self._send_entries(name)
+        self._advance_commit_index()
         return self.last_index
 
     def read(self, number: int) -> bool:
-        """Ask that what is committed now may be read; `readable` says so once a majority has confirmed us."""
+        """Start a linearizable read of what is committed now.
+
+        The number appears in `Ready.readable` once a majority has confirmed this leader. Returns False unless
+        this is a leader that has committed an entry of its term.
+        """
         if self.role != LEADER or self.term_at(self.commit_index) != self.term:
             return False
         self.pending_reads.append(PendingRead(number, self.heartbeat_round + 1, {self.me}))
@@ -188,7 +197,7 @@
         return True
 
     def compact(self, index: int, data: bytes) -> None:
-        """The entries up to an index, which were applied, are this state."""
+        """Replace the entries up to an applied index by a snapshot of the state that they made."""
         if self.snapshot.index < index <= self.commit_index:
             term, remaining_log = self.term_at(index), self.log[index - self.snapshot.index :]
             voters = self.snapshot.voters
@@ -202,7 +211,7 @@
     def receive(self, message: RaftMessage) -> None:
         """Handle one message. Those of an earlier incarnation of their sender are ignored."""
         if message.to != self.me or message.incarnation < self.incarnations.get(message.sender, 0):
-            return  # an earlier incarnation may have lost what it says
+            return  # an earlier incarnation's disk may have lost what it acknowledges
         self._record_incarnation(message)
         match message.kind:
             case MessageKind.RECOVERY_REQUEST:
@@ -224,7 +233,7 @@
             self.votes.discard(message.sender)
 
     def _receive_in_term(self, message: RaftMessage) -> None:
-        """The messages for which the sender's term decides: a newer one is taken up, an older one refused."""
+        """Handle a message by its sender's term: adopt a newer term, refuse a message of an older one."""
         if message.term > self.term:
             self._become_follower(message.term, "")
         elif message.term < self.term:
@@ -285,7 +294,7 @@
                 self._save()
 
     def _exceeds_state_at_start(self, reply: RaftMessage) -> bool:
-        """Whether a peer has an acknowledgement from us that our disk no longer held at the start."""
+        """Whether a peer holds an acknowledgement of this voter that its disk no longer had at the start."""
         start = self.state_at_start
         if reply.entry_term != start.term:
             return reply.entry_term > start.term
@@ -303,7 +312,7 @@
     # -- pre-votes
 
     def _on_pre_vote(self, message: RaftMessage) -> None:
-        """Answer; no state changes. A voter that has a leader doesn't help to replace it."""
+        """Answer without changing any state. A voter that has a leader doesn't help to replace it."""
         accepted = (
             self.is_voting
             and message.term > self.term
@@ -330,7 +339,7 @@
     # -- elections
 
     def _is_up_to_date(self, message: RaftMessage) -> bool:
-        """Whether a candidate's log is at least as new as ours."""
+        """Whether a candidate's log is at least as new as this voter's."""
         return (message.entry_term, message.index) >= (
             self.term_at(self.last_index),
             self.last_index,
@@ -382,12 +391,11 @@
         self.role, self.leader = LEADER, self.me
         self.match_index, self.active_followers, self.pending_reads = {}, set(), []
         self.next_index = dict.fromkeys(self._others(), self.last_index + 1)
-        self.log.append(
-            LogEntry(self.term)
-        )  # what came before is committed with it, never by itself
+        # Entries of earlier terms are committed only together with this one of the current term.
+        self.log.append(LogEntry(self.term))
         self._save()
         self.send_heartbeats()
-        self._advance()
+        self._advance_commit_index()
 
     def _become_follower(self, term: int, leader: str) -> None:
         if term > self.term:
@@ -397,7 +405,7 @@
 
     # -- replication
 
-    def _append(self, name: str) -> None:
+    def _send_entries(self, name: str) -> None:
         before = self.next_index.get(name, self.last_index + 1) - 1
         if before < self.snapshot.index:
             self._send(
@@ -428,11 +436,15 @@
             message.index >= self.snapshot.index
             and self.term_at(message.index) != message.entry_term
         ):
-            # Not the same up to there: the furthest that may be, the leader steps back no further.
-            back = min(self.last_index, message.index - 1)
-            while back > self.snapshot.index and self.term_at(back) > message.entry_term:
-                back -= 1
-            index = max(back, self.snapshot.index)
+            # The logs differ at this index. Report the furthest index where they may match, so that the
+            # leader steps back no further than needed.
+            last_possible = min(self.last_index, message.index - 1)
+            while (
+                last_possible > self.snapshot.index
+                and self.term_at(last_possible) > message.entry_term
+            ):
+                last_possible -= 1
+            index = max(last_possible, self.snapshot.index)
             self._send(
                 MessageKind.APPEND_REPLY,
                 message.sender,
@@ -451,25 +463,25 @@
             changed = True
         if changed:
             self._save()
-        upto = max(message.index + len(message.entries), self.snapshot.index)
-        self._commit_to(min(message.commit_index, upto))
+        last_matching = max(message.index + len(message.entries), self.snapshot.index)
+        self._commit_to(min(message.commit_index, last_matching))
         self._send(
             MessageKind.APPEND_REPLY,
             message.sender,
             number=message.number,
-            index=upto,
+            index=last_matching,
             accepted=True,
             is_voting=self.is_voting,
         )
 
     def _on_snapshot(self, message: RaftMessage) -> None:
         self._become_follower(message.term, message.sender)
-        found = message.snapshot
-        if found is not None and found.index > self.commit_index:
-            same = self.term_at(found.index) == found.term
-            remaining_log = self.log[found.index - self.snapshot.index :] if same else []
-            self.snapshot, self.log, self.commit_index = found, remaining_log, found.index
-            self.ready.installed, self.ready.committed = found, []
+        snapshot = message.snapshot
+        if snapshot is not None and snapshot.index > self.commit_index:
+            same = self.term_at(snapshot.index) == snapshot.term
+            remaining_log = self.log[snapshot.index - self.snapshot.index :] if same else []
+            self.snapshot, self.log, self.commit_index = snapshot, remaining_log, snapshot.index
+            self.ready.installed, self.ready.committed = snapshot, []
             self._save()
         index = max(self.commit_index, self.snapshot.index)
         self._send(
@@ -489,13 +501,13 @@
             self.active_followers.add(name)
         if not message.accepted:
             self.next_index[name] = max(1, min(message.index + 1, self.next_index.get(name, 1) - 1))
-            self._append(name)
+            self._send_entries(name)
             return
         self.next_index[name] = max(self.next_index.get(name, 1), message.index + 1)
         if message.is_voting:
             self._record_acknowledgement(name, message.term, message.index, False)
             self.match_index[name] = max(self.match_index.get(name, 0), message.index)
-            self._advance()
+            self._advance_commit_index()
             self._confirm_reads(name, message.number)
         elif message.index >= self.commit_index and self.term_at(self.commit_index) == self.term:
             self._send(
@@ -506,15 +518,20 @@
                 entry_term=self.term_at(self.commit_index),
             )
         if self.next_index[name] <= self.last_index:
-            self._append(name)
+            self._send_entries(name)
 
-    def _advance(self) -> None:
-        """Commit what a majority has, if it is of our own term."""
+    def _advance_commit_index(self) -> None:
+        """Commit the last entry that a majority has stored, if it is of the current term."""
         for index in range(self.last_index, self.commit_index, -1):
             if self.term_at(index) != self.term:
                 return
             if self._majority(
-                {self.me} | {name for name, upto in self.match_index.items() if upto >= index}
+                {self.me}
+                | {
+                    name
+                    for name, last_matching in self.match_index.items()
+                    if last_matching >= index
+                }
             ):
                 self._commit_to(index)
                 return
@@ -528,12 +545,12 @@
             self.commit_index = i
 
     def _confirm_reads(self, name: str, number: int = 0) -> None:
-        left = []
+        still_pending = []
         for read in self.pending_reads:
             if name and number >= read.heartbeat_round:
                 read.confirmed_by.add(name)
             if self._majority(read.confirmed_by):
                 self.ready.readable.append(read.number)
             else:
-                left.append(read)
-        self.pending_reads = left
+                still_pending.append(read)
+        self.pending_reads = still_pending
--- a/yewrill/leases/raft_types.py
+++ b/yewrill/leases/raft_types.py
@@ -1,4 +1,4 @@
-"""Values of the replicated log: entries, snapshots, messages, and what one event has produced. Pure.
+"""Values of the replicated log: entries, snapshots, messages, and the results of an event.
 
 The string forms of the enums are on the wire and on disk and don't change. A kind of message or entry that
 this version doesn't know is kept as a plain string, since a newer peer may send one.
@@ -44,7 +44,7 @@
 FOLLOWER, CANDIDATE, LEADER = RaftRole.FOLLOWER, RaftRole.CANDIDATE, RaftRole.LEADER
 NO_OP, COMMAND, VOTERS = EntryKind.NO_OP, EntryKind.COMMAND, EntryKind.VOTERS
 
-ABSTAINED = "~"  # in place of a candidate's name: no vote is given any more in this term
+ABSTAINED = "~"  # stored in place of a candidate's name: this voter grants no vote in this term
 PRE_VOTE_NUMBER = 1  # `number` of a vote reply that answers a pre-vote
 
 
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All entries up to `index`, as the state that they made."""
+    """The state made by all entries up to `index`."""
 
     index: int = 0
     term: int = 0
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistentRaftState:
-    """What outlasts the process. `log[0]` has the index after the snapshot's."""
+    """The state that is kept on disk. `log[0]` has the index after the snapshot's."""
 
     term: int = 0
     vote: str = ""
@@ -79,7 +79,8 @@
 
 
 class Acknowledged(NamedTuple):
-    """What a voter has acknowledged to us: its highest term, the last index in it, a vote for us."""
+    """What another voter has acknowledged to this one: its highest term, the last index in that term, and
+    whether it voted for this one."""
 
     term: int = 0
     index: int = 0
@@ -87,7 +88,7 @@
 
 
 class StateAtStart(NamedTuple):
-    """What a voter's disk held when its process started."""
+    """The term, vote and last index on a voter's disk when its process started."""
 
     term: int
     vote: str
@@ -128,7 +129,7 @@
 
 @dataclass(slots=True)
 class Ready:
-    """What the events since the last `take` have produced. `save` is on disk before `messages` are sent."""
+    """The results of the events since the last `take`. `save` must be on disk before `messages` are sent."""
 
     save: PersistentRaftState | None = None
     messages: list[RaftMessage] = field(default_factory=list)
--- a/yewrill/leases/states.py
+++ b/yewrill/leases/states.py
@@ -1,8 +1,8 @@
-"""Further state machines of the replicated log, beside the lease table: entries and a common snapshot. Pure.
+"""Further state machines of the replicated log beside the lease table: their entries and the common snapshot.
 
-An entry has the log's own time, which machine it is for, and bytes that only the machine reads. All voters
-apply the same entries in the same order; whoever has no such machine must not skip one. What is submitted may
-be applied twice, where an answer was lost: the machine tells by its own numbers.
+An entry has the log's own time, the name of its machine, and bytes that only the machine reads. All voters
+apply the same entries in the same order, so a voter without the machine stops rather than skip one. If a
+reply is lost, a submission may be applied twice; the machine must recognise repetitions by its own numbers.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from yewrill.leases.lease_table import LeaseTable
 
-STATE = "state"  # the kind of such an entry
+STATE = "state"  # the kind of a state machine's log entry
 PARTS = "parts"  # the first item of a snapshot of more than the lease table
 
 
@@ -43,11 +43,11 @@
 
 
 def pack_all(lease_table: LeaseTable, machines: Mapping[str, StateMachine]) -> bytes:
-    """One snapshot. Without machines it is as it was before there were any."""
+    """The snapshot of all state. Without machines it has the older format, the lease table alone."""
     if not machines:
         return lease_table.pack()
     return msgpack.packb(
-        [PARTS, lease_table.pack(), {name: one.pack() for name, one in machines.items()}]
+        [PARTS, lease_table.pack(), {name: machine.pack() for name, machine in machines.items()}]
     )
 
 
@@ -55,11 +55,11 @@
     """Restore all machines; returns the lease table and the name of one that is missing here, or ""."""
     parts = msgpack.unpackb(data) if data else None
     if parts is None or parts[0] != PARTS:
-        for one in machines.values():
-            one.restore(b"")
+        for machine in machines.values():
+            machine.restore(b"")
         return LeaseTable.unpack(data), ""
-    for name, one in machines.items():
-        one.restore(parts[2].get(name, b""))
+    for name, machine in machines.items():
+        machine.restore(parts[2].get(name, b""))
     return LeaseTable.unpack(parts[1]), next(
         (name for name in parts[2] if name not in machines), ""
     )
--- a/yewrill/leases/timing.py
+++ b/yewrill/leases/timing.py
@@ -1,6 +1,6 @@
-"""The timers of Raft: heartbeats, election timeout, quorum check. Pure; seconds of any monotonic clock.
+"""The timers of Raft: heartbeats, election timeout, quorum check. Times are seconds of any monotonic clock.
 
-Safety doesn't depend on these: a wrong time costs elections, never an entry.
+Safety doesn't depend on these timers: a wrong clock can cause elections, but never the loss of an entry.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Driver:
-    """Drives a `Raft` by the time."""
+    """Calls a `Raft` when its timers are due."""
 
     def __init__(self, raft: Raft, rng: random.Random, now: float, times: Times | None = None):
         self.raft, self._rng, self._times = raft, rng, times or Times()
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -190,7 +190,7 @@
     def _take_ownership(self, machine: FailoverMachine, now: float) -> None:
         """Pass the holder of the lease on this role to the machine; without leases any member makes plans."""
         if self._ownership is not None:
-            number, owner = self._ownership.seen(ROLE, now)
+            number, owner = self._ownership.last_known_holder(ROLE, now)
             machine.epoch = max(machine.epoch, number)
             machine.owner = "" if owner == machine.me else owner
 
