--- a/tests/test_calendar.py
+++ b/tests/test_calendar.py
@@ -32,8 +32,8 @@
 def agree(line: Timeline, naive: list[int]) -> None:
     for start in range(0, SPAN - 1, 3):
         for end in range(start + 1, SPAN, 5):
-            assert line.most(start, end) == max(naive[start:end])
-            assert line.room(start, end) == line.ceiling - line.most(start, end)
+            assert line.max_reserved(start, end) == max(naive[start:end])
+            assert line.free_slots(start, end) == line.ceiling - line.max_reserved(start, end)
     level = [0, *line.steps.values()]
     assert level[-1] == 0 and all(a != b for a, b in zip(level, level[1:], strict=False))
 
@@ -54,7 +54,7 @@
         right = all(0 <= naive[at] + sign * slots <= 7 for at in span)
         before = dict(line.steps)
         try:
-            (line.add if adds else line.take)(start, start + length, slots)
+            (line.add if adds else line.remove)(start, start + length, slots)
         except ValueError:
             assert not right and dict(line.steps) == before
             continue
@@ -71,10 +71,10 @@
         ),
         None,
     )
-    assert line.fits(length, slots, earliest, latest) == fit
+    assert line.first_fit(length, slots, earliest, latest) == fit
     span = naive[earliest : earliest + length]
     top = [earliest + at for at, held in enumerate(span) if held == max(span)]
-    assert line.rims(earliest, earliest + length) == (max(span), top[0], top[-1] + 1)
+    assert line.peak_span(earliest, earliest + length) == (max(span), top[0], top[-1] + 1)
 
 
 def utc(windows) -> list[str]:
@@ -180,7 +180,7 @@
         )
         if isinstance(got, Refused):
             self.offers += [(tenant, one) for one in got.offers]
-            if slack and spread.zones == 1 and got.ground == "full":
+            if slack and spread.zones == 1 and got.reason == "full":
                 low = max(first, self.at + 5 * MINUTE)
                 last = min(windows[0].end, self.at + 24 * HOUR) - length
                 assert not any(
@@ -189,12 +189,12 @@
                 )
             return
         assert got.windows == windows or slack and windows[0].start <= got.windows[0].start
-        for window, placed in zip(got.windows, got.placed, strict=True):
+        for window, placed in zip(got.windows, got.placements, strict=True):
             assert window.end - window.start == length and sum(part for _, part in placed) == slots
             assert len(placed) == 1 if spread.zones == 1 else len(placed) > 1
             assert all(part <= -(-slots // spread.zones) for _, part in placed)
             assert not spread.per_worker or all(part <= 4 * spread.per_worker for _, part in placed)
-        self.booked[got.number] = tenant, dict(zip(got.windows, got.placed, strict=True))
+        self.booked[got.number] = tenant, dict(zip(got.windows, got.placements, strict=True))
 
     @precondition(lambda self: self.offers)
     @rule(data=st.data())
@@ -202,10 +202,10 @@
         tenant, offer = self.offers.pop(data.draw(st.integers(0, len(self.offers) - 1)))
         got = self.enter(TakeOffer(tenant, self.name(), offer.number))
         if isinstance(got, Booked):
-            assert self.at < offer.until and got.windows == (offer.window,)
-            self.booked[got.number] = tenant, dict(zip(got.windows, got.placed, strict=True))
+            assert self.at < offer.held_until and got.windows == (offer.window,)
+            self.booked[got.number] = tenant, dict(zip(got.windows, got.placements, strict=True))
         else:
-            assert got.ground == ("quota" if self.at < offer.until else "unknown")
+            assert got.reason == ("quota" if self.at < offer.held_until else "unknown")
 
     @precondition(lambda self: self.booked)
     @rule(data=st.data(), what=st.sampled_from((Cancel, Release)))
@@ -213,7 +213,7 @@
         number = data.draw(st.sampled_from(sorted(self.booked)))
         tenant, windows = self.booked[number]
         other = TENANTS[tenant == TENANTS[0]]
-        assert self.enter(what(other, self.name(), number)).ground in ("not-yours", "unknown")
+        assert self.enter(what(other, self.name(), number)).reason in ("not-yours", "unknown")
         if not isinstance(self.enter(what(tenant, self.name(), number)), Done):
             return
         if what is Cancel:
@@ -247,22 +247,22 @@
     @invariant()
     def all_is_kept(self):
         kept = {
-            number: (one.tenant, dict(zip(one.windows, one.placed, strict=True)))
-            for number, one in self.book.open.items()
-            if not one.until
+            number: (one.tenant, dict(zip(one.windows, one.placements, strict=True)))
+            for number, one in self.book.open_bookings.items()
+            if not one.held_until
         }
         open_ = {
             number: (tenant, {one: at for one, at in windows.items() if one.end > self.at})
             for number, (tenant, windows) in self.booked.items()
         }
         assert kept == {number: one for number, one in open_.items() if one[1]}
-        for (zone, _), line in self.book.lines.items():
+        for (zone, _), line in self.book.timelines.items():
             assert max(line.steps.values(), default=0) <= {"a": 7, "b": 6, "c": 3}[zone]
         assert self.book.pack() == self.other.pack()
-        assert {key: one.steps for key, one in self.book.lines.items()} == {
-            key: one.steps for key, one in self.other.lines.items()
+        assert {key: one.steps for key, one in self.book.timelines.items()} == {
+            key: one.steps for key, one in self.other.timelines.items()
         }
-        assert max(self.book.held.values(), default=0) <= 9
+        assert max(self.book.held_offers.values(), default=0) <= 9
 
 
 BookMachine.TestCase.settings = settings(
--- a/yewrill/reservations/__init__.py
+++ b/yewrill/reservations/__init__.py
@@ -1,1 +1,1 @@
-"""Calendars: which gangs of slots are promised for which windows. See docs/calendar-design.md."""
+"""The calendar: reservations of slots for gangs in windows of time. See docs/calendar-design.md."""
--- a/yewrill/reservations/asking.py
+++ b/yewrill/reservations/asking.py
@@ -1,7 +1,7 @@
-"""What a tenant asks of the calendar and what it is told: entries and results, and the operators' file. Pure.
+"""The calendar's messages: a tenant's requests (entries of the log) and their results; and its settings.
 
-Times are milliseconds of wall time on a grid of a minute. An entry has windows, never a rule: whoever submits
-it makes them of the rule (windows.py), as members may have different files of zones.
+Times are milliseconds of wall time at full minutes. An entry has windows, never a recurrence rule: whoever
+submits it expands the rule (windows.py), since members may have different time zone files.
 """
 
 from __future__ import annotations
@@ -13,87 +13,104 @@
 
 from yewrill.reservations.windows import Window
 
-MOST_SLOTS = 4096
-MOST_WINDOWS = 60
+MAX_SLOTS = 4096
+MAX_WINDOWS = 60
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
-Slots = Annotated[int, Meta(ge=1, le=MOST_SLOTS)]
-Windows = Annotated[tuple[Window, ...], Meta(max_length=MOST_WINDOWS)]
-Placed = tuple[tuple[str, int], ...]  # (zone, slots), by name
+Slots = Annotated[int, Meta(ge=1, le=MAX_SLOTS)]
+Windows = Annotated[tuple[Window, ...], Meta(max_length=MAX_WINDOWS)]
+Placement = tuple[tuple[str, int], ...]  # (zone, slots), ordered by zone name
 
 
 class Spread(Struct, frozen=True, array_like=True):
-    """`per_worker`: slots on one worker at the most, 0: any; `zones`: 1, one zone; 2, two at the least."""
+    """How a gang's slots are spread.
 
-    per_worker: Annotated[int, Meta(ge=0, le=MOST_SLOTS)] = 0
+    `per_worker` is the most slots on one worker, 0 for no limit. With `zones` 1 all slots are in one zone,
+    with 2 they are in at least two.
+    """
+
+    per_worker: Annotated[int, Meta(ge=0, le=MAX_SLOTS)] = 0
     zones: Annotated[int, Meta(ge=1, le=2)] = 1
 
 
 class Request(Struct, frozen=True, array_like=True, tag=True):
-    """`id`: the tenant's own; the same twice is the same result."""
+    """A tenant's request. The tenant chooses `id`; a repeated id gets the first result again."""
 
     tenant: Name
     id: Name
 
 
 class Ask(Request, frozen=True):
-    """All of `windows`; or, with `length` (ms), one window of that length anywhere in the only one given."""
+    """Requests slots for all `windows`.
+
+    With `length_ms`, requests one window of that length anywhere within the only window given.
+    """
 
     kind: Name
     slots: Slots
     windows: Windows
-    length: Annotated[int, Meta(ge=0, le=2**48)] = 0
+    length_ms: Annotated[int, Meta(ge=0, le=2**48)] = 0
     spread: Spread = Spread()
 
 
 class TakeOffer(Request, frozen=True):
+    """Turns the held offer with this number into a booking."""
+
     number: int
 
 
 class Cancel(Request, frozen=True):
-    """All windows of a booking that begin after the cutoff."""
+    """Cancels all windows of a booking that begin after the cutoff."""
 
     number: int
 
 
 class Release(Request, frozen=True):
-    """What is left of the window that runs, from the next full minute on."""
+    """Releases the rest of a booking's running window, from the next full minute on."""
 
     number: int
 
 
 class Tick(Struct, frozen=True, array_like=True, tag=True):
-    """Only that time has gone on."""
+    """Advances the time only."""
 
 
 class Offer(Struct, frozen=True, array_like=True):
+    """A window that is held for the tenant until `held_until`, in place of a refused one."""
+
     number: int
     window: Window
     slots: int
-    until: int
+    held_until: int
 
 
 class Booked(Struct, frozen=True, array_like=True, tag=True):
-    """`placed`: for each window, how many slots in which zone."""
+    """The request was booked. `placements` has the slots in each zone, for each window."""
 
     number: int
     windows: tuple[Window, ...]
-    placed: tuple[Placed, ...]
+    placements: tuple[Placement, ...]
 
 
 class Refused(Struct, frozen=True, array_like=True, tag=True):
-    ground: str
+    """The request was refused. `reason` is a fixed word, `text` the explanation."""
+
+    reason: str
     text: str
     offers: tuple[Offer, ...] = ()
 
 
 class Done(Struct, frozen=True, array_like=True, tag=True):
+    """The request was carried out and has no other result."""
+
     pass
 
 
 class Capacity(Struct, frozen=True):
-    """What is counted on of a (zone, kind). The ceiling is `slots - reserve - floor`; of the
-    `workers`, `reserve_workers` may be lost."""
+    """The capacity of one kind of workers in a zone.
+
+    At most `slots - reserve - floor` slots can be booked. Of the `workers`, `reserve_workers` may be lost.
+    """
 
     zone: str
     kind: str
@@ -105,7 +122,11 @@
 
 
 class Config(Struct, frozen=True):
-    """`quotas`: tenant -> open slot-hours. Times in ms. A booking may be cancelled up to `cutoff` before."""
+    """The calendar's settings. Times are in milliseconds.
+
+    `quotas` limits each tenant's slot-hours of bookings that have not ended. A booking may be cancelled up to
+    `cutoff` before its start.
+    """
 
     capacity: tuple[Capacity, ...]
     quotas: dict[str, float]
--- a/yewrill/reservations/book.py
+++ b/yewrill/reservations/book.py
@@ -1,4 +1,7 @@
-"""The book of what is promised: a state machine of the replicated log (ownership/states.py). Pure."""
+"""The book of all bookings and held offers: a state machine of the replicated log (leases/states.py). No I/O.
+
+Results are part of the replicated state, so their texts must not differ between voters of different builds.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
     Cancel,
     Done,
     Offer,
-    Placed,
+    Placement,
     Refused,
     Release,
     Spread,
@@ -25,14 +28,17 @@
 from yewrill.reservations.windows import MINUTE, Window
 
 HOUR = 3_600_000
-MOST_OPEN = 50_000  # occurrences, of bookings and held offers
-MOST_HELD = 9  # offers a tenant
-MOST_IDS = 1024  # remembered a tenant, of what is not open
-MOST_TRIED = 16  # windows that are looked at for one start
+MAX_OPEN_WINDOWS = 50_000  # of all bookings and held offers
+MAX_HELD_OFFERS = 9  # per tenant
+MAX_CLOSED_IDS = 1024  # per tenant: request ids that are remembered after their booking has ended
+MAX_STARTS_TRIED = 16  # start times that one search examines
 
 
 class Booking(Struct, array_like=True):
-    """Its windows that have not ended. `until`: an offer that is held, until then; 0: booked."""
+    """A booking or a held offer, with its windows that have not ended.
+
+    `held_until` is when a held offer expires, in milliseconds of the log's time; 0 for a booking.
+    """
 
     number: int
     tenant: str
@@ -40,195 +46,225 @@
     kind: str
     slots: int
     windows: tuple[Window, ...]
-    placed: tuple[Placed, ...]
-    until: int = 0
+    placements: tuple[Placement, ...]
+    held_until: int = 0
 
 
 class State(Struct, array_like=True):
+    """The book as stored in a snapshot."""
+
     at: int
-    next: int
-    open: list[Booking]
-    answers: list[
-        tuple[str, list[tuple[str, bytes]]]
-    ]  # of each tenant by id, in order of their coming
-    closed: list[tuple[str, list[str]]]  # ids that may be forgotten, oldest first
+    next_number: int
+    open_bookings: list[Booking]
+    # By tenant: the request ids with their encoded results, in order of arrival.
+    results: list[tuple[str, list[tuple[str, bytes]]]]
+    # By tenant: the request ids that may be dropped, oldest first.
+    closed_ids: list[tuple[str, list[str]]]
 
 
 _read_state = msgspec.msgpack.Decoder(State).decode
 
 
-def up(at: int) -> int:
+def round_up_to_minute(at: int) -> int:
+    """Rounds milliseconds up to a full minute."""
     return -(-at // MINUTE) * MINUTE
 
 
 class Book:
+    """All bookings and held offers, and the results of requests. Deterministic."""
+
     def __init__(self, config: asking.Config):
         self.config = config
         self.restore(b"")
 
     def restore(self, data: bytes) -> None:
+        """Replace the state by one that `pack` returned; b"" is the initial state."""
         state = _read_state(data) if data else State(0, 1, [], [], [])
-        self.at, self.next = state.at, state.next
-        self.lines = {
+        self.at, self.next_number = state.at, state.next_number
+        self.timelines = {
             (one.zone, one.kind): Timeline(max(0, one.slots - one.reserve - one.floor))
             for one in self.config.capacity
         }
         self.workers = {
             (one.zone, one.kind): one.workers - one.reserve_workers for one in self.config.capacity
         }
-        self.open: SortedDict = SortedDict()  # number -> Booking
-        self.due: SortedSet = SortedSet()  # (when a window ends or an offer runs out, number)
-        self.used: dict[str, int] = {}  # tenant -> slot-ms that are booked and have not ended
-        self.held: dict[str, int] = {}  # tenant -> offers
-        self.windows = 0
-        for booking in state.open:
-            self._put(booking, anyway=True)
-        self.answers = {tenant: dict(given) for tenant, given in state.answers}
-        self.closed = {tenant: dict.fromkeys(ids) for tenant, ids in state.closed}
+        self.open_bookings: SortedDict = SortedDict()  # number -> Booking
+        # (when a booking's first window ends or an offer expires, number)
+        self.expirations: SortedSet = SortedSet()
+        # Slots times milliseconds of each tenant's bookings that have not ended.
+        self.used_slot_ms: dict[str, int] = {}
+        self.held_offers: dict[str, int] = {}  # number of held offers by tenant
+        self.open_windows = 0
+        for booking in state.open_bookings:
+            self._add_booking(booking, allow_over_ceiling=True)
+        self.results = {tenant: dict(results_by_id) for tenant, results_by_id in state.results}
+        self.closed_ids = {tenant: dict.fromkeys(ids) for tenant, ids in state.closed_ids}
 
     def pack(self) -> bytes:
+        """The whole state, for a snapshot."""
         return asking.encode(
             State(
                 self.at,
-                self.next,
-                list(self.open.values()),
-                [(tenant, list(given.items())) for tenant, given in sorted(self.answers.items())],
-                [(tenant, list(ids)) for tenant, ids in sorted(self.closed.items())],
+                self.next_number,
+                list(self.open_bookings.values()),
+                [
+                    (tenant, list(results_by_id.items()))
+                    for tenant, results_by_id in sorted(self.results.items())
+                ],
+                [(tenant, list(ids)) for tenant, ids in sorted(self.closed_ids.items())],
             )
         )
 
     def apply(self, at: int, data: bytes) -> bytes:
-        """The result as bytes; whatever the entry is, what has ended or run out by `at` goes first."""
+        """Apply one entry and return its encoded result.
+
+        Windows that have ended and offers that have expired by `at` are removed first. A request id that was
+        applied before returns its earlier result.
+        """
         self.at = max(self.at, at)
         self._expire()
         try:
             entry = asking.read_entry(data)
-        except msgspec.MsgspecError as wrong:
-            return asking.encode(Refused("bad-entry", f"This can't be read: {wrong}"))
+        except msgspec.MsgspecError as error:
+            return asking.encode(Refused("bad-entry", f"This can't be read: {error}"))
         if isinstance(entry, asking.Tick):
             return asking.encode(Done())
         if entry.tenant not in self.config.quotas:
             return asking.encode(
                 Refused("unknown", "The operators' file does not know this tenant.")
             )
-        answers = self.answers.setdefault(entry.tenant, {})
-        if entry.id in answers:
-            return answers[entry.id]
-        result = self._ask(entry) if isinstance(entry, Ask) else self._on(entry)
-        self._expire()  # a window that was released may end at once
-        answers[entry.id] = data = asking.encode(result)
+        results = self.results.setdefault(entry.tenant, {})
+        if entry.id in results:
+            return results[entry.id]
+        result = self._book(entry) if isinstance(entry, Ask) else self._change_booking(entry)
+        self._expire()  # a released window may end at once
+        results[entry.id] = data = asking.encode(result)
         if not isinstance(result, Booked):
-            self._close(entry.tenant, entry.id)
+            self._record_closed_id(entry.tenant, entry.id)
         return data
 
-    # what is promised
+    # -- reservations
 
-    def _put(self, booking: Booking, anyway: bool = False) -> None:
-        for window, placed in zip(booking.windows, booking.placed, strict=True):
-            for zone, slots in placed:
-                line = self.lines.get((zone, booking.kind))
-                if line is None:  # promised before the file lost it
-                    line = self.lines[zone, booking.kind] = Timeline(0)
+    def _add_booking(self, booking: Booking, allow_over_ceiling: bool = False) -> None:
+        for window, placement in zip(booking.windows, booking.placements, strict=True):
+            for zone, slots in placement:
+                timeline = self.timelines.get((zone, booking.kind))
+                if (
+                    timeline is None
+                ):  # booked before the zone and kind were removed from the settings
+                    timeline = self.timelines[zone, booking.kind] = Timeline(0)
                     self.workers[zone, booking.kind] = 0
-                line.add(window.start, window.end, slots, anyway)
-        self.open[booking.number] = booking
-        self._count(booking, 1)
+                timeline.add(window.start, window.end, slots, allow_over_ceiling)
+        self.open_bookings[booking.number] = booking
+        self._update_totals(booking, 1)
 
-    def _count(self, booking: Booking, sign: int) -> None:
+    def _update_totals(self, booking: Booking, sign: int) -> None:
         tenant = booking.tenant
-        self.windows += sign * len(booking.windows)
-        if booking.until:
-            self.held[tenant] = self.held.get(tenant, 0) + sign
+        self.open_windows += sign * len(booking.windows)
+        if booking.held_until:
+            self.held_offers[tenant] = self.held_offers.get(tenant, 0) + sign
         else:
-            self.used[tenant] = self.used.get(tenant, 0) + sign * _use(
+            self.used_slot_ms[tenant] = self.used_slot_ms.get(tenant, 0) + sign * _slot_ms(
                 booking.slots, booking.windows
             )
-        when = (booking.until or booking.windows[0].end, booking.number)
-        (self.due.add if sign > 0 else self.due.discard)(when)
+        expiration = (booking.held_until or booking.windows[0].end, booking.number)
+        (self.expirations.add if sign > 0 else self.expirations.discard)(expiration)
 
-    def _keep(self, booking: Booking, windows: list[Window | None]) -> None:
-        """Of each window that is left this much of it, from its start on; None: nothing."""
-        self._count(booking, -1)
+    def _shrink_booking(self, booking: Booking, windows: list[Window | None]) -> None:
+        """Shorten each window of a booking to the part that is kept, from its start on; None drops it."""
+        self._update_totals(booking, -1)
         kept = []
-        for old, new, placed in zip(booking.windows, windows, booking.placed, strict=True):
+        for old, new, placement in zip(booking.windows, windows, booking.placements, strict=True):
             start = new.end if new else old.start
-            for zone, slots in placed if start < old.end else ():
-                self.lines[zone, booking.kind].take(start, old.end, slots)
+            for zone, slots in placement if start < old.end else ():
+                self.timelines[zone, booking.kind].remove(start, old.end, slots)
             if new:
-                kept.append((new, placed))
+                kept.append((new, placement))
         if kept:
-            booking.windows, booking.placed = (tuple(part) for part in zip(*kept, strict=True))
-            self._count(booking, 1)
+            booking.windows, booking.placements = (tuple(part) for part in zip(*kept, strict=True))
+            self._update_totals(booking, 1)
         else:
-            del self.open[booking.number]
-            if not booking.until:
-                self._close(booking.tenant, booking.id)
-
-    def _close(self, tenant: str, name: str) -> None:
-        closed = self.closed.setdefault(tenant, {})
-        closed[name] = None
-        if len(closed) > MOST_IDS:
+            del self.open_bookings[booking.number]
+            if not booking.held_until:
+                self._record_closed_id(booking.tenant, booking.id)
+
+    def _record_closed_id(self, tenant: str, request_id: str) -> None:
+        closed = self.closed_ids.setdefault(tenant, {})
+        closed[request_id] = None
+        if len(closed) > MAX_CLOSED_IDS:
             oldest = next(iter(closed))
             del closed[oldest]
-            del self.answers[tenant][oldest]
+            del self.results[tenant][oldest]
 
     def _expire(self) -> None:
-        while self.due and self.due[0][0] <= self.at:
-            booking = self.open[self.due[0][1]]
-            self._keep(booking, [None, *booking.windows[1:]])
+        while self.expirations and self.expirations[0][0] <= self.at:
+            booking = self.open_bookings[self.expirations[0][1]]
+            self._shrink_booking(booking, [None, *booking.windows[1:]])
 
-    # asking
+    # -- requests for bookings
 
-    def _ask(self, ask: Ask) -> Booked | Refused:
-        wrong = self._wrong(ask)
-        if wrong:
-            return wrong
+    def _book(self, ask: Ask) -> Booked | Refused:
+        refusal = self._check_request(ask)
+        if refusal:
+            return refusal
         windows, spread = ask.windows, ask.spread
-        low, high = up(self.at + self.config.least_notice), self.at + self.config.horizon
-        if ask.length:
-            first, last = max(low, windows[0].start), min(high, windows[0].end) - ask.length
-            start = self._first(ask, first, last // MINUTE * MINUTE, ask.length)
+        earliest, latest = (
+            round_up_to_minute(self.at + self.config.least_notice),
+            self.at + self.config.horizon,
+        )
+        if ask.length_ms:
+            first, last = (
+                max(earliest, windows[0].start),
+                min(latest, windows[0].end) - ask.length_ms,
+            )
+            start = self._find_start(ask, first, last // MINUTE * MINUTE, ask.length_ms)
             if start is None:
                 return Refused(
                     "full", "No window with so many slots left was found between these times."
                 )
-            windows = (Window(start, start + ask.length),)
-        placed = []
+            windows = (Window(start, start + ask.length_ms),)
+        placements = []
         for window in windows:
-            found = self._place(ask.kind, ask.slots, spread, window)
-            if found is None:
+            placement = self._place(ask.kind, ask.slots, spread, window)
+            if placement is None:
                 text = f"The window from {window.start} on has not {ask.slots} slots left for this spread."
-                return Refused("full", text, self._offers(ask) if len(windows) == 1 else ())
-            placed.append(found)
-        self.next += 1
+                return Refused("full", text, self._make_offers(ask) if len(windows) == 1 else ())
+            placements.append(placement)
+        self.next_number += 1
         booking = Booking(
-            self.next - 1, ask.tenant, ask.id, ask.kind, ask.slots, windows, tuple(placed)
+            self.next_number - 1,
+            ask.tenant,
+            ask.id,
+            ask.kind,
+            ask.slots,
+            windows,
+            tuple(placements),
         )
-        self._put(booking)
-        return Booked(booking.number, booking.windows, booking.placed)
+        self._add_booking(booking)
+        return Booked(booking.number, booking.windows, booking.placements)
 
-    def _wrong(self, ask: Ask) -> Refused | None:
+    def _check_request(self, ask: Ask) -> Refused | None:
         windows, config = ask.windows, self.config
-        if not any(kind == ask.kind for _, kind in self.lines):
+        if not any(kind == ask.kind for _, kind in self.timelines):
             return Refused("unknown-kind", f"There is no kind {ask.kind!r}.")
         last = 0
         for one in windows:
             if one.start < last or one.start >= one.end or one.start % MINUTE or one.end % MINUTE:
                 return Refused("bad-window", "Windows are full minutes, one after another.")
             last = one.end
-        if not windows or ask.length % MINUTE or ask.length and len(windows) > 1:
+        if not windows or ask.length_ms % MINUTE or ask.length_ms and len(windows) > 1:
             return Refused(
                 "bad-window", "This needs windows, or a length of full minutes in just one."
             )
-        if ask.length > windows[0].end - windows[0].start:
+        if ask.length_ms > windows[0].end - windows[0].start:
             return Refused("bad-window", "The length is more than there is between these times.")
-        begin = windows[0].end - ask.length if ask.length else windows[0].start
-        end = windows[0].start + ask.length if ask.length else windows[-1].end
-        if begin < self.at + config.least_notice:
+        earliest_start = windows[0].end - ask.length_ms if ask.length_ms else windows[0].start
+        latest_end = windows[0].start + ask.length_ms if ask.length_ms else windows[-1].end
+        if earliest_start < self.at + config.least_notice:
             return Refused(
                 "too-soon", f"A booking begins {config.least_notice // MINUTE} minutes ahead."
             )
-        if end > self.at + config.horizon:
+        if latest_end > self.at + config.horizon:
             return Refused("too-far", f"A booking ends within {config.horizon // HOUR} hours.")
         if not self._place(ask.kind, ask.slots, ask.spread, None):
             if self._place(ask.kind, ask.slots, Spread(), None):
@@ -238,112 +274,147 @@
             return Refused(
                 "too-large", "That is more than is promised, even if nothing were booked."
             )
-        use = ask.slots * ask.length if ask.length else _use(ask.slots, windows)
-        return self._over(ask.tenant, use, len(windows))
+        slot_ms = ask.slots * ask.length_ms if ask.length_ms else _slot_ms(ask.slots, windows)
+        return self._check_quota(ask.tenant, slot_ms, len(windows))
 
-    def _over(self, tenant: str, use: int, windows: int) -> Refused | None:
+    def _check_quota(self, tenant: str, slot_ms: int, windows: int) -> Refused | None:
         quota = self.config.quotas[tenant]
-        if self.used.get(tenant, 0) + use > quota * HOUR:
+        if self.used_slot_ms.get(tenant, 0) + slot_ms > quota * HOUR:
             return Refused("quota", f"With this, more than {quota:g} slot-hours would be open.")
-        if self.windows + windows > MOST_OPEN:
+        if self.open_windows + windows > MAX_OPEN_WINDOWS:
             return Refused("full", "The calendar holds no more windows.")
         return None
 
-    def _place(self, kind: str, slots: int, spread: Spread, window: Window | None) -> Placed | None:
-        """How many slots in which zone; no window: if nothing were booked."""
-        return _part(self._rooms(kind, spread, window), slots, spread)
-
-    def _rooms(self, kind: str, spread: Spread, window: Window | None) -> list[tuple[int, str]]:
-        """(slots that one gang may have, zone), ascending."""
-        rooms = []
-        for (zone, of), line in self.lines.items():
-            if of == kind:
-                room = line.room(window.start, window.end) if window else line.ceiling
-                rooms.append((self._most((zone, of), spread, room), zone))
-        return sorted(rooms)
-
-    def _most(self, key: tuple[str, str], spread: Spread, room: int) -> int:
-        return min(room, spread.per_worker * self.workers[key]) if spread.per_worker else room
-
-    def _first(
-        self, ask: Ask, first: int, last: int, length: int, back: bool = False
+    def _place(
+        self, kind: str, slots: int, spread: Spread, window: Window | None
+    ) -> Placement | None:
+        """The slots in each zone for a window, or as if nothing were booked if there is no window.
+
+        None if they don't fit.
+        """
+        return _split(self._free_slots_by_zone(kind, spread, window), slots, spread)
+
+    def _free_slots_by_zone(
+        self, kind: str, spread: Spread, window: Window | None
+    ) -> list[tuple[int, str]]:
+        """(slots that one gang may use, zone), ascending."""
+        free_slots = []
+        for (zone, timeline_kind), timeline in self.timelines.items():
+            if timeline_kind == kind:
+                free = timeline.free_slots(window.start, window.end) if window else timeline.ceiling
+                free_slots.append((self._usable_slots((zone, timeline_kind), spread, free), zone))
+        return sorted(free_slots)
+
+    def _usable_slots(self, key: tuple[str, str], spread: Spread, free: int) -> int:
+        return min(free, spread.per_worker * self.workers[key]) if spread.per_worker else free
+
+    def _find_start(
+        self, ask: Ask, first: int, last: int, length: int, backwards: bool = False
     ) -> int | None:
-        """The first start that fits; `back`: the last. At most MOST_TRIED windows are looked at, for a length
-        in one zone all: from one that does not fit on to where some zone has more room."""
-        if ask.length and ask.spread.zones == 1:  # exact, and no offers beside it
-            each = ask.spread.per_worker
+        """The first start time that fits, or the last one if `backwards`; None if none is found.
+
+        For a length within one zone the search is exact. Otherwise it examines at most MAX_STARTS_TRIED
+        windows; from one that does not fit it moves on to where some zone has more free slots.
+        """
+        if ask.length_ms and ask.spread.zones == 1:
+            per_worker = ask.spread.per_worker
             fits = [
-                line.fits(length, ask.slots, first, last)
-                for key, line in self.lines.items()
-                if key[1] == ask.kind and (not each or each * self.workers[key] >= ask.slots)
+                timeline.first_fit(length, ask.slots, first, last)
+                for key, timeline in self.timelines.items()
+                if key[1] == ask.kind
+                and (not per_worker or per_worker * self.workers[key] >= ask.slots)
             ]
             return min((start for start in fits if start is not None), default=None)
-        keys = [key for key in self.lines if key[1] == ask.kind]
-        lines = [self.lines[key] for key in keys]
-        start = last if back else first
-        for _ in range(MOST_TRIED):
+        keys = [key for key in self.timelines if key[1] == ask.kind]
+        timelines = [self.timelines[key] for key in keys]
+        start = last if backwards else first
+        for _ in range(MAX_STARTS_TRIED):
             if not first <= start <= last:
                 return None
-            found = [line.rims(start, start + length) for line in lines]
-            rooms = [
-                (self._most(key, ask.spread, line.ceiling - one[0]), key[0])
-                for key, line, one in zip(keys, lines, found, strict=True)
+            peak_spans = [timeline.peak_span(start, start + length) for timeline in timelines]
+            free_slots = [
+                (self._usable_slots(key, ask.spread, timeline.ceiling - peak[0]), key[0])
+                for key, timeline, peak in zip(keys, timelines, peak_spans, strict=True)
             ]
-            if _part(sorted(rooms), ask.slots, ask.spread):
+            if _split(sorted(free_slots), ask.slots, ask.spread):
                 return start
-            rims = [one[1:] for one in found if one[0]]
-            if not rims:
+            peaks = [peak[1:] for peak in peak_spans if peak[0]]
+            if not peaks:
                 return None
-            start = max(one[0] for one in rims) - length if back else min(one[1] for one in rims)
+            start = (
+                max(one[0] for one in peaks) - length if backwards else min(one[1] for one in peaks)
+            )
         return None
 
-    def _offers(self, ask: Ask) -> tuple[Offer, ...]:
-        """The nearest earlier and later window, and the most slots at the asked one; all held."""
+    def _make_offers(self, ask: Ask) -> tuple[Offer, ...]:
+        """Hold offers in place of a refused window.
+
+        They are the nearest earlier and later window, and as many slots as fit in the requested window.
+        """
         window = ask.windows[0]
         length = window.end - window.start
-        low = up(self.at + self.config.least_notice)
-        high = (self.at + self.config.horizon - length) // MINUTE * MINUTE
+        earliest = round_up_to_minute(self.at + self.config.least_notice)
+        latest = (self.at + self.config.horizon - length) // MINUTE * MINUTE
         offers = []
         for start in (
-            self._first(ask, low, window.start - MINUTE, length, back=True),
-            self._first(ask, window.start + MINUTE, high, length),
+            self._find_start(ask, earliest, window.start - MINUTE, length, backwards=True),
+            self._find_start(ask, window.start + MINUTE, latest, length),
         ):
             if start is not None:
-                offers += self._hold(ask, Window(start, start + length), ask.slots)
-        rooms, fewest, most = self._rooms(ask.kind, ask.spread, window), 0, ask.slots - 1
-        while fewest < most:
-            half = (fewest + most + 1) // 2
-            if _part(rooms, half, ask.spread):
-                fewest = half
+                offers += self._hold_offer(ask, Window(start, start + length), ask.slots)
+        free_slots, lower, upper = (
+            self._free_slots_by_zone(ask.kind, ask.spread, window),
+            0,
+            ask.slots - 1,
+        )
+        while lower < upper:
+            middle = (lower + upper + 1) // 2
+            if _split(free_slots, middle, ask.spread):
+                lower = middle
             else:
-                most = half - 1
-        return tuple(offers + self._hold(ask, window, fewest))
-
-    def _hold(self, ask: Ask, window: Window, slots: int) -> list[Offer]:
-        placed = self._place(ask.kind, slots, ask.spread, window) if slots else None
-        if not placed or self.held.get(ask.tenant, 0) >= MOST_HELD or self.windows >= MOST_OPEN:
+                upper = middle - 1
+        return tuple(offers + self._hold_offer(ask, window, lower))
+
+    def _hold_offer(self, ask: Ask, window: Window, slots: int) -> list[Offer]:
+        placement = self._place(ask.kind, slots, ask.spread, window) if slots else None
+        if (
+            not placement
+            or self.held_offers.get(ask.tenant, 0) >= MAX_HELD_OFFERS
+            or self.open_windows >= MAX_OPEN_WINDOWS
+        ):
             return []
-        until = min(self.at + self.config.offer_holds, window.start)
-        self._put(Booking(self.next, ask.tenant, "", ask.kind, slots, (window,), (placed,), until))
-        self.next += 1
-        return [Offer(self.next - 1, window, slots, until)]
+        held_until = min(self.at + self.config.offer_holds, window.start)
+        self._add_booking(
+            Booking(
+                self.next_number,
+                ask.tenant,
+                "",
+                ask.kind,
+                slots,
+                (window,),
+                (placement,),
+                held_until,
+            )
+        )
+        self.next_number += 1
+        return [Offer(self.next_number - 1, window, slots, held_until)]
 
-    # on what is there
+    # -- changes of bookings and offers
 
-    def _on(self, entry: TakeOffer | Cancel | Release) -> Booked | Done | Refused:
-        booking = self.open.get(entry.number)
-        if booking is None or bool(booking.until) != isinstance(entry, TakeOffer):
+    def _change_booking(self, entry: TakeOffer | Cancel | Release) -> Booked | Done | Refused:
+        booking = self.open_bookings.get(entry.number)
+        if booking is None or bool(booking.held_until) != isinstance(entry, TakeOffer):
             return Refused("unknown", "There is nothing open with this number.")
         if booking.tenant != entry.tenant:
             return Refused("not-yours", "This number is another tenant's.")
         if isinstance(entry, TakeOffer):
-            over = self._over(entry.tenant, _use(booking.slots, booking.windows), 0)
+            over = self._check_quota(entry.tenant, _slot_ms(booking.slots, booking.windows), 0)
             if over:
                 return over
-            self._count(booking, -1)
-            booking.until, booking.id = 0, entry.id
-            self._count(booking, 1)
-            return Booked(booking.number, booking.windows, booking.placed)
+            self._update_totals(booking, -1)
+            booking.held_until, booking.id = 0, entry.id
+            self._update_totals(booking, 1)
+            return Booked(booking.number, booking.windows, booking.placements)
         windows: list[Window | None] = list(booking.windows)
         if isinstance(entry, Cancel):
             windows = [
@@ -354,27 +425,30 @@
                     "too-late", f"Up to {self.config.cutoff // MINUTE} minutes before its start."
                 )
         else:
-            first, now = booking.windows[0], up(self.at)
+            first, release_at = booking.windows[0], round_up_to_minute(self.at)
             if first.start > self.at:
                 return Refused("bad-window", "None of its windows runs.")
-            windows[0] = Window(first.start, max(first.start + MINUTE, min(now, first.end)))
-        self._keep(booking, windows)
+            windows[0] = Window(first.start, max(first.start + MINUTE, min(release_at, first.end)))
+        self._shrink_booking(booking, windows)
         return Done()
 
 
-def _use(slots: int, windows: Iterable[Window]) -> int:
+def _slot_ms(slots: int, windows: Iterable[Window]) -> int:
     return slots * sum(one.end - one.start for one in windows)
 
 
-def _part(rooms: list[tuple[int, str]], slots: int, spread: Spread) -> Placed | None:
-    """The slots over zones with so much room, ascending; None: they don't fit."""
+def _split(free_slots: list[tuple[int, str]], slots: int, spread: Spread) -> Placement | None:
+    """Spreads the slots over zones, given the free slots of each, ascending. None if they don't fit.
+
+    With a spread over several zones, no zone gets more than half of the slots.
+    """
     if spread.zones == 1:
-        room, zone = min(rooms, key=lambda one: (-one[0], one[1]))
-        return ((zone, slots),) if room >= slots else None
-    most, left, placed = -(-slots // 2), slots, []
-    for place, (room, zone) in enumerate(rooms):
-        share = max(0, min(room, most, left // (len(rooms) - place)))
+        free, zone = min(free_slots, key=lambda one: (-one[0], one[1]))
+        return ((zone, slots),) if free >= slots else None
+    max_share, remaining, placements = -(-slots // 2), slots, []
+    for index, (free, zone) in enumerate(free_slots):
+        share = max(0, min(free, max_share, remaining // (len(free_slots) - index)))
         if share:
-            placed.append((zone, share))
-        left -= share
-    return tuple(sorted(placed)) if not left and len(placed) > 1 else None
+            placements.append((zone, share))
+        remaining -= share
+    return tuple(sorted(placements)) if not remaining and len(placements) > 1 else None
--- a/yewrill/reservations/timeline.py
+++ b/yewrill/reservations/timeline.py
@@ -1,7 +1,7 @@
-"""What is promised over time, as a step function. Pure.
+"""The number of reserved slots over time, as a step function.
 
-Times are integers (milliseconds), spans [start, end). Only changes are kept: a moment and what is promised
-from it on, until the next.
+Times are integers in milliseconds, spans are [start, end). Only changes are stored: a moment, and the number
+of slots reserved from it on until the next change.
 """
 
 from __future__ import annotations
@@ -12,80 +12,88 @@
 
 
 class Timeline:
-    """Never more than `ceiling` slots at any moment."""
+    """The reserved slots of one zone and kind, at most `ceiling` at any moment."""
 
     def __init__(self, ceiling: int):
         self.ceiling = ceiling
-        self.steps: SortedDict = (
-            SortedDict()
-        )  # moment -> slots promised from it on; 0 before the first
+        # Moment -> slots reserved from it on; 0 before the first.
+        self.steps: SortedDict = SortedDict()
 
-    def _at(self, moment: int) -> int:
-        place = self.steps.bisect_right(moment)
-        return self.steps.peekitem(place - 1)[1] if place else 0
+    def _slots_at(self, moment: int) -> int:
+        position = self.steps.bisect_right(moment)
+        return self.steps.peekitem(position - 1)[1] if position else 0
 
-    def spans(self, start: int, end: int | None = None) -> Iterator[tuple[int, int]]:
-        """(moment, slots) from `start` on: first what holds there, then each change before `end`."""
-        yield start, self._at(start)
+    def levels(self, start: int, end: int | None = None) -> Iterator[tuple[int, int]]:
+        """Yields (moment, slots): first the slots reserved at `start`, then each change before `end`."""
+        yield start, self._slots_at(start)
         for moment in self.steps.irange(start, end, inclusive=(False, False)):
             yield moment, self.steps[moment]
 
-    def most(self, start: int, end: int) -> int:
-        """The highest that is promised within."""
-        inside = self.steps.irange(start, end, inclusive=(False, False))
-        return max(self._at(start), max(map(self.steps.__getitem__, inside), default=0))
+    def max_reserved(self, start: int, end: int) -> int:
+        """The highest number of slots reserved at once in the span."""
+        moments = self.steps.irange(start, end, inclusive=(False, False))
+        return max(self._slots_at(start), max(map(self.steps.__getitem__, moments), default=0))
 
-    def rims(self, start: int, end: int) -> tuple[int, int, int]:
-        """The highest that is promised within, and where it is first reached and last left, at the most the
-        rims of the span. No span of this length has more room that begins from `start` on before the latter,
-        or ends up to `end` after the former."""
+    def peak_span(self, start: int, end: int) -> tuple[int, int, int]:
+        """The highest number of slots reserved at once in the span, when it is first reached and last left.
+
+        The two times lie within the span. A later span of the same length has more free slots only if it
+        begins at or after the second time, an earlier one only if it ends at or before the first.
+        """
         moments = [start, *self.steps.irange(start, end, inclusive=(False, False)), end]
-        slots = [self._at(start), *map(self.steps.__getitem__, moments[1:-1])]
-        most = max(slots)
-        first = slots.index(most)
+        slots = [self._slots_at(start), *map(self.steps.__getitem__, moments[1:-1])]
+        max_reserved = max(slots)
+        first = slots.index(max_reserved)
         slots.reverse()
-        return most, moments[first], moments[-1 - slots.index(most)]
+        return max_reserved, moments[first], moments[-1 - slots.index(max_reserved)]
+
+    def free_slots(self, start: int, end: int) -> int:
+        """The slots that are free during the whole span; negative if the ceiling was lowered below what is
+        reserved."""
+        return self.ceiling - self.max_reserved(start, end)
 
-    def room(self, start: int, end: int) -> int:
-        """How many slots are left for all of it; below 0 where the ceiling fell under what is promised."""
-        return self.ceiling - self.most(start, end)
+    def add(self, start: int, end: int, slots: int, allow_over_ceiling: bool = False) -> None:
+        """Reserve slots for a span. Raises ValueError, and changes nothing, if that exceeds the ceiling.
 
-    def add(self, start: int, end: int, slots: int, anyway: bool = False) -> None:
-        """ValueError over the ceiling, and nothing is changed; `anyway`: promised under an older ceiling."""
+        `allow_over_ceiling` is for slots that were reserved under an earlier, higher ceiling.
+        """
         _check(start, end, slots)
-        if not anyway and slots > self.room(start, end):
-            raise ValueError(f"{slots} slots are over the ceiling of {self.ceiling}")
+        if not allow_over_ceiling and slots > self.free_slots(start, end):
+            raise ValueError(f"{slots} more slots exceed the ceiling of {self.ceiling}")
         self._change(start, end, slots)
 
-    def take(self, start: int, end: int, slots: int) -> None:
-        """Undo an `add`, or a part of its time. ValueError where less is promised."""
+    def remove(self, start: int, end: int, slots: int) -> None:
+        """Undo an `add`, or a part of its span. Raises ValueError if fewer slots are reserved."""
         _check(start, end, slots)
-        if min(held for _, held in self.spans(start, end)) < slots:
-            raise ValueError(f"fewer than {slots} slots are promised")
+        if min(held for _, held in self.levels(start, end)) < slots:
+            raise ValueError(f"fewer than {slots} slots are reserved")
         self._change(start, end, -slots)
 
-    def _change(self, start: int, end: int, by: int) -> None:
-        steps, before, last = self.steps, self._at(start - 1), self._at(end)
-        for moment, slots in list(self.spans(start, end)):
-            steps[moment] = slots + by
-        steps[end] = last
-        if (
-            steps[start] == before
-        ):  # within, all neighbours change alike: only the rims can become level
+    def _change(self, start: int, end: int, difference: int) -> None:
+        steps, slots_before, slots_after = (
+            self.steps,
+            self._slots_at(start - 1),
+            self._slots_at(end),
+        )
+        for moment, slots in list(self.levels(start, end)):
+            steps[moment] = slots + difference
+        steps[end] = slots_after
+        # All steps within the span change by the same amount, so only those at its ends can become redundant.
+        if steps[start] == slots_before:
             del steps[start]
-        if self._at(end - 1) == last:
+        if self._slots_at(end - 1) == slots_after:
             del steps[end]
 
-    def fits(self, length: int, slots: int, earliest: int, latest: int) -> int | None:
-        """The first start, `earliest` to `latest`, from which the slots fit for the whole length."""
-        most = self.ceiling - slots
-        if most < 0 or earliest > latest:
+    def first_fit(self, length: int, slots: int, earliest: int, latest: int) -> int | None:
+        """The first start, `earliest` to `latest`, at which the slots fit for the whole length, or None."""
+        max_reserved = self.ceiling - slots
+        if max_reserved < 0 or earliest > latest:
             return None
         start: int | None = None
-        for moment, held in self.spans(earliest, latest + length):
+        for moment, held in self.levels(earliest, latest + length):
             if start is not None and moment >= start + length:
                 return start
-            if held > most:
+            if held > max_reserved:
                 start = None
             elif start is None:
                 start = moment
@@ -96,4 +104,4 @@
 
 def _check(start: int, end: int, slots: int) -> None:
     if start >= end or slots < 1:
-        raise ValueError("a span needs an end after its start, and a slot at the least")
+        raise ValueError("a reservation needs an end after its start and at least one slot")
