--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -40,7 +40,7 @@
 
 
 class CommitsAnEarlierTerm(Raft):
-    def _advance(self):
+    def _advance_commit_index(self):
         for index in range(self.last_index, self.commit_index, -1):
             if self._majority(
                 {self.me} | {name for name, upto in self.match_index.items() if upto >= index}
@@ -131,15 +131,15 @@
 # ---------------------------------------------------------------------------------------------- random runs
 
 
-def chaos(seed, make=Raft, span=30.0, tails=True):
+def chaos(seed, create_raft=Raft, span=30.0, tails=True):
     """Everything that may befall five voters, or three, at random; then peace, and they must work again."""
     rng = random.Random(seed)
     voters = rng.choice((3, 5))
     path = Path(
         delay=0.005, jitter=rng.choice((0.005, 0.05)), loss=rng.choice((0.0, 0.05, 0.2)), twice=0.1
     )
-    net = RaftNet(seed, voters, path, make=make)
-    net.voters[rng.choice(net.names)].rate = 1.1
+    net = RaftNet(seed, voters, path, create_raft=create_raft)
+    net.voters[rng.choice(net.names)].clock_rate = 1.1
     orders, end = 0, net.now + span
     while net.now < end:
         net.run(0.1)
@@ -156,9 +156,9 @@
         elif chance < 0.12:
             rest = [name for name in net.names if name != who]
             net.cut([who], rest, both=rng.random() < 0.5, heal_after=4.0 * rng.random())
-        elif chance < 0.14 and (leader := net.leader()) is not None and leader.applied > 3:
-            leader.raft.compact(leader.applied - 2, b"state")
-            net._out(leader, leader.raft.take())
+        elif chance < 0.14 and (leader := net.leader()) is not None and leader.applied_index > 3:
+            leader.raft.compact(leader.applied_index - 2, b"state")
+            net._process_output(leader, leader.raft.take())
     for name in net.names:
         if not net.voters[name].up:
             net.restart(name)
@@ -207,21 +207,21 @@
     run("c")
     assert nodes["a"].propose(COMMAND, b"x")
     run("c")
-    nodes["a"].beat()
+    nodes["a"].send_heartbeats()
     run("c")
     assert nodes["b"].commit_index == 2
     nodes["b"] = Raft("b", 2, disk)  # nothing of it was on disk
-    nodes["b"].beat()
+    nodes["b"].send_heartbeats()
     run("a")
     nodes["c"].campaign()
     run("a")
     assert nodes["c"].role != "leader" and not nodes["b"].is_voting
-    nodes["b"].beat()
+    nodes["b"].send_heartbeats()
     run()
     assert nodes["b"].lost_tail and not nodes["b"].is_voting
-    nodes["a"].beat()
+    nodes["a"].send_heartbeats()
     run()
-    nodes["a"].beat()
+    nodes["a"].send_heartbeats()
     run()
     assert nodes["b"].is_voting and nodes["b"].commit_index == nodes["a"].commit_index == 2
 
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -16,7 +16,7 @@
 from yewrill.lab.zonenet import ZoneNet
 from yewrill.policy import Dispatcher
 from yewrill.policy import interface as api
-from yewrill.zone_failover.facade import HANGING
+from yewrill.zone_failover.facade import STUCK_ATTEMPT_MS
 from yewrill.zone_failover.machine import FailoverRules
 
 WORKER_DELAY_S = 0.0005  # from sending an attempt until it reaches its worker
@@ -134,11 +134,11 @@
         self.modules[name] = Dispatcher(settings, self.rng.getrandbits(32))
         member = super().start(name, address, zone, rate)
         member.machine.busy = 0.0
-        member.machine.hanging = lambda: self._hanging(name)
+        member.machine.stuck_attempts = lambda: self._hanging(name)
         return member
 
     def _hanging(self, name: str) -> dict[str, int]:
-        found = self.modules[name].fleet.stuck_attempts(1e3 * self.now, HANGING)
+        found = self.modules[name].fleet.stuck_attempts(1e3 * self.now, STUCK_ATTEMPT_MS)
         return {f"z{zone}": count for zone, count in found.items()}
 
     def begin(self) -> Fleet:
@@ -185,7 +185,7 @@
 
     # -- requests
 
-    def _work(self, member: Member) -> None:
+    def _generate_attempts(self, member: Member) -> None:
         shares = (
             {int(z[1:]): s for z, s in member.machine.traffic_weights().items()}
             if self.with_plan
@@ -303,8 +303,10 @@
         machine.busy -= 1.0
         if outcome in LOST_OUTCOMES:
             self.lost_at[w.zone].append(self.now)
-        if machine.note(self.now + member.clock, f"z{w.zone}", outcome in LOST_OUTCOMES):
-            self._look_again(member)
+        if machine.record_attempt(
+            self.now + member.clock_offset, f"z{w.zone}", outcome in LOST_OUTCOMES
+        ):
+            self._reschedule_if_earlier(member)
         self._deliver(
             member,
             api.AttemptEnded(
