--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -21,14 +21,14 @@
 
 import here  # noqa: F401
 
-from yewrill.lab.netsim import Net, Path
+from yewrill.lab.netsim import MembershipNet, Path
 
 MOST = 300.0
 KINDS = ("deaf", "mute", "half_seen", "hearing", "loss_0.2", "loss_0.4", "pauses")
 
 
 def one(seed: int, members: int) -> dict[str, float]:
-    net = Net(seed, members, zones=4)
+    net = MembershipNet(seed, members, zones=4)
     found = {"join_s": net.until(net.agreed, MOST) or MOST}
     before = {name: node.sent for name, node in net.nodes.items()}
     net.run(20.0)
@@ -55,7 +55,7 @@
 
 def trouble(kind: str, seed: int, members: int = 24) -> dict[str, int]:
     """False deaths in two minutes of a trouble, by who believed them."""
-    net = Net(seed, members, zones=4)
+    net = MembershipNet(seed, members, zones=4)
     net.until(net.agreed, MOST)
     net.run(10.0)
     names = sorted(net.nodes)
@@ -82,7 +82,7 @@
     }
 
 
-def pause(net: Net, names: list[str]) -> None:
+def pause(net: MembershipNet, names: list[str]) -> None:
     for name in names:
         net.at(net.now + net.rng.random() * 2.4, lambda name=name: net.pause(name, 1.5))
     net.at(net.now + 4.0, lambda: pause(net, names))
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -77,7 +77,9 @@
 
 def false_leaves(seed: int, seconds: float) -> tuple[int, float]:
     """Plans made in a fleet whose zones are well, on a network that loses a fifth; and zone-hours."""
-    net = ZoneNet(seed, 24, 3, path=Wire(delay=0.02, jitter=0.05, loss=0.2, twice=0.1)).run(seconds)
+    net = ZoneNet(seed, 24, 3, path=Wire(delay=0.02, jitter=0.05, loss=0.2, duplication=0.1)).run(
+        seconds
+    )
     return sum(m.machine.statistics.made for m in net.members.values()), 3 * seconds / 3600
 
 
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yewrill.lab.netsim import Net, Path
+from yewrill.lab.netsim import MembershipNet, Path
 from yewrill.membership.evidence import WINDOW, ArrivalHistory, LinkState, PeerLink
 from yewrill.membership.messages import Message
 
@@ -156,7 +156,7 @@
 
 
 def joined(seed, members=24):
-    net = Net(seed, members, zones=3)
+    net = MembershipNet(seed, members, zones=3)
     assert net.until(net.agreed, 60.0) is not None
     return net.run(10.0)
 
--- a/tests/test_log_states.py
+++ b/tests/test_log_states.py
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_what_was_acknowledged_outlasts_kills_loss_and_a_stop_of_all(seed):
-    net = net_of(seed, path=Path(delay=0.003, jitter=0.01, loss=0.2, twice=0.1))
+    net = net_of(seed, path=Path(delay=0.003, jitter=0.01, loss=0.2, duplication=0.1))
     asked, places = [], {}
     for i in range(30):
         who = f"m{3 + i % 3}"
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -13,7 +13,7 @@
 from yewrill.config.errors import ConfigError
 from yewrill.config.reading import read_config
 from yewrill.config.schema import MembersConfig
-from yewrill.lab.netsim import Net, Path
+from yewrill.lab.netsim import MembershipNet, Path
 from yewrill.membership import Members
 from yewrill.membership.format import MAX_DATAGRAM_BYTES, Codec, DatagramRejected, UnknownRun
 from yewrill.membership.intake import InboundBudget
@@ -131,7 +131,7 @@
 
 
 def joined(seed, members=24, **more):
-    net = Net(seed, members, zones=3, **more)
+    net = MembershipNet(seed, members, zones=3, **more)
     assert net.until(net.agreed, 20.0) is not None
     return net
 
@@ -160,7 +160,7 @@
 
 def test_loss_doubles_and_late_ones_take_nobody_off_for_long():
     net = joined(5)
-    net.default = Path(delay=0.02, jitter=0.03, loss=0.2, twice=0.1)
+    net.default = Path(delay=0.02, jitter=0.03, loss=0.2, duplication=0.1)
     net.run(60.0)
     assert (
         len(net.false_deaths) <= 24
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -136,7 +136,10 @@
     rng = random.Random(seed)
     voters = rng.choice((3, 5))
     path = Path(
-        delay=0.005, jitter=rng.choice((0.005, 0.05)), loss=rng.choice((0.0, 0.05, 0.2)), twice=0.1
+        delay=0.005,
+        jitter=rng.choice((0.005, 0.05)),
+        loss=rng.choice((0.0, 0.05, 0.2)),
+        duplication=0.1,
     )
     net = RaftNet(seed, voters, path, make=make)
     net.voters[rng.choice(net.names)].rate = 1.1
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -558,7 +558,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_whatever_happens_there_is_one_list(seed):
     """Pauses, kills, cuts of one direction and loss as they come; at the end all are in one view."""
-    net = net_of(100 + seed, 12, founders=3, path=Path(loss=0.1, twice=0.05, jitter=0.01))
+    net = net_of(100 + seed, 12, founders=3, path=Path(loss=0.1, duplication=0.05, jitter=0.01))
     names = NAMES[:12]
     net.spare.update(names)
     for _ in range(12):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -144,12 +144,14 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_well_fleet_on_a_lossy_network_leaves_nothing(seed):
-    net = ZoneNet(seed, 24, 3, path=Path(delay=0.02, jitter=0.05, loss=0.2, twice=0.1)).run(30)
+    net = ZoneNet(seed, 24, 3, path=Path(delay=0.02, jitter=0.05, loss=0.2, duplication=0.1)).run(
+        30
+    )
     assert not any(m.machine.plan.number for m in net.living())
 
 
 def test_plans_are_agreed_on_and_versions_never_go_back_in_a_lossy_network():
-    net = ZoneNet(5, 24, 3, path=Path(delay=0.02, jitter=0.05, loss=0.2, twice=0.1)).run(3)
+    net = ZoneNet(5, 24, 3, path=Path(delay=0.02, jitter=0.05, loss=0.2, duplication=0.1)).run(3)
     net.loss["z1"] = 0.9
     assert net.until(lambda: left(net, "z1"), 8) is not None
     net.loss["z1"] = 0.0
--- a/yewrill/lab/netsim.py
+++ b/yewrill/lab/netsim.py
@@ -31,7 +31,7 @@
     delay: float = 0.001
     jitter: float = 0.001
     loss: float = 0.0
-    twice: float = 0.0  # the part that comes twice
+    duplication: float = 0.0  # the part that comes twice
     cut: bool = False
 
 
@@ -51,7 +51,7 @@
     lie: Callable[[Node, Message], Message] | None = None  # what it says in place of the truth
 
 
-class Wires:
+class VirtualNetwork:
     """Virtual time, and a path each way between any two parties."""
 
     def __init__(self, seed: int, path: Path | None = None):
@@ -101,16 +101,16 @@
             self.run(step)
         return self.now - began
 
-    def carry(self, path: Path, arrive: Callable[[], None]) -> None:
+    def deliver(self, path: Path, arrive: Callable[[], None]) -> None:
         """Let something arrive over a path: once, twice, or not at all."""
         if path.cut or self.rng.random() < path.loss:
             return
-        for _ in range(2 if self.rng.random() < path.twice else 1):
+        for _ in range(2 if self.rng.random() < path.duplication else 1):
             self.at(self.now + path.delay + path.jitter * self.rng.expovariate(1.0), arrive)
 
 
-class Stopped(Wires):
-    """Wires between members (`nodes`, with `_tick` and `_take`) that may be stopped for a while."""
+class PausableNetwork(VirtualNetwork):
+    """Network between members (`nodes`, with `_tick` and `_take`) that may be stopped for a while."""
 
     def pause(self, name: str, span: float) -> None:
         """As SIGSTOP and SIGCONT: it neither looks nor answers, and then does both at once."""
@@ -130,7 +130,7 @@
         self._arm(node)
 
 
-class Net(Stopped):
+class MembershipNet(PausableNetwork):
     """Membership machines on such wires."""
 
     def __init__(
@@ -225,7 +225,9 @@
         to = self._at.get(address)
         if to is None:
             return
-        self.carry(self.path(node.name, to.name), lambda: self._arrive(address, data, node.address))
+        self.deliver(
+            self.path(node.name, to.name), lambda: self._arrive(address, data, node.address)
+        )
 
     def _arrive(self, address: tuple[str, int], data: bytes, source: tuple[str, int]) -> None:
         node = self._at[address]
--- a/yewrill/lab/ownnet.py
+++ b/yewrill/lab/ownnet.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import Path, Wires
+from yewrill.lab.netsim import Path, VirtualNetwork
 from yewrill.lab.raftcheck import Broken
 from yewrill.leases.format import pack, unpack
 from yewrill.leases.lease_table import Fence
@@ -39,7 +39,7 @@
     joiner: FragmentAssembler = field(default_factory=FragmentAssembler)
 
 
-class OwnNet(Wires):
+class OwnNet(VirtualNetwork):
     def __init__(
         self,
         seed: int,
@@ -125,7 +125,7 @@
         for to, what in step.messages:
             for part in split_payload(pack(what), self.rng.getrandbits(40)):
                 member.sent += len(part)
-                self.carry(
+                self.deliver(
                     self.path(member.name, to),
                     lambda to=to, part=part: self._arrive(member, to, part),
                 )
@@ -183,7 +183,7 @@
 def trouble(seed: int, span: float = 25.0, members: int = 8) -> OwnNet:
     """Members that all want one duty while anything befalls them; owners' orders come late. Raises Broken."""
     rng = random.Random(seed)
-    path = Path(delay=0.004, jitter=0.01, loss=rng.choice((0.0, 0.05, 0.15)), twice=0.1)
+    path = Path(delay=0.004, jitter=0.01, loss=rng.choice((0.0, 0.05, 0.15)), duplication=0.1)
     net = OwnNet(seed, members, rng.choice((3, 5)), path=path, drift=0.04)
     end = net.now + span
     while net.now < end:
--- a/yewrill/lab/raftnet.py
+++ b/yewrill/lab/raftnet.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import Path, Wires
+from yewrill.lab.netsim import Path, VirtualNetwork
 from yewrill.lab.raftcheck import Broken
 from yewrill.leases.raft import Raft
 from yewrill.leases.raft_types import (
@@ -43,7 +43,7 @@
         return self.driver.raft
 
 
-class RaftNet(Wires):
+class RaftNet(VirtualNetwork):
     def __init__(
         self,
         seed: int,
@@ -110,7 +110,7 @@
             voter.disk = out.save
             voter.past = [*voter.past, out.save][-6:]
         for message in out.messages:
-            self.carry(self.path(voter.name, message.to), lambda m=message: self._arrive(m))
+            self.deliver(self.path(voter.name, message.to), lambda m=message: self._arrive(m))
         if out.installed is not None:
             voter.applied = out.installed.index
         for index, entry in out.committed:
--- a/yewrill/lab/scale/virtual.py
+++ b/yewrill/lab/scale/virtual.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import KEY, Path, Wires
+from yewrill.lab.netsim import KEY, Path, VirtualNetwork
 from yewrill.membership.config import SwimConfig
 from yewrill.membership.format import Codec
 from yewrill.membership.machine import SwimMember
@@ -73,7 +73,7 @@
         return self.transport.sent + IP_UDP_HEADER_BYTES * self.datagrams_out
 
 
-class VirtualFleet(Wires):
+class VirtualFleet(VirtualNetwork):
     """Dispatchers that all start at once."""
 
     def __init__(self, seed: int, fleet: Fleet):
@@ -175,7 +175,7 @@
             to = self._at.get(address)
             if to is not None:
                 path = self.path(node.name, to.name)
-                self.carry(path, lambda to=to, data=data: self._arrive(to, data, node.address))
+                self.deliver(path, lambda to=to, data=data: self._arrive(to, data, node.address))
 
     def _arrive(self, node: Node, data: bytes, source: Address) -> None:
         if node.dead:
--- a/yewrill/lab/viewnet.py
+++ b/yewrill/lab/viewnet.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import Path, Stopped
+from yewrill.lab.netsim import Path, PausableNetwork
 from yewrill.membership.parts import MalformedPayload
 from yewrill.views.format import Parts, pack
 from yewrill.views.machine import Step, ViewMachine
@@ -37,7 +37,7 @@
     was: set[int] = field(default_factory=set)  # its incarnations
 
 
-class ViewNet(Stopped):
+class ViewNet(PausableNetwork):
     def __init__(
         self,
         seed: int,
@@ -154,7 +154,7 @@
             for part in pack(message, node.number):
                 node.sent += len(part) + 1 + HEAD
                 if to is not None:
-                    self.carry(
+                    self.deliver(
                         self.path(node.name, to.name),
                         lambda to=to, part=part: self._arrive(to, node, part),
                     )
--- a/yewrill/lab/zonenet.py
+++ b/yewrill/lab/zonenet.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import Path, Wires
+from yewrill.lab.netsim import Path, VirtualNetwork
 from yewrill.zone_failover.machine import FailoverMachine, FailoverRules, Member
 
 
@@ -31,7 +31,7 @@
     lie: Callable[[bytes], bytes] | None = None
 
 
-class ZoneNet(Wires):
+class ZoneNet(VirtualNetwork):
     def __init__(
         self,
         seed: int,
@@ -177,7 +177,7 @@
             member.sent += len(data) + 60  # what the members' datagram adds
             to = self._at.get(address)
             if to is not None:
-                self.carry(
+                self.deliver(
                     self.path(member.name, to.name),
                     lambda to=to, data=data: self._arrive(to, data, member),
                 )
--- a/yewrill/leases/format.py
+++ b/yewrill/leases/format.py
@@ -16,7 +16,7 @@
     RaftMessage,
     Snapshot,
 )
-from yewrill.membership.format import text, whole
+from yewrill.membership.format import bounded_int, bounded_text
 from yewrill.membership.parts import MAX_FRAGMENT_BYTES, MAX_FRAGMENTS, MalformedPayload
 
 LOG, REQUEST, REPLY, SUBMIT, SUBMITTED = 0, 1, 2, 3, 4
@@ -195,8 +195,8 @@
 
 
 def _integer(value: Any) -> int:
-    return whole(value, 2**63 - 1)
+    return bounded_int(value, 2**63 - 1)
 
 
 def _text(value: Any) -> str:
-    return text(value, empty=True)
+    return bounded_text(value, empty=True)
--- a/yewrill/membership/format.py
+++ b/yewrill/membership/format.py
@@ -222,16 +222,20 @@
     try:
         fields = msgpack.unpackb(body)
         name, run, receiver_run, counter, kind, number, about, updates, *remainder = fields
-        sender = text(name)
+        sender = bounded_text(name)
         message = Message(
-            KINDS[whole(kind, len(KINDS) - 1)],
-            whole(number, 2**63),
-            text(about, empty=True),
+            KINDS[bounded_int(kind, len(KINDS) - 1)],
+            bounded_int(number, 2**63),
+            bounded_text(about, empty=True),
             tuple(_decode_claim(entry) for entry in updates),
             _decode_payload(remainder),
         )
         return _Envelope(
-            sender, whole(run, 2**64), whole(receiver_run, 2**64), whole(counter, 2**63), message
+            sender,
+            bounded_int(run, 2**64),
+            bounded_int(receiver_run, 2**64),
+            bounded_int(counter, 2**63),
+            message,
         )
     except (ValueError, TypeError, msgpack.exceptions.UnpackException, RecursionError) as error:
         raise DatagramRejected("form") from error
@@ -244,13 +248,13 @@
 def _decode_claim(entry: Any) -> Claim:
     name, host, port, zone, region, incarnation, state, by = entry
     return Claim(
-        text(name),
-        (text(host), whole(port, 65535)),
-        text(zone, empty=True),
-        text(region, empty=True),
-        whole(incarnation, MAX_INCARNATION),
-        whole(state, LEFT, ALIVE),
-        text(by, empty=True),
+        bounded_text(name),
+        (bounded_text(host), bounded_int(port, 65535)),
+        bounded_text(zone, empty=True),
+        bounded_text(region, empty=True),
+        bounded_int(incarnation, MAX_INCARNATION),
+        bounded_int(state, LEFT, ALIVE),
+        bounded_text(by, empty=True),
     )
 
 
@@ -262,14 +266,14 @@
     return remainder[0]
 
 
-def text(value: Any, *, empty: bool = False) -> str:
+def bounded_text(value: Any, *, empty: bool = False) -> str:
     """A decoded text of at most MOST_NAME characters. Raises ValueError."""
     if not isinstance(value, str) or len(value) > MAX_NAME_CHARACTERS or not (value or empty):
         raise ValueError("text")
     return value
 
 
-def whole(value: Any, maximum: int, minimum: int = 0) -> int:
+def bounded_int(value: Any, maximum: int, minimum: int = 0) -> int:
     """A decoded whole number within bounds. Raises ValueError."""
     if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
         raise ValueError("number")
--- a/yewrill/zone_failover/format.py
+++ b/yewrill/zone_failover/format.py
@@ -11,7 +11,7 @@
 
 import msgpack
 
-from yewrill.membership.format import text, whole
+from yewrill.membership.format import bounded_int, bounded_text
 from yewrill.zone_failover.plan import FULL_WEIGHT, MAX_ZONES, FailoverPlan, ZoneEntry
 
 DIGEST, ASK, ANSWER, PLAN, GET, HINT = range(6)
@@ -70,24 +70,27 @@
     """Raises Malformed."""
     try:
         kind, number, digest, *rest = msgpack.unpackb(data)
-        version = (whole(number, 2**48), text(digest, empty=True))
+        version = (bounded_int(number, 2**48), bounded_text(digest, empty=True))
         if kind == ASK:
-            return ZoneMessage(ASK, version, whole(rest[0], 2**32))
+            return ZoneMessage(ASK, version, bounded_int(rest[0], 2**32))
         if kind == ANSWER:
             asked, is_degraded, busy, counts, dark = rest
             if not isinstance(busy, float) or not 0.0 <= busy <= 1e9 or len(counts) > MAX_ZONES:
                 raise ValueError("busy")
             read = {}
             for zone, ended, lost in counts:
-                read[text(zone)] = (whole(ended, MAX_ATTEMPT_COUNT), whole(lost, ended))
+                read[bounded_text(zone)] = (
+                    bounded_int(ended, MAX_ATTEMPT_COUNT),
+                    bounded_int(lost, ended),
+                )
             return ZoneMessage(
                 ANSWER,
                 version,
-                whole(asked, 2**32),
+                bounded_int(asked, 2**32),
                 bool(is_degraded),
                 busy,
                 read,
-                tuple(text(zone) for zone in dark[:MAX_ZONES]),
+                tuple(bounded_text(zone) for zone in dark[:MAX_ZONES]),
             )
         if kind == PLAN:
             if len(rest[0]) > MAX_ZONES:
@@ -95,9 +98,9 @@
             plan = FailoverPlan(
                 version[0],
                 {
-                    text(zone): ZoneEntry(
-                        whole(traffic_weight, FULL_WEIGHT - 1),
-                        whole(penalty_count, 64, 1),
+                    bounded_text(zone): ZoneEntry(
+                        bounded_int(traffic_weight, FULL_WEIGHT - 1),
+                        bounded_int(penalty_count, 64, 1),
                         is_recovering is True,
                     )
                     for zone, traffic_weight, penalty_count, is_recovering in rest[0]
@@ -107,7 +110,7 @@
                 raise ValueError("digest")
             return ZoneMessage(PLAN, version, plan=plan)
         if kind == HINT:
-            return ZoneMessage(HINT, version, dark=(text(rest[0]),))
+            return ZoneMessage(HINT, version, dark=(bounded_text(rest[0]),))
         if kind in (DIGEST, GET):
             return ZoneMessage(kind, version)
     except (
