--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from yewrill.lab.netsim import MembershipNet, Path
-from yewrill.membership.evidence import WINDOW, ArrivalHistory, LinkState, PeerLink
+from yewrill.membership.evidence import WINDOW_GAPS, ArrivalHistory, LinkState, PeerLink
 from yewrill.membership.messages import Message
 
 BEAT = 0.25
@@ -36,7 +36,7 @@
     assert until(*quiet[:2]) < 2.0 < 3.0 < until(*lossy[:2]) < until(*bad[:2]) < 7.0
     assert quiet[2] < 2.0 and all(highest < 8.0 for highest in (lossy[2], bad[2]))
     assert quiet[0].loss < 0.05 and bad[0].loss == pytest.approx(0.4, abs=0.15)
-    for i in range(WINDOW + 1):  # as the network gets well again, so does the judgement
+    for i in range(WINDOW_GAPS + 1):  # as the network gets well again, so does the judgement
         bad[0].record_arrival(bad[1] + (i + 1) * BEAT)
     assert bad[0].loss < 0.05 and bad[0].lost == 0
 
@@ -79,7 +79,7 @@
         arrivals.record_arrival(now)
     assert 0.0 <= arrivals.phi(now) <= arrivals.phi(now + span) + 1e-6
     assert arrivals.phi(now + 1e6) >= 8.0
-    assert len(arrivals._gaps) <= WINDOW
+    assert len(arrivals._gaps) <= WINDOW_GAPS
 
 
 @given(st.floats(0.0, 9.0), st.floats(0.0, 9.0))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -18,7 +18,7 @@
 from yewrill.membership.format import MAX_DATAGRAM_BYTES, Codec, DatagramRejected, UnknownRun
 from yewrill.membership.intake import InboundBudget
 from yewrill.membership.messages import ALIVE, DEAD, LEFT, SUSPECT, Claim, Message
-from yewrill.membership.suspicion import CONFIRMATIONS, MAX_HEALTH_SCORE, Suspicion
+from yewrill.membership.suspicion import CONFIRMATIONS_FOR_MINIMUM, MAX_HEALTH_SCORE, Suspicion
 
 HERE, THERE = ("127.0.0.1", 1), ("127.0.0.1", 2)
 KEYS = [b"k" * 32, b"l" * 32]
@@ -244,7 +244,7 @@
         doubt.accusers.add(name)
         ends.append(doubt.expires_at())
     assert ends == sorted(ends, reverse=True) and least <= ends[-1] <= least * factor * 1.000001
-    if len(set(by)) >= CONFIRMATIONS:
+    if len(set(by)) >= CONFIRMATIONS_FOR_MINIMUM:
         assert ends[-1] == pytest.approx(least)
 
 
--- a/yewrill/membership/__init__.py
+++ b/yewrill/membership/__init__.py
@@ -1,19 +1,26 @@
-"""Membership (SWIM) of the dispatchers of one installation, without a server.
+"""Decentralised group membership of the dispatchers of one installation (SWIM with Lifeguard).
 
-Promises: every member that can be reached by a part of the others is listed by all of them within a bounded
-time, and one that can't be is listed as dead by them; no single member, faulty or lying under its own name,
-has a healthy one declared dead, and an isolated member declares nobody dead; each process sends and processes
-no more bytes a second than its budget, whatever the size or an attacker. It does not promise that all lists
-are equal at one moment, nor that two halves of a partitioned network agree: each half lists the other as dead
-until the partition heals, and then both list all again.
+Guarantees:
 
-Pure, from the bottom: `messages.py` (claims and messages), `config.py`, `evidence.py` (how unlikely a silence
-is, which directions of a link work), `suspicion.py` (how long a suspicion lasts, the local health score),
-`table.py` (the members), `gossip.py` (pending updates), `context.py` (what the parts of a member share),
-`detector.py` (judges silence), `tracker.py` (from suspicion to death or refutation), `probe.py` (whom to ping
-and when) and `machine.py`, which joins them. `intake.py` has the byte budgets, `format.py` the authenticated
-datagrams, `parts.py` fragments payloads of other subsystems; `transport.py` joins all that without I/O,
-`link.py` runs it on the socket of `udp.py`, and `Members` in `facade.py` is what others use.
+- A member that some of the others can reach is listed as alive by all of them within a bounded time; a member
+  that none can reach is listed as dead.
+- A single member that is faulty, or lies under its own name, cannot have a healthy member declared dead. An
+  isolated member declares nobody dead.
+- Each process sends and processes at most as many bytes a second as its budget allows, whatever the size of
+  the group and even under attack.
+
+The lists of two members may differ at a given moment. The two halves of a partitioned network do not agree
+either: each lists the other as dead until the partition heals, and then both list all members again.
+
+Modules without I/O, from the bottom up: `messages.py` (claims and messages), `config.py` (settings),
+`evidence.py` (how unlikely a silence is, which directions of a link work), `suspicion.py` (how long a
+suspicion lasts, the local health score), `table.py` (the member table), `gossip.py` (pending updates),
+`context.py` (state that probing and suspicion tracking share), `detector.py` (judges silence), `tracker.py`
+(from suspicion to death or refutation), `probe.py` (which member to ping, and when) and `machine.py` (the
+protocol's state machine). `intake.py` holds the byte budgets, `format.py` the codec of authenticated
+datagrams, `parts.py` fragments the messages of other subsystems, and `transport.py` combines all of these.
+`link.py` runs a transport on the socket of `udp.py`, and `Members` in `facade.py` is the interface for the
+rest of the service.
 """
 
 from yewrill.membership.facade import Members, MembersConfig, MembershipSnapshot
--- a/yewrill/membership/context.py
+++ b/yewrill/membership/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one member share."""
+"""State of one member that its probing and its suspicion tracking share."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 @dataclass(slots=True)
 class MembershipCounters:
-    """Counts since the start, for metrics."""
+    """Event counts since the process started, for metrics."""
 
-    suspected: int = 0  # suspicions raised by our own probes
+    suspected: int = 0  # suspicions raised by probes of this member
     refuted: int = 0
-    attested: int = 0  # another member's ack ended a suspicion probe
-    died: int = 0  # deaths believed
-    late: int = 0  # ticks that came too late
-    dropped: int = 0  # claims that were invalid or beyond the size limit
-    isolated: int = 0  # times that nobody was heard from
+    attested: int = 0  # suspicion probes ended by an ack of a third member
+    died: int = 0  # members declared dead by this member
+    late: int = 0  # pauses of this process that delayed the protocol
+    dropped: int = 0  # claims that were invalid, or beyond the limit on the table's size
+    isolated: int = 0  # periods in which no message arrived from anybody
 
 
 @dataclass(slots=True)
 class SwimContext:
-    """Table, gossip queue, local health and the rest that probing and suspicion both use."""
+    """Member table, gossip queue, local health score and request numbers of one member."""
 
     config: SwimConfig
     rng: random.Random
@@ -40,11 +40,11 @@
     request_numbers: Iterator[int] = field(default_factory=itertools.count)
 
     def timeout(self) -> float:
-        """Seconds to wait for an answer, as the local health allows."""
+        """Returns the seconds to wait for an answer; a poor local health score makes them longer."""
         return self.config.timeout * self.health.timeout_multiplier()
 
     def spread(self, claim: Claim, now: float, out: list[OutgoingMessage]) -> set[Address]:
-        """Send a claim to a few reachable members at once; returns their addresses."""
+        """Sends a claim to a few reachable members at once; returns their addresses."""
         reachable = self.table.reachable(now, claim.name)
         count = min(self.config.suspicion_fanout, len(reachable))
         chosen = self.rng.sample(reachable, count)
--- a/yewrill/membership/detector.py
+++ b/yewrill/membership/detector.py
@@ -1,4 +1,7 @@
-"""The failure detector: how unlikely a member's silence is, and when it proves nothing. Pure; seconds."""
+"""The failure detector: how unlikely a member's silence is, and when it is inconclusive.
+
+No I/O and no clock; times are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -6,85 +9,87 @@
 from yewrill.membership.evidence import ArrivalHistory, LinkState, PeerLink
 from yewrill.membership.table import MemberEntry, MemberTable
 
-PROBE_UNDER_WAY = 0.5  # the fraction of the present probe that counts as silence
-MAX_LINK_SILENCE = 20.0  # ended probes
+# The probe under way counts as half of an unanswered one.
+CURRENT_PROBE_FRACTION = 0.5
+MAX_LINK_SILENCE_PROBES = 20.0
 
 
 class FailureDetector:
-    """Judges members by the answers to our probes; a link's clock is the number of ended probes."""
+    """Judges members by their answers to probes; time on a link is measured in ended probes."""
 
     def __init__(self, table: MemberTable, config: SwimConfig):
         self._table = table
         self._config = config
-        self._answers = ArrivalHistory(1.0)  # to the first pings of all our probes, by their number
+        # Answered first pings of all probes, by the number of the ping.
+        self._answers = ArrivalHistory(1.0)
         self._answers.begin(0.0)
-        self._first_pings = 0.0
+        self._first_ping_count = 0.0
 
     def record_first_ping(self, entry: MemberEntry, *, answered: bool) -> None:
-        """Record the first ping to a member that is not suspected: it shows the network's loss, or ours."""
-        if not entry.does_not_receive_us and entry.suspicion_probe is None:
-            self._first_pings += 1.0
+        """Records the result of a probe's first ping, from which the loss near this member is estimated."""
+        if not entry.has_outbound_loss and entry.suspicion_probe is None:
+            self._first_ping_count += 1.0
             if answered:
-                self._answers.record_arrival(self._first_pings)
+                self._answers.record_arrival(self._first_ping_count)
 
     def record_unanswered(self, entry: MemberEntry) -> None:
-        """Record that a ping to a member ended without an answer."""
+        """Records that a ping to a member ended without an answer."""
         if entry.link is None:
             entry.link = PeerLink(1.0, entry.probes_ended)
         entry.probes_ended += 1.0
 
     def record_message(self, entry: MemberEntry, now: float, *, is_answer: bool) -> None:
-        """Record a message of a member itself, an answer to us or not."""
+        """Records a message that a member itself sent; `is_answer`: an ack of a ping from here."""
         entry.last_received = entry.last_received_adjusted = now
         if entry.link is None:
             entry.link = PeerLink(1.0, entry.probes_ended)
         if is_answer:
             entry.probes_ended += 1.0
             entry.link.record_report(entry.probes_ended, 0.0)
-            entry.does_not_receive_us = False
+            entry.has_outbound_loss = False
             return
         entry.link.record_message(entry.probes_ended)
-        if entry.does_not_receive_us:
+        if entry.has_outbound_loss:
             return
         answers = entry.link.answers
         if answers.silence(entry.probes_ended) >= 2.0 and self.phi(entry, answers) >= 1.0:
-            entry.does_not_receive_us = True
+            entry.has_outbound_loss = True
 
     def phi(self, entry: MemberEntry, history: ArrivalHistory | None = None) -> float:
-        """-log10 of the probability that a live member is so silent.
+        """Returns -log10 of the probability that a live member is silent for so long.
 
-        Judged by all its messages, or by `history`; where the pair shows loss of its own, by the milder of
-        that and the loss of all our probes.
+        The silence is measured in all of its messages, or in `history` if given. The loss is that of all
+        probes; if the link to the member shows loss too, the more lenient of the two results counts.
         """
         if entry.link is None:
             return 0.0
         history = history or entry.link.arrivals
-        silence = history.silence(entry.probes_ended) + PROBE_UNDER_WAY
+        silence = history.silence(entry.probes_ended) + CURRENT_PROBE_FRACTION
         phi = self._answers.phi_of_silence(silence)
         return min(phi, history.phi_of_silence(silence)) if history.lost > 1 else phi
 
     def link_state(self, entry: MemberEntry) -> LinkState:
-        """Which directions of the link to a member work, as our probes show it."""
+        """Returns which directions of the link to a member work, as the probes show it."""
         if entry.link is None:
             return LinkState.HEALTHY
-        clock = entry.probes_ended + PROBE_UNDER_WAY
-        return entry.link.state(clock, self._config.suspect_phi, MAX_LINK_SILENCE)
+        clock = entry.probes_ended + CURRENT_PROBE_FRACTION
+        return entry.link.state(clock, self._config.suspect_phi, MAX_LINK_SILENCE_PROBES)
 
-    def tolerates(self, entry: MemberEntry, now: float) -> bool:
-        """Whether a member's silence to our probes proves nothing yet, since it does not receive them.
+    def silence_is_inconclusive(self, entry: MemberEntry, now: float) -> bool:
+        """Returns whether a member may be alive and silent because probes do not reach it.
 
-        Where a quarter of the members do not receive us, our probes prove nothing about anybody.
+        If more than a quarter of the members do not receive the probes, this holds for all members.
         """
         if now - entry.last_received_adjusted >= self._one_way_limit():
             return False
-        if entry.does_not_receive_us:
+        if entry.has_outbound_loss:
             return True
         entries = self._table.entries
-        return 4 * sum(other.does_not_receive_us for other in entries.values()) > len(entries)
+        return 4 * sum(other.has_outbound_loss for other in entries.values()) > len(entries)
 
     def can_attest(self, entry: MemberEntry, now: float) -> bool:
-        """Whether a member was heard from so recently that we can say that it lives."""
-        limit = self._one_way_limit() / 4.0 if entry.does_not_receive_us else self._config.timeout
+        """Returns whether a message arrived from a member recently enough to state that it is alive."""
+        limit = self._one_way_limit() / 4.0 if entry.has_outbound_loss else self._config.timeout
         return now - entry.last_received <= limit
 
     def _one_way_limit(self) -> float:
--- a/yewrill/membership/evidence.py
+++ b/yewrill/membership/evidence.py
@@ -1,19 +1,21 @@
 """Failure evidence: how unlikely a peer's silence is, and which directions of a link work. No I/O, no clock.
 
-`ArrivalHistory` keeps the recent gaps between arrivals from one peer and computes `phi`: 10 to the minus phi
-is the probability of the present silence. `PeerLink` combines what we receive from a peer with what it
-reports of receiving from us.
-
-The phi-accrual detector (Hayashibara 2004) takes mean and deviation of the recent gaps and the tail of a
-normal distribution. It gives a threshold that means a probability, whatever the network, but its tail knows
-no loss: at 30% loss, gaps of 1, 2 and 3 intervals form one wide hump, so that five losses in a row look
-impossible. It also looks at one direction only. Here a gap of about k intervals counts as one interval and
-k - 1 lost messages. The probability of a silence is the sum over all numbers of lost messages, each weighted
-by the estimated loss, of the probability that the next one is later still. The loss is estimated by the rule
-of succession (one lost and one received in advance), so a new pair gets the benefit of the doubt.
-
-Units are the caller's: the views count in seconds; membership counts in ended probes, so that a peer that was
-not probed is not silent. An object holds WINDOW gaps at most, and recording an arrival costs constant time.
+`ArrivalHistory` keeps the recent gaps between arrivals from one peer and computes `phi`: the probability that
+a live peer is silent for so long is 10 to the power of -phi. `PeerLink` combines the messages received from a
+peer with the peer's own reports of what it received from this process.
+
+The phi-accrual detector (Hayashibara 2004) uses the mean and the deviation of the recent gaps and the tail of
+a normal distribution. Its threshold is a probability, independent of the network, but it does not model loss:
+at 30% loss, gaps of 1, 2 and 3 intervals merge into one wide distribution, whose tail makes five losses in a
+row look impossible. It also judges one direction only. Here a gap of about k intervals counts as one interval
+and k - 1 lost messages. The probability of a silence is a sum over the number of messages lost in a row: each
+term is the probability of that number at the estimated loss, times the probability that the next message is
+later still. The loss is estimated by the rule of succession (one lost and one received message in advance),
+so that a new peer is not suspected after its first few losses.
+
+The caller chooses the unit of time: the views use seconds; membership uses ended probes, so that a peer that
+was not probed is not silent. A history holds at most WINDOW_GAPS gaps, and recording an arrival takes
+constant time.
 """
 
 from __future__ import annotations
@@ -22,12 +24,17 @@
 from collections import deque
 from enum import IntEnum
 
-WINDOW = 32  # gaps between arrivals that are remembered
-MAX_LOST_PER_GAP = 8  # a longer gap was an outage, not loss
-ROUNDING_TOLERANCE = 0.25  # intervals: how far from a whole number a gap still shows loss
-MIN_BURST_GAP = 0.25  # intervals: a shorter gap belongs to a burst
-MIN_REPORT_GAP = 0.25  # intervals: peer reports closer together are one
-MIN_DEVIATION = 0.1  # intervals
+# Gaps between arrivals that a history keeps.
+WINDOW_GAPS = 32
+# More lost messages in one gap are an outage, not loss, and must not raise the estimated loss further.
+MAX_LOST_PER_GAP = 8
+# Largest distance of a gap from a whole number of intervals at which the gap is counted as loss.
+ROUNDING_TOLERANCE_INTERVALS = 0.25
+# Messages that arrive closer together belong to a burst and are not counted as a gap.
+MIN_GAP_INTERVALS = 0.25
+# Reports of a peer that lie closer together count as one arrival.
+MIN_REPORT_GAP_INTERVALS = 0.25
+MIN_DEVIATION_INTERVALS = 0.1
 MAX_LOSS = 0.8
 MAX_PHI = 100.0
 
@@ -36,9 +43,12 @@
     """Which directions of the link to a peer work."""
 
     HEALTHY = 0
-    INBOUND_LOSS = 1  # we do not receive from it, but a third member exchanges messages with it
-    OUTBOUND_LOSS = 2  # we receive from it; it does not receive from us
-    PARTITIONED = 3  # we do not receive from it, and nobody reports that he does
+    # No message arrives from the peer, but a third member exchanges messages with it.
+    INBOUND_LOSS = 1
+    # Messages arrive from the peer, but messages from here do not reach it.
+    OUTBOUND_LOSS = 2
+    # No message arrives from the peer, and no third member reports that it exchanges messages with it.
+    PARTITIONED = 3
 
 
 LINK_STATE_NAMES = {
@@ -47,119 +57,129 @@
     LinkState.OUTBOUND_LOSS: "mute",
     LinkState.PARTITIONED: "cut",
 }
-"""The words that operators read in `/_members`."""
+"""Names of the link states in the answer to `GET /_members`."""
 
 
 class ArrivalHistory:
-    """Recent gaps between arrivals from one peer, expected about every `interval`, and phi of its silence."""
+    """Recent gaps between the arrivals from one peer, one expected per `interval`, and phi of its silence."""
 
     __slots__ = (
-        "_arrived",
-        "_excluded",
+        "_has_arrival",
+        "_excluded_time",
         "_interval",
-        "_last",
+        "_last_arrival",
         "_lost",
-        "_squares",
-        "_sum",
+        "_sum_of_squares",
+        "_sum_of_gaps",
         "_gaps",
     )
 
     def __init__(self, interval: float):
         self._interval = interval
-        self._last = -math.inf
-        self._excluded = 0.0
-        self._arrived = False
-        # Of each gap its length in intervals without the lost ones, and how many were lost.
+        self._last_arrival = -math.inf
+        self._excluded_time = 0.0
+        self._has_arrival = False
+        # For each gap: its length in intervals less the lost messages, and the number of lost messages.
         self._gaps: deque[tuple[float, int]] = deque()
-        self._sum = self._squares = 0.0
+        self._sum_of_gaps = self._sum_of_squares = 0.0
         self._lost = 0
 
     def begin(self, now: float) -> None:
-        """Count the silence from here if nothing has arrived and no earlier call did so."""
-        if self._last == -math.inf:
-            self._last = now
+        """Starts measuring the silence at `now`, unless an arrival or an earlier call has started it."""
+        if self._last_arrival == -math.inf:
+            self._last_arrival = now
 
     def record_arrival(self, now: float, interval: float | None = None) -> None:
-        """Record an arrival; `interval` is the one that its sender announces from here on."""
+        """Records an arrival; `interval` is the interval that the sender announces for its next messages."""
         self.begin(now)
-        if self._arrived:
-            self._add(self.silence(now) / self._interval)
-        self._arrived, self._last, self._excluded = True, max(now, self._last), 0.0
+        if self._has_arrival:
+            self._record_gap(self.silence(now) / self._interval)
+        self._has_arrival, self._last_arrival, self._excluded_time = (
+            True,
+            max(now, self._last_arrival),
+            0.0,
+        )
         if interval is not None and interval > 0.0:
             self._interval = interval
 
-    def _add(self, gap_intervals: float) -> None:
-        if gap_intervals < MIN_BURST_GAP:  # a burst, as after a pause, shows no rhythm
+    def _record_gap(self, gap_intervals: float) -> None:
+        # A burst, such as the one after a pause, says nothing about the usual interval.
+        if gap_intervals < MIN_GAP_INTERVALS:
             return
         rounded = round(gap_intervals)
         lost = (
-            rounded - 1 if rounded > 1 and abs(gap_intervals - rounded) <= ROUNDING_TOLERANCE else 0
+            rounded - 1
+            if rounded > 1 and abs(gap_intervals - rounded) <= ROUNDING_TOLERANCE_INTERVALS
+            else 0
         )
         gap_intervals, lost = (
             min(gap_intervals - lost, 2.0 * MAX_LOST_PER_GAP),
             min(lost, MAX_LOST_PER_GAP),
         )
         self._gaps.append((gap_intervals, lost))
-        self._count(gap_intervals, lost, 1)
-        if len(self._gaps) > WINDOW:
-            self._count(*self._gaps.popleft(), -1)
+        self._update_sums(gap_intervals, lost, 1)
+        if len(self._gaps) > WINDOW_GAPS:
+            self._update_sums(*self._gaps.popleft(), -1)
 
-    def _count(self, gap_intervals: float, lost: int, sign: int) -> None:
-        self._sum += sign * gap_intervals
-        self._squares += sign * gap_intervals * gap_intervals
+    def _update_sums(self, gap_intervals: float, lost: int, sign: int) -> None:
+        self._sum_of_gaps += sign * gap_intervals
+        self._sum_of_squares += sign * gap_intervals * gap_intervals
         self._lost += sign * lost
 
     @property
     def loss(self) -> float:
-        """The estimated fraction of lost messages, MAX_LOSS at most."""
+        """Estimated fraction of lost messages, at most MAX_LOSS."""
         return min(MAX_LOSS, (self._lost + 1.0) / (len(self._gaps) + self._lost + 2.0))
 
     @property
     def lost(self) -> int:
-        """How many lost messages the remembered gaps show."""
+        """Number of lost messages in the remembered gaps."""
         return self._lost
 
     def silence(self, now: float) -> float:
-        """Time since the last arrival (or `begin`), without excluded pauses."""
+        """Returns the time since the last arrival, or since `begin`, less the excluded pauses."""
         self.begin(now)
-        return max(0.0, now - self._last - self._excluded)
+        return max(0.0, now - self._last_arrival - self._excluded_time)
 
     def phi(self, now: float) -> float:
-        """-log10 of the probability of the present silence, MAX_PHI at most."""
+        """Returns -log10 of the probability of the present silence, at most MAX_PHI."""
         return self.phi_of_silence(self.silence(now))
 
     def phi_of_silence(self, silence: float) -> float:
-        """-log10 of the probability of a silence of that length, MAX_PHI at most.
+        """Returns -log10 of the probability of a silence of that length, at most MAX_PHI.
 
-        The sum, over the number of messages lost before the next one that arrives, of the probability that
-        so many are lost and that one is later still.
+        The probability is the sum, over the number of messages lost before the next arrival, of the
+        probability that exactly so many are lost and that the arrival is later than the silence.
         """
-        count = len(self._gaps) + 2.0  # two in advance, half an interval early and late
-        mean = (self._sum + 2.0) / count
-        deviation = math.sqrt(max(MIN_DEVIATION**2, (self._squares + 2.5) / count - mean * mean))
-        loss, chance_all_lost, chance, lateness = (
+        # Two gaps are counted in advance, one half an interval too short and one half an interval too long.
+        count = len(self._gaps) + 2.0
+        mean = (self._sum_of_gaps + 2.0) / count
+        deviation = math.sqrt(
+            max(MIN_DEVIATION_INTERVALS**2, (self._sum_of_squares + 2.5) / count - mean * mean)
+        )
+        loss, probability_all_lost, probability, lateness = (
             self.loss,
             1.0,
             0.0,
             silence / self._interval - mean,
         )
-        while lateness > -6.0 * deviation and chance_all_lost > 1e-120:
-            chance += (
-                chance_all_lost
+        while lateness > -6.0 * deviation and probability_all_lost > 1e-120:
+            probability += (
+                probability_all_lost
                 * (1.0 - loss)
                 * 0.5
                 * math.erfc(lateness / deviation / math.sqrt(2.0))
             )
-            chance_all_lost *= loss
+            probability_all_lost *= loss
             lateness -= 1.0
-        return min(MAX_PHI, max(0.0, -math.log10(max(chance + chance_all_lost, 1e-120))))
+        return min(MAX_PHI, max(0.0, -math.log10(max(probability + probability_all_lost, 1e-120))))
 
     def exclude_pause(self, duration: float) -> None:
-        """Shorten the present silence by a local pause; the next one is not affected.
+        """Shortens the present silence by a pause of this process; later silences are not affected.
 
-        To be called before what arrived during the pause is recorded.
+        Must be called before the messages that arrived during the pause are recorded.
         """
-        self._excluded += max(0.0, duration)
+        self._excluded_time += max(0.0, duration)
 
 
 class PeerLink:
@@ -172,44 +192,50 @@
         self._inbound, self._outbound = ArrivalHistory(interval), ArrivalHistory(interval)
         self._inbound.begin(now)
         self._outbound.begin(now)
-        self._last_received_by_peer = now  # as far as we know
+        # Latest known time at which the peer received a message from this process.
+        self._last_received_by_peer = now
         self._relayed_at = -math.inf
 
     def record_report(
-        self, now: float, received_us_ago: float | None, interval: float | None = None
+        self, now: float, peer_received_ago: float | None, interval: float | None = None
     ) -> None:
-        """Record a message in which the peer says how long ago it last received from us (None: never)."""
+        """Records a message that reports how long ago the peer last received one from here (None: never)."""
         self._inbound.record_arrival(now, interval)
-        if received_us_ago is None:
+        if peer_received_ago is None:
             return
-        at = now - max(0.0, received_us_ago)
-        if at > self._last_received_by_peer:  # it received from us again since its last report
-            gap, self._last_received_by_peer = at - self._last_received_by_peer, at
-            if gap > MIN_REPORT_GAP * self._interval:
-                self._outbound.record_arrival(min(now, at + 2.0 * self._interval), interval)
+        received_at = now - max(0.0, peer_received_ago)
+        if received_at > self._last_received_by_peer:
+            gap, self._last_received_by_peer = (
+                received_at - self._last_received_by_peer,
+                received_at,
+            )
+            if gap > MIN_REPORT_GAP_INTERVALS * self._interval:
+                self._outbound.record_arrival(
+                    min(now, received_at + 2.0 * self._interval), interval
+                )
 
     def record_message(self, now: float) -> None:
-        """Record a message that does not say whether the peer receives from us."""
+        """Records a message that does not report whether the peer receives messages from here."""
         self._inbound.record_arrival(now)
 
     def record_relay(self, now: float) -> None:
-        """Record that a third member exchanges messages with the peer."""
+        """Records that a third member exchanges messages with the peer."""
         self._relayed_at = max(now, self._relayed_at)
 
     def forget_relays(self) -> None:
-        """Forget reports of third members: while we receive from nobody they are out of date."""
+        """Discards reports of third members, which go out of date while no message arrives from anybody."""
         self._relayed_at = -math.inf
 
     def receives(self, now: float, threshold: float = 8.0, max_silence: float = 10.0) -> bool:
-        """Whether messages of the peer reach us."""
+        """Returns whether messages from the peer arrive here."""
         return self._inbound.silence(now) <= max_silence and self._inbound.phi(now) < threshold
 
     def received_by(self, now: float, threshold: float = 8.0, max_silence: float = 10.0) -> bool:
-        """Whether the peer receives from us, by its own reports, which age like any other evidence."""
+        """Returns whether messages from here reach the peer, by its reports, which age like its messages."""
         return self._outbound.silence(now) <= max_silence and self._outbound.phi(now) < threshold
 
     def state(self, now: float, threshold: float = 8.0, max_silence: float = 10.0) -> LinkState:
-        """Which directions work."""
+        """Returns which directions of the link work."""
         if self.receives(now, threshold, max_silence):
             return (
                 LinkState.HEALTHY
@@ -224,16 +250,16 @@
 
     @property
     def arrivals(self) -> ArrivalHistory:
-        """Arrivals of the peer's messages here."""
+        """Arrivals of messages from the peer."""
         return self._inbound
 
     @property
     def answers(self) -> ArrivalHistory:
-        """Arrivals of the peer's reports that it received from us again."""
+        """Arrivals, at the peer, of messages from here, as the peer reports them."""
         return self._outbound
 
     def exclude_pause(self, duration: float) -> None:
-        """Leave a local pause out of both directions; as `ArrivalHistory.exclude_pause`."""
+        """Excludes a pause of this process from both directions, as `ArrivalHistory.exclude_pause` does."""
         self._inbound.exclude_pause(duration)
         self._outbound.exclude_pause(duration)
         self._relayed_at += max(0.0, duration)
--- a/yewrill/membership/gossip.py
+++ b/yewrill/membership/gossip.py
@@ -1,4 +1,4 @@
-"""The gossip queue: updates that wait to be sent with the next messages, the least sent first."""
+"""The gossip queue: updates that are piggybacked on the next messages, least-sent first."""
 
 from __future__ import annotations
 
@@ -10,51 +10,55 @@
 from yewrill.membership.messages import ALIVE, Claim, Message
 from yewrill.membership.table import MemberTable
 
-MAX_UPDATES = 8  # in a message
+MAX_UPDATES_PER_MESSAGE = 8
 
 
 @dataclass(slots=True)
 class _Update:
     claim: Claim
-    order: int  # of two sent equally often the newer one goes first
+    sequence: int  # of updates sent equally often, the one published last goes first
     sent: int = 0
 
 
 class GossipQueue:
-    """One pending update a member, each sent a few times the logarithm of the group's size."""
+    """At most one pending update per member, sent a number of times that grows with the group's logarithm."""
 
     def __init__(self, table: MemberTable, config: SwimConfig):
         self._table = table
         self._config = config
         self._updates: dict[str, _Update] = {}
-        self._order = 0
+        self._last_sequence = 0
 
     def publish(self, claim: Claim) -> None:
-        """Queue a claim in place of an earlier one about the same member."""
-        self._order += 1
-        self._updates[claim.name] = _Update(claim, self._order)
+        """Queues a claim, which replaces an earlier one about the same member."""
+        self._last_sequence += 1
+        self._updates[claim.name] = _Update(claim, self._last_sequence)
 
     def discard(self, name: str) -> None:
-        """Send no update about a member."""
+        """Removes the pending update about a member."""
         self._updates.pop(name, None)
 
     def clear(self) -> None:
-        """Drop all updates."""
+        """Removes all pending updates."""
         self._updates.clear()
 
     def message(
         self, kind: str, number: int = 0, to: Claim | None = None, about: str = ""
     ) -> Message:
-        """Compose a message with the updates that are due.
+        """Composes a message and piggybacks pending updates on it.
 
-        A ping says who pings; a member that we take for suspect or dead is told so first.
+        A ping holds the sender's claim about itself. A receiver that is listed as suspect or dead gets that
+        claim first, so that it can refute it.
         """
         first: list[Claim] = []
         if to is not None and to.state != ALIVE:
             first.append(to)
         if kind == "ping":
             first.append(self._table.me)
-        updates = [*first, *self._take(MAX_UPDATES - len(first), {c.name for c in first})]
+        updates = [
+            *first,
+            *self._take(MAX_UPDATES_PER_MESSAGE - len(first), {c.name for c in first}),
+        ]
         if not about and to is not None and kind == "ping":
             about = to.name
         return Message(kind, number, about, tuple(updates))
@@ -64,7 +68,7 @@
             self._config.retransmit_multiplier * math.log10(len(self._table.entries) + 2)
         )
         candidates = [u for name, u in self._updates.items() if name not in except_names]
-        candidates.sort(key=lambda update: (update.sent, -update.order))
+        candidates.sort(key=lambda update: (update.sent, -update.sequence))
         for update in candidates[:maximum]:
             update.sent += 1
             if update.sent >= limit:
--- a/yewrill/membership/machine.py
+++ b/yewrill/membership/machine.py
@@ -1,34 +1,35 @@
-"""The membership protocol as a pure state machine: messages and the time in, messages out. No I/O, clock or
-randomness of its own.
-
-Theory of operation. SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's refinements:
-
-- *Probing* (`probe.py`). Once an interval a member pings another, at first directly, then by way of others.
-- *Suspicion probes* (`tracker.py`). A member that did not answer is pinged again and again, and others are
-  asked about it, until something is received from it or its silence is unlikely (`detector.py`; the clock
-  is the number of our probes, the loss that of all our probes, or this pair's if that is more).
-- *Suspicion* (`suspicion.py`) lasts a while, shortened by others' findings, before a member is believed dead.
-- *Evidence of life outweighs suspicion.* Any message of a member itself ends its suspicion probe, and so
-  does another member's ack about it. Others' reports alone raise no suspicion: a receiver pings the accused,
-  passes the report on only when no answer comes, confirms only by its own probes, and contradicts if it
-  receives from the accused. So a faulty accuser causes pings, but removes nobody.
-- *One-way links.* A member that sends and does not answer does not receive from us: its silence to our probes
-  proves nothing, and only a long silence altogether does.
-- *Confirmations.* A death needs findings of other reachable members: of three, or of as many as are
-  reachable, and of one at least. So an isolated member removes nobody. Of two members, either can't tell the
-  other's death from its own loss: with one other on the list and nobody besides, a member goes by its own
-  finding, after the longest suspicion. The last of three or more keeps the others listed and worsens its
-  local health score, since that is just what a member sees that receives nothing.
-- *Incarnations.* Only the member itself raises its incarnation, and does so to refute. Of two claims the
-  higher incarnation counts, at the same one the worse state. DEAD and LEFT reported by others are suspicions
-  like any other; only LEFT from the member itself is taken at its word.
-- *Gossip* (`gossip.py`) rides on every message.
-- *Local pauses.* If nothing was processed after something was due (the process was stopped or starved, or its
-  clock jumped), every deadline is extended by that time before anything that waited is processed, and the
-  local health score worsens. A member that wakes up must not accuse the others.
-
-The order matters in one place: updates about ourselves are processed before anything is sent, so that a
-refutation goes out with the very answer to the message that accused us.
+"""The membership protocol as a state machine: messages and the time in, messages out.
+
+It does no I/O, and the caller supplies the clock and the random generator. The protocol is SWIM (Das, Gupta,
+Motivala, 2002) with the refinements of Lifeguard and some of its own:
+
+- *Probing* (`probe.py`). Once per interval a member pings another, first directly, then through others.
+- *Suspicion probes* (`tracker.py`). A member that did not answer is pinged repeatedly, and others are asked
+  about it, until a message from it arrives or its silence is unlikely (`detector.py`). Silence is measured in
+  probes; the loss is that of all local probes, or that of the link to the member if it is higher.
+- *Suspicion* (`suspicion.py`) lasts for some time, which confirmations by others shorten, before a member is
+  declared dead.
+- *Evidence of life outweighs suspicion.* Any message from a member itself ends its suspicion probe, and so
+  does another member's ack about it. Reports of others alone raise no suspicion: a receiver pings the
+  suspect, passes the report on only if no answer arrives, confirms it only by its own probes, and contradicts
+  it if messages from the suspect arrive. A faulty accuser therefore causes pings but removes nobody.
+- *One-way links.* If a member sends messages but answers no ping, pings do not reach it. Its silence to pings
+  is then inconclusive, and only a long absence of all messages counts.
+- *Confirmations.* A death needs the confirmation of three other reachable members, or of as many as are
+  reachable, and of at least one. An isolated member therefore removes nobody. In a group of two, a member
+  cannot tell the death of the other from a fault of its own network; having nobody else to ask, it relies on
+  its own observation, after the longest suspicion. The last one of three or more members keeps the others
+  listed and worsens its local health score, since a member that receives nothing observes the same.
+- *Incarnations.* Only the member itself raises its incarnation, to refute a claim. Of two claims the one with
+  the higher incarnation counts; at equal incarnations, the worse state. DEAD and LEFT reported by others are
+  suspicions like any other; only LEFT from the member itself is accepted without a check.
+- *Gossip* (`gossip.py`) is piggybacked on every message.
+- *Local pauses.* If the process did not run when something was due (it was stopped or starved, or its clock
+  jumped), every deadline is extended by that time before waiting messages are processed, and the local health
+  score worsens. Otherwise a member that resumes would suspect all others.
+
+Updates about the local member are processed before anything is sent, so that the answer to a message with a
+suspicion already carries the refutation.
 """
 
 from __future__ import annotations
@@ -60,7 +61,7 @@
 
 
 class SwimMember:
-    """One member: joins its table, gossip queue, suspicions and probes."""
+    """The protocol state of one member: its table, gossip queue, suspicions and probes."""
 
     def __init__(
         self,
@@ -89,17 +90,17 @@
 
     @property
     def me(self) -> Claim:
-        """Our own claim about ourselves."""
+        """The local member's claim about itself."""
         return self._table.me
 
     @property
     def entries(self) -> dict[str, MemberEntry]:
-        """All other members that are known, dead and departed ones included."""
+        """All other known members, including dead and departed ones."""
         return self._table.entries
 
     @property
     def changes(self) -> list[Claim]:
-        """Changes of state since the caller last cleared the list."""
+        """Changes of state since the caller last cleared this list."""
         return self._table.changes
 
     @property
@@ -109,59 +110,59 @@
 
     @property
     def counts(self) -> MembershipCounters:
-        """Counts since the start."""
+        """Event counts since the process started."""
         return self._context.counts
 
     @property
     def digest(self) -> int:
-        """A digest of the list, equal wherever the list is."""
+        """Digest of the member list; equal lists have equal digests."""
         return self._table.digest
 
     @property
     def isolated(self) -> bool:
-        """Whether nobody is heard from, though there are several members."""
+        """Whether no messages arrive although several members are listed."""
         return self._table.is_isolated(self.now)
 
     def members(self) -> list[Claim]:
-        """The live members, ourselves first; suspicion alone removes nobody."""
+        """Returns the alive and suspect members, the local member first."""
         return [self.me, *self._table.listed()]
 
     def link(self, name: str) -> PeerLink | None:
-        """The evidence about both directions to a member; None until it was probed."""
+        """Returns the evidence about the link to a member; None before its first probe or message."""
         entry = self.entries.get(name)
         return None if entry is None else entry.link
 
     def link_state(self, name: str) -> LinkState:
-        """Which directions of the link to a member work, as our probes show it."""
+        """Returns which directions of the link to a member work, as the probes show it."""
         return self._detector.link_state(self.entries[name])
 
     def apply(self, claim: Claim) -> None:
-        """Take over a claim about another member without further checks, and gossip it."""
+        """Applies a claim about another member without further checks and queues it as gossip."""
         self._tracker.apply(claim, self.now)
 
     # -- time
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` must be called next."""
         return min(self._scheduler.due_times() + self._tracker.due_times(self.now))
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Do what is due: end and begin probes, suspect, declare dead, forget."""
+        """Performs what is due (probes, suspicions, deaths, removals); returns the messages to send."""
         self._advance_clock(now)
         out: list[OutgoingMessage] = []
         if self._left:
             self._scheduler.postpone(self.now + self.config.interval)
             return out
-        self._scheduler.end_indirect(self.now, out)
+        self._scheduler.expire_indirect(self.now, out)
         self._tracker.advance(self.now, out)
         self._scheduler.advance(self.now, out)
-        self._remove_dead(out)
+        self._process_deaths(out)
         self._scheduler.begin_due(self.now, out)
         return out
 
     def _advance_clock(self, now: float) -> None:
-        """Move our time on; extend all deadlines once if we come too late for what was due."""
+        """Advances the local time; extends all deadlines if the process ran too late for what was due."""
         interval = self.config.interval
         if now - self.now > interval:
             late = now - max(self.now, self.due)
@@ -173,10 +174,10 @@
                 self._scheduler.exclude_pause(late, self.now)
         self.now = max(self.now, now)
 
-    def _remove_dead(self, out: list[OutgoingMessage]) -> None:
-        """Declare suspects dead whose suspicion has lasted, and forget members dead for long."""
+    def _process_deaths(self, out: list[OutgoingMessage]) -> None:
+        """Declares confirmed suspects dead, and removes members that have been dead or gone for long."""
         for name, entry in list(self.entries.items()):
-            if entry.suspicion is not None and self._tracker.is_dead(entry, self.now):
+            if entry.suspicion is not None and self._tracker.is_confirmed_dead(entry, self.now):
                 self._tracker.declare_dead(entry, self.now, out)
                 self._scheduler.reconnect_soon(self.now)
             elif self._table.expired(entry, self.now):
@@ -188,7 +189,7 @@
     def receive(
         self, now: float, message: Message, sender: str, address: Address
     ) -> list[OutgoingMessage]:
-        """Process a message of an authenticated sender; the messages to be sent for it."""
+        """Processes a message of an authenticated sender; returns the messages to send."""
         self._advance_clock(now)
         if self._left or sender == self.me.name:
             return []
@@ -211,7 +212,7 @@
     def _answer(
         self, message: Message, sender: str, address: Address, out: list[OutgoingMessage]
     ) -> None:
-        """Process the message itself, after its updates."""
+        """Processes the message itself, after its updates."""
         kind, about = message.kind, message.about
         if kind == "ping" and about in ("", self.me.name):
             out.append((address, self.gossip.message("ack", message.number)))
@@ -222,12 +223,12 @@
             if self._tracker.probes.get(about) is not None:
                 self._tracker.record_finding(self.entries[about], sender, sender)
         elif kind == "help" and about in self.entries:
-            self._scheduler.probe_for(message, address, self.now, out)
+            self._scheduler.probe_on_behalf(message, address, self.now, out)
         elif kind == "list" and message.number != self.digest:
             out.append((address, Message("news", updates=tuple(self._table.page(about)))))
 
     def _subject_of(self, message: Message, sender: str) -> str:
-        """The member that an ack says is alive."""
+        """Returns the member that an ack states to be alive."""
         if message.about:
             return message.about
         probe = self._scheduler.probe
@@ -252,12 +253,12 @@
     def _receive_claim(
         self, claim: Claim, sender: str, address: Address, out: list[OutgoingMessage]
     ) -> None:
-        """Process one gossip update."""
+        """Processes one gossip update."""
         entry = self.entries.get(claim.name)
         if not 0 <= claim.incarnation <= MAX_INCARNATION:
             self.counts.dropped += 1
         elif claim.name == self.me.name:
-            self._receive_claim_about_us(claim)
+            self._receive_claim_about_self(claim)
         elif entry is None:
             self._receive_unknown(claim, sender, address, out)
         elif claim.state == ALIVE:
@@ -268,7 +269,8 @@
             else:
                 self._tracker.investigate(claim, sender, address, self.now, out)
         elif claim.by == sender and self._changed_recently(entry):
-            out.append((address, Message("nack", 0, claim.name)))  # we have just found the same
+            # The local member has come to the same finding recently: this nack confirms the sender's.
+            out.append((address, Message("nack", 0, claim.name)))
 
     def _changed_recently(self, entry: MemberEntry) -> bool:
         return self.now - entry.since < self.config.recent_intervals * self.config.interval
@@ -276,7 +278,7 @@
     def _receive_unknown(
         self, claim: Claim, sender: str, address: Address, out: list[OutgoingMessage]
     ) -> None:
-        """List a new member, unless it is dead already or there are too many."""
+        """Adds an unknown member, unless it is dead or departed or the table is full."""
         if claim.state in (DEAD, LEFT) or len(self.entries) >= self.config.max_members:
             self.counts.dropped += claim.state == ALIVE
             return
@@ -291,14 +293,14 @@
             self.counts.refuted += entry.claim.state == SUSPECT
             self.apply(replace(claim, by=""))
 
-    def _receive_claim_about_us(self, claim: Claim) -> None:
-        """Refute a suspicion, or a claim of an earlier run or of another member under our name."""
+    def _receive_claim_about_self(self, claim: Claim) -> None:
+        """Refutes a suspicion, or a claim by an earlier run or by another process with the same name."""
         if claim.state == ALIVE:
-            is_older_run = claim.incarnation > self.me.incarnation
+            is_earlier_run = claim.incarnation > self.me.incarnation
             is_namesake = (
                 claim.incarnation == self.me.incarnation and claim.address != self.me.address
             )
-            if is_older_run or is_namesake:
+            if is_earlier_run or is_namesake:
                 self._raise_incarnation(claim.incarnation)
         elif claim.incarnation >= self.me.incarnation:
             self.health.adjust(1)
@@ -309,7 +311,7 @@
         self.gossip.publish(self.me)
 
     def leave(self, now: float) -> list[OutgoingMessage]:
-        """Announce that we leave to as many as spread it; nothing is answered from here on."""
+        """Returns the announcements of the departure, to a few members; nothing is answered afterwards."""
         self.now = now
         self._table.mark_self_left()
         listed = list(self._table.listed())
--- a/yewrill/membership/messages.py
+++ b/yewrill/membership/messages.py
@@ -1,4 +1,4 @@
-"""The values that members exchange: claims about a member, and the content of one datagram."""
+"""Values that members exchange: claims about a member, and the content of one datagram."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
 STATE_NAMES = ("alive", "suspect", "dead", "left")
-MAX_INCARNATION = 2**48  # a higher claim is invalid: nobody could refute it for ever
+# A claim with a higher incarnation is invalid: the member that it is about could never refute it.
+MAX_INCARNATION = 2**48
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What is said of a member: its identity, incarnation and state."""
+    """A statement about a member: its identity, incarnation and state."""
 
     name: str
     address: Address
@@ -21,20 +22,34 @@
     region: str = ""
     incarnation: int = 0
     state: int = ALIVE
-    by: str = ""  # of a suspicion: the member whose own probes raised it
+    by: str = (
+        ""  # the member whose own probes raised the suspicion, or whose own messages disprove it
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One datagram's content.
-
-    `kind` is ping, ack, nack, help (ping `about` for me), list (asks for a page of the list), news (gossip
-    updates only), cargo (another subsystem's payload) or hello (the sender's run).
+    """The content of one datagram.
+
+    The kinds are:
+
+    - ping: asks for an ack;
+    - ack: the answer to a ping, or the statement that the member `about` is alive;
+    - nack: the asked member got no answer from the member `about`;
+    - help: asks the receiver to ping the member `about` (an indirect probe);
+    - list: asks for the page of the member list that follows the name `about`;
+    - news: carries gossip updates only;
+    - cargo: carries another subsystem's payload;
+    - hello: tells the run (the random number) of the sending process.
     """
 
     kind: str
-    number: int = 0  # list: the digest of the asker's list, 0: none
-    about: str = ""  # help: whom to ping; ping: whom it is meant for; list: after which name
+    number: int = (
+        0  # of the request, also in its answer; in a list request the digest of the asker's list
+    )
+    about: str = (
+        ""  # the member that the message is about; in a ping the member that it is meant for
+    )
     updates: tuple[Claim, ...] = ()
     payload: bytes = b""
 
--- a/yewrill/membership/parts.py
+++ b/yewrill/membership/parts.py
@@ -1,4 +1,4 @@
-"""Messages of other subsystems as payloads of datagrams, fragmented where they exceed one."""
+"""Fragmentation of other subsystems' messages, which may be larger than the payload of a datagram."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 MAX_FRAGMENT_BYTES = 900
 MAX_FRAGMENTS = 256
-MAX_OPEN_MESSAGES = 32  # of which some fragments have arrived
+MAX_INCOMPLETE_MESSAGES = 32
 
 
 class MalformedPayload(Exception):
-    """Bytes that are no valid fragment, or a message that needs more than MAX_FRAGMENTS."""
+    """A payload that is not a valid fragment, or a message that needs more than MAX_FRAGMENTS."""
 
 
 def split_payload(data: bytes, number: int) -> list[bytes]:
-    """Split a message into fragments, each with the message's number, its index and their count.
+    """Splits a message into fragments that each hold the message's number, their index and their count.
 
     Raises MalformedPayload if there would be more than MAX_FRAGMENTS.
     """
@@ -26,7 +26,7 @@
         for index in range(0, len(data), MAX_FRAGMENT_BYTES)
     ] or [b""]
     if len(fragments) > MAX_FRAGMENTS:
-        raise MalformedPayload("too long")
+        raise MalformedPayload("message needs too many fragments")
     return [
         msgpack.packb([number, index, len(fragments), fragment])
         for index, fragment in enumerate(fragments)
@@ -35,12 +35,12 @@
 
 @dataclass
 class FragmentAssembler:
-    """Reassembles messages. Bounded: beyond MAX_OPEN_MESSAGES the oldest incomplete one is dropped."""
+    """Reassembles messages; holds at most MAX_INCOMPLETE_MESSAGES and drops the oldest one beyond that."""
 
     _incomplete: OrderedDict[tuple[str, int], dict[int, bytes]] = field(default_factory=OrderedDict)
 
     def take(self, sender: str, payload: bytes) -> bytes | None:
-        """Take a fragment; the whole message once its last one has arrived. Raises MalformedPayload."""
+        """Adds a fragment; returns the message once it is complete, else None. Raises MalformedPayload."""
         try:
             number, index, count, fragment = msgpack.unpackb(payload)
             if (
@@ -48,7 +48,7 @@
                 or not isinstance(fragment, bytes)
                 or len(fragment) > MAX_FRAGMENT_BYTES
             ):
-                raise ValueError("part")
+                raise ValueError("fragment index, count or size out of range")
         except (ValueError, TypeError, msgpack.exceptions.UnpackException) as error:
             raise MalformedPayload(str(error)) from error
         if count == 1:
@@ -56,7 +56,7 @@
         fragments = self._incomplete.setdefault((sender, number), {})
         fragments[index] = fragment
         if len(fragments) < count:
-            while len(self._incomplete) > MAX_OPEN_MESSAGES:
+            while len(self._incomplete) > MAX_INCOMPLETE_MESSAGES:
                 self._incomplete.popitem(last=False)
             return None
         del self._incomplete[sender, number]
--- a/yewrill/membership/probe.py
+++ b/yewrill/membership/probe.py
@@ -1,10 +1,10 @@
-"""Probing: the regular probe of one member after another, indirect probes, and reconnecting to lost ones.
+"""Probing: regular probes in rounds, indirect probes for other members, and reconnection to lost members.
 
-Once an interval a member pings the next of a shuffled list. Without an answer in time it asks a few others
-to ping it. Whoever was asked says so if it got no answer (a nack): where not even nacks arrive, the fault is
-probably ours, and the local health score worsens. With each probe a random member is asked for a page of its
-list, and now and then a dead member or an unknown seed is pinged, so that halves of a partitioned group find
-each other again. Pure; seconds.
+Once per interval a member pings the next member of a shuffled list. If no ack arrives in time, it asks a few
+others to ping that member, and each of them sends a nack if it gets no ack either. If the nacks are missing
+too, the fault is probably on the local side, and the local health score worsens. With each probe a random
+member is asked for a page of its list. From time to time a dead member or an unknown seed is pinged, so that
+the halves of a partitioned group find each other again. No I/O and no clock; times are in seconds.
 """
 
 from __future__ import annotations
@@ -17,9 +17,12 @@
 from yewrill.membership.table import MemberEntry
 from yewrill.membership.tracker import SuspicionTracker
 
-SEEDS_PER_INTERVAL = 2  # pinged by a member that knows nobody yet
-PINGS_WHILE_ISOLATED = 2  # an interval
-SMALL_GROUP_SIZE = 8  # members; in a smaller group the sender of a page is asked for the next one
+# Seeds that a member without any listed members pings per interval.
+SEEDS_PER_INTERVAL = 2
+# Additional members that an isolated member pings per interval.
+PINGS_WHILE_ISOLATED = 2
+# Up to this many other members, the sender of a page is asked for the next page; above, any member is.
+SMALL_GROUP_SIZE = 8
 
 
 @dataclass(slots=True)
@@ -29,30 +32,30 @@
     name: str
     number: int
     began: float
-    direct_until: float  # until when the member's own answer is awaited
+    direct_until: float  # deadline of the direct ack
     until: float
-    is_indirect: bool = False  # whether others have been asked
+    is_indirect: bool = False  # whether other members have been asked to ping it
     indirect_probes: int = 0
     nacks: int = 0
 
     def exclude_pause(self, duration: float) -> None:
-        """Leave a local pause out of the deadlines."""
+        """Postpones the deadlines by the duration of a pause of this process."""
         self.direct_until += duration
         self.until += duration
 
 
 @dataclass(slots=True)
 class IndirectProbe:
-    """A ping on another member's behalf."""
+    """A ping on behalf of another member."""
 
-    number: int  # the asker's
+    number: int  # request number of the asking member
     asker: Address
     about: str
     until: float
 
 
 class ProbeScheduler:
-    """Whom to ping and when."""
+    """Decides which members to ping and when."""
 
     def __init__(
         self,
@@ -76,7 +79,7 @@
         self._was_isolated = False
 
     def due_times(self) -> list[float]:
-        """When `advance` has something to do."""
+        """Returns the times at which a probe is due or a deadline ends."""
         probe = self.probe
         if probe is None:
             first = self._next_probe
@@ -85,7 +88,7 @@
         return [first, self._next_reconnect, *(p.until for p in self._indirect.values())]
 
     def exclude_pause(self, duration: float, now: float) -> None:
-        """Leave a local pause that began at `now` out of every deadline."""
+        """Postpones every deadline by the duration of a pause of this process that began at `now`."""
         if self.probe is not None:
             self.probe.exclude_pause(duration)
         for indirect in self._indirect.values():
@@ -94,17 +97,17 @@
         self._next_reconnect = max(self._next_reconnect, now)
 
     def postpone(self, until: float) -> None:
-        """Do nothing before a moment."""
+        """Postpones the next probe and the next reconnection attempt."""
         self._next_probe = self._next_reconnect = until
 
     def reconnect_soon(self, now: float) -> None:
-        """Look for dead members within an interval, since one was just declared dead."""
+        """Schedules a reconnection attempt within an interval, after a member was declared dead."""
         self._next_reconnect = min(self._next_reconnect, now + self._context.config.interval)
 
     # -- the regular probe
 
     def begin_due(self, now: float, out: list[OutgoingMessage]) -> None:
-        """Begin the next probe, and look for lost members, if these are due."""
+        """Begins the next probe and the next reconnection attempt, if they are due."""
         if now >= self._next_probe and self.probe is None:
             self._begin(now, out)
         if now >= self._next_reconnect:
@@ -114,8 +117,9 @@
         context, config = self._context, self._context.config
         listed = list(context.table.listed())
         scale = context.health.timeout_multiplier()
-        if self._note_isolation(now, listed, out):
-            scale = 1.0  # others are to go on hearing from us
+        if self._handle_isolation(now, listed, out):
+            # Others that receive these pings must not take an isolated member for dead.
+            scale = 1.0
         self._next_probe = now + config.interval * scale
         if not listed:
             self._ping_seeds(out)
@@ -132,8 +136,10 @@
         out.append((claim.address, context.gossip.message("ping", self.probe.number, claim)))
         self._compare_lists(now, listed, out)
 
-    def _note_isolation(self, now: float, listed: list[Claim], out: list[OutgoingMessage]) -> bool:
-        """While nobody is heard from, ping more members; drop what others reported about links."""
+    def _handle_isolation(
+        self, now: float, listed: list[Claim], out: list[OutgoingMessage]
+    ) -> bool:
+        """Pings more members while isolated and drops reports of third members; returns whether isolated."""
         context = self._context
         isolated = context.table.is_isolated(now)
         if isolated:
@@ -154,7 +160,7 @@
             out.append((address, context.gossip.message("ping")))
 
     def _next_target(self, listed: list[Claim]) -> str:
-        """The next member of the round that has no suspicion probe; a new round is shuffled."""
+        """Returns the next member of the round that has no suspicion probe; a new round is shuffled."""
         names = {claim.name for claim in listed}
         candidates = names - self._tracker.probes.names() or names
         while True:
@@ -166,7 +172,7 @@
             self._context.rng.shuffle(self._round)
 
     def advance(self, now: float, out: list[OutgoingMessage]) -> None:
-        """Ask others when the direct answer is late; end the probe in time."""
+        """Asks others to ping the member when its direct ack is late, and ends the probe at its deadline."""
         probe = self.probe
         if probe is None:
             return
@@ -177,7 +183,7 @@
             self._probe_indirectly(entry, probe, now, out)
         if self.probe is not None and now >= probe.until:
             self.probe = None
-            # If too few of those that were asked say that they tried, the fault may be ours.
+            # A missing nack suggests that the fault is on the local side.
             change = probe.indirect_probes - probe.nacks if probe.indirect_probes else 0
             self._context.health.adjust(change)
 
@@ -199,7 +205,7 @@
             self._tracker.begin(entry, now, out, since=probe.began)
 
     def record_ack(self, name: str) -> None:
-        """End the probe if an ack says that its member lives."""
+        """Ends the probe if an ack states that its member is alive."""
         probe = self.probe
         if probe is not None and name == probe.name:
             if not probe.is_indirect:
@@ -209,22 +215,22 @@
             self._context.health.adjust(-1)
 
     def record_nack(self, number: int) -> None:
-        """Count a member that tried to reach the probed one in vain."""
+        """Counts a nack: a member that was asked got no answer from the probed one either."""
         if self.probe is not None and number == self.probe.number:
             self.probe.nacks += 1
 
-    # -- probes on others' behalf
+    # -- probes on behalf of other members
 
-    def probe_for(
+    def probe_on_behalf(
         self, message: Message, address: Address, now: float, out: list[OutgoingMessage]
     ) -> None:
-        """Say what we know of a member, or ping it on the asker's behalf."""
+        """Answers an indirect probe from what is known of the member, or pings the member for the asker."""
         context, number, about = self._context, message.number, message.about
         entry = context.table.entries[about]
         if self._detector.can_attest(entry, now):
             out.append((address, context.gossip.message("ack", number, about=about)))
-        elif self._detector.tolerates(entry, now):
-            out.append((address, self._tracker.objection(number, entry)))
+        elif self._detector.silence_is_inconclusive(entry, now):
+            out.append((address, self._tracker.nack_with_alive_claim(number, entry)))
         elif entry.suspicion is not None:
             out.append((address, context.gossip.message("nack", number, about=about)))
         elif len(self._indirect) < self._max_indirect_probes():
@@ -239,31 +245,33 @@
         return 4 * context.config.indirect_probes + len(context.table.entries)
 
     def relay_ack(self, number: int, sender: str, out: list[OutgoingMessage]) -> None:
-        """Pass an ack on to the member on whose behalf its sender was pinged."""
+        """Relays an ack to the member on whose behalf its sender was pinged."""
         indirect = self._indirect.pop(number, None)
         if indirect is not None and indirect.about == sender:
             ack = self._context.gossip.message("ack", indirect.number, about=sender)
             out.append((indirect.asker, ack))
 
-    def end_indirect(self, now: float, out: list[OutgoingMessage]) -> None:
-        """Report the pings on others' behalf that were not answered in time."""
+    def expire_indirect(self, now: float, out: list[OutgoingMessage]) -> None:
+        """Sends nacks for the pings on behalf of others that were not answered in time."""
         for number, indirect in list(self._indirect.items()):
             if now < indirect.until:
                 continue
             del self._indirect[number]
             entry = self._context.table.entries.get(indirect.about)
-            if entry is not None and self._detector.tolerates(entry, now):
-                out.append((indirect.asker, self._tracker.objection(indirect.number, entry)))
+            if entry is not None and self._detector.silence_is_inconclusive(entry, now):
+                out.append(
+                    (indirect.asker, self._tracker.nack_with_alive_claim(indirect.number, entry))
+                )
                 continue
             suspected = entry is not None and entry.claim.state != ALIVE
             about = indirect.about if suspected else ""
             nack = self._context.gossip.message("nack", indirect.number, about=about)
             out.append((indirect.asker, nack))
 
-    # -- lists, and members that were lost
+    # -- comparison of member lists, and reconnection
 
     def _compare_lists(self, now: float, listed: list[Claim], out: list[OutgoingMessage]) -> None:
-        """Ask a member for a page of its list, which it sends if its list differs from ours."""
+        """Asks a random member for a page of its list, which it sends if the digests of the lists differ."""
         context, config = self._context, self._context.config
         self._comparisons += 1
         is_quiet = now - context.table.changed_at > config.quiet_after_intervals * config.interval
@@ -274,7 +282,7 @@
         out.append((context.rng.choice(listed).address, question))
 
     def ask_next_page(self, after: str, address: Address, out: list[OutgoingMessage]) -> None:
-        """Ask for the page behind one that held unknown members; in a large group anybody may answer."""
+        """Asks for the page after one that held unknown members, in a large group from a random member."""
         context = self._context
         listed = list(context.table.listed())
         if len(listed) > SMALL_GROUP_SIZE:
@@ -282,9 +290,10 @@
         out.append((address, Message("list", context.table.digest, about=after)))
 
     def _reconnect(self, now: float, out: list[OutgoingMessage]) -> None:
-        """Ping a dead member or an unknown seed, so that halves of a partitioned group find each other.
+        """Pings a dead member or an unknown seed, so that the halves of a partitioned group find each other.
 
-        Where so many are dead that they are rather cut off, that happens each interval.
+        If at least a fifth of the other known members are dead, a partition is more likely than that many
+        failures, and the attempt is repeated every interval.
         """
         context, config = self._context, self._context.config
         entries = context.table.entries
--- a/yewrill/membership/suspicion.py
+++ b/yewrill/membership/suspicion.py
@@ -1,8 +1,9 @@
-"""How long a suspicion lasts before it is believed, and how far a member trusts its own observations.
+"""Duration of a suspicion, the suspicion probes, and the local health score.
 
-Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: local health awareness for more accurate failure
-detection", 2018): a suspicion starts long and shortens as others confirm it independently, and a member
-that has reason to distrust itself probes more slowly and waits for longer. Pure. Seconds.
+After Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: local health awareness for more accurate failure
+detection", 2018): a suspicion starts with a long timeout, which shortens as other members confirm it
+independently; a member whose own health is in doubt probes more slowly and waits longer for answers. No I/O
+and no clock; times are in seconds.
 """
 
 from __future__ import annotations
@@ -12,12 +13,14 @@
 
 from yewrill.membership.messages import Address, Claim
 
-MAX_HEALTH_SCORE = 8  # timeouts grow up to nine times
-CONFIRMATIONS = 3  # independent ones after which a suspicion is as short as it gets
+# Timeouts grow up to nine times.
+MAX_HEALTH_SCORE = 8
+# Independent confirmations after which a suspicion has its shortest duration.
+CONFIRMATIONS_FOR_MINIMUM = 3
 
 
 def min_suspicion_seconds(members: int, interval: float, factor: float) -> float:
-    """The shortest suspicion: long enough for its update to spread and for the refutation to return."""
+    """Returns the shortest suspicion: time for its update to reach all and for the refutation to return."""
     return factor * max(1.0, math.log10(max(1, members))) * interval
 
 
@@ -28,77 +31,78 @@
     since: float
     minimum: float
     maximum: float
-    accusers: set[str] = field(default_factory=set)  # the members whose own probes raised it
+    accusers: set[str] = field(default_factory=set)  # members whose own probes raised the suspicion
 
     def expires_at(self) -> float:
-        """When the suspicion has lasted, unless it is refuted before."""
-        confirmations = min(CONFIRMATIONS, max(0, len(self.accusers) - 1))
-        fraction = math.log(confirmations + 1) / math.log(CONFIRMATIONS + 1)
-        spread = self.maximum - self.minimum
-        return self.since + max(self.minimum, self.maximum - spread * fraction)
+        """Returns the time at which the suspicion ends, unless it is refuted before."""
+        confirmations = min(CONFIRMATIONS_FOR_MINIMUM, max(0, len(self.accusers) - 1))
+        fraction = math.log(confirmations + 1) / math.log(CONFIRMATIONS_FOR_MINIMUM + 1)
+        range_seconds = self.maximum - self.minimum
+        return self.since + max(self.minimum, self.maximum - range_seconds * fraction)
 
     def exclude_pause(self, duration: float) -> None:
-        """Leave a local pause out: that time does not count against anyone."""
+        """Excludes a pause of this process from the duration of the suspicion."""
         self.since += duration
 
 
 @dataclass(slots=True)
 class SuspicionProbe:
-    """Repeated pings to a member that did not answer, or that others suspect, until something is known."""
+    """Repeated pings to a member that did not answer, or that others suspect, until the case is decided."""
 
-    number: int  # of its requests
+    number: int  # request number of the pings and of the indirect probes
     since: float
-    next_at: float  # when it is pinged again
-    reported: Claim | None = None  # the suspicion of others that is followed up
-    findings: dict[str, str] = field(default_factory=dict)  # who reported it; by whose own finding
-    death_reporters: set[str] = field(default_factory=set)  # who reported it dead already
-    receivers: set[str] = field(
-        default_factory=set
-    )  # who receives from it, though it is not answering
-    subscribers: set[Address] = field(default_factory=set)  # who is to learn that it lives
+    next_at: float  # when the member is pinged again
+    reported: Claim | None = None  # the suspicion of another member that this probe checks
+    findings: dict[str, str] = field(
+        default_factory=dict
+    )  # reporter: the member that found it silent
+    death_reporters: set[str] = field(default_factory=set)
+    # Members to which it sends messages, although it does not answer their pings.
+    receivers: set[str] = field(default_factory=set)
+    subscribers: set[Address] = field(default_factory=set)  # notified if it turns out to be alive
     forwarded: bool = False  # whether the reported suspicion was passed on
 
 
 class SuspicionProbes:
-    """The suspicion probes under way, by member."""
+    """Suspicion probes under way, by the name of the member."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, SuspicionProbe] = {}
 
     def __len__(self) -> int:
-        """How many are under way."""
+        """Number of probes under way."""
         return len(self._by_name)
 
     def names(self) -> set[str]:
-        """The members that are probed."""
+        """Returns the names of the probed members."""
         return set(self._by_name)
 
     def get(self, name: str) -> SuspicionProbe | None:
-        """The probe of a member, if it has one."""
+        """Returns the probe of a member, or None."""
         return self._by_name.get(name)
 
     def add(self, name: str, probe: SuspicionProbe) -> None:
-        """Begin a probe."""
+        """Adds the probe of a member."""
         self._by_name[name] = probe
 
     def discard(self, name: str) -> None:
-        """End a probe, if there is one."""
+        """Removes the probe of a member, if there is one."""
         self._by_name.pop(name, None)
 
     def due(self, now: float) -> list[tuple[str, SuspicionProbe]]:
-        """Those whose next ping is due."""
+        """Returns the members and probes whose next ping is due."""
         return [(name, probe) for name, probe in self._by_name.items() if now >= probe.next_at]
 
     def due_times(self) -> list[float]:
-        """When each of them is due."""
+        """Returns the time of each probe's next ping."""
         return [probe.next_at for probe in self._by_name.values()]
 
     def member_probed_by(self, number: int) -> str | None:
-        """The member that requests of a number are about."""
+        """Returns the member that requests with this number are about, or None."""
         return next((n for n, probe in self._by_name.items() if probe.number == number), None)
 
     def exclude_pause(self, duration: float) -> None:
-        """Leave a local pause out of every deadline."""
+        """Postpones every deadline by the duration of a pause of this process."""
         for probe in self._by_name.values():
             probe.next_at += duration
             probe.since += duration
@@ -106,14 +110,14 @@
 
 @dataclass(slots=True)
 class LocalHealth:
-    """Lifeguard's local health score: 0 is healthy, MAX_HEALTH_SCORE the worst."""
+    """Lifeguard's local health score: 0 is healthy, MAX_HEALTH_SCORE is the worst."""
 
     score: int = 0
 
     def timeout_multiplier(self) -> float:
-        """The factor by which intervals and timeouts grow."""
+        """Returns the factor by which probe intervals and timeouts grow."""
         return 1.0 + self.score
 
     def adjust(self, change: int) -> None:
-        """Worsen (positive) or better (negative) the score, within its bounds."""
+        """Worsens the score (positive change) or improves it (negative change), within its bounds."""
         self.score = min(MAX_HEALTH_SCORE, max(0, self.score + change))
--- a/yewrill/membership/table.py
+++ b/yewrill/membership/table.py
@@ -1,4 +1,7 @@
-"""The member table: every known member with its latest claim and the evidence about it. Pure; seconds."""
+"""The member table: every known member with its latest claim and the evidence about it.
+
+No I/O and no clock; times are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -21,13 +24,13 @@
     """One other member."""
 
     claim: Claim
-    since: float  # when it entered its present state
-    last_received: float = NEVER  # when it last sent us something
-    last_received_adjusted: float = NEVER  # the same, later by local pauses
-    probes_ended: float = 0.0  # probes to it that are over: the clock of its link
+    since: float  # when the latest claim was applied
+    last_received: float = NEVER  # when its last message arrived
+    last_received_adjusted: float = NEVER  # the same, moved forward by pauses of this process
+    probes_ended: float = 0.0  # number of finished probes of it, the time unit of `link`
     link: PeerLink | None = None
-    relay: str = ""  # the member that last exchanged messages with it on our behalf
-    does_not_receive_us: bool = False  # it sends, but our messages do not reach it
+    relay: str = ""  # the member that last relayed an ack of it to this member
+    has_outbound_loss: bool = False  # its messages arrive, but messages from here do not reach it
     suspicion_probe: SuspicionProbe | None = None
     suspicion: Suspicion | None = None
 
@@ -38,14 +41,14 @@
 
     @property
     def is_listed(self) -> bool:
-        """Whether it counts as a member: alive, or only suspected."""
+        """Whether it counts as a member: alive or suspect."""
         return self.claim.state in (ALIVE, SUSPECT)
 
     def apply(self, claim: Claim, now: float) -> None:
-        """Take over a claim; a member that comes back is judged anew."""
+        """Applies a claim; a member that returns to life starts without earlier evidence."""
         if not self.is_listed and claim.state == ALIVE:
             self.probes_ended, self.link = 0.0, None
-            self.relay, self.does_not_receive_us = "", False
+            self.relay, self.has_outbound_loss = "", False
         self.claim, self.since, self.suspicion = claim, now, None
         if claim.state != SUSPECT:
             self.suspicion_probe = None
@@ -57,18 +60,18 @@
     def __init__(self, me: Claim, config: SwimConfig, now: float):
         self.me = me
         self.entries: dict[str, MemberEntry] = {}
-        self.changes: list[Claim] = []  # not yet taken by whoever follows the list
+        self.changes: list[Claim] = []  # changes of state that the reader has not taken yet
         self.changed_at = now
-        self.last_received = now  # from anybody, later by local pauses
+        self.last_received = now  # from any member, moved forward by pauses of this process
         self._config = config
-        self._digest = 0  # 0: not computed
+        self._digest = 0  # 0: must be computed
 
     def listed(self) -> Iterator[Claim]:
-        """The claims about other members that are alive or only suspected."""
+        """Returns the claims about other members that are alive or suspect."""
         return (entry.claim for entry in self.entries.values() if entry.is_listed)
 
     def reachable(self, now: float, except_name: str) -> list[Claim]:
-        """The live members, without one, that were heard from recently."""
+        """Returns the claims about alive members that sent a message recently, except one."""
         since = now - self._config.recent_intervals * self._config.interval
         return [
             entry.claim
@@ -79,7 +82,7 @@
         ]
 
     def is_isolated(self, now: float) -> bool:
-        """Whether nobody is heard from though there are several: the fault may well be ours."""
+        """Returns whether several members are listed but none sends: this side is probably at fault."""
         silence = now - self.last_received
         return (
             silence > self._config.isolated_after_intervals * self._config.interval
@@ -87,7 +90,7 @@
         )
 
     def apply(self, claim: Claim, now: float) -> None:
-        """Take over a claim about another member; records the change of its state, if it is one."""
+        """Applies a claim about another member and records a change of its state."""
         entry = self.entries.get(claim.name)
         previous = None if entry is None else entry.claim
         if entry is None:
@@ -103,21 +106,21 @@
             del self.changes[: -2 * self._config.max_members]
 
     def raise_incarnation(self, above: int) -> None:
-        """Make our own claim newer than one about us."""
+        """Raises the local member's incarnation above that of a claim about it."""
         self.me = replace(self.me, incarnation=min(above + 1, MAX_INCARNATION))
         self._digest = 0
 
     def mark_self_left(self) -> None:
-        """Make our own claim say that we leave."""
+        """Marks the local member as departed, with a new incarnation."""
         self.me = replace(self.me, incarnation=self.me.incarnation + 1, state=LEFT)
 
     def expired(self, entry: MemberEntry, now: float) -> bool:
-        """Whether a dead or departed member has been listed for long enough."""
+        """Returns whether a dead or departed member may be removed from the table."""
         return entry.claim.state in (DEAD, LEFT) and now - entry.since > self._config.forget_after
 
     @property
     def digest(self) -> int:
-        """A digest of the listed members, equal wherever the list is. Never 0, which means none."""
+        """Digest of the names and incarnations of the listed members; never 0, which stands for no digest."""
         if self._digest == 0:
             claims = sorted((c.name, c.incarnation) for c in (self.me, *self.listed()))
             text = "".join(f"{name} {incarnation}\n" for name, incarnation in claims)
@@ -126,7 +129,7 @@
         return self._digest
 
     def page(self, after: str) -> Iterator[Claim]:
-        """Our own claim and a page of entries in the order of names, beginning behind a name."""
+        """Yields the local member's claim, then a page of claims in the order of names after `after`."""
         names = sorted(self.entries)
         start = next((i for i, name in enumerate(names) if name > after), 0)
         rotated = names[start:] + names[:start]
@@ -135,7 +138,7 @@
             yield self.entries[name].claim
 
     def exclude_pause(self, duration: float) -> None:
-        """Leave a local pause out of every silence."""
+        """Excludes a pause of this process from every measured silence."""
         self.last_received += duration
         for entry in self.entries.values():
             entry.last_received_adjusted += duration
--- a/yewrill/membership/tracker.py
+++ b/yewrill/membership/tracker.py
@@ -1,9 +1,9 @@
-"""Suspicion: from a member that does not answer, by suspicion probes, to its death or refutation.
+"""Suspicion tracking: from an unanswered ping, through suspicion probes, to death or refutation.
 
-A suspicion probe pings the member again and again, and asks others about it, until something is received
-from it or its silence is unlikely (`detector.py`). At phi `suspect_phi` the member is suspected. It is
-believed dead when the suspicion has lasted, enough other members found the same, and our phi and theirs
-together reach `death_phi`. Pure; seconds.
+A suspicion probe pings a member repeatedly, and asks others about it, until a message from it arrives or its
+silence is unlikely (`detector.py`). The member is suspected when phi reaches `suspect_phi`. It is declared
+dead when the suspicion has lasted long enough, enough other members have confirmed it, and the local phi
+together with the confirmations reaches `death_phi`. No I/O and no clock; times are in seconds.
 """
 
 from __future__ import annotations
@@ -29,14 +29,16 @@
 )
 from yewrill.membership.table import MemberEntry
 
-MAX_SUSPICION_PROBES = 64  # under way at a time
+MAX_SUSPICION_PROBES = 64
 SUBSCRIBERS_PER_FANOUT = 4
-MEMBERS_PER_PACE = 24.0  # a group so large, or
-PROBES_PER_PACE = 4.0  # so many probes, keep the pace of one timeout; beyond that it slows down
+# A suspicion probe sends a ping per timeout in a group of up to this many members and with up to this many
+# suspicion probes under way. Above either limit the time between its pings grows in proportion.
+MEMBERS_AT_FULL_PACE = 24.0
+PROBES_AT_FULL_PACE = 4.0
 
 
 class SuspicionTracker:
-    """The suspicion probes and suspicions of one member."""
+    """The suspicion probes and suspicions that one member holds about others."""
 
     def __init__(self, context: SwimContext, detector: FailureDetector):
         self._context = context
@@ -44,7 +46,7 @@
         self.probes = SuspicionProbes()
 
     def due_times(self, now: float) -> list[float]:
-        """When probes are due and suspicions end."""
+        """Returns the times at which probes are due and suspicions end."""
         times = self.probes.due_times()
         for name in self.probes.names():
             suspicion = self._context.table.entries[name].suspicion
@@ -53,7 +55,7 @@
         return times
 
     def apply(self, claim: Claim, now: float) -> None:
-        """Take over a claim about another member and gossip it."""
+        """Applies a claim about another member and queues it as gossip."""
         self._context.table.apply(claim, now)
         if claim.state != SUSPECT:
             self.probes.discard(claim.name)
@@ -68,12 +70,12 @@
         since: float,
         reported: Claim | None = None,
     ) -> None:
-        """Begin a suspicion probe, unless our own observations prove nothing now."""
+        """Begins a suspicion probe, unless the local observations are inconclusive at present."""
         context = self._context
         if (
             context.table.is_isolated(now)
             or len(self.probes) >= MAX_SUSPICION_PROBES
-            or self._detector.tolerates(entry, now)
+            or self._detector.silence_is_inconclusive(entry, now)
         ):
             return
         number = next(context.request_numbers)
@@ -84,14 +86,14 @@
         out.append((entry.claim.address, context.gossip.message("ping", number, accused)))
 
     def advance(self, now: float, out: list[OutgoingMessage]) -> None:
-        """Ping those whose probe is due once more; suspect those whose silence is unlikely by now."""
+        """Pings the members whose probe is due again; suspects those whose silence has become unlikely."""
         context = self._context
         size = len(context.table.entries) + 1
-        slowdown = max(1.0, size / MEMBERS_PER_PACE, len(self.probes) / PROBES_PER_PACE)
+        slowdown = max(1.0, size / MEMBERS_AT_FULL_PACE, len(self.probes) / PROBES_AT_FULL_PACE)
         wait = context.timeout() * slowdown
         for name, probe in self.probes.due(now):
             entry = context.table.entries[name]
-            if context.table.is_isolated(now) or self._detector.tolerates(entry, now):
+            if context.table.is_isolated(now) or self._detector.silence_is_inconclusive(entry, now):
                 self._end(entry, now)
                 continue
             self._detector.record_unanswered(entry)
@@ -104,7 +106,7 @@
     def _judge(
         self, entry: MemberEntry, probe: SuspicionProbe, now: float, out: list[OutgoingMessage]
     ) -> None:
-        """Suspect a member, or pass a reported suspicion on, as far as its silence is unlikely."""
+        """Suspects a member, or passes a reported suspicion on, once its silence is unlikely enough."""
         phi = self._detector.phi(entry)
         if entry.suspicion is None and phi >= self._context.config.suspect_phi:
             self._suspect(entry, probe, now)
@@ -116,7 +118,7 @@
     def _ask_another(
         self, entry: MemberEntry, probe: SuspicionProbe, now: float, out: list[OutgoingMessage]
     ) -> None:
-        """Ask another member about it: at first the one that last exchanged messages with it."""
+        """Asks another member about it; before a suspicion, the one that last relayed an ack of it."""
         context = self._context
         relay = context.table.entries.get(entry.relay)
         if probe.reported is None and entry.suspicion is None and relay is not None:
@@ -141,14 +143,14 @@
         context.counts.suspected += 1
 
     def declare_dead(self, entry: MemberEntry, now: float, out: list[OutgoingMessage]) -> None:
-        """Believe a suspect dead and spread that."""
+        """Declares a suspect dead and sends that to a few members at once."""
         self._context.counts.died += 1
         claim = replace(entry.claim, state=DEAD)
         self.apply(claim, now)
         self._context.spread(claim, now, out)
 
-    def is_dead(self, entry: MemberEntry, now: float) -> bool:
-        """Whether a suspicion has lasted, by our own finding and those of others."""
+    def is_confirmed_dead(self, entry: MemberEntry, now: float) -> bool:
+        """Returns whether a suspicion has lasted long enough and is confirmed by enough other members."""
         probe, config, name = entry.suspicion_probe, self._context.config, entry.name
         assert probe is not None and entry.suspicion is not None
         table = self._context.table
@@ -157,18 +159,18 @@
         findings, needed = len(reporters), 0
         if has_others:
             needed = max(1, min(config.confirmations, len(table.reachable(now, name))))
-        lasted = now >= entry.suspicion.expires_at() or len(probe.death_reporters) > 1
+        has_lasted = now >= entry.suspicion.expires_at() or len(probe.death_reporters) > 1
         return (
-            lasted
+            has_lasted
             and now - entry.since >= config.interval
             and findings >= max(needed, len(probe.receivers))
-            and not self._detector.tolerates(entry, now)
+            and not self._detector.silence_is_inconclusive(entry, now)
             and self._detector.phi(entry) + config.suspect_phi * min(findings, config.confirmations)
             >= config.death_phi
         )
 
     def record_finding(self, entry: MemberEntry, reporter: str, finder: str) -> None:
-        """Count another's finding: each reporter once, its own finding before what it passes on."""
+        """Records who found a member silent: one finding per reporter, its own before one that it relays."""
         probe = entry.suspicion_probe
         if probe is not None and (finder == reporter or reporter not in probe.findings):
             probe.findings[reporter] = finder
@@ -179,17 +181,21 @@
     def investigate(
         self, claim: Claim, reporter: str, address: Address, now: float, out: list[OutgoingMessage]
     ) -> None:
-        """Follow up another's suspicion: contradict it, or probe the member ourselves."""
+        """Checks the suspicion of another member: contradicts it, or begins a suspicion probe."""
         entry = self._context.table.entries[claim.name]
         finder = claim.by or reporter
         can_attest = self._detector.can_attest(entry, now)
-        if can_attest or self._detector.tolerates(entry, now):
+        if can_attest or self._detector.silence_is_inconclusive(entry, now):
             if finder == reporter:
-                answer = Message("ack", 0, claim.name) if can_attest else self.objection(0, entry)
+                answer = (
+                    Message("ack", 0, claim.name)
+                    if can_attest
+                    else self.nack_with_alive_claim(0, entry)
+                )
                 out.append((address, answer))
             return
         if entry.suspicion_probe is None:
-            # The finder has pinged it twice, so it has been silent for so long at least.
+            # The finder suspects after two unanswered pings, so the silence has lasted two timeouts at least.
             since = max(entry.last_received, now - 2.0 * self._context.config.timeout)
             self.begin(entry, now, out, since=since, reported=claim)
         if (probe := entry.suspicion_probe) is not None:
@@ -200,13 +206,13 @@
             if claim.state == DEAD:
                 probe.death_reporters.add(reporter)
 
-    def objection(self, number: int, entry: MemberEntry) -> Message:
-        """The answer that we receive from a member though it does not answer us."""
+    def nack_with_alive_claim(self, number: int, entry: MemberEntry) -> Message:
+        """Returns a nack with the claim that a member is alive: its messages arrive, although acks do not."""
         claim = replace(entry.claim, state=ALIVE, by=self._context.table.me.name)
         return Message("nack", number, updates=(claim,))
 
     def refute(self, entry: MemberEntry, now: float, out: list[OutgoingMessage]) -> None:
-        """End a suspicion probe since the member lives, and notify all that the suspicion reached."""
+        """Ends a suspicion probe of a member that is alive, and notifies all that the suspicion reached."""
         assert entry.suspicion_probe is not None
         subscribers = entry.suspicion_probe.subscribers
         self._context.counts.refuted += entry.suspicion is not None
@@ -214,7 +220,7 @@
         out += [(address, Message("ack", 0, entry.name)) for address in sorted(subscribers)]
 
     def _end(self, entry: MemberEntry, now: float) -> None:
-        """End a suspicion probe: the member lives, or can't be judged."""
+        """Ends a suspicion probe of a member that is alive, or that can't be judged at present."""
         entry.suspicion_probe = None
         self.probes.discard(entry.name)
         if entry.claim.state == SUSPECT:
