--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -283,12 +283,12 @@
             scopes.append(scope)
             others.append(other)
         with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as flood:
-            while not all(m.view().count == 3 for m in (first, *others)):
+            while not all(m.snapshot().count == 3 for m in (first, *others)):
                 await flood.sendto(os.urandom(300), first.address)
                 await trio.sleep(0)
-        assert {c.name for c in first.view().by_zone()["z"]} == {"a", "b", "c"}
+        assert {c.name for c in first.snapshot().by_zone()["z"]} == {"a", "b", "c"}
         scopes[0].cancel()
-        while first.view().count != 2:
+        while first.snapshot().count != 2:
             await first.changed()
         assert {m["name"]: m["state"] for m in first.status()["members"]}["b"] == "left"
         nursery.cancel_scope.cancel()
--- a/yewrill/membership/facade.py
+++ b/yewrill/membership/facade.py
@@ -1,4 +1,4 @@
-"""The subsystem of the membership: the list of live members, and a notification when it changes."""
+"""The membership subsystem: the list of live members, and a notification when it changes."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 
 
 class MembersConfig(Protocol):
-    """The section `members` of the configuration. Bytes a second each way, seconds."""
+    """The section `members` of the configuration."""
 
     listen: tuple[str, int]
     peers: tuple[tuple[str, int], ...]
-    keys: tuple[str, ...]  # hexadecimal; the first signs, all are accepted
+    keys: tuple[str, ...]  # hexadecimal; the first key signs, all are accepted
     name: str
     zone: str
     region: str
-    bytes_per_s: float
-    interval: float
+    bytes_per_s: float  # in each direction
+    interval: float  # seconds between two probes
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSnapshot:
-    """The members at one moment, ourselves among them; suspects count as living."""
+    """The members at one time, including this process; suspects count as alive."""
 
     living: tuple[Claim, ...]
     suspected: frozenset[str] = field(default_factory=frozenset)
-    local_health_score: int = 0  # 0: healthy; 8: the worst
+    local_health_score: int = 0  # 0 is healthy, MAX_HEALTH_SCORE is the worst
 
     @property
     def count(self) -> int:
-        """How many members live."""
+        """Number of live members."""
         return len(self.living)
 
     def by_zone(self) -> Mapping[str, tuple[Claim, ...]]:
-        """The live members by zone."""
+        """Returns the live members by zone."""
         zones: dict[str, tuple[Claim, ...]] = {}
         for claim in self.living:
             zones[claim.zone] = (*zones.get(claim.zone, ()), claim)
@@ -53,13 +53,13 @@
 
 
 class Members:
-    """A subsystem of the service: runs while it does, and announces its departure when it ends."""
+    """Membership as a subsystem of the service; announces the departure of this process when it stops."""
 
     name = "members"
     calls: Mapping[str, Any] = {}
 
     def attach(self, context: SubsystemContext) -> None:
-        """It needs nothing of the service."""
+        """Does nothing: the membership uses no other part of the service."""
 
     def __init__(self, config: MembersConfig):
         self._config = config
@@ -68,7 +68,7 @@
         self.opened = trio.Event()
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Run until cancelled; then the departure is announced. Raises OSError if it can't listen."""
+        """Runs until cancelled, then announces the departure. Raises OSError if the socket can't be bound."""
         config = self._config
         swim_config = SwimConfig(interval=config.interval, timeout=0.4 * config.interval)
 
@@ -84,12 +84,12 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens. Only once it runs."""
+        """Address of the socket; available once `opened` is set."""
         assert self._link is not None
         return self._link.machine.me.address
 
-    def view(self) -> MembershipSnapshot:
-        """The members now; none before it runs."""
+    def snapshot(self) -> MembershipSnapshot:
+        """Returns the present members; none before the link is open."""
         if self._link is None:
             return MembershipSnapshot(())
         machine = self._link.machine
@@ -101,17 +101,19 @@
 
     @property
     def link(self) -> MembershipLink | None:
-        """The link, for subsystems that send to members; None until it is open."""
+        """The link, through which other subsystems send to members; None until it is open."""
         return self._link
 
     async def changed(self) -> None:
-        """Wait until the list has changed."""
+        """Waits until the member list changes. Only once `opened` is set."""
         assert self._link is not None
         await self._link.list_changed.wait()
 
     def status(self) -> dict[str, Any]:
-        """For operators, as plain values. Of each other member how the link to it looks from here and
-        whether it hears us (`heard`)."""
+        """Returns the status for operators, as JSON values.
+
+        For each other member, `link` is the state of the link to it and `heard` whether that is healthy.
+        """
         link = self._link
         if link is None:
             return {"members": []}
@@ -146,7 +148,7 @@
         }
 
     def metrics(self) -> dict[str, int]:
-        """Counts since the start, by the names operators see."""
+        """Returns event counts since the process started, by the names of the metrics."""
         link = self._link
         if link is None:
             return {}
--- a/yewrill/membership/format.py
+++ b/yewrill/membership/format.py
@@ -1,12 +1,13 @@
-"""The datagram codec: messages to authenticated bytes and back, with replay protection. docs/members.md has
-the layout.
-
-A datagram is `YM`, the format's number, a key's id, a MAC of 16 bytes (keyed blake2b over all that follows
-and the four bytes before), and a msgpack array. The array holds the sender's name and run (a random number of
-the process), the run of the receiver that it was made for, and a counter. A receiver takes only what was made
-for its present run, by the sender's present run, with a counter not seen yet: nothing recorded earlier or
-elsewhere can be replayed to it, and no clock is needed. A sender that does not know the receiver's run is
-told it (`hello`) and sends its message again.
+"""The datagram codec: encodes messages as authenticated bytes and decodes them, with replay protection.
+
+docs/members.md describes the layout. A datagram consists of `YM`, the format number, the key's id, a MAC of
+16 bytes (keyed blake2b over the four bytes before it and everything after it) and a msgpack array. The array
+holds, among others, the sender's name, the sender's run (a random number chosen when the process starts), the
+run of the receiver that the datagram was made for, and a counter.
+
+A receiver accepts only datagrams made for its own run, by the sender's latest run, with a counter that it has
+not seen. Datagrams recorded earlier or elsewhere can therefore not be replayed to it, and no clock is needed.
+A sender that does not know the receiver's run is told by a `hello` and sends its message again.
 """
 
 from __future__ import annotations
@@ -22,25 +23,29 @@
 from yewrill.membership.messages import ALIVE, LEFT, MAX_INCARNATION, Address, Claim, Message
 
 MAGIC, FORMAT = b"YM", 1
-MAC_BYTES = 16  # bytes
+MAC_BYTES = 16
 HEADER_BYTES = len(MAGIC) + 2
-MAX_DATAGRAM_BYTES = 1200  # bytes of a datagram
-MAX_NAME_CHARACTERS = 64  # characters of a name, a zone, a region
+MAX_DATAGRAM_BYTES = 1200
+# Longest name, zone, region or host.
+MAX_NAME_CHARACTERS = 64
 KINDS = ("hello", "ping", "ack", "nack", "help", "list", "news", "cargo")
-MAX_PAYLOAD_BYTES = 1000  # bytes that other parts may send in one datagram
-REPLAY_WINDOW = 64  # counters that may arrive out of order
-MAX_EARLIER_RUNS = 8  # earlier runs of a member that are remembered as over
+# Largest payload of another subsystem in one datagram.
+MAX_PAYLOAD_BYTES = 1000
+# A counter this far below the highest one seen can't be told from a replay and is rejected.
+REPLAY_WINDOW_COUNTERS = 64
+# Earlier runs of a member whose datagrams are recognised and rejected.
+MAX_EARLIER_RUNS = 8
 
 
 class DatagramRejected(Exception):
-    """A datagram that is not accepted; the text is the reason, which metrics count."""
+    """A datagram that is not accepted. The text is the reason, by which rejected datagrams are counted."""
 
 
 def parse_key(text: str) -> bytes:
-    """A key as operators write it: at least 32 hexadecimal digits."""
+    """Decodes a key of 32 to 128 hexadecimal digits. Raises ValueError."""
     key = bytes.fromhex(text)
     if not 16 <= len(key) <= 64:
-        raise ValueError("a key has 16 to 64 bytes, as hexadecimal digits")
+        raise ValueError("a key must have 32 to 128 hexadecimal digits")
     return key
 
 
@@ -54,36 +59,38 @@
 
 @dataclass(slots=True)
 class _Peer:
-    """What is known of a sender: its present run, and the counters seen of it."""
+    """The latest run of a sender and the counters received from it."""
 
     run: int
     highest: int = 0
-    seen_bits: int = 0  # a bit for each of the WINDOW counters up to the highest
+    seen_bits: int = (
+        0  # one bit per counter of the replay window, the lowest bit for the highest counter
+    )
     earlier_runs: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_EARLIER_RUNS))
 
     def accept(self, counter: int) -> bool:
-        """Whether a counter is seen for the first time; it is recorded."""
+        """Records a counter; returns whether it is new."""
         if counter > self.highest:
             shift = counter - self.highest
             self.seen_bits = (
-                (self.seen_bits << shift | 1) & (1 << REPLAY_WINDOW) - 1
-                if shift < REPLAY_WINDOW
+                (self.seen_bits << shift | 1) & (1 << REPLAY_WINDOW_COUNTERS) - 1
+                if shift < REPLAY_WINDOW_COUNTERS
                 else 1
             )
             self.highest = counter
             return True
         age = self.highest - counter
-        if age >= REPLAY_WINDOW or self.seen_bits >> age & 1:
+        if age >= REPLAY_WINDOW_COUNTERS or self.seen_bits >> age & 1:
             return False
         self.seen_bits |= 1 << age
         return True
 
 
 class UnknownRun(DatagramRejected):
-    """The sender does not know our present run: it is told it (`hello`) and sends its message again."""
+    """The sender does not know the receiver's run: a `hello` tells it, and it sends its message again."""
 
     def __init__(self, run: int):
-        super().__init__("stranger")
+        super().__init__("sender does not know the receiver's run")
         self.run = run
 
 
@@ -92,19 +99,21 @@
 
     def __init__(self, name: str, run: int, keys: list[bytes], max_peers: int = 4096):
         self.name, self.run = name, run
-        self._keys = {_key_id(key): key for key in reversed(keys)}  # the first one signs
-        self._signing = keys[0]
+        # Reversed, so that of keys with the same id the first one counts.
+        self._keys = {_key_id(key): key for key in reversed(keys)}
+        self._signing_key = keys[0]
         self._peers: dict[str, _Peer] = {}
-        self._runs: dict[Address, int] = {}  # of the process at an address
-        # The last message to each address whose run is not known yet.
+        # Run of the process at each address.
+        self._runs: dict[Address, int] = {}
+        # Last message to each address whose run is not known yet.
         self._undelivered: dict[Address, Message] = {}
         self._counter = 0
         self._max_peers = max_peers
 
-    # -- out
+    # -- encoding
 
     def encode(self, message: Message, to: Address) -> bytes:
-        """A datagram for an address. Updates that do not fit are left out."""
+        """Returns the datagram of a message to an address, without the last updates if they do not fit."""
         self._counter += 1
         if (
             to not in self._runs
@@ -130,44 +139,45 @@
             if HEADER_BYTES + MAC_BYTES + len(body) <= MAX_DATAGRAM_BYTES or not updates:
                 break
             updates.pop()
-        header = MAGIC + bytes((FORMAT, _key_id(self._signing)))
-        return header + _mac(self._signing, header + body) + body
+        header = MAGIC + bytes((FORMAT, _key_id(self._signing_key)))
+        return header + _mac(self._signing_key, header + body) + body
 
-    # -- in
+    # -- decoding
 
     def decode(self, data: bytes, source: Address) -> tuple[str, Message]:
-        """The sender's name and its message.
+        """Returns the sender's name and its message.
 
-        Raises DatagramRejected; UnknownRun for a sender that must be told our run first.
+        Raises DatagramRejected, in particular UnknownRun if the sender must be told this process's run first.
         """
         envelope = _parse(self._authenticate(data))
         if envelope.sender == self.name:
-            raise DatagramRejected("our own name")
-        if (
-            envelope.receiver_run != self.run
-        ):  # made for another run of ours, or by one that knows none
+            raise DatagramRejected("sender has the receiver's name")
+        # The datagram was made for an earlier run of this process, or by a sender that knows no run of it.
+        if envelope.receiver_run != self.run:
             is_hello = envelope.message.kind == "hello"
-            raise DatagramRejected("hello") if is_hello else UnknownRun(envelope.run)
+            raise (
+                DatagramRejected("hello for another run") if is_hello else UnknownRun(envelope.run)
+            )
         if not self._peer(envelope.sender, envelope.run).accept(envelope.counter):
             raise DatagramRejected("replay")
         self._runs[source] = envelope.run
         return envelope.sender, envelope.message
 
     def _authenticate(self, data: bytes) -> bytes:
-        """The body of a datagram whose MAC is right. Raises DatagramRejected."""
+        """Returns the body of a datagram whose MAC is valid. Raises DatagramRejected."""
         header, body = data[:HEADER_BYTES], data[HEADER_BYTES + MAC_BYTES :]
         mac = data[HEADER_BYTES : HEADER_BYTES + MAC_BYTES]
         if len(data) > MAX_DATAGRAM_BYTES or header[:2] != MAGIC or len(mac) < MAC_BYTES:
-            raise DatagramRejected("not ours")
+            raise DatagramRejected("not a membership datagram")
         if header[2] != FORMAT:
-            raise DatagramRejected("another format")
+            raise DatagramRejected("unknown format number")
         key = self._keys.get(header[3])
         if key is None or not hmac.compare_digest(_mac(key, header + body), mac):
-            raise DatagramRejected("code")
+            raise DatagramRejected("unknown key or wrong authentication code")
         return body
 
     def _peer(self, sender: str, run: int) -> _Peer:
-        """What is known of a sender in its present run. Raises DatagramRejected."""
+        """Returns the state of a sender in the given run. Raises DatagramRejected."""
         peer = self._peers.get(sender)
         if peer is None:
             if len(self._peers) >= self._max_peers:
@@ -175,20 +185,20 @@
             peer = self._peers[sender] = _Peer(run)
         elif run != peer.run:
             if run in peer.earlier_runs:
-                raise DatagramRejected("an earlier run")
+                raise DatagramRejected("datagram of an earlier run of the sender")
             peer.earlier_runs.append(peer.run)
             peer.run, peer.highest, peer.seen_bits = run, 0, 0
         return peer
 
     def take_undelivered(self, source: Address) -> Message | None:
-        """After a hello from an address: the last message that it could not accept, to be sent again."""
+        """Returns the message to send again to an address after its hello, or None."""
         return self._undelivered.pop(source, None)
 
     def hello(self, to: Address, run: int) -> bytes:
-        """A datagram that tells our run to a sender of the given run, and nothing else.
+        """Returns a datagram that only tells this process's run to a sender of the given run.
 
-        What we answer may be a replay: so its run is taken for this one answer only, and a sender that has
-        another run by now rejects it.
+        The datagram that is answered may be a replay. Its run is therefore used for this one answer only, and
+        a sender that has another run by now rejects the answer.
         """
         known = self._runs.get(to)
         self._runs[to] = run
@@ -201,7 +211,7 @@
                 self._runs[to] = known
 
     def forget(self, names: set[str], addresses: set[Address]) -> None:
-        """Forget all peers and addresses except these."""
+        """Discards the state of all peers and addresses except these."""
         self._peers = {name: peer for name, peer in self._peers.items() if name in names}
         self._runs = {address: run for address, run in self._runs.items() if address in addresses}
         self._undelivered = {
@@ -218,7 +228,7 @@
 
 
 def _parse(body: bytes) -> _Envelope:
-    """An authenticated body. Raises DatagramRejected."""
+    """Decodes an authenticated body. Raises DatagramRejected."""
     try:
         fields = msgpack.unpackb(body)
         name, run, receiver_run, counter, kind, number, about, updates, *remainder = fields
@@ -238,7 +248,7 @@
             message,
         )
     except (ValueError, TypeError, msgpack.exceptions.UnpackException, RecursionError) as error:
-        raise DatagramRejected("form") from error
+        raise DatagramRejected("malformed body") from error
 
 
 def _encode_claim(c: Claim) -> list[Any]:
@@ -262,19 +272,19 @@
     if not remainder:
         return b""
     if len(remainder) > 1 or not isinstance(remainder[0], bytes):
-        raise ValueError("payload")
+        raise ValueError("more than one payload, or a payload that is not bytes")
     return remainder[0]
 
 
 def bounded_text(value: Any, *, empty: bool = False) -> str:
-    """A decoded text of at most MOST_NAME characters. Raises ValueError."""
+    """Returns a decoded text of at most MAX_NAME_CHARACTERS. Raises ValueError."""
     if not isinstance(value, str) or len(value) > MAX_NAME_CHARACTERS or not (value or empty):
-        raise ValueError("text")
+        raise ValueError("not a text, empty or too long")
     return value
 
 
 def bounded_int(value: Any, maximum: int, minimum: int = 0) -> int:
-    """A decoded whole number within bounds. Raises ValueError."""
+    """Returns a decoded integer within bounds. Raises ValueError."""
     if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
-        raise ValueError("number")
+        raise ValueError("not an integer, or out of range")
     return value
--- a/yewrill/membership/intake.py
+++ b/yewrill/membership/intake.py
@@ -1,11 +1,11 @@
-"""Byte budgets of the membership's traffic, inbound and outbound. Pure; bytes and seconds.
+"""Byte budgets of the membership's inbound and outbound datagrams. No I/O and no clock; bytes and seconds.
 
-Verifying a datagram's MAC costs processor time, so a flood is dropped before that. All members together may
-have as many bytes processed as an instance may send; a single member a fraction of that, and all unknown
-addresses together another fraction, so that a flood from either does not starve the rest.
+Verifying a datagram's MAC costs processor time, so a flood is dropped before that step. Inbound, all members
+together may use as many bytes per second as a process may send. A single member may use a fraction of that,
+and all unknown addresses together another fraction, so that a flood from either does not starve the others.
 
-Outbound messages have a priority. Each class may spend the budget down to a level of its own, so heartbeats
-and leases find room where gossip and list pages are held back; their senders repeat all of them anyway.
+Outbound, each priority leaves a part of the budget to the higher ones: gossip and list pages are held back
+while heartbeats and leases can still be sent. A dropped message does no harm, since its sender repeats it.
 """
 
 from __future__ import annotations
@@ -13,13 +13,16 @@
 from dataclasses import dataclass
 from enum import Enum
 
-BURST_SECONDS = 2.0  # of a budget that may accumulate
-MEMBER_FRACTION = 0.25  # of the budget: what one member may use
-STRANGERS_FRACTION = 0.25  # of the budget: what all unknown addresses together may use
+# Seconds of an unused budget that may accumulate for a burst.
+BURST_SECONDS = 2.0
+# Fraction of the inbound budget that one member may use.
+MEMBER_FRACTION = 0.25
+# Fraction of the inbound budget that all unknown addresses together may use.
+UNKNOWN_SOURCES_FRACTION = 0.25
 
 
 class Priority(Enum):
-    """Classes of outbound messages; the value is the fraction of a full budget left to higher ones."""
+    """Priorities of outbound messages; the value is the fraction of a full bucket kept for higher ones."""
 
     HEARTBEAT = 0.0
     GOSSIP = 0.2
@@ -28,47 +31,49 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A token bucket of `rate` units a second that holds BURST_SECONDS of them."""
+    """A token bucket that gains `rate` units per second and holds at most BURST_SECONDS of them."""
 
     rate: float
     tokens: float = -1.0  # -1: full
     updated_at: float = 0.0
 
     def take(self, now: float, units: float, reserve: float = 0.0) -> bool:
-        """Spend units if they are there and `reserve`, a fraction of a full bucket, remains."""
-        full = self.rate * BURST_SECONDS
+        """Spends `units` and returns True, if the fraction `reserve` of a full bucket remains afterwards."""
+        capacity = self.rate * BURST_SECONDS
         self.tokens = (
-            full
+            capacity
             if self.tokens < 0
-            else min(full, self.tokens + (now - self.updated_at) * self.rate)
+            else min(capacity, self.tokens + (now - self.updated_at) * self.rate)
         )
         self.updated_at = now
-        if self.tokens < units + reserve * full:
+        if self.tokens < units + reserve * capacity:
             return False
         self.tokens -= units
         return True
 
 
 class InboundBudget:
-    """Decides by source address which datagrams are processed."""
+    """Decides by the source address whether a datagram is processed."""
 
     def __init__(self, bytes_per_s: float):
         self._rate = bytes_per_s
         self._members = TokenBucket(bytes_per_s)
-        self._strangers = TokenBucket(bytes_per_s * STRANGERS_FRACTION)
+        self._unknown_sources = TokenBucket(bytes_per_s * UNKNOWN_SOURCES_FRACTION)
         self._by_address: dict[tuple[str, int], TokenBucket] = {}
         self.refused = 0
 
     def set_members(self, addresses: list[tuple[str, int]]) -> None:
-        """Set the present addresses of members and seeds."""
-        each = self._rate * MEMBER_FRACTION
-        self._by_address = {a: self._by_address.get(a) or TokenBucket(each) for a in addresses}
+        """Sets the addresses of the known members and seeds."""
+        member_rate = self._rate * MEMBER_FRACTION
+        self._by_address = {
+            a: self._by_address.get(a) or TokenBucket(member_rate) for a in addresses
+        }
 
     def admits(self, now: float, source: tuple[str, int], size: int) -> bool:
-        """Whether a datagram of `size` bytes is processed."""
+        """Returns whether a datagram of `size` bytes is processed; charges its budgets if so."""
         bucket = self._by_address.get(source)
         if bucket is None:
-            admitted = self._strangers.take(now, size)
+            admitted = self._unknown_sources.take(now, size)
         else:
             admitted = bucket.take(now, size) and self._members.take(now, size)
         self.refused += not admitted
--- a/yewrill/membership/link.py
+++ b/yewrill/membership/link.py
@@ -1,4 +1,4 @@
-"""The membership's socket: carries a transport's datagrams, and ticks its protocol machine in time."""
+"""Runs a transport on a UDP socket: receives and sends its datagrams, and ticks its protocol machine."""
 
 from __future__ import annotations
 
@@ -30,22 +30,25 @@
 
 log = logging.getLogger("yewrill.members")
 
-# All timers fire in turns, at the same moments for all subsystems: a wake-up of the process costs more than
-# the work done in it. The socket is read once a turn, and not between turns.
+# Timers of all subsystems fire at common times, called turns, because waking the process costs more than the
+# work done then. The socket is read once per turn.
 MAX_TURN_SECONDS = 0.075
-TURN_FRACTION_OF_TIMEOUT = 0.375  # of the time that an answer to a ping may take
+# Longest turn as a fraction of the time in which a ping must be answered.
+TURN_FRACTION_OF_TIMEOUT = 0.375
 MIN_PAUSE_SECONDS = 1e-4
 
 
 class MembershipLink:
-    """A transport on a socket."""
+    """A transport and the socket that it runs on."""
 
     def __init__(self, transport: Transport, socket: UdpSocket):
         self.transport = transport
         self._socket = socket
         self._changed = trio.Event()
-        self._next_tick = 0.0  # when the machine is ticked again
-        self.list_changed = trio.Event()  # set and replaced when the list has changed
+        self._next_tick = 0.0
+        self.list_changed = (
+            trio.Event()
+        )  # set, and replaced by a new one, when the member list changes
         self._stopped = False
         self._turn_seconds = min(
             MAX_TURN_SECONDS, self.machine.config.timeout * TURN_FRACTION_OF_TIMEOUT
@@ -53,25 +56,25 @@
 
     @property
     def machine(self) -> SwimMember:
-        """The protocol's state."""
+        """The protocol machine."""
         return self.transport.machine
 
     @property
     def payload_handlers(self) -> dict[int, PayloadHandler]:
-        """The handlers of other subsystems' payloads, by the payload's first byte."""
+        """Handlers of other subsystems' payloads, by the first byte of the payload."""
         return self.transport.handlers
 
     @property
     def errors(self) -> Counter[str]:
-        """Errors of the socket, by kind."""
+        """Socket errors, by call and errno."""
         return self._socket.errors
 
     def next_turn(self, at: float) -> float:
-        """The first turn at or after a moment, in trio's time."""
+        """Returns the time of the first turn at or after a time, on trio's clock."""
         return math.ceil(at / self._turn_seconds) * self._turn_seconds if at < math.inf else at
 
     async def run(self) -> None:
-        """Receive and tick until cancelled."""
+        """Receives datagrams and ticks the protocol machine until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._receive)
             while True:
@@ -96,17 +99,17 @@
         outgoing: list[tuple[Address, bytes]],
         priority: Priority = Priority.HEARTBEAT,
     ) -> None:
-        """Send payloads of another subsystem to members."""
+        """Sends payloads of another subsystem to members."""
         self._write(
             self.transport.send_payloads(trio.current_time(), subsystem, outgoing, priority)
         )
 
     def send(self, outgoing: list[OutgoingMessage]) -> None:
-        """Send messages of the membership."""
+        """Sends messages of the membership."""
         self._write(self.transport.send(trio.current_time(), outgoing))
 
     def stop_sending(self) -> None:
-        """Send nothing from here on, not even our departure: as a process that is killed."""
+        """Stops sending, including the announcement of the departure, as if the process were killed."""
         self._stopped = True
 
     def _write(self, datagrams: list[Datagram]) -> None:
@@ -115,7 +118,7 @@
                 self._socket.send(data, address)
 
     def _publish_changes(self) -> None:
-        """Log changes of the list and wake those that wait for one."""
+        """Logs changes of the member list and wakes the tasks that wait for one."""
         changes = self.transport.take_changes(trio.current_time())
         for claim in changes:
             log.info(
@@ -137,9 +140,10 @@
     keys: list[bytes],
     bytes_per_s: float,
 ) -> AsyncIterator[MembershipLink]:
-    """Open a link at an address; its departure is announced when the context ends.
+    """Opens a link bound to an address; announces the departure when the context ends.
 
-    `create_member(address, now)` is called once the port is known. Raises OSError if the address is taken.
+    `create_member(address, now)` is called once the port is known. Raises OSError if the address can't be
+    bound.
     """
     socket = UdpSocket(address)
     try:
--- a/yewrill/membership/transport.py
+++ b/yewrill/membership/transport.py
@@ -1,8 +1,8 @@
-"""The membership's datagrams without a socket: what is sent and what is processed, within the budgets.
+"""The membership's datagrams without a socket: encodes, decodes and budgets what the protocol exchanges.
 
-`Transport` joins a protocol machine, the datagram codec and both budgets. Bytes and the time come in,
-datagrams come out; the owner of the socket (`link.py`), or a virtual network, carries them. Other subsystems
-send their messages as payloads of these datagrams and are handed those that arrive.
+`Transport` combines a protocol machine, the datagram codec and both byte budgets. It takes bytes and the time
+and returns datagrams, which the owner of the socket (`link.py`) or a virtual network sends. Other subsystems
+send their messages as payloads of these datagrams and receive payloads through handlers.
 """
 
 from __future__ import annotations
@@ -19,21 +19,25 @@
 
 Address = tuple[str, int]
 PayloadHandler = Callable[[bytes, str, Address], list[tuple[Address, bytes]]]
-"""Takes data, its sender's name and address; returns what to send, and where to."""
+"""Takes a payload, its sender's name and address; returns payloads to send, with their addresses."""
 
-ZONES, OWNERSHIP, VIEWS = 1, 2, 3  # the first byte of a payload: its subsystem
+# First byte of a payload: the subsystem that it belongs to.
+ZONES, OWNERSHIP, VIEWS = 1, 2, 3
 SUBSYSTEM_NAMES = {ZONES: "zones", OWNERSHIP: "ownership", VIEWS: "views"}
+# Message kinds that are not listed have the priority of heartbeats.
 PRIORITIES = {
     "news": Priority.GOSSIP,
     "hello": Priority.GOSSIP,
     "list": Priority.LIST,
-}  # others: heartbeats
-IP_UDP_HEADER_BYTES = 28  # bytes of IPv4 and UDP round a datagram
-FORGET_INTERVAL_SECONDS = 30.0  # between two removals of what the codec need not remember
+}
+# Headers of IPv4 and UDP, which the byte counts and budgets leave out.
+IP_UDP_HEADER_BYTES = 28
+# Time between two removals of the codec's state about peers that are no longer members.
+FORGET_INTERVAL_SECONDS = 30.0
 
 
 class Datagram(NamedTuple):
-    """Bytes for an address."""
+    """An encoded message and the address that it is sent to."""
 
     address: Address
     data: bytes
@@ -41,46 +45,46 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Datagrams and bytes (without headers of IP and UDP) sent, by kind of message."""
+    """Datagrams and bytes (without IP and UDP headers) sent, by kind of message."""
 
     count: Counter[str] = field(default_factory=Counter)
     size: Counter[str] = field(default_factory=Counter)
 
-    def note(self, kind: str, size: int) -> None:
-        """Count a datagram."""
+    def record(self, kind: str, size: int) -> None:
+        """Counts a sent datagram."""
         self.count[kind] += 1
         self.size[kind] += size
 
 
 class Transport:
-    """One member's datagrams. Times are seconds of one steady clock."""
+    """Sends and receives the datagrams of one member. Times are seconds of one monotonic clock."""
 
     def __init__(self, machine: SwimMember, codec: Codec, bytes_per_s: float):
         self.machine, self.codec = machine, codec
         self._outbound = TokenBucket(bytes_per_s)
         self._inbound = InboundBudget(bytes_per_s)
         self._inbound.set_members(list(machine.seeds))
-        self._last_forget = machine.now
-        self.handlers: dict[int, PayloadHandler] = {}  # of payloads, by their first byte
-        self.refused: Counter[str] = Counter()  # rejected datagrams, by the reason
+        self._forgot_at = machine.now
+        self.handlers: dict[int, PayloadHandler] = {}  # by the first byte of the payload
+        self.refused: Counter[str] = Counter()  # rejected datagrams by reason
         self.sent = self.received = self.held_back = 0
         self.held_back_by: Counter[Priority] = Counter()
         self.traffic = Traffic()
 
     @property
     def flooded(self) -> int:
-        """Datagrams that the inbound budget dropped."""
+        """Number of datagrams that the inbound budget dropped."""
         return self._inbound.refused
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` must be called next."""
         return self.machine.due
 
-    # -- in
+    # -- receiving
 
     def receive(self, now: float, data: bytes, source: Address) -> list[Datagram]:
-        """Process a datagram, if its source's budget allows; the datagrams to be sent for it."""
+        """Processes a datagram if the budget of its source allows; returns the datagrams to send."""
         self.received += len(data)
         if not self._inbound.admits(now, source, len(data)):
             return []
@@ -104,14 +108,17 @@
                 datagrams += self.send_payloads(
                     now, subsystem, handler(message.payload[1:], sender, source)
                 )
-        if message.kind == "hello" and (again := self.codec.take_undelivered(source)) is not None:
-            outgoing.append((source, again))
+        if (
+            message.kind == "hello"
+            and (undelivered := self.codec.take_undelivered(source)) is not None
+        ):
+            outgoing.append((source, undelivered))
         return datagrams + self.send(now, outgoing)
 
-    # -- out
+    # -- sending
 
     def tick(self, now: float) -> list[Datagram]:
-        """Do what is due; the datagrams to be sent for it."""
+        """Performs what is due; returns the datagrams to send."""
         return self.send(now, self.machine.tick(now)) if now >= self.machine.due else []
 
     def send_payloads(
@@ -121,7 +128,7 @@
         outgoing: list[tuple[Address, bytes]],
         priority: Priority = Priority.HEARTBEAT,
     ) -> list[Datagram]:
-        """The datagrams for payloads of another subsystem, as far as the budget allows."""
+        """Returns datagrams with payloads of another subsystem, as far as the outbound budget allows."""
         prefix, kind = bytes((subsystem,)), SUBSYSTEM_NAMES[subsystem]
         datagrams: list[Datagram] = []
         for address, payload in outgoing:
@@ -130,7 +137,7 @@
         return datagrams
 
     def send(self, now: float, outgoing: list[OutgoingMessage]) -> list[Datagram]:
-        """The membership's messages as datagrams, as far as the budget allows."""
+        """Returns datagrams with messages of the membership, as far as the outbound budget allows."""
         datagrams: list[Datagram] = []
         for address, message in outgoing:
             kind = SUBSYSTEM_NAMES[message.payload[0]] if message.kind == "cargo" else message.kind
@@ -147,20 +154,20 @@
             self.held_back_by[priority] += 1
             return []
         self.sent += len(data)
-        self.traffic.note(kind, len(data))
+        self.traffic.record(kind, len(data))
         return [Datagram(address, data)]
 
     # -- bookkeeping
 
     def take_changes(self, now: float) -> list[Claim]:
-        """What has changed in the list since the last call; the budgets and the codec go by it."""
+        """Returns the changes of state since the last call; updates the inbound budget and the codec."""
         machine = self.machine
         changes = machine.changes[:]
         if changes:
             machine.changes.clear()
             self._inbound.set_members(self._addresses())
-        if now - self._last_forget > FORGET_INTERVAL_SECONDS:
-            self._last_forget = now
+        if now - self._forgot_at > FORGET_INTERVAL_SECONDS:
+            self._forgot_at = now
             self.codec.forget(set(machine.entries), set(self._addresses()))
         return changes
 
--- a/yewrill/membership/udp.py
+++ b/yewrill/membership/udp.py
@@ -1,4 +1,4 @@
-"""A UDP socket that reads many datagrams in a turn of the event loop."""
+"""A UDP socket that reads many datagrams per pass of the event loop."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from collections import Counter
 
 Address = tuple[str, int]
-MAX_BATCH_DATAGRAMS = 256  # read at a time
+MAX_BATCH_DATAGRAMS = 256
 
 
 class UdpSocket:
-    """A bound socket. What can't be sent at once is lost, as on any network, and counted in `errors`."""
+    """A bound socket. A datagram that cannot be sent at once is dropped and counted in `errors`."""
 
     def __init__(self, address: Address):
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -20,30 +20,31 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Address that the socket is bound to."""
         return self._socket.getsockname()[:2]
 
     def receive(self, max_bytes: int) -> list[tuple[bytes, Address]]:
-        """The datagrams that have come, each cut to `most` bytes, with their sources."""
+        """Returns the received datagrams, each truncated to `max_bytes`, with their source addresses."""
         datagrams: list[tuple[bytes, Address]] = []
         while len(datagrams) < MAX_BATCH_DATAGRAMS:
             try:
                 data, source = self._socket.recvfrom(max_bytes)
             except BlockingIOError:
                 break
-            except OSError as error:  # an earlier datagram's error, reported on the next call
+            except OSError as error:
+                # The kernel reports an error of an earlier datagram on the next call.
                 self.errors[f"socket {error.errno}"] += 1
                 break
             datagrams.append((data, source[:2]))
         return datagrams
 
     def send(self, data: bytes, address: Address) -> None:
-        """Send a datagram, if the system takes it now."""
+        """Sends a datagram, or drops and counts it if the kernel does not accept it now."""
         try:
             self._socket.sendto(data, address)
         except OSError as error:
             self.errors[f"send {error.errno}"] += 1
 
     def close(self) -> None:
-        """Close the socket."""
+        """Closes the socket."""
         self._socket.close()
