--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,9 @@
-"""Membership: datagrams that can't be forged or replayed, and a list that stays true in a bad network."""
+"""Membership: datagrams can't be forged or replayed, and member lists stay correct on a faulty network.
+
+The tests of the state machine run it on a simulated network with loss, partitions, pauses and false messages.
+They guard against healthy members that are declared dead, dead members that stay listed, and lists that do
+not converge after a fault.
+"""
 
 import os
 from dataclasses import replace
@@ -36,7 +41,7 @@
 
 
 def pair(keys=KEYS[:1], other=KEYS[:1]):
-    """Two codecs that know each other's run."""
+    """Returns two codecs that know each other's run."""
     a, b = Codec("a", 11, list(keys)), Codec("b", 22, list(other))
     with pytest.raises(UnknownRun) as unknown_run:
         b.decode(a.encode(Message("ping"), THERE), HERE)
@@ -45,7 +50,7 @@
     return a, b
 
 
-# ------------------------------------------------------------------------------------------------- the format
+# -------------------------------------------------------------------------------------------- datagram codec
 
 
 @given(
@@ -54,57 +59,58 @@
     TEXT,
     st.lists(CLAIM, max_size=12),
 )
-def test_a_message_comes_out_as_it_went_in_but_for_news_beyond_the_size(kind, number, about, news):
+def test_codec_decodes_an_encoded_message_less_the_updates_that_do_not_fit(
+    kind, number, about, updates
+):
     a, b = pair()
-    data = a.encode(Message(kind, number, about, tuple(news)), THERE)
+    data = a.encode(Message(kind, number, about, tuple(updates)), THERE)
     sender, message = b.decode(data, HERE)
     assert len(data) <= MAX_DATAGRAM_BYTES and sender == "a"
     assert (message.kind, message.number, message.about) == (kind, number, about)
-    assert message.updates == tuple(news[: len(message.updates)])
+    assert message.updates == tuple(updates[: len(message.updates)])
 
 
 @given(st.data())
-def test_no_byte_may_be_changed_and_no_bytes_made_up(data):
+def test_codec_rejects_changed_truncated_and_invented_datagrams(data):
     a, b = pair()
-    sound = bytearray(a.encode(Message("ping", 7, "b"), THERE))
-    at = data.draw(st.integers(0, len(sound) - 1))
-    sound[at] ^= data.draw(st.integers(1, 255))
+    valid = bytearray(a.encode(Message("ping", 7, "b"), THERE))
+    at = data.draw(st.integers(0, len(valid) - 1))
+    valid[at] ^= data.draw(st.integers(1, 255))
     for bad in (
-        bytes(sound),
-        bytes(sound[:at]),
+        bytes(valid),
+        bytes(valid[:at]),
         data.draw(st.binary(max_size=MAX_DATAGRAM_BYTES + 9)),
     ):
         with pytest.raises(DatagramRejected):
             b.decode(bad, HERE)
 
 
-def test_a_datagram_is_taken_once_and_only_by_the_run_that_it_was_made_for():
+def test_codec_accepts_a_datagram_once_and_only_in_the_run_that_it_was_made_for():
     a, b = pair()
     first, second = (a.encode(Message("ping", n), THERE) for n in (1, 2))
-    assert (
-        b.decode(second, HERE)[1].number == 2 and b.decode(first, HERE)[1].number == 1
-    )  # out of order
+    # Datagrams may arrive out of order.
+    assert b.decode(second, HERE)[1].number == 2 and b.decode(first, HERE)[1].number == 1
     for again in (first, second):
         with pytest.raises(DatagramRejected, match="replay"):
             b.decode(again, HERE)
     old = a.encode(Message("ping", 3), THERE)
     for _ in range(70):
         b.decode(a.encode(Message("ping"), THERE), HERE)
-    with pytest.raises(
-        DatagramRejected, match="replay"
-    ):  # older than the window: it can't be told from a replay
+    # A counter older than the replay window can't be told from a replay.
+    with pytest.raises(DatagramRejected, match="replay"):
         b.decode(old, HERE)
-    with pytest.raises(UnknownRun):  # b has been started anew since
+    # b has been restarted in the meantime.
+    with pytest.raises(UnknownRun):
         Codec("b", 23, KEYS[:1]).decode(a.encode(Message("ping"), THERE), HERE)
-    later = Codec("a", 12, KEYS[:1])
-    later.decode(b.hello(HERE, 12), THERE)
-    last_of_the_old = a.encode(Message("ping"), THERE)
-    assert b.decode(later.encode(Message("ping"), THERE), HERE)
+    restarted = Codec("a", 12, KEYS[:1])
+    restarted.decode(b.hello(HERE, 12), THERE)
+    from_earlier_run = a.encode(Message("ping"), THERE)
+    assert b.decode(restarted.encode(Message("ping"), THERE), HERE)
     with pytest.raises(DatagramRejected, match="earlier run"):
-        b.decode(last_of_the_old, HERE)
+        b.decode(from_earlier_run, HERE)
 
 
-def test_keys_change_one_member_after_another_without_a_gap():
+def test_keys_can_be_replaced_one_member_at_a_time_without_rejected_datagrams():
     for mine, other in ((KEYS[:1], KEYS), (KEYS, KEYS[::-1]), (KEYS[::-1], KEYS[1:])):
         a, b = pair(mine, other)
         assert b.decode(a.encode(Message("ping"), THERE), HERE)
@@ -112,31 +118,31 @@
         Codec("b", 1, KEYS[1:]).decode(Codec("a", 2, KEYS[:1]).encode(Message("ping"), THERE), HERE)
 
 
-def test_a_flood_from_strange_addresses_leaves_the_peers_their_share():
-    intake = InboundBudget(20_000.0)
+def test_inbound_budget_under_a_flood_from_unknown_addresses_still_admits_members():
+    budget = InboundBudget(20_000.0)
     peers = [("127.0.0.1", port) for port in range(100, 110)]
-    intake.set_members(peers)
-    looked = taken = 0
-    for i in range(
-        100_000
-    ):  # one second of forged ones, beside peers that say what they usually do
+    budget.set_members(peers)
+    admitted_unknown = admitted_members = 0
+    # One second of forged datagrams beside the usual traffic of the members.
+    for i in range(100_000):
         now = i / 100_000
-        looked += intake.admits(now, ("127.0.0.1", 20_000 + i % 40_000), 400)
+        admitted_unknown += budget.admits(now, ("127.0.0.1", 20_000 + i % 40_000), 400)
         if i % 10_000 == 0:
-            taken += sum(intake.admits(now, peer, 150) for peer in peers)
-    assert looked <= 40 and taken == 100 and intake.refused >= 99_000
+            admitted_members += sum(budget.admits(now, peer, 150) for peer in peers)
+    assert admitted_unknown <= 40 and admitted_members == 100 and budget.refused >= 99_000
 
 
-# --------------------------------------------------------------------------------- the machine, in a network
+# ---------------------------------------------------------------------- state machine on a simulated network
 
 
 def joined(seed, members=24, **more):
+    """Returns a network on which all members have joined."""
     net = MembershipNet(seed, members, zones=3, **more)
     assert net.until(net.agreed, 20.0) is not None
     return net
 
 
-def test_the_same_seed_gives_the_same_run():
+def test_simulated_network_with_the_same_seed_gives_the_same_run():
     runs = [joined(3).run(10.0) for _ in range(2)]
     assert (
         len({tuple((n.name, n.sent, n.machine.due) for n in net.nodes.values()) for net in runs})
@@ -145,31 +151,29 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_one_that_dies_is_off_every_list_soon_and_nobody_else(seed):
+def test_member_that_dies_or_leaves_is_removed_from_all_lists_and_no_other_is(seed):
     net = joined(seed)
     net.kill("m0003")
     assert net.until(net.agreed, 20.0) is not None and not net.false_deaths
-    net.restart("m0003")  # under the same name, with nothing known
+    net.restart("m0003")
     assert net.until(net.agreed, 20.0) is not None
     net.leave("m0004")
     assert net.until(net.agreed, 12.0) is not None and not net.false_deaths
-    assert any(
-        n.machine.entries["m0004"].claim.state == LEFT for n in net.living()
-    )  # whom it told itself
+    # The members that received the announcement itself list it as departed; others may list it as dead.
+    assert any(n.machine.entries["m0004"].claim.state == LEFT for n in net.living())
 
 
-def test_loss_doubles_and_late_ones_take_nobody_off_for_long():
+def test_loss_duplicates_and_delays_remove_at_most_one_member_and_only_for_a_while():
     net = joined(5)
     net.default = Path(delay=0.02, jitter=0.03, loss=0.2, duplication=0.1)
     net.run(60.0)
-    assert (
-        len(net.false_deaths) <= 24
-    )  # one death believed by all at most, in 24 minutes of members
+    # At most one false death, declared by all 24 members, in one minute of 24 members.
+    assert len(net.false_deaths) <= 24
     net.default = Path()
     assert net.until(net.agreed, 20.0) is not None
 
 
-def test_halves_that_lost_each_other_meet_again_and_each_stands_by_itself_meanwhile():
+def test_partitioned_groups_each_list_their_own_members_and_rejoin_after_the_partition():
     net = joined(6)
     names = sorted(net.nodes)
     minority, majority = names[:9], names[9:]
@@ -179,29 +183,30 @@
     assert net.until(net.agreed, 60.0) is not None
 
 
-def test_one_way_loss_and_a_cut_between_two_take_nobody_off():
+def test_members_on_a_cut_or_one_way_path_that_others_can_reach_are_not_removed():
     net = joined(7)
-    net.cut(["m0001"], ["m0002"])  # the others still hear both
+    # The other members still receive messages from both.
+    net.cut(["m0001"], ["m0002"])
     net.cut(["m0003"], ["m0004", "m0005"], both=False)
     net.run(60.0)
     assert not net.false_deaths and net.agreed()
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_one_that_was_paused_wakes_without_accusing_anybody(seed):
+def test_member_that_resumes_after_a_pause_declares_nobody_dead(seed):
     net = joined(seed + 10)
     net.pause("m0002", 20.0)
     net.run(19.0)
-    assert not any(net.sees(n.name, "m0002") for n in net.living() if n.name != "m0002")
+    assert not any(net.lists(n.name, "m0002") for n in net.living() if n.name != "m0002")
     net.run(30.0)
     assert net.agreed() and not net.false_deaths
     assert net.nodes["m0002"].machine.counts.late >= 1
 
 
-def test_one_that_accuses_everyone_takes_nobody_off():
+def test_member_that_accuses_all_others_has_nobody_removed():
     net = joined(8)
 
-    def lie(node, message):
+    def accuse(node, message):
         names = [c for c in node.machine.members() if c.name != node.name]
         accused = [
             replace(c, state=DEAD if i % 2 else SUSPECT, by=f"m{i % 24:04d}")
@@ -209,22 +214,22 @@
         ]
         return replace(message, updates=tuple(accused))
 
-    net.nodes["m0001"].lie = lie
+    net.nodes["m0001"].falsify = accuse
     net.run(60.0)
     assert not net.false_deaths
     assert net.agreed(sorted(net.nodes)) or all(
-        net.sees(a, b) for a in net.nodes for b in net.nodes
+        net.lists(a, b) for a in net.nodes for b in net.nodes
     )
-    # The accused answer with a higher incarnation; one so high that nobody could is no claim at all.
+    # The accused refute with a higher incarnation. A claim with too high an incarnation to refute is dropped.
     assert net.nodes["m0002"].machine.counts.refuted + net.nodes["m0002"].machine.me.incarnation > 0
     machine = net.nodes["m0002"].machine
-    absurd = Claim("m0005", THERE, incarnation=2**60, state=DEAD)
-    machine.receive(net.now, Message("news", updates=(absurd,)), "m0001", HERE)
+    irrefutable = Claim("m0005", THERE, incarnation=2**60, state=DEAD)
+    machine.receive(net.now, Message("news", updates=(irrefutable,)), "m0001", HERE)
     assert machine.entries["m0005"].claim.state == ALIVE and machine.counts.dropped
 
 
 @pytest.mark.parametrize("members", [3, 24, 72])
-def test_bytes_stay_within_the_budget_at_every_size_and_in_every_trouble(members):
+def test_member_sends_fewer_bytes_than_its_budget_under_loss_and_a_death(members):
     net = joined(9, members)
     before = {name: node.sent for name, node in net.nodes.items()}
     net.kill("m0001")
@@ -237,26 +242,26 @@
     st.lists(st.sampled_from("abcdefgh"), max_size=12), st.floats(0.1, 10.0), st.floats(1.0, 5.0)
 )
 @settings(max_examples=50)
-def test_a_doubt_shortens_with_each_that_shares_it_and_never_under_the_least(by, least, factor):
-    doubt = Suspicion(0.0, least, least * factor, {"me"})
-    ends = [doubt.expires_at()]
-    for name in by:
-        doubt.accusers.add(name)
-        ends.append(doubt.expires_at())
-    assert ends == sorted(ends, reverse=True) and least <= ends[-1] <= least * factor * 1.000001
-    if len(set(by)) >= CONFIRMATIONS_FOR_MINIMUM:
-        assert ends[-1] == pytest.approx(least)
-
-
-def test_a_member_without_nacks_doubts_itself_first():
+def test_suspicion_is_shortened_by_each_confirmation_down_to_its_minimum(accusers, minimum, factor):
+    suspicion = Suspicion(0.0, minimum, minimum * factor, {"me"})
+    ends = [suspicion.expires_at()]
+    for name in accusers:
+        suspicion.accusers.add(name)
+        ends.append(suspicion.expires_at())
+    assert ends == sorted(ends, reverse=True) and minimum <= ends[-1] <= minimum * factor * 1.000001
+    if len(set(accusers)) >= CONFIRMATIONS_FOR_MINIMUM:
+        assert ends[-1] == pytest.approx(minimum)
+
+
+def test_member_that_receives_no_nacks_worsens_its_own_health_score_before_removing_others():
     net = joined(11)
     net.cut(["m0001"], [name for name in net.nodes if name != "m0001"])
     net.run(4.0)
-    alone = net.nodes["m0001"].machine
-    assert 4 <= alone.health.score <= MAX_HEALTH_SCORE and len(alone.members()) > 20
+    isolated = net.nodes["m0001"].machine
+    assert 4 <= isolated.health.score <= MAX_HEALTH_SCORE and len(isolated.members()) > 20
 
 
-# ------------------------------------------------------------------------------------------------- on sockets
+# --------------------------------------------------------------------------------------------------- sockets
 
 
 def config(name, peers, **more):
@@ -266,7 +271,7 @@
 
 
 @story
-async def test_three_find_each_other_on_loopback_beside_a_flood_and_one_says_goodbye():
+async def test_three_members_on_loopback_find_each_other_during_a_flood_and_one_leaves():
     first = Members(config("a", [("127.0.0.1", 9)]))
     async with trio.open_nursery() as nursery:
         await nursery.start(first.run)
@@ -295,7 +300,7 @@
 
 
 @story
-async def test_the_service_has_its_members_at_the_door_and_none_without_the_key():
+async def test_service_reports_members_on_its_management_listener_only_if_configured():
     async with world(
         Peer("d1", done),
         mgmt="127.0.0.1:0",
@@ -307,8 +312,8 @@
         },
     ) as w:
         await w.until(lambda: w.service.subsystems[0].status()["members"])
-        said = ujson.loads((await w.call("GET /_members")).body)
-        assert [(m["name"], m["zone"]) for m in said["members"]] == [("yewrill", "north")]
+        status = ujson.loads((await w.call("GET /_members")).body)
+        assert [(m["name"], m["zone"]) for m in status["members"]] == [("yewrill", "north")]
         assert b"members_suspected:0|c" in (await w.call("GET /_vars")).body
         assert (await w.ask()).status == 200
     async with world(Peer("d1", done), mgmt="127.0.0.1:0") as w:
@@ -329,7 +334,7 @@
         ({"name": ""}, "members.name"),
     ],
 )
-def test_a_faulty_key_of_the_membership_is_named(change, key):
+def test_invalid_setting_of_the_section_members_is_named_in_the_error(change, key):
     from test_config import GOOD
 
     members = {"listen": "127.0.0.1:7", "peers": ["127.0.0.1:9"], "keys": ["ab" * 16]}
