--- a/yewrill/membership/config.py
+++ b/yewrill/membership/config.py
@@ -47,6 +47,6 @@
     recent_intervals: float = 8.0
     """A member counts as reachable if it sent a message within this many intervals."""
     one_way_intervals_per_member: float = 2.5
-    """Intervals, times the group's size, for which a member that our messages do not reach may be silent."""
+    """Intervals, times the group's size, for which a member that pings do not reach may be silent."""
     min_one_way_intervals: float = 20.0
     """Lower bound of that silence, in intervals."""
--- a/yewrill/membership/format.py
+++ b/yewrill/membership/format.py
@@ -63,9 +63,8 @@
 
     run: int
     highest: int = 0
-    seen_bits: int = (
-        0  # one bit per counter of the replay window, the lowest bit for the highest counter
-    )
+    # One bit per counter of the replay window, the lowest bit for the highest counter.
+    seen_bits: int = 0
     earlier_runs: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_EARLIER_RUNS))
 
     def accept(self, counter: int) -> bool:
--- a/yewrill/membership/gossip.py
+++ b/yewrill/membership/gossip.py
@@ -21,7 +21,7 @@
 
 
 class GossipQueue:
-    """At most one pending update per member, sent a number of times that grows with the group's logarithm."""
+    """At most one pending update per member, sent more often the larger the group is."""
 
     def __init__(self, table: MemberTable, config: SwimConfig):
         self._table = table
--- a/yewrill/membership/intake.py
+++ b/yewrill/membership/intake.py
@@ -70,7 +70,7 @@
         }
 
     def admits(self, now: float, source: tuple[str, int], size: int) -> bool:
-        """Returns whether a datagram of `size` bytes is processed; charges its budgets if so."""
+        """Returns whether a datagram of `size` bytes is processed, and charges the budgets of its source."""
         bucket = self._by_address.get(source)
         if bucket is None:
             admitted = self._unknown_sources.take(now, size)
--- a/yewrill/membership/messages.py
+++ b/yewrill/membership/messages.py
@@ -22,9 +22,9 @@
     region: str = ""
     incarnation: int = 0
     state: int = ALIVE
-    by: str = (
-        ""  # the member whose own probes raised the suspicion, or whose own messages disprove it
-    )
+    # The member whose own probes raised the suspicion; in a nack with an ALIVE claim, the member at which
+    # messages of the suspect arrive.
+    by: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 
     - ping: asks for an ack;
     - ack: the answer to a ping, or the statement that the member `about` is alive;
-    - nack: the asked member got no answer from the member `about`;
+    - nack: the sender got no ack from the member in question; `about` names it if the sender suspects it too;
     - help: asks the receiver to ping the member `about` (an indirect probe);
     - list: asks for the page of the member list that follows the name `about`;
     - news: carries gossip updates only;
@@ -44,12 +44,10 @@
     """
 
     kind: str
-    number: int = (
-        0  # of the request, also in its answer; in a list request the digest of the asker's list
-    )
-    about: str = (
-        ""  # the member that the message is about; in a ping the member that it is meant for
-    )
+    # Number of the request, repeated in its answer; in a list request the digest of the asker's list (0: none).
+    number: int = 0
+    # The member that the message is about; in a ping the member that it is meant for.
+    about: str = ""
     updates: tuple[Claim, ...] = ()
     payload: bytes = b""
 
