--- a/yewrill/lab/raftnet.py
+++ b/yewrill/lab/raftnet.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import Path, Wires
+from yewrill.lab.netsim import Path, VirtualNetwork
 from yewrill.lab.raftcheck import Broken
 from yewrill.leases.raft import Raft
 from yewrill.leases.raft_types import (
@@ -46,7 +46,7 @@
         return self.driver.raft
 
 
-class RaftNet(Wires):
+class RaftNet(VirtualNetwork):
     """The simulated voters and the network between them. Raises Broken if an invariant fails."""
 
     def __init__(
@@ -117,7 +117,7 @@
             voter.disk = output.save
             voter.saved_states = [*voter.saved_states, output.save][-6:]
         for message in output.messages:
-            self.carry(self.path(voter.name, message.to), lambda m=message: self._arrive(m))
+            self.deliver(self.path(voter.name, message.to), lambda m=message: self._arrive(m))
         if output.installed is not None:
             voter.applied_index = output.installed.index
         for index, entry in output.committed:
--- a/yewrill/lab/zonenet.py
+++ b/yewrill/lab/zonenet.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import Path, Wires
+from yewrill.lab.netsim import Path, VirtualNetwork
 from yewrill.zone_failover.machine import FailoverMachine, FailoverRules, Member
 
 
@@ -36,7 +36,7 @@
     rewrite_message: Callable[[bytes], bytes] | None = None
 
 
-class ZoneNet(Wires):
+class ZoneNet(VirtualNetwork):
     """The simulated fleet. `load` is the fraction of all slots in use; `plan`: members follow their plan."""
 
     def __init__(
@@ -193,7 +193,7 @@
             member.bytes_sent += len(data) + 60  # overhead of a membership datagram
             to = self._by_address.get(address)
             if to is not None:
-                self.carry(
+                self.deliver(
                     self.path(member.name, to.name),
                     lambda to=to, data=data: self._arrive(to, data, member),
                 )
--- a/yewrill/zone_failover/format.py
+++ b/yewrill/zone_failover/format.py
@@ -11,7 +11,7 @@
 
 import msgpack
 
-from yewrill.membership.format import text, whole
+from yewrill.membership.format import bounded_int, bounded_text
 from yewrill.zone_failover.plan import FULL_WEIGHT, MAX_ZONES, FailoverPlan, ZoneEntry
 
 DIGEST, ASK, ANSWER, PLAN, GET, HINT = range(6)
@@ -74,24 +74,27 @@
     """Decode one message. Raises Malformed."""
     try:
         kind, number, digest, *fields = msgpack.unpackb(data)
-        version = (whole(number, 2**48), text(digest, empty=True))
+        version = (bounded_int(number, 2**48), bounded_text(digest, empty=True))
         if kind == ASK:
-            return ZoneMessage(ASK, version, whole(fields[0], 2**32))
+            return ZoneMessage(ASK, version, bounded_int(fields[0], 2**32))
         if kind == ANSWER:
             poll_number, is_degraded, busy, counts, unreachable_zones = fields
             if not isinstance(busy, float) or not 0.0 <= busy <= 1e9 or len(counts) > MAX_ZONES:
                 raise ValueError("busy slots or number of zones out of range")
             valid_counts = {}
             for zone, ended, lost in counts:
-                valid_counts[text(zone)] = (whole(ended, MAX_ATTEMPT_COUNT), whole(lost, ended))
+                valid_counts[bounded_text(zone)] = (
+                    bounded_int(ended, MAX_ATTEMPT_COUNT),
+                    bounded_int(lost, ended),
+                )
             return ZoneMessage(
                 ANSWER,
                 version,
-                whole(poll_number, 2**32),
+                bounded_int(poll_number, 2**32),
                 bool(is_degraded),
                 busy,
                 valid_counts,
-                tuple(text(zone) for zone in unreachable_zones[:MAX_ZONES]),
+                tuple(bounded_text(zone) for zone in unreachable_zones[:MAX_ZONES]),
             )
         if kind == PLAN:
             if len(fields[0]) > MAX_ZONES:
@@ -99,9 +102,9 @@
             plan = FailoverPlan(
                 version[0],
                 {
-                    text(zone): ZoneEntry(
-                        whole(traffic_weight, FULL_WEIGHT - 1),
-                        whole(penalty_count, 64, 1),
+                    bounded_text(zone): ZoneEntry(
+                        bounded_int(traffic_weight, FULL_WEIGHT - 1),
+                        bounded_int(penalty_count, 64, 1),
                         is_recovering is True,
                     )
                     for zone, traffic_weight, penalty_count, is_recovering in fields[0]
@@ -111,7 +114,7 @@
                 raise ValueError("version and content of a plan don't match")
             return ZoneMessage(PLAN, version, plan=plan)
         if kind == HINT:
-            return ZoneMessage(HINT, version, unreachable_zones=(text(fields[0]),))
+            return ZoneMessage(HINT, version, unreachable_zones=(bounded_text(fields[0]),))
         if kind in (DIGEST, GET):
             return ZoneMessage(kind, version)
     except (
