--- a/tests/test_drawn.py
+++ b/tests/test_drawn.py
@@ -1,4 +1,8 @@
-"""Settings of customers that nobody has met yet: drawn ones start the program, and every rule is kept."""
+"""The dispatcher starts with any valid settings and keeps the rules for retries and answers.
+
+Settings of deployments are generated at random, and the workers end attempts in random ways. The tests guard
+against rules that hold only for the settings used elsewhere in the tests.
+"""
 
 import random
 import string
@@ -8,13 +12,14 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-NEVER_RAN = ("returned", "turned away")  # how an attempt can end that surely never ran
+NEVER_RAN = ("returned", "turned away")  # ends of attempts that certainly did not run
 ENDS = ["done", "done", "failed", "reset", "reset", "lost", "garbled", "half", "silent", *NEVER_RAN]
 NAMES = st.text(string.ascii_letters + string.digits + "._-", min_size=1, max_size=24)
 
 
 @st.composite
 def classes(draw):
+    """Generates a list of request classes in the form of the settings file."""
     found = []
     for name in draw(st.lists(NAMES, min_size=1, max_size=6, unique=True)):
         deadline = draw(st.sampled_from([150.0, 400.0, 1200.0]))
@@ -35,7 +40,7 @@
 
 @st.composite
 def customers(draw):
-    """A deployment's settings."""
+    """Generates the settings of a deployment."""
     tenants = draw(st.lists(NAMES, max_size=8, unique=True))
     return {
         **SETTINGS,
@@ -76,8 +81,8 @@
     }
 
 
-class Witness:
-    """What the workers saw: each attempt with its worker's cell, its times and how it was made to end."""
+class AttemptRecorder:
+    """Records the attempts at all workers: cell of the worker, times, and the way each was made to end."""
 
     def __init__(self, seed: int):
         self.seed = seed
@@ -85,10 +90,10 @@
 
     def script(self, cell: int):
         async def run(exchange):
-            mine = self.attempts.setdefault(exchange.id, [])
-            how = random.Random(f"{self.seed} {exchange.id} {len(mine)}").choice(ENDS)
+            attempts = self.attempts.setdefault(exchange.id, [])
+            how = random.Random(f"{self.seed} {exchange.id} {len(attempts)}").choice(ENDS)
             seen = {"at": trio.current_time(), "cell": cell, "how": how, "over": None}
-            mine.append(seen)
+            attempts.append(seen)
             try:
                 await END[how](exchange)
                 if how in ("garbled", "half", "silent", "lost"):
@@ -126,25 +131,31 @@
 }
 
 
-def kept(request_class: dict, tries: int, attempts: list[dict], status: int) -> None:
-    """The rules, held against what the workers saw of one request and what its client got."""
+def check_rules(request_class: dict, tries: int, attempts: list[dict], status: int) -> None:
+    """Checks the rules for one request, by its recorded attempts and the status that its client received."""
     assert len(attempts) <= tries
     ran = [a for a in attempts if a["how"] not in NEVER_RAN]
     for before, after in zip(attempts, attempts[1:], strict=False):
-        assert before["over"] is not None and before["over"] <= after["at"], "two attempts out"
+        assert before["over"] is not None and before["over"] <= after["at"], (
+            "two attempts at the same time"
+        )
     if request_class["repeat"] == "side_effect":
         assert len(ran) <= 1 and (not ran or ran[-1] is attempts[-1]), (
-            "sent again though it may have run"
+            "sent again although it may have run"
         )
     if request_class["repeat"] == "token" and ran:
         after = attempts[attempts.index(ran[0]) :]
-        assert after[-1]["at"] - ran[0]["at"] <= request_class["window"] / 1000.0, "past its window"
+        assert after[-1]["at"] - ran[0]["at"] <= request_class["window"] / 1000.0, (
+            "sent after its window"
+        )
         if request_class["group"] == "cell":
-            assert len({a["cell"] for a in after}) == 1, "outside its group"
-    bound = request_class["repeat"] == "side_effect" or (
+            assert len({a["cell"] for a in after}) == 1, "sent outside its group"
+    must_not_be_rejected = request_class["repeat"] == "side_effect" or (
         request_class["repeat"] == "token" and request_class["group"] != "all"
     )
-    assert not (status in (429, 503) and ran and bound), "refused though it may have run"
+    assert not (status in (429, 503) and ran and must_not_be_rejected), (
+        "rejected although it may have run"
+    )
     assert (status == 200) == bool(attempts and attempts[-1]["how"] == "done")
 
 
@@ -163,27 +174,27 @@
 
 @timed_story
 async def played(customer, seed):
-    witness = Witness(seed)
-    peers = [Peer(f"d{i}", witness.script(i // 2), cell=i // 2) for i in range(4)]
+    recorder = AttemptRecorder(seed)
+    peers = [Peer(f"d{i}", recorder.script(i // 2), cell=i // 2) for i in range(4)]
     async with world(*peers, settings=customer) as w:
 
-        async def one(i: int, request_class: dict) -> None:
+        async def send_one(i: int, request_class: dict) -> None:
             id, began = f"r{i}-{request_class['name']}", trio.current_time()
             tenants = [party["name"] for party in customer["parties"]]
             tenant = tenants[i % len(tenants)] if tenants else None
-            patience = request_class["deadline"]
+            timeout = request_class["deadline"]
             reply = await w.ask(
                 f"/{request_class['name']}",
                 X_Request_ID=id,
                 X_Tenant_Id=tenant,
-                X_Timeout_Ms=f"{patience:.0f}",
+                X_Timeout_Ms=f"{timeout:.0f}",
                 Idempotency_Key=f"k{i}",
             )
-            assert trio.current_time() - began <= patience / 1000.0
-            kept(
+            assert trio.current_time() - began <= timeout / 1000.0
+            check_rules(
                 request_class,
                 customer["limits"]["try_limit"],
-                witness.attempts.get(id, []),
+                recorder.attempts.get(id, []),
                 reply.status,
             )
             if reply.status == 200:
@@ -192,7 +203,7 @@
         async with trio.open_nursery() as nursery:
             for i in range(5):
                 for request_class in customer["request_classes"]:
-                    nursery.start_soon(one, i, request_class)
+                    nursery.start_soon(send_one, i, request_class)
         while w.service.engine.pending or w.service.open_requests.ids:
             await trio.sleep(0.05)
         assert (await w.ask("/up", method="GET")).status == 200
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -1,16 +1,20 @@
-"""A request's own waiting time says nothing of the requests that others send."""
+"""A long timeout of one client does not affect the requests of other clients.
+
+Guards against a usual client timeout that follows the longest one: it would have the requests of all other
+clients taken for late retries and rejected.
+"""
 
 import pytest
 from helper import Peer, done, story, world
 
-CLASS_DEADLINE = 3000  # of the helper's settings
+CLASS_DEADLINE_MS = 3000  # of the helper's settings
 REQUESTS = 20
 
 
-@pytest.mark.parametrize("longest", [60_000, CLASS_DEADLINE])
+@pytest.mark.parametrize("longest", [60_000, CLASS_DEADLINE_MS])
 @pytest.mark.parametrize("usual", [2000, 600])
 @story
-async def test_one_client_with_a_long_timeout_has_no_others_rejected_on_an_idle_fleet(
+async def test_one_client_with_a_long_timeout_does_not_cause_rejections_on_an_idle_fleet(
     longest, usual
 ):
     peers = [Peer(f"d{i}", done) for i in range(3)]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,7 @@
-"""Whatever befell the workers, once they are well no class stays shut out."""
+"""After any history of worker faults, each request class is served again once the workers have recovered.
+
+Guards against estimates made during faults that have all requests of a class rejected for good.
+"""
 
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from hypothesis import strategies as st
@@ -7,12 +10,14 @@
 from yewrill.policy import interface as api
 
 WORKERS, SLOTS = 4, 8
-RECOVERY, WATCHED = 10_000.0, 5_000.0
+RECOVERY_MS, OBSERVED_MS = 10_000.0, 5_000.0
 
 
 @st.composite
 def classes(draw):
-    """A class, its part of the traffic, and what its clients do: in time if it starts at once."""
+    """Generates a class, its part of the traffic, its run time, its client timeouts and its hint.
+
+    A request that starts at once is in time."""
     run_time = draw(st.floats(20.0, 300.0))
     objective = run_time * draw(st.floats(2.0, 12.0))
     factor = draw(st.one_of(st.just(0.0), st.floats(0.0, 3.0)))
@@ -44,7 +49,7 @@
 @seed(20261203)
 @settings(
     max_examples=8,
-    phases=[Phase.generate],  # a history takes seconds: a failing one is not made smaller
+    phases=[Phase.generate],  # no shrinking of failing examples, as each takes seconds
     deadline=None,
     suppress_health_check=list(HealthCheck),
     database=None,
@@ -55,10 +60,11 @@
     st.integers(0, 2**16),
     st.booleans(),
 )
-def test_after_any_history_each_class_is_served_by_well_workers_at_half_load(
+def test_after_any_history_of_faults_each_class_is_served_by_recovered_workers_at_half_load(
     drawn, history, number, marks_retry
 ):
-    # Shut out is who gets nothing for good; that all are served in full is not reached yet (capacity page).
+    # Checks only that some requests of each class are served: that all are served is not reached yet (see the
+    # capacity page).
     total = sum(part for _, part, *_ in drawn)
     half = WORKERS * SLOTS / 2
     traffic = [
@@ -75,12 +81,12 @@
         marks_retry=marks_retry,
     )
     world = OverloadWorld(rules, traffic, history, WORKERS, SLOTS, number)
-    well = max(episode.ends for episode in history) + RECOVERY
-    world.run_until(well + WATCHED + max(spec.deadline for spec, *_ in drawn))
+    recovered = max(episode.ends for episode in history) + RECOVERY_MS
+    world.run_until(recovered + OBSERVED_MS + max(spec.deadline for spec, *_ in drawn))
     for position in range(len(drawn)):
         answers = [
             answer.served
-            for answer in world.answers_between(well, well + WATCHED)
+            for answer in world.answers_between(recovered, recovered + OBSERVED_MS)
             if answer.request_class == position
         ]
         assert any(answers)
--- a/tests/test_shut_out.py
+++ b/tests/test_shut_out.py
@@ -1,4 +1,8 @@
-"""No class stays refused once its workers are well again, whatever was learned while they were not."""
+"""No request class stays rejected after its workers have recovered from slow runs.
+
+The tests guard against run time estimates that cause all requests of a class to be rejected and that only
+served requests of this class could correct.
+"""
 
 import pytest
 
@@ -6,11 +10,13 @@
 from yewrill.policy import interface as api
 from yewrill.policy.interface import RejectionReason
 
-RUN_TIME = 50.0
-CLIENT_TIMEOUTS, WEIGHTS = (400.0, 1000.0, 2000.0, 2500.0), (3, 6, 10, 10)
+RUN_TIME_MS = 50.0
+CLIENT_TIMEOUTS_MS, TIMEOUT_WEIGHTS = (400.0, 1000.0, 2000.0, 2500.0), (3, 6, 10, 10)
 ALL_WORKERS = frozenset(range(4))
-WELL, RECOVERY, WATCHED = 2000.0, 3000.0, 17000.0
-STARTS = pytest.mark.parametrize("reports_start", [True, False], ids=["starts", "no starts"])
+EPISODE_START_MS, RECOVERY_MS, OBSERVED_MS = 2000.0, 3000.0, 17000.0
+BOTH_REPORT_MODES = pytest.mark.parametrize(
+    "reports_start", [True, False], ids=["starts", "no starts"]
+)
 
 
 def settings(reports_start, *classes, **more):
@@ -26,23 +32,28 @@
     )
 
 
-def tour(stretch=0.0):
+def tour_class(objective_run_factor=0.0):
     return api.RequestClass(
-        "tour", latency_objective=300.0, deadline=2500.0, objective_run_factor=stretch
+        "tour",
+        latency_objective=300.0,
+        deadline=2500.0,
+        objective_run_factor=objective_run_factor,
     )
 
 
-def requests(rate, run_time=RUN_TIME, **more):
-    return Traffic(rate, run_time, CLIENT_TIMEOUTS, WEIGHTS, **more)
+def requests(rate, run_time=RUN_TIME_MS, **more):
+    return Traffic(rate, run_time, CLIENT_TIMEOUTS_MS, TIMEOUT_WEIGHTS, **more)
 
 
 def slow(run_time, duration):
-    factor = run_time / RUN_TIME
-    return Episode(Condition.SLOW, WELL, WELL + duration, ALL_WORKERS, factor)
+    factor = run_time / RUN_TIME_MS
+    return Episode(
+        Condition.SLOW, EPISODE_START_MS, EPISODE_START_MS + duration, ALL_WORKERS, factor
+    )
 
 
 @pytest.mark.parametrize(
-    "run_time, duration, stretch",
+    "run_time, duration, objective_run_factor",
     [
         (310.0, 10000.0, 0.0),
         (500.0, 3000.0, 0.0),
@@ -52,61 +63,63 @@
         (2000.0, 10000.0, 1.75),
     ],
 )
-@STARTS
-def test_nothing_is_refused_from_three_seconds_after_a_spell_of_slow_runs(
-    run_time, duration, stretch, reports_start
+@BOTH_REPORT_MODES
+def test_three_seconds_after_an_episode_of_slow_runs_no_request_is_rejected(
+    run_time, duration, objective_run_factor, reports_start
 ):
     world = OverloadWorld(
-        settings(reports_start, tour(stretch)), [requests(40.0)], [slow(run_time, duration)]
+        settings(reports_start, tour_class(objective_run_factor)),
+        [requests(40.0)],
+        [slow(run_time, duration)],
     )
-    recovered = WELL + duration + RECOVERY
-    world.run_until(recovered + WATCHED + 4000.0)
-    assert len(world.answers_between(recovered, recovered + WATCHED)) > 500
-    assert not world.not_served_between(recovered, recovered + WATCHED)
+    recovered = EPISODE_START_MS + duration + RECOVERY_MS
+    world.run_until(recovered + OBSERVED_MS + 4000.0)
+    assert len(world.answers_between(recovered, recovered + OBSERVED_MS)) > 500
+    assert not world.not_served_between(recovered, recovered + OBSERVED_MS)
 
 
 @pytest.mark.parametrize("run_time", [150.0, 250.0, 290.0, 300.0, 800.0, 2000.0])
-@STARTS
-def test_one_slow_first_request_has_no_others_refused(run_time, reports_start):
-    # Guards, without start notices, against a quantile of run times that falls by a hundredth a request.
+@BOTH_REPORT_MODES
+def test_one_slow_first_request_does_not_cause_rejections(run_time, reports_start):
+    # Where starts are not reported, guards against a run time quantile that falls by only 1 % per request.
     world = OverloadWorld(
-        settings(reports_start, tour()),
+        settings(reports_start, tour_class()),
         [requests(60.0)],
         first_run_times=[run_time],
         first_request_alone=True,
     )
-    recovered = run_time + RECOVERY
-    world.run_until(recovered + WATCHED + 4000.0)
-    assert len(world.answers_between(recovered, recovered + WATCHED)) > 800
-    assert not world.not_served_between(recovered, recovered + WATCHED)
+    recovered = run_time + RECOVERY_MS
+    world.run_until(recovered + OBSERVED_MS + 4000.0)
+    assert len(world.answers_between(recovered, recovered + OBSERVED_MS)) > 800
+    assert not world.not_served_between(recovered, recovered + OBSERVED_MS)
 
 
-@pytest.mark.parametrize("hint", [RUN_TIME, 100 * RUN_TIME, 0.01 * RUN_TIME])
-def test_what_clients_state_of_their_cost_shuts_nobody_out(hint):
+@pytest.mark.parametrize("hint", [RUN_TIME_MS, 100 * RUN_TIME_MS, 0.01 * RUN_TIME_MS])
+def test_hints_that_are_far_from_the_run_time_do_not_cause_rejections(hint):
     world = OverloadWorld(
-        settings(True, tour()), [requests(40.0, hint=hint)], [slow(500.0, 3000.0)]
+        settings(True, tour_class()), [requests(40.0, hint=hint)], [slow(500.0, 3000.0)]
     )
-    recovered = WELL + 3000.0 + RECOVERY
-    world.run_until(recovered + WATCHED + 4000.0)
-    assert not world.not_served_between(recovered, recovered + WATCHED)
+    recovered = EPISODE_START_MS + 3000.0 + RECOVERY_MS
+    world.run_until(recovered + OBSERVED_MS + 4000.0)
+    assert not world.not_served_between(recovered, recovered + OBSERVED_MS)
 
 
-def test_while_runs_are_slow_the_trials_take_no_work_from_a_class_that_is_in_time():
+def test_trials_during_slow_runs_do_not_delay_a_class_that_is_served_in_time():
     patient = api.RequestClass("patient", latency_objective=2000.0, deadline=2500.0)
     world = OverloadWorld(
-        settings(True, tour(), patient),
-        [requests(40.0), Traffic(8.0, RUN_TIME, (2500.0,))],
+        settings(True, tour_class(), patient),
+        [requests(40.0), Traffic(8.0, RUN_TIME_MS, (2500.0,))],
         [slow(500.0, 10000.0)],
     )
-    world.run_until(WELL + 14000.0)
-    in_spell = world.answers_between(WELL + 1000.0, WELL + 10000.0)
-    served = [answer.served for answer in in_spell if answer.request_class == 1]
+    world.run_until(EPISODE_START_MS + 14000.0)
+    during_episode = world.answers_between(EPISODE_START_MS + 1000.0, EPISODE_START_MS + 10000.0)
+    served = [answer.served for answer in during_episode if answer.request_class == 1]
     assert len(served) > 50 and all(served)
-    # One trial at a time, with a pause after each.
-    later = world.answers_between(WELL + 4000.0, WELL + 10000.0)
+    # One trial of 0.5 s at a time, with a pause of at least 0.1 s after each.
+    later = world.answers_between(EPISODE_START_MS + 4000.0, EPISODE_START_MS + 10000.0)
     tours = [answer.served for answer in later if answer.request_class == 0]
     assert len(tours) > 200 and 2 <= sum(tours) <= 6.0 / (0.5 + 0.1)
-    reasons = world.not_served_between(WELL + 4000.0, WELL + 10000.0)
+    reasons = world.not_served_between(EPISODE_START_MS + 4000.0, EPISODE_START_MS + 10000.0)
     assert {reason for _, reason in reasons} <= {
         RejectionReason.TOO_LATE,
         RejectionReason.DEADLINE_WITH_ATTEMPT,
@@ -114,23 +127,28 @@
 
 
 @pytest.mark.parametrize("hint", [1.0, 70.0])
-def test_many_requests_at_once_do_not_multiply_the_ratio_of_run_time_to_stated_cost(hint):
-    # Guards against a ratio that each of them moves by what it was when they came.
-    world = OverloadWorld(settings(True, tour(2.0)), [requests(150.0, 105.0, hint=hint)], slots=8)
-    world.run_until(WELL)
+def test_many_concurrent_requests_do_not_overcorrect_the_ratio_of_run_time_to_hint(hint):
+    # Guards against a ratio that concurrent requests all correct from its value at their arrival.
+    world = OverloadWorld(
+        settings(True, tour_class(2.0)), [requests(150.0, 105.0, hint=hint)], slots=8
+    )
+    world.run_until(EPISODE_START_MS)
     assert world.dispatcher.admission.classes[0].hint_ratio == pytest.approx(105.0 / hint, rel=0.15)
-    world.run_until(WELL + WATCHED + 4000.0)
-    assert not world.not_served_between(WELL, WELL + WATCHED)
+    world.run_until(EPISODE_START_MS + OBSERVED_MS + 4000.0)
+    assert not world.not_served_between(EPISODE_START_MS, EPISODE_START_MS + OBSERVED_MS)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_worker_that_was_slow_for_seconds_gets_work_again_once_it_is_well(seed):
-    # Guards against a speed estimate that only requests there could change, and that keeps them away.
-    slow_ones = frozenset((0, 1))
-    episode = Episode(Condition.SLOW, WELL, WELL + 8000.0, slow_ones, 8.0)
+    # Guards against a speed estimate that keeps requests away from a worker, while only requests there could
+    # correct it.
+    slow_workers = frozenset((0, 1))
+    episode = Episode(
+        Condition.SLOW, EPISODE_START_MS, EPISODE_START_MS + 8000.0, slow_workers, 8.0
+    )
     spec = api.RequestClass("tour", latency_objective=1000.0, deadline=2500.0)
-    traffic = [Traffic(150.0, 60.0, (2500.0,))]  # half of what the fleet can do
+    traffic = [Traffic(150.0, 60.0, (2500.0,))]  # half of the fleet's capacity
     world = OverloadWorld(settings(True, spec), traffic, [episode], slots=5, seed=seed)
-    world.run_until(WELL + 8000.0 + 15000.0)
-    for number in slow_ones:
+    world.run_until(EPISODE_START_MS + 8000.0 + 15000.0)
+    for number in slow_workers:
         assert world.dispatcher.fleet.workers[f"w{number}"].last_sent_at > world.now - 5000.0
