--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -65,8 +65,8 @@
         # Crossing zones costs nothing here, so the workers of both zones count as near.
         entries = [api.WorkerEntry(n, zone=int(n[-1], 16) % 2) for n in names]
         d.handle(0.0, [api.WorkerList(api.ListForm.FULL, entries)])
-        ours = {w.name for w in d.fleet.workers.values() if w.capacity_fraction > 0.0}
-        assert {w.name for w in d.fleet.subset[-1]} == ours
+        with_capacity = {w.name for w in d.fleet.workers.values() if w.capacity_fraction > 0.0}
+        assert {w.name for w in d.fleet.subset[-1]} == with_capacity
         found.append({w.name: w.capacity_fraction for w in d.fleet.subset[-1]})
     return found
 
