--- a/tests/test_log_states.py
+++ b/tests/test_log_states.py
@@ -1,4 +1,8 @@
-"""State machines carried by the replicated log: the same everywhere, nothing acknowledged lost or skipped."""
+"""State machines on the replicated log.
+
+All voters must hold the same state, acknowledged submissions must survive crashes of all voters, and a voter
+that lacks a machine must stop instead of skipping an entry.
+"""
 
 import msgpack
 import pytest
@@ -15,7 +19,7 @@
 
 
 class Ledger:
-    """Takes each number once, and says which place it has."""
+    """A state machine that stores each value once, and returns its position."""
 
     def __init__(self):
         self.taken, self.times = [], []
@@ -33,7 +37,7 @@
         self.taken = msgpack.unpackb(data) if data else []
 
 
-def ledgers(net):
+def ledger_states(net):
     return {
         name: m.node.machines["ledger"].taken
         for name, m in net.members.items()
@@ -41,39 +45,39 @@
     }
 
 
-def submit(net, who, data):
-    number = net.members[who].node.submit("ledger", data, net.now * net.members[who].rate)
+def submit(net, member, data):
+    number = net.members[member].node.submit("ledger", data, net.now * net.members[member].rate)
     assert number
     return number
 
 
-def answered(net, who, number, most=60.0):
-    node = net.members[who].node
-    assert net.until(lambda: number in node.results, most, 0.05) is not None
+def wait_for_result(net, member, number, max_seconds=60.0):
+    node = net.members[member].node
+    assert net.until(lambda: number in node.results, max_seconds, 0.05) is not None
     return node.results[number]
 
 
-def net_of(seed, **more):
-    return OwnNet(seed, machines=lambda: {"ledger": Ledger()}, **more).run(5.0)
+def started_net(seed, **options):
+    return OwnNet(seed, machines=lambda: {"ledger": Ledger()}, **options).run(5.0)
 
 
-def test_any_member_may_submit_and_all_voters_hold_the_same():
-    net = net_of(1)
+def test_submissions_of_any_member_give_all_voters_the_same_state():
+    net = started_net(1)
     for i in range(6):
-        assert answered(net, f"m{i}", submit(net, f"m{i}", b"%d" % i)) == b"%d" % i
+        assert wait_for_result(net, f"m{i}", submit(net, f"m{i}", b"%d" % i)) == b"%d" % i
     net.run(2.0)
-    assert set(map(tuple, ledgers(net).values())) == {tuple(b"%d" % i for i in range(6))}
+    assert set(map(tuple, ledger_states(net).values())) == {tuple(b"%d" % i for i in range(6))}
     times = net.members["m0"].node.machines["ledger"].times
     assert times == sorted(times)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_what_was_acknowledged_outlasts_kills_loss_and_a_stop_of_all(seed):
-    net = net_of(seed, path=Path(delay=0.003, jitter=0.01, loss=0.2, twice=0.1))
-    asked, places = [], {}
+def test_acknowledged_submissions_survive_loss_kills_and_a_stop_of_all_voters(seed):
+    net = started_net(seed, path=Path(delay=0.003, jitter=0.01, loss=0.2, twice=0.1))
+    submissions, positions = [], {}
     for i in range(30):
-        who = f"m{3 + i % 3}"
-        asked.append((who, submit(net, who, b"%d" % i), b"%d" % i))
+        member = f"m{3 + i % 3}"
+        submissions.append((member, submit(net, member, b"%d" % i), b"%d" % i))
         if i % 10 == 5:
             net.kill(f"m{i % 3}")
         net.run(0.4)
@@ -82,22 +86,25 @@
                 if not net.members[name].up:
                     net.restart(name)
     net.peace()
-    for who, number, data in asked:
-        places[data] = int(answered(net, who, number))
+    for member, number, data in submissions:
+        positions[data] = int(wait_for_result(net, member, number))
     for name in net.voters:
         net.kill(name)
     net.run(1.0)
     net.peace()
     net.run(10.0)
-    assert answered(net, "m3", submit(net, "m3", b"last")) == b"30"
+    assert wait_for_result(net, "m3", submit(net, "m3", b"last")) == b"30"
     net.run(2.0)
-    held = ledgers(net)
-    assert len(set(map(tuple, held.values()))) == 1
-    assert all(held["m0"][place] == data for data, place in places.items()) and len(places) == 30
+    states = ledger_states(net)
+    assert len(set(map(tuple, states.values()))) == 1
+    assert (
+        all(states["m0"][position] == data for data, position in positions.items())
+        and len(positions) == 30
+    )
 
 
-def test_a_snapshot_has_all_machines_and_a_voter_comes_back_by_it():
-    net = net_of(2)
+def test_a_restarted_voter_recovers_all_machines_from_a_snapshot():
+    net = started_net(2)
     net.kill("m2")
     for i in range(SNAPSHOT_AFTER_ENTRIES + 40):
         submit(net, "m4", b"%d" % i)
@@ -107,29 +114,32 @@
     assert leader.node.driver.raft.snapshot.index > 0
     net.restart("m2")
     net.run(20.0)
-    held = ledgers(net)
-    assert held["m2"] == held["m0"] == held["m1"] and len(held["m2"]) == SNAPSHOT_AFTER_ENTRIES + 40
+    states = ledger_states(net)
+    assert (
+        states["m2"] == states["m0"] == states["m1"]
+        and len(states["m2"]) == SNAPSHOT_AFTER_ENTRIES + 40
+    )
 
 
-def test_a_voter_that_lacks_a_machine_stops_and_skips_nothing():
-    net = net_of(3)
-    without = next(
+def test_a_voter_that_lacks_a_machine_stops_and_skips_no_entry():
+    net = started_net(3)
+    node_without_machine = next(
         m.node
         for n, m in net.members.items()
         if n in net.voters and m.node.driver.raft.role != LEADER
     )
-    without.machines.clear()
-    assert answered(net, "m5", submit(net, "m5", b"x")) == b"0"
+    node_without_machine.machines.clear()
+    assert wait_for_result(net, "m5", submit(net, "m5", b"x")) == b"0"
     net.run(3.0)
-    assert "can't read" in without.failed
-    assert answered(net, "m5", submit(net, "m5", b"y")) == b"1"  # the other two go on
+    assert "can't read" in node_without_machine.failed
+    assert wait_for_result(net, "m5", submit(net, "m5", b"y")) == b"1"  # the other two voters go on
 
 
-def test_what_nobody_knows_is_said_so_and_what_waits_is_bounded():
-    net = net_of(4)
+def test_an_unknown_machine_gives_no_result_and_pending_submissions_are_bounded():
+    net = started_net(4)
     node = net.members["m5"].node
     number = node.submit("calendar", b"", net.now)
-    assert answered(net, "m5", number) is None
+    assert wait_for_result(net, "m5", number) is None
     for name in net.voters:
         net.kill(name)
     numbers = [node.submit("ledger", b"", net.now) for _ in range(MAX_PENDING_SUBMISSIONS)]
@@ -138,16 +148,19 @@
     assert node.submit("ledger", b"", net.now) > 0
 
 
-def test_snapshots_of_duties_alone_are_as_they_were():
-    duties = LeaseTable(clock=7, highest_numbers={"zones": 3})
-    assert pack_all(duties, {}) == duties.pack()
+def test_a_snapshot_of_the_lease_table_alone_keeps_its_format():
+    lease_table = LeaseTable(clock=7, highest_numbers={"zones": 3})
+    assert pack_all(lease_table, {}) == lease_table.pack()
     ledger = Ledger()
     ledger.apply(1, b"x")
-    whole = pack_all(duties, {"ledger": ledger})
+    snapshot = pack_all(lease_table, {"ledger": ledger})
     other = Ledger()
-    assert restore_all(whole, {"ledger": other}) == (duties, "") and other.taken == [b"x"]
-    assert restore_all(duties.pack(), {"ledger": other}) == (duties, "") and other.taken == []
-    assert restore_all(whole, {}) == (duties, "ledger")
+    assert restore_all(snapshot, {"ledger": other}) == (lease_table, "") and other.taken == [b"x"]
+    assert (
+        restore_all(lease_table.pack(), {"ledger": other}) == (lease_table, "")
+        and other.taken == []
+    )
+    assert restore_all(snapshot, {}) == (lease_table, "ledger")
 
 
 @pytest.mark.parametrize(
@@ -159,5 +172,5 @@
         Submitted(9, False, False, b"", "m1"),
     ],
 )
-def test_what_is_submitted_comes_out_as_it_went_in(what):
+def test_submit_messages_are_equal_after_packing_and_unpacking(what):
     assert unpack(pack(what)) == what
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The log: events and keys read from the lines as they are, floods thinned, a reader that has stopped."""
+"""Logging: parsing of events and keys, output formats, the rate limit, and a reader that never reads."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def record(text: str, *args, **more) -> logging.LogRecord:
-    made = logging.LogRecord("yewrill", logging.INFO, "", 0, text, args, None)
-    made.__dict__.update(more)
-    return made
+def record(text: str, *args, **attributes) -> logging.LogRecord:
+    created = logging.LogRecord("yewrill", logging.INFO, "", 0, text, args, None)
+    created.__dict__.update(attributes)
+    return created
 
 
 @pytest.mark.parametrize(
@@ -67,14 +67,14 @@
         ("a bare 100% line", (), "a bare 100% line", {}, ""),
     ],
 )
-def test_event_and_keys_come_from_the_template(text, args, event, keys, rest):
+def test_parse_event_reads_event_and_keys_from_the_template(text, args, event, keys, rest):
     if "100%" in text:
         assert parse_event(record(text, *args))[0] in ("a", text)
     else:
         assert parse_event(record(text, *args)) == (event, keys, rest)
 
 
-def test_every_event_that_the_program_logs_is_told_to_operators():
+def test_every_event_that_the_program_logs_is_documented():
     pages = "".join(page.read_text() for page in (ROOT / "docs").glob("*.md"))
     pattern = re.compile(r"""log\.(?:info|warning|error|exception)\(\s*f?"([a-z][\w'-]*)""")
     sources = [source.read_text() for source in (ROOT / "yewrill").rglob("*.py")]
@@ -83,7 +83,7 @@
     assert not {event for event in found if event not in pages}
 
 
-def test_json_lines_have_event_level_keys_and_what_they_belong_to():
+def test_json_lines_have_event_level_keys_and_request():
     line = ujson.loads(
         formatter("json").format(
             record(
@@ -123,35 +123,35 @@
     assert "ValueError: why" in ujson.loads(formatter("json").format(broken))["exception"]
 
 
-def test_a_flood_of_one_event_is_thinned_with_a_count_and_others_are_not():
+def test_the_rate_limit_suppresses_and_counts_lines_of_one_event_only():
     now = [0.0]
-    thinner = RateLimitFilter(3, lambda: now[0])
-    assert [thinner.filter(record("flood n=%d", i)) for i in range(6)] == [True] * 3 + [False] * 3
-    assert thinner.filter(record("other"))
+    limiter = RateLimitFilter(3, lambda: now[0])
+    assert [limiter.filter(record("flood n=%d", i)) for i in range(6)] == [True] * 3 + [False] * 3
+    assert limiter.filter(record("other"))
     now[0] = 1.0
     after = record("flood")
-    assert thinner.filter(after) and after.thinned == 3
+    assert limiter.filter(after) and after.thinned == 3
 
 
-def test_a_reader_that_has_stopped_holds_nobody_up_and_what_is_lost_is_counted():
-    read = threading.Event()
+def test_a_reader_that_never_reads_blocks_no_caller_and_dropped_lines_are_counted():
+    may_read = threading.Event()
 
-    class Stuck(io.StringIO):
+    class BlockedStream(io.StringIO):
         def write(self, text: str) -> int:
-            read.wait(10)
+            may_read.wait(10)
             return super().write(text)
 
-    stuck = Stuck()
-    with logging_to(stuck, "INFO", "plain") as queued:
+    blocked = BlockedStream()
+    with logging_to(blocked, "INFO", "plain") as queue_handler:
         for i in range(MAX_QUEUED_LINES + 500):
             logging.getLogger("t").info(f"line{i}")
-        lost = queued.lost
-        assert 490 <= lost <= 500  # one or two are with the reader
-        read.set()
-        while not queued.queue.empty():
+        lost = queue_handler.lost
+        assert 490 <= lost <= 500  # one or two are at the blocked reader
+        may_read.set()
+        while not queue_handler.queue.empty():
             threading.Event().wait(0.001)
         logging.getLogger("t").info("after")
-    assert stuck.getvalue().endswith(f"after lost={lost}\n")
+    assert blocked.getvalue().endswith(f"after lost={lost}\n")
     out = io.StringIO()
     with logging_to(out, "INFO", "plain"):
         logging.getLogger("t").info("heard")
@@ -159,15 +159,15 @@
 
 
 @story
-async def test_lines_of_an_operation_lead_to_its_trace(tmp_path, caplog):
-    async def garbled(exchange):
+async def test_log_lines_of_a_request_have_its_id_and_trace(tmp_path, caplog):
+    async def malformed_response(exchange):
         await exchange.raw("no line of the protocol\n")
         await exchange.closed()
 
     out = io.StringIO()
     with logging_to(out, "INFO", "json"):
         async with world(
-            Peer("d1", garbled), tracing={"file": str(tmp_path / "t"), "share": 0.0}
+            Peer("d1", malformed_response), tracing={"file": str(tmp_path / "t"), "share": 0.0}
         ) as w:
             assert (await w.ask("/once", X_Request_ID="r1")).status == 502
             await w.until(
@@ -179,7 +179,7 @@
     assert (line["request"], line["trace"]) == ("r1", kept["trace"])
 
 
-def test_the_program_speaks_json_and_names_a_form_it_does_not_know(tmp_path):
+def test_the_log_format_option_accepts_json_and_rejects_an_unknown_format(tmp_path):
     config = tmp_path / "c.json"
     config.write_text(
         ujson.dumps(
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,5 +1,9 @@
-"""The standing checks, each with its crossing forced: no request without an answer, no process that serves
-nobody, an end right after an accept, a reload followed by a drain."""
+"""Checks of races that are forced here and rare otherwise.
+
+A shutdown right after an accept, workers that never answer while the service shuts down, a reload right
+before a worker's drain or before the shutdown, and many dispatchers that share cold workers. Every request
+must be answered, and every dispatcher must send some of its requests to workers.
+"""
 
 import pytest
 import trio
@@ -11,32 +15,34 @@
 from yewrill.net.listener import Listener
 from yewrill.policy import interface as api
 
-FOUR_SECONDS = 4000.0  # in which a dispatcher that gets so many requests has to send one on
-ENOUGH = 15
+# A dispatcher that receives at least MIN_ARRIVALS requests in this time must send at least one to a worker.
+WINDOW_MS = 4000.0
+MIN_ARRIVALS = 15
 
 
-@pytest.mark.parametrize("already_sent", [True, False])
+@pytest.mark.parametrize("sent_before_accept", [True, False])
 @story
-async def test_a_client_accepted_in_the_turn_of_the_end_has_its_answer(already_sent, monkeypatch):
+async def test_a_client_accepted_in_the_turn_of_the_shutdown_gets_its_answer(
+    sent_before_accept, monkeypatch
+):
     peer, accepted = Peer("d1", done), []
     async with world(peer, settings=ROOMY, timing={"linger_ms": 0, "grace_ms": 1500}) as w:
         real = Listener._accept_one
 
-        def accepts(listener):
+        def accept_then_drain(listener):
             found = real(listener)
             if listener is w.service.listener and listener.clients and not accepted:
                 accepted.append(True)
-                w.nursery.start_soon(
-                    w.service.drain
-                )  # as SIGTERM does; the accepted one was not read yet
+                # The drain starts, as after SIGTERM, before the accepted connection is read.
+                w.nursery.start_soon(w.service.drain)
             return found
 
-        monkeypatch.setattr(Listener, "_accept_one", accepts)
+        monkeypatch.setattr(Listener, "_accept_one", accept_then_drain)
         client = await w.client()
-        if already_sent:
+        if sent_before_accept:
             client.stream.socket._sock.send(raw_request("r1"))
         await w.until(lambda: accepted)
-        if not already_sent:
+        if not sent_before_accept:
             await client.stream.send_all(raw_request("r1"))
         assert (await client.reply()).status == 200
         assert await client.stream.receive_some() == b""
@@ -46,7 +52,7 @@
 
 @FRONTS
 @timed_story
-async def test_no_request_is_left_without_an_answer_by_workers_that_are_silent_and_an_end(front):
+async def test_a_shutdown_answers_every_request_although_workers_never_answer(front):
     peers = [Peer(f"d{i}", hang) for i in range(3)]
     async with world(
         *peers, front=front, settings=ROOMY, timing={"linger_ms": 50, "grace_ms": 1400}
@@ -66,52 +72,53 @@
 
 
 @pytest.mark.parametrize("dispatchers, seed", [(20, 1), (24, 2), (30, 3)])
-def test_no_dispatcher_of_many_serves_nobody_while_all_workers_are_cold(dispatchers, seed):
+def test_every_one_of_many_dispatchers_sends_requests_while_all_workers_are_cold(dispatchers, seed):
     fleet = World(seed, dispatchers=dispatchers, workers=12, load=0.3)
     arrived: list[list[float]] = [[] for _ in range(dispatchers)]
     sent: list[list[float]] = [[] for _ in range(dispatchers)]
     tell, reach = fleet.tell, fleet.reach
 
-    def telling(index, events):
+    def record_arrivals(index, events):
         arrived[index] += [fleet.now for event in events if isinstance(event, api.RequestArrived)]
         tell(index, events)
 
-    def reaching(index, job, number, name):
+    def record_sent(index, job, number, name):
         sent[index].append(fleet.now)
         reach(index, job, number, name)
 
-    fleet.tell, fleet.reach = telling, reaching
+    fleet.tell, fleet.reach = record_arrivals, record_sent
     for host in fleet.hosts.values():
         host.launched = fleet.now
     for index in range(dispatchers):
-        fleet.restart(index)  # each knows the list, and has learned nothing
-    fleet.rate = dispatchers * 10.0 / 1000.0  # ten a second at each: over what cold workers do
+        fleet.restart(index)  # with the endpoint list, but without estimates
+    fleet.rate = dispatchers * 10.0 / 1000.0  # ten a second at each: more than cold workers can run
     fleet.next_arrival()
-    fleet.run(3 * FOUR_SECONDS)
+    fleet.run(3 * WINDOW_MS)
     windows = 0
     for index in range(dispatchers):
         times = arrived[index]
-        for first in range(len(times) - ENOUGH):
-            span = times[first], times[first + ENOUGH - 1]
-            if span[1] - span[0] >= FOUR_SECONDS - 500.0:
+        for first in range(len(times) - MIN_ARRIVALS):
+            span = times[first], times[first + MIN_ARRIVALS - 1]
+            if span[1] - span[0] >= WINDOW_MS - 500.0:
                 continue
-            until = span[0] + FOUR_SECONDS
-            if until > fleet.now:
+            window_end = span[0] + WINDOW_MS
+            if window_end > fleet.now:
                 break
             windows += 1
-            assert any(span[0] <= at <= until for at in sent[index]), (index, span)
+            assert any(span[0] <= at <= window_end for at in sent[index]), (index, span)
     assert windows > 10 * dispatchers
 
 
 @timed_story
-async def test_a_reload_that_moves_discovery_is_followed_by_a_workers_drain():
+async def test_a_workers_drain_right_after_a_reload_that_moves_discovery_is_noticed():
     peers = [Peer("d1", done), Peer("d2", done)]
     async with world(*peers, settings=ROOMY) as w:
-        there = Discovery(peers)
-        w.raw["discovery"] = await there.serve(w.nursery)
+        new_discovery = Discovery(peers)
+        w.raw["discovery"] = await new_discovery.serve(w.nursery)
         began = trio.current_time()
         w.service.reload()
-        there.tell(drains(peers[0]), full=True)  # before the first call to it
+        # Set before the first call to the new discovery.
+        new_discovery.tell(drains(peers[0]), full=True)
         await w.until(lambda: not w.service.endpoints.may_send("d1"))
         assert trio.current_time() - began < 4.0
         sent = len(peers[0].exchanges)
@@ -122,18 +129,18 @@
 
 @FRONTS
 @timed_story
-async def test_a_reload_in_the_turn_of_the_drain_leaves_no_request_without_its_answer(front):
-    async def waits(exchange):
-        await go_on.wait()
+async def test_a_reload_in_the_turn_of_the_shutdown_leaves_no_request_unanswered(front):
+    async def wait_then_answer(exchange):
+        await release.wait()
         await exchange.done()
 
-    go_on, peer = trio.Event(), Peer("d1", waits)
+    release, peer = trio.Event(), Peer("d1", wait_then_answer)
     async with world(
         peer, front=front, settings=ROOMY, timing={"linger_ms": 50, "grace_ms": 4000}
     ) as w:
-        there = Discovery([peer])
-        there.silent = True  # the new discovery says nothing: what is known goes on serving
-        address = await there.serve(w.nursery)
+        new_discovery = Discovery([peer])
+        new_discovery.silent = True  # no answer from the new discovery: the known list stays
+        address = await new_discovery.serve(w.nursery)
         clients = [await w.client() for _ in range(8)]
         for number, client in enumerate(clients[:4]):
             await client.send(X_Request_ID=f"r{number}", **LONG)
@@ -146,9 +153,9 @@
             await client.send(X_Request_ID=f"r{number}", **LONG)
         if front == "platform":
             await w.until(lambda: w.service.engine.pending == 8)
-        else:  # no new streams in a drain: each is told so at once
+        else:  # this front rejects new requests during a drain
             assert [(await client.reply()).status for client in clients[4:]] == [503] * 4
-        go_on.set()
-        told = clients if front == "platform" else clients[:4]
-        assert [(await client.reply()).status for client in told] == [200] * len(told)
+        release.set()
+        served = clients if front == "platform" else clients[:4]
+        assert [(await client.reply()).status for client in served] == [200] * len(served)
         await w.ended.wait()
