--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,7 @@
-"""Stories of what operators do, each told over loopback sockets against scripted peers."""
+"""What operators do: management calls, hot restarts, drains, reloads and metrics.
+
+Most tests run a service over loopback sockets between clients and scripted workers (peers).
+"""
 
 import copy
 import os
@@ -28,7 +31,7 @@
 
 
 @story
-async def test_the_door_says_ready_and_tells_every_wrong_call_what_is_wrong():
+async def test_the_management_listener_answers_ready_and_rejects_wrong_calls():
     async with world(Peer("d1", done), **MGMT) as w:
         assert (await w.call("GET /_ready")).status == 200
         for call, status in (
@@ -39,11 +42,11 @@
         ):
             assert (await w.call(call)).status == status
         assert (await w.call("x", b"no call\r\n\r\n")).status == 400
-        assert (await w.ask("/_ready", "GET")).status == 404  # clients have no way in
+        assert (await w.ask("/_ready", "GET")).status == 404  # not on the clients' listener
 
 
 @timed_story
-async def test_silent_callers_hold_nobody_up_and_are_closed_in_a_second():
+async def test_silent_management_callers_delay_no_call_and_are_closed():
     async with world(Peer("d1", done), **MGMT) as w:
         began = trio.current_time()
         silent = [await trio.open_tcp_stream(*w.service.management.address) for _ in range(40)]
@@ -57,18 +60,18 @@
                     while await stream.receive_some():
                         pass
                 except trio.BrokenResourceError:
-                    pass  # the half call was never read
-        assert len(w.service.listener.clients) == 0  # they took no place of the clients'
+                    pass  # the incomplete call was never read
+        assert len(w.service.listener.clients) == 0  # they are not clients
 
 
 @story
-async def test_without_mgmt_there_is_no_door():
+async def test_without_mgmt_there_is_no_management_listener():
     async with world(Peer("d1", done)) as w:
         assert w.service.management is None
 
 
 class Shared:
-    """The clients' listening socket as the platform holds it, and a directory that runs share."""
+    """The clients' listening socket, as the platform holds it, and a directory that the processes share."""
 
     def __init__(self, directory: str):
         self.directory = directory
@@ -88,7 +91,7 @@
 @asynccontextmanager
 async def shared_world(*peers, **config):
     with tempfile.TemporaryDirectory() as directory:
-        # As deep as a platform may put it: deeper than a Unix address can hold.
+        # A path that is longer than a Unix socket address, as a platform may use.
         deep = os.path.join(directory, "d" * 120)
         os.mkdir(deep)
         shared = Shared(deep)
@@ -110,7 +113,7 @@
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @story
-async def test_a_new_version_takes_over_without_a_gap_and_the_old_one_finishes_what_it_took(front):
+async def test_a_hot_restart_leaves_no_gap_and_the_old_process_answers_what_it_accepted(front):
     peer, gate = Peer("d1", None), trio.Event()
 
     async def waits(exchange):
@@ -127,38 +130,37 @@
         assert (await w.call("GET /_ready")).status == 200
         w.nursery.start_soon(w.old_process.drain)
         await w.until(lambda: w.old_process.run_state.draining)
-        assert (
-            not w.old_process.listener.accepting
-        )  # at once, while a plain restart goes on for 0.7 s
-        for i in range(20):  # whoever comes now is the heir's, and is told that all is well
+        # A shutdown without a new process would accept for another 0.7 s.
+        assert not w.old_process.listener.accepting
+        for i in range(20):  # new connections go to the new process
             assert (await w.ask("/up", "GET")).status == 200
             assert (await w.ask(X_Request_ID=f"n{i}")).status == 200
         assert len(w.old_process.listener.clients) == 3
-        up = await kept.ask("/up", "GET")  # the dispatcher is up, whichever run is asked
+        up = await kept.ask("/up", "GET")  # the dispatcher is up, whichever process is asked
         assert (up.status, up.headers["connection"]) == (200, "close")
-        assert (await unread.ask(X_Request_ID="late")).status == 200  # not read until now
+        # The old process reads from this connection only now.
+        assert (await unread.ask(X_Request_ID="late")).status == 200
         gate.set()
         assert (await slow.reply()).status == 200
         for client in (slow, kept, unread):
-            assert await client.stream.receive_some() == b""  # they go with their answers
+            assert await client.stream.receive_some() == b""  # closed after their answers
             await client.stream.aclose()
         await w.ended.wait()
-        await w.until(
-            lambda: new_process.listener._max_clients == 541
-        )  # 0.55 of all that are not spare
+        # All descriptors that are not reserved, times CLIENT_SHARE.
+        await w.until(lambda: new_process.listener._max_clients == 541)
 
 
 @story
-async def test_a_stop_right_after_the_yes_finds_the_elder_knowing_its_heir():
+async def test_the_old_process_knows_the_new_one_as_soon_as_that_is_ready():
     async with shared_world(Peer("d1", done)) as w:
         new_process = await start_new_process(w)
-        # The program that asked has nothing but the yes: by then the elder must know.
+        # The platform sends SIGTERM once the new process is ready: the old one must know of it by then.
         assert new_process.run_state.serving and w.old_process.hot_restart.new_process_ready
         assert w.old_process.listener._max_clients + new_process.listener._max_clients <= 541
 
 
 @story
-async def test_an_id_open_at_one_run_is_in_use_at_the_other():
+async def test_an_id_open_in_one_process_is_in_use_in_the_other():
     gate, peer = trio.Event(), Peer("d1", None)
 
     async def waits(exchange):
@@ -171,14 +173,13 @@
         await before.send(X_Request_ID="r7")
         await w.until(lambda: peer.exchanges)
         new_process = await start_new_process(w)
-        assert new_process.hot_restart.open_elsewhere("r7")  # what the elder had before
+        assert new_process.hot_restart.open_elsewhere("r7")  # from the old process's snapshot
         w.old_process.listener.stop_accepting()
         assert (await (await w.shared.client()).ask(X_Request_ID="r7")).status == 409
         after = await w.shared.client()
         await after.send(X_Request_ID="r8")
-        await w.until(
-            lambda: w.old_process.hot_restart.open_elsewhere("r8")
-        )  # and the other way round, later
+        # Changes go in the other direction as well.
+        await w.until(lambda: w.old_process.hot_restart.open_elsewhere("r8"))
         gate.set()
         assert (await before.reply()).status == (await after.reply()).status == 200
         await w.until(lambda: not new_process.hot_restart.open_elsewhere("r7"))
@@ -187,7 +188,7 @@
 
 @pytest.mark.parametrize("leftover", ["nobody", "silent", "not a socket"])
 @timed_story
-async def test_a_leftover_or_a_silent_elder_delays_no_start(leftover):
+async def test_a_leftover_path_or_a_silent_old_process_does_not_delay_a_start(leftover):
     async with shared_world(Peer("d1", done)) as w:
         path = w.shared.link()
         w.old_process.hot_restart.close()
@@ -206,16 +207,16 @@
         assert trio.current_time() - began < 0.9
         assert (await w.call("GET /_ready")).status == 200
         other.close()
-        async with await trio.open_tcp_stream(*w.shared.address) as stream:  # and it serves
+        # The new process serves.
+        async with await trio.open_tcp_stream(*w.shared.address) as stream:
             assert (await Client(stream).ask("/up", "GET")).status == 200
 
 
 @story
-async def test_two_runs_side_by_side_part_the_descriptors_and_none_is_left_without(monkeypatch):
-    """However many the elder has in use: the parts fill the whole, and what it uses it keeps."""
-    monkeypatch.setattr(
-        listener, "MIN_EVICTION_AGE_SECONDS", 0.0
-    )  # each client is there for long, as on a slow machine
+async def test_two_processes_divide_the_descriptors_and_each_has_its_minimum(monkeypatch):
+    """The two parts must add up to the total, and the old process keeps the descriptors that it uses."""
+    # On a slow machine, clients may be connected for longer than this age.
+    monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.0)
     async with shared_world(Peer("d1", done), limits={"sockets": 384}) as w:
         old_process, clients = w.service, []
         for used in (0, 30, 120, 200, 280, 384):
@@ -236,14 +237,14 @@
                 and sum(bounds) + RESERVED_SOCKETS <= 384 - new_processes
             )
             assert 384 - new_processes >= min(held, 384 - MIN_SOCKETS)
-            old_process.state_exchange.disconnected()  # the heir has gone again
+            old_process.state_exchange.disconnected()  # the new process has gone
         old_process.worker_connections.open = 0
         for client in clients:
             await client.stream.aclose()
 
 
 @story
-async def test_an_heir_that_dies_leaves_the_elder_as_it_was():
+async def test_the_old_process_uses_all_descriptors_again_when_the_new_one_dies():
     async with shared_world(Peer("d1", done)) as w:
         whole = w.old_process.listener._max_clients
         new_process = await start_new_process(w)
@@ -251,64 +252,64 @@
         new_process.tasks.nursery.cancel_scope.cancel()
         await w.until(lambda: not w.old_process.hot_restart.new_process_ready)
         assert w.old_process.listener._max_clients == whole
-        await start_new_process(w)  # the next one finds the elder again
+        await start_new_process(w)  # another new process finds the old one
         assert w.old_process.hot_restart.new_process_ready
 
 
-OUT, BACK = "PUT /_profilers/detach?name=", "PUT /_profilers/attach?name="
+DETACH, ATTACH = "PUT /_profilers/detach?name=", "PUT /_profilers/attach?name="
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @story
-async def test_a_destination_taken_out_gets_nothing_whatever_discovery_says_until_it_is_put_back(
+async def test_a_detached_worker_gets_no_requests_whatever_discovery_lists_until_attached(
     front,
 ):
     one, other = Peer("d1", done), Peer("d2", done)
     async with world(one, other, front=front, **MGMT) as w:
         ids = iter(range(1000))
 
-        async def jobs(count):
+        async def send_requests(count):
             for _ in range(count):
                 assert (await w.ask(X_Request_ID=f"r{next(ids)}")).status == 200
 
         while not (one.exchanges and other.exchanges):
-            await jobs(1)
+            await send_requests(1)
         for call, status in (
-            (OUT + "nobody", 404),
-            (BACK + "nobody", 404),
-            (OUT[:-6], 400),
-            (OUT, 400),
-            (OUT + "d1&name=d1", 400),
-            ("GET" + OUT[3:] + "d1", 405),
-            (OUT + "d1", 200),
-            (OUT + "%641", 200),
-        ):  # twice over is the same as once
+            (DETACH + "nobody", 404),
+            (ATTACH + "nobody", 404),
+            (DETACH[:-6], 400),
+            (DETACH, 400),
+            (DETACH + "d1&name=d1", 400),
+            ("GET" + DETACH[3:] + "d1", 405),
+            (DETACH + "d1", 200),
+            (DETACH + "%641", 200),  # a repeated call changes nothing
+        ):
             assert (await w.call(call)).status == status
         before = len(one.exchanges)
         await w.until(lambda: not one.live)  # its idle connections are closed
         d1, watch = one.entry(), w.discovery
-        for news in ([d1], [{**d1, "state": "DELETED"}], [d1], [{**d1, "started_ms": 1e12}]):
-            watch.tell(*news)
+        for change in ([d1], [{**d1, "state": "DELETED"}], [d1], [{**d1, "started_ms": 1e12}]):
+            watch.tell(*change)
             await w.until(lambda: w.service.endpoints.version == watch.version)
-            await jobs(5)
+            await send_requests(5)
         watch.tell(d1, other.entry(), full=True)
         await w.until(lambda: w.service.endpoints.version == watch.version)
-        await jobs(5)
+        await send_requests(5)
         assert len(one.exchanges) == before
-        assert (await w.call(BACK + "d1")).status == 200  # once is enough
-        with trio.fail_after(
-            5
-        ):  # it gets work soon, though it counts as cold and the other one is idle
+        # A single call is enough, although detach was called twice.
+        assert (await w.call(ATTACH + "d1")).status == 200
+        # It gets requests soon, although it counts as cold and the other worker is idle.
+        with trio.fail_after(5):
             while len(one.exchanges) == before:
-                await jobs(1)
-        assert (await w.call(BACK + "d1")).status == 200
+                await send_requests(1)
+        assert (await w.call(ATTACH + "d1")).status == 200
         watch.tell({**d1, "state": "DELETED"})
         await w.until(lambda: w.service.endpoints.version == watch.version)
-        assert (await w.call(OUT + "d1")).status == 404
+        assert (await w.call(DETACH + "d1")).status == 404
 
 
 @story
-async def test_a_step_already_picked_is_held_back_by_the_last_look():
+async def test_an_attempt_already_picked_is_not_sent_to_a_detached_worker():
     one = Peer("d1", done)
     async with world(one, **MGMT) as w:
         service = w.service
@@ -321,21 +322,23 @@
 
 
 @story
-async def test_what_is_taken_out_stays_out_over_an_upgrade_and_is_put_back_at_either_run():
+async def test_detached_workers_stay_detached_over_a_hot_restart_and_either_process_attaches():
     peers = [Peer(f"d{i}", done) for i in range(5)]
     async with shared_world(*peers) as w:
         for name in ("d0", "d1", "d2"):
-            assert (await w.call(OUT + name)).status == 200
-        assert (await w.call(BACK + "d2")).status == 200
+            assert (await w.call(DETACH + name)).status == 200
+        assert (await w.call(ATTACH + "d2")).status == 200
         old_process, new_process = w.old_process, await start_new_process(w)
         assert (
             new_process.endpoints.detached == ["d0", "d1"]
-            and "d2" in new_process.endpoints.recently_attached
-        )  # out, and back but still cold
+            and "d2" in new_process.endpoints.recently_attached  # attached again, but still cold
+        )
         w.service = old_process
-        assert (await w.call(OUT + "d3")).status == 200 and "d3" in new_process.endpoints.detached
+        assert (
+            await w.call(DETACH + "d3")
+        ).status == 200 and "d3" in new_process.endpoints.detached
         w.service = new_process
-        assert (await w.call(BACK + "d0")).status == 200 and old_process.endpoints.detached == [
+        assert (await w.call(ATTACH + "d0")).status == 200 and old_process.endpoints.detached == [
             "d1",
             "d3",
         ]
@@ -349,7 +352,7 @@
         assert not peers[1].exchanges and not peers[3].exchanges
 
 
-def test_a_worker_put_back_is_cold_unblocked_and_first_in_line_until_it_shows_life():
+def test_a_reattached_worker_is_cold_not_ejected_and_first_in_line_until_it_starts_one():
     settings = api.Settings(
         [api.RequestClass("tour", 2000.0, 9000.0)],
         reports_start=True,
@@ -361,33 +364,35 @@
     )
     module, sends = Dispatcher(settings, 1), []
 
-    def moment(now, *events):
+    def handle_batch(now, *events):
         sends.extend(a for a in module.handle(now, list(events)) if isinstance(a, api.Send))
 
-    moment(0.0, api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(6)]))
+    handle_batch(
+        0.0, api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(6)])
+    )
     w = module.fleet.workers["w3"]
     w.ejection.until, w.ejection.failures, w.ejection.connection_refused = 1e9, 5, True
-    moment(5000.0, api.WorkerReturned("w3", 5000.0))
+    handle_batch(5000.0, api.WorkerReturned("w3", 5000.0))
     assert (
         w.slow_start.started_at == 5000.0 and w.ejection.until <= 5000.0 and not w.ejection.failures
     )
     w.slow_start.credit = 0.0
-    moment(7000.0, api.RequestArrived("a", 0, 16000.0))
+    handle_batch(7000.0, api.RequestArrived("a", 0, 16000.0))
     assert sends.pop().worker == "w3"
-    moment(7100.0, api.RequestArrived("b", 0, 16100.0))
-    assert sends.pop().worker != "w3"  # one is on its way there, and it is cold
-    moment(
+    handle_batch(7100.0, api.RequestArrived("b", 0, 16100.0))
+    assert sends.pop().worker != "w3"  # it is cold, and an attempt is on its way to it
+    handle_batch(
         7200.0, api.AttemptEnded("a", 0, "w3", api.PolicyOutcome.NO_CONNECTION, 10.0, final=True)
     )
-    moment(7700.0, api.RequestArrived("c", 0, 16700.0))
-    assert sends.pop().worker == "w3"  # it was not up yet, and is still owed one
-    moment(7800.0, api.AttemptStarted("c", 0, "w3"))
+    handle_batch(7700.0, api.RequestArrived("c", 0, 16700.0))
+    assert sends.pop().worker == "w3"  # it was not up yet, so it is still first in line
+    handle_batch(7800.0, api.AttemptStarted("c", 0, "w3"))
     assert w.reattached_at < 0 and not module.fleet.reattached
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @timed_story
-async def test_a_drained_dispatcher_loses_its_clients_and_no_job_and_comes_back(front):
+async def test_an_operators_drain_moves_clients_away_without_losing_a_request(front):
     gate = trio.Event()
 
     async def waits(exchange):
@@ -403,10 +408,10 @@
         await w.until(lambda: any(p.exchanges for p in peers))
         assert (await w.call("PUT /_lameduck/on")).status == 200
         began = trio.current_time()
-        up = await asks.ask("/up", "GET")  # at once, on an open connection too
+        up = await asks.ask("/up", "GET")  # immediately, also on an open connection
         assert up.status == 503 and "connection" not in up.headers
-        assert (await w.call("GET /_ready")).status == 200  # the process is well, and stays
-        while True:  # jobs are served, and take their connections along from 0.2 s on
+        assert (await w.call("GET /_ready")).status == 200  # the process itself stays ready
+        while True:  # requests are served; from 0.2 s on, connections close after the answer
             reply = await works.ask(X_Request_ID="w", X_Timeout_Ms="3000")
             assert reply.status == 200
             await trio.sleep(0.01)
@@ -417,7 +422,7 @@
         for client in (works, asks, idle):
             assert await client.stream.receive_some() == b""
         assert trio.current_time() - began < 2.0
-        late = await w.client()  # the listener stays
+        late = await w.client()  # the listener stays open
         assert (await late.ask(X_Request_ID="late", X_Timeout_Ms="3000")).status == 200
         await w.until(lambda: len(w.service.listener.clients) == 1)
         gate.set()
@@ -426,17 +431,17 @@
         back = await w.client()
         assert (await back.ask("/up", "GET")).status == 200
         assert "connection" not in (await back.ask("/up", "GET")).headers
-        await trio.sleep(0.4)  # longer than an idle one had before
+        await trio.sleep(0.4)  # longer than an idle connection stays open during the drain
         assert (await back.ask(X_Request_ID="back", X_Timeout_Ms="3000")).status == 200
         assert (await w.call("PUT /_lameduck/on")).status == 200
-        w.nursery.start_soon(w.service.drain)  # SIGTERM works in it as ever
+        w.nursery.start_soon(w.service.drain)  # SIGTERM during the operators' drain
         await w.until(lambda: w.service.run_state.draining)
         assert (await w.call("GET /_ready")).status == 503
         await w.ended.wait()
 
 
 @story
-async def test_the_operators_drain_holds_over_an_upgrade():
+async def test_the_operators_drain_applies_to_both_processes_of_a_hot_restart():
     async with shared_world(Peer("d1", done)) as w:
         assert (await w.call("PUT /_lameduck/on")).status == 200
         old_process, new_process = w.old_process, await start_new_process(w)
@@ -459,7 +464,7 @@
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @story
-async def test_the_figures_tell_what_clients_and_destinations_saw(front):
+async def test_the_metrics_count_answers_attempts_workers_and_reloads(front):
     async def script(exchange):
         if exchange.id.startswith("fails"):
             await exchange.status(500)
@@ -485,7 +490,7 @@
             **{f"closed.{reason.value}": 0 for reason in CloseReason},
             "rule_violations_total": 0,
             "accept_failures": 0,
-            "call_retries": at["call_retries"],  # of the whole process
+            "call_retries": at["call_retries"],  # counted for the whole process
             "concurrent": 0,
             "targets": 1,
             "targets_disabled": 0,
@@ -500,7 +505,7 @@
         for i in range(3):
             await w.ask("/tour", X_Request_ID=f"r{i}")
         await w.ask("/once", X_Request_ID="fails")
-        assert (await w.ask("/nothing")).status == 404  # no job, no series
+        assert (await w.ask("/nothing")).status == 404  # no request class, no metrics
         assert (await w.ask("/save", X_Request_ID=None)).status == 400
         at = await metrics(w)
         assert (at["success.tour"], at["error.once"], at["dispatches"]) == (3, 1, 4)
@@ -511,8 +516,8 @@
         await w.until(lambda: one.exchanges[-1].id == "waits")
         await client.stream.aclose()
         await w.until(lambda: not w.service.listener.clients)
-        assert (await metrics(w))["concurrent"] == 0  # nothing is owed to those that left
-        assert (await w.call(OUT + "d1")).status == 200
+        assert (await metrics(w))["concurrent"] == 0  # requests of clients that left don't count
+        assert (await w.call(DETACH + "d1")).status == 200
         assert (await metrics(w))["targets_disabled"] == 1
         reply = await w.ask("/tour", X_Request_ID="r9")
         assert reply.status == 503 or b"refused" in reply.body
@@ -530,7 +535,7 @@
 
 
 @story
-async def test_an_operation_under_way_is_concurrent_and_one_left_alone_by_choice_is_disabled():
+async def test_the_metrics_count_an_open_request_as_concurrent_and_an_ejected_worker_as_disabled():
     gate = trio.Event()
 
     async def waits(exchange):
@@ -553,7 +558,7 @@
 
 
 def classes(w, **changes) -> list[dict]:
-    """The request classes of the next reload: a name with None is dropped, another one changed or added."""
+    """Returns request classes for a reload: a name with None is removed, any other is changed or added."""
     found = {c["name"]: dict(c) for c in w.raw["settings"]["request_classes"]}
     for name, change in changes.items():
         if change is None:
@@ -564,7 +569,7 @@
 
 
 def reconfigure(w, limits=None, **changes) -> None:
-    """Write other settings and reload."""
+    """Changes the settings and reloads the configuration."""
     settings = w.raw["settings"]
     w.raw["settings"] = {
         **settings,
@@ -576,7 +581,7 @@
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @story
-async def test_other_settings_come_by_sighup_and_open_jobs_keep_their_class(front):
+async def test_a_sighup_applies_new_classes_and_open_requests_keep_their_class(front):
     gates = {"old": trio.Event(), "new": trio.Event(), "dropped": trio.Event()}
 
     async def fails(exchange):
@@ -594,12 +599,12 @@
 
     async with world(*peers, front=front, signals=True, **MGMT) as w:
         old, dropped, new = [await w.client() for _ in range(3)]
-        await old.send("/tour", X_Request_ID="old")  # may be repeated
-        await dropped.send("/once", X_Request_ID="dropped")  # may not
+        await old.send("/tour", X_Request_ID="old")  # idempotent
+        await dropped.send("/once", X_Request_ID="dropped")  # not idempotent
         await w.until(lambda: len(seen) == 2)
         assert (await w.ask("/fresh", X_Request_ID="f0")).status == 404
         settings = w.raw["settings"]
-        # First in the list, so that every position moves.
+        # The new class is the first in the list, so that the index of every class changes.
         w.raw["settings"] = {
             **settings,
             "request_classes": [
@@ -611,7 +616,7 @@
         await w.until(lambda: "success.fresh" in w.service.metrics._counts)
         assert served(await w.ask("/fresh", X_Request_ID="f1", X_Timeout_Ms="2000"))
         assert (await w.ask("/once", X_Request_ID="o1")).status == 404
-        await new.send("/tour", X_Request_ID="new")  # as the class is now: not to be repeated
+        await new.send("/tour", X_Request_ID="new")  # the class is not idempotent any more
         await w.until(lambda: len(seen) == 3)
         for gate in gates.values():
             gate.set()
@@ -624,7 +629,7 @@
 
 
 @story
-async def test_a_changed_number_of_attempts_holds_for_new_jobs_and_the_smaller_one_for_open_ones():
+async def test_a_changed_attempt_limit_applies_to_new_requests_and_if_smaller_to_open_ones():
     gate = trio.Event()
 
     async def errs(exchange):
@@ -646,7 +651,7 @@
 
 
 @story
-async def test_a_faulty_file_is_turned_down_whole():
+async def test_a_faulty_configuration_is_rejected_as_a_whole():
     one = Peer("d1", done)
     async with world(one, **MGMT) as w:
         good, calls = copy.deepcopy(w.raw), len(w.discovery.calls)
@@ -680,7 +685,7 @@
         for count, (value, *path) in enumerate(faults, 1):
             w.raw.clear()
             w.raw.update(copy.deepcopy(good))
-            w.raw["discovery"] = "127.0.0.1:9"  # with the rest goes this
+            w.raw["discovery"] = "127.0.0.1:9"  # must not be applied without the rest
             w.raw["settings"]["request_classes"][2]["name"] = "other"
             put(value, *path)
             w.service.reload()
@@ -691,7 +696,7 @@
         assert len(w.discovery.calls) >= calls
 
 
-def test_classes_and_tenants_keep_what_was_learned_of_them_under_other_settings():
+def test_classes_and_tenants_keep_their_estimates_when_the_settings_change():
     def settings(*names, **more):
         return api.Settings(
             [api.RequestClass(name, 2000.0, 9000.0) for name in names], max_attempts=3, **more
@@ -716,7 +721,7 @@
     ] and module.admission.classes[1] is y
     assert y.index == 1
     assert module.admission.tenants == [b] and set(b.gaps) == set(module.admission.classes)
-    assert module.requests["held"].class_state is x  # it began with that
+    assert module.requests["held"].class_state is x  # it arrived before the change
     module.handle(20.0, [api.RequestArrived("new", 1, 9020.0)])
     assert module.requests["new"].class_state is y
     module.handle(
@@ -726,24 +731,25 @@
 
 
 @pytest.mark.parametrize("held_for, queues", [(0.0, True), (450.0, False)])
-def test_a_job_that_was_held_for_long_does_not_queue_at_a_worker_on_top(held_for, queues):
+def test_a_request_does_not_queue_at_a_worker_that_would_start_it_after_its_latest_start(
+    held_for, queues
+):
     settings = api.Settings([api.RequestClass("tour", 1000.0, 9000.0)], reports_start=True)
     module = Dispatcher(settings, 1)
     module.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
-    w, job = module.fleet.workers["w"], None
+    w, request = module.fleet.workers["w"], None
     module.fleet.estimate.residual_run_time = 200.0
-    w.max_inflight_slots = w.inflight_slots = w.running_slots = (
-        5.0  # full, of jobs that have started
-    )
+    # All slots are taken by requests that have started.
+    w.max_inflight_slots = w.inflight_slots = w.running_slots = 5.0
     w.ejection.until = held_for
     module.handle(0.0, [api.RequestArrived("a", 0, 9000.0)])
-    job = module.requests["a"]
-    assert (job.latest_start, job.attempt_count) == (500.0, int(queues))
+    request = module.requests["a"]
+    assert (request.latest_start, request.attempt_count) == (500.0, int(queues))
     module.handle(held_for, [api.TimerFired(RELEASE_TIMER)])
-    assert job.attempt_count == int(queues)
+    assert request.attempt_count == int(queues)
 
 
-def test_a_class_not_known_yet_makes_no_worker_look_slow():
+def test_a_class_without_estimates_makes_no_worker_look_slow():
     settings = api.Settings(
         [api.RequestClass("tour", 100.0, 9000.0, objective_run_factor=9.0)], reports_start=True
     )
@@ -751,7 +757,7 @@
     module.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
     w, now = module.fleet.workers["w"], 0.0
     ratios = []
-    for i in range(20):  # ten times as long as the guess
+    for i in range(20):  # each run takes ten times as long as the initial estimate
         sent = [
             a.request_id
             for a in module.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
@@ -769,7 +775,7 @@
 
 
 @story
-async def test_a_caller_in_the_backlog_at_the_very_end_spoils_no_exit():
+async def test_a_caller_in_the_backlog_at_the_end_does_not_disturb_the_exit():
     management = ManagementListener(("127.0.0.1", 0), {})
     async with trio.open_nursery() as nursery:
         nursery.start_soon(management.run)
@@ -781,7 +787,7 @@
 
 
 @story
-async def test_after_a_fault_of_the_link_heirs_still_find_the_elder(monkeypatch):
+async def test_new_processes_find_the_old_one_after_an_exception_in_its_accept_loop(monkeypatch):
     async with shared_world(Peer("d1", done)) as w:
         accept, faults = HotRestart._accept, []
 
@@ -799,6 +805,6 @@
             stray.connect(f"/proc/self/fd/{directory}/{w.shared.link().name}")
             os.close(directory)
             await w.until(lambda: faults)
-        await trio.sleep(0.2)  # the standing task begins anew
+        await trio.sleep(0.2)  # the supervised task is started again
         await start_new_process(w)
         assert w.old_process.hot_restart.new_process_ready
