--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -475,8 +475,8 @@
 
     one = Peer("d1", script)
     async with world(one, front=front, **MGMT) as w:
-        at = await metrics(w)
-        assert at == {
+        counts = await metrics(w)
+        assert counts == {
             **{
                 f"{status}.{c}": 0
                 for status in ("success", "overload", "error")
@@ -490,7 +490,7 @@
             **{f"closed.{reason.value}": 0 for reason in CloseReason},
             "rule_violations_total": 0,
             "accept_failures": 0,
-            "call_retries": at["call_retries"],  # counted for the whole process
+            "call_retries": counts["call_retries"],  # counted for the whole process
             "concurrent": 0,
             "targets": 1,
             "targets_disabled": 0,
@@ -507,10 +507,10 @@
         await w.ask("/once", X_Request_ID="fails")
         assert (await w.ask("/nothing")).status == 404  # no request class, no metrics
         assert (await w.ask("/save", X_Request_ID=None)).status == 400
-        at = await metrics(w)
-        assert (at["success.tour"], at["error.once"], at["dispatches"]) == (3, 1, 4)
-        assert at["not_served.once.must_not_repeat"] == 1 and at["run_time_ms.tour"] < 100
-        assert not any("nothing" in name for name in at) and at["error.save"] == 0
+        counts = await metrics(w)
+        assert (counts["success.tour"], counts["error.once"], counts["dispatches"]) == (3, 1, 4)
+        assert counts["not_served.once.must_not_repeat"] == 1 and counts["run_time_ms.tour"] < 100
+        assert not any("nothing" in name for name in counts) and counts["error.save"] == 0
         client = await w.client()
         await client.send("/save", X_Request_ID="waits")
         await w.until(lambda: one.exchanges[-1].id == "waits")
@@ -521,17 +521,17 @@
         assert (await metrics(w))["targets_disabled"] == 1
         reply = await w.ask("/tour", X_Request_ID="r9")
         assert reply.status == 503 or b"refused" in reply.body
-        at = await metrics(w)
-        assert at["overload.tour"] == 1 and at["targets"] == 1
+        counts = await metrics(w)
+        assert counts["overload.tour"] == 1 and counts["targets"] == 1
         w.discovery.tell({**one.entry(), "state": "DELETED"})
         await w.until(lambda: not len(w.service.endpoints))
-        at = await metrics(w)
-        assert at["targets"] == at["targets_disabled"] == 0
+        counts = await metrics(w)
+        assert counts["targets"] == counts["targets_disabled"] == 0
         w.service.reload()
         w.raw["discovery"] = "nowhere"
         w.service.reload()
-        at = await metrics(w)
-        assert (at["reload_success"], at["reload_failure"]) == (1, 1)
+        counts = await metrics(w)
+        assert (counts["reload_success"], counts["reload_failure"]) == (1, 1)
 
 
 @story
@@ -550,8 +550,8 @@
         assert (await metrics(w))["concurrent"] == 1
         gate.set()
         assert (await client.reply()).status == 200
-        at = await metrics(w)
-        assert at["concurrent"] == 0 and at["success.tour"] == 1
+        counts = await metrics(w)
+        assert counts["concurrent"] == 0 and counts["success.tour"] == 1
         worker = w.service.engine._module.fleet.workers["d1"]
         worker.ejection.failures, worker.ejection.until = 1, w.service.engine.now() + 1e4
         assert (await metrics(w))["targets_disabled"] == 1
@@ -623,9 +623,9 @@
         assert served(await old.reply())
         for client in (new, dropped):
             assert not served(await client.reply())
-        at = await metrics(w)
-        assert at["reload_success"] == 1 and at["error.once"] == at["error.tour"] == 1
-        assert at["success.fresh"] == 1 and at["success.tour"] == 1
+        counts = await metrics(w)
+        assert counts["reload_success"] == 1 and counts["error.once"] == counts["error.tour"] == 1
+        assert counts["success.fresh"] == 1 and counts["success.tour"] == 1
 
 
 @story
@@ -655,16 +655,16 @@
     one = Peer("d1", done)
     async with world(one, **MGMT) as w:
         good, calls = copy.deepcopy(w.raw), len(w.discovery.calls)
-        here = w.service.config
+        old_config = w.service.config
 
         def put(value, *path):
-            at = w.raw
-            for attempt in path[:-1]:
-                at = at[attempt]
+            parent = w.raw
+            for key in path[:-1]:
+                parent = parent[key]
             if value is None:
-                del at[path[-1]]
+                del parent[path[-1]]
             else:
-                at[path[-1]] = value
+                parent[path[-1]] = value
 
         faults = [
             (None, "discovery"),
@@ -689,9 +689,9 @@
             w.raw["settings"]["request_classes"][2]["name"] = "other"
             put(value, *path)
             w.service.reload()
-            at = await metrics(w)
-            assert (at["reload_failure"], at["reload_success"]) == (count, 0), path
-        assert w.service.config is here and w.service.watch.address == here.discovery
+            counts = await metrics(w)
+            assert (counts["reload_failure"], counts["reload_success"]) == (count, 0), path
+        assert w.service.config is old_config and w.service.watch.address == old_config.discovery
         assert (await w.ask("/once")).status == 200 and (await w.ask("/other")).status == 404
         assert len(w.discovery.calls) >= calls
 
