--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback sockets, and a whole service between them."""
+"""Scripted workers, a fake discovery and clients on loopback sockets, and a whole service between them."""
 
 from __future__ import annotations
 
@@ -60,8 +60,8 @@
 }
 
 
-def _told(clock: Callable[[], trio.abc.Clock]):
-    def told(test: Callable[..., Awaitable[None]]):
+def _trio_test(clock: Callable[[], trio.abc.Clock]):
+    def decorate(test: Callable[..., Awaitable[None]]):
         @functools.wraps(test)
         def run(**given):
             async def limited():
@@ -72,27 +72,29 @@
 
         return run
 
-    return told
+    return decorate
 
 
-_measured: list[float] = []  # when, in seconds of the wall, and the pace of this machine then
+_pace_sample: list[
+    float
+] = []  # monotonic time of the last measurement, and the machine's pace then
 
 
-def _slow() -> Slow:
-    if not _measured or time.monotonic() - _measured[0] > 10.0:
-        _measured[:] = time.monotonic(), measured()
-    return Slow(_measured[1])
+def _slow_clock() -> Slow:
+    if not _pace_sample or time.monotonic() - _pace_sample[0] > 10.0:
+        _pace_sample[:] = time.monotonic(), measured()
+    return Slow(_pace_sample[1])
 
 
-# A test told in trio, with a limit of time: in seconds as long as this machine needs now.
-story = _told(_slow)
-# The same where a time is what it is about: none passes while anything can be done. Not for one with threads.
-# The rate, far under the wall's, is there to end a test that goes round for ever.
-timed_story = _told(lambda: MockClock(rate=0.02, autojump_threshold=0.005))
+# Runs an async test under trio with a time limit; its clock is slowed down as far as the machine is slow now.
+story = _trio_test(_slow_clock)
+# Like `story`, for tests of times: the clock advances only while all tasks are blocked. Not for tests with
+# threads. The slow rate lets the time limit end a test that never blocks.
+timed_story = _trio_test(lambda: MockClock(rate=0.02, autojump_threshold=0.005))
 
 
 class Exchange:
-    """One request as a scripted destination got it, and the ways to treat it."""
+    """A request that a scripted worker received, with the ways to answer it."""
 
     def __init__(
         self, stream: trio.SocketStream, request: h11.Request, body: bytes, number: int, front: str
@@ -128,7 +130,7 @@
         )
 
     async def closed(self) -> None:
-        """Wait until the dispatcher gives this connection up."""
+        """Wait until the dispatcher closes this connection."""
         with suppress(trio.BrokenResourceError):
             while await self.stream.receive_some():
                 pass
@@ -143,7 +145,7 @@
 
 @dataclass
 class Peer:
-    """A scripted destination."""
+    """A scripted worker: runs `script` for each request it receives."""
 
     name: str
     script: Script
@@ -197,7 +199,7 @@
 
 
 class Discovery:
-    """A stand-in for discovery: whole lists, and watches that wait for the next change."""
+    """A fake discovery: returns full lists, and holds watches until the next change."""
 
     def __init__(self, peers: list[Peer]):
         self.peers, self.version, self.calls = peers, 1, []
@@ -215,7 +217,7 @@
         self.changed = trio.Event()
 
     async def serve(self, nursery: trio.Nursery) -> str:
-        """Start; the address."""
+        """Start serving; returns the address."""
         self.peer = Peer("discovery", self.script)
         await nursery.start(self.peer.serve)
         return f"127.0.0.1:{self.peer.port}"
@@ -242,7 +244,7 @@
 
 
 class Client:
-    """A client's connection."""
+    """A client connection to the service."""
 
     def __init__(self, stream: trio.SocketStream):
         self.stream = stream
@@ -284,9 +286,11 @@
 
 
 class World:
+    """A running service and its scripted peers."""
+
     def __init__(self, service: Service, discovery: Discovery, nursery: trio.Nursery, raw: dict):
         self.service, self.discovery, self.nursery = service, discovery, nursery
-        self.raw = raw  # the configuration; what is put here counts from the next reload on
+        self.raw = raw  # the configuration; a change takes effect with the next reload
         self.ended = trio.Event()
 
     async def client(self) -> Client:
@@ -300,7 +304,7 @@
             await client.stream.aclose()
 
     async def call(self, call: str, raw: bytes | None = None) -> Reply:
-        """One call at the management listener, such as "GET /_ready"."""
+        """Make one management call, such as "GET /_ready"."""
         client = Client(await trio.open_tcp_stream(*self.service.management.address))
         method, _, target = call.partition(" ")
         client.parser.send(
@@ -311,12 +315,12 @@
             raw or f"{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
         )
         reply = await client.reply()
-        assert await client.stream.receive_some() == b""  # one call to a connection
+        assert await client.stream.receive_some() == b""  # one call per connection
         await client.stream.aclose()
         return reply
 
     async def until(self, true: Callable[[], bool]) -> None:
-        """Wait for something that a peer or the service is about to do."""
+        """Wait until a condition on a peer or the service holds."""
         while not true():
             await trio.sleep(0.002)
 
@@ -329,7 +333,7 @@
     environment: dict | None = None,
     **config,
 ):
-    """A service between scripted peers, its ports given by the system."""
+    """Run a service between scripted workers, on ports assigned by the system."""
     async with trio.open_nursery() as nursery:
         for peer in peers:
             peer.front = config.get("front", "platform")
@@ -344,15 +348,15 @@
             **config,
         }
         service = Service(read_config(raw, environment), lambda: read_config(raw, environment))
-        here = World(service, discovery, nursery, raw)
+        running = World(service, discovery, nursery, raw)
 
         async def run(*, task_status=trio.TASK_STATUS_IGNORED) -> None:
             await service.run(signals=signals, task_status=task_status)
-            here.ended.set()
+            running.ended.set()
 
         await nursery.start(run)
-        await here.until(lambda: any("from=" in target for _, target in discovery.calls))
-        yield here
+        await running.until(lambda: any("from=" in target for _, target in discovery.calls))
+        yield running
         nursery.cancel_scope.cancel()
 
 
--- a/tests/machine_faults.py
+++ b/tests/machine_faults.py
@@ -1,4 +1,4 @@
-"""A machine that misbehaves: system calls of the store that fail, a wall clock that is set."""
+"""Fault injection: failing file system calls, and a wall clock that is stepped."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FaultyDisk:
-    """Has the named calls of `os` raise an error for as long as one is set."""
+    """Makes the named functions of `os` raise OSError while `error` is a non-zero errno."""
 
     def __init__(self, monkeypatch, calls):
         self.error = 0
@@ -24,7 +24,7 @@
 
 
 class SetClock:
-    """A wall clock that is set while the monotonic clock runs on; `offset` in seconds."""
+    """Steps the wall clock by `offset` seconds; the monotonic clock is unaffected."""
 
     def __init__(self, monkeypatch):
         self.offset = 0.0
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -1,4 +1,8 @@
-"""System calls on the listening socket that fail for a while: who waits in the backlog is owed an answer."""
+"""Failing calls on the listening socket: clients in the backlog still get their answer.
+
+`accept` may fail for a while, for lack of descriptors or by network errors, also during a drain. The time
+that a client spends in the backlog counts against its timeout.
+"""
 
 import errno
 import os
@@ -11,8 +15,8 @@
 
 from yewrill.net.backlog import Backlog
 
-WAITING = 10  # clients in the backlog
-ENOUGH_CALLS = 5000  # a loop that never pauses is let go after so many, so that its test ends
+WAITING_CLIENTS = 10  # in the backlog
+MAX_FAILED_CALLS = 5000  # then calls succeed again, so that a test of a loop without a pause ends
 
 
 class FaultyListeningSocket:
@@ -26,7 +30,7 @@
         return getattr(self._sock, name)
 
     def accept(self):
-        if self._failing() and self.failed < ENOUGH_CALLS:
+        if self._failing() and self.failed < MAX_FAILED_CALLS:
             self.failed += 1
             raise OSError(self._error, os.strerror(self._error))
         return self._sock.accept()
@@ -40,26 +44,26 @@
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.ECONNABORTED, errno.EPROTO])
 @timed_story
-async def test_a_drain_waits_for_the_backlog_while_accept_fails(error):
+async def test_drain_while_accept_fails_serves_the_backlog(error):
     peer = Peer("d1", done)
     failing = [True]
     async with world(peer, timing={"linger_ms": 300, "grace_ms": 3700}) as w:
         sock = fail_accepts(w, error, lambda: failing)
         w.nursery.start_soon(w.service.drain)
         await w.until(lambda: w.service.run_state.draining)
-        clients = [await w.client() for _ in range(WAITING)]
+        clients = [await w.client() for _ in range(WAITING_CLIENTS)]
         for number, client in enumerate(clients):
             await client.send(X_Request_ID=f"r{number}")
         began = trio.current_time()
-        await w.until(lambda: trio.current_time() > began + 0.5)  # past the linger
+        await w.until(lambda: trio.current_time() > began + 0.5)  # beyond linger_ms
         failing.clear()
-        assert [(await client.reply()).status for client in clients] == [200] * WAITING
+        assert [(await client.reply()).status for client in clients] == [200] * WAITING_CLIENTS
         await w.ended.wait()
         assert 0 < sock.failed < 100
 
 
 @timed_story
-async def test_a_drain_does_not_wait_for_a_backlog_beyond_its_grace():
+async def test_drain_while_accept_keeps_failing_ends_within_its_grace():
     peer = Peer("d1", done)
     async with world(peer, timing={"linger_ms": 100, "grace_ms": 1500}) as w:
         fail_accepts(w, errno.ENFILE, lambda: True)
@@ -71,20 +75,20 @@
 
 @pytest.mark.parametrize("error", [errno.EPROTO, errno.ECONNABORTED, errno.ENETDOWN, errno.EPERM])
 @timed_story
-async def test_failing_accepts_hold_up_nobody_who_is_connected(error):
+async def test_failing_accept_does_not_delay_connected_clients(error):
     peer = Peer("d1", done)
     failing = []
     async with world(peer) as w:
         sock = fail_accepts(w, error, lambda: failing)
-        kept = [await w.client() for _ in range(5)]
-        for number, client in enumerate(kept):
+        connected = [await w.client() for _ in range(5)]
+        for number, client in enumerate(connected):
             assert (await client.ask(X_Request_ID=f"k{number}")).status == 200
         failing.append(True)
         waiting = await w.client()
         await waiting.send(X_Request_ID="waits")
         began = trio.current_time()
         for tenth in range(10):
-            for number, client in enumerate(kept):
+            for number, client in enumerate(connected):
                 assert (await client.ask(X_Request_ID=f"a{number}")).status == 200
             await w.until(lambda t=tenth: trio.current_time() > began + 0.1 * t)
         failing.clear()
@@ -93,37 +97,37 @@
 
 
 @story
-async def test_a_worker_is_told_what_its_client_has_left_after_a_wait_in_the_backlog():
-    patience, outage = 2500.0, 1.1
-    told = {}
-    until = [0.0]
+async def test_timeout_sent_to_worker_excludes_time_waited_in_backlog():
+    client_timeout_ms, outage = 2500.0, 1.1
+    received = {}
+    failing_until = [0.0]
 
     async def note(exchange):
-        told[exchange.id] = trio.current_time(), float(exchange.headers["x-timeout-ms"])
+        received[exchange.id] = trio.current_time(), float(exchange.headers["x-timeout-ms"])
         await exchange.done()
 
     async with world(Peer("d1", note), Peer("d2", note)) as w:
-        fail_accepts(w, errno.ENFILE, lambda: trio.current_time() < until[0])
-        until[0] = trio.current_time() + outage
+        fail_accepts(w, errno.ENFILE, lambda: trio.current_time() < failing_until[0])
+        failing_until[0] = trio.current_time() + outage
         sent = {}
-        clients = [await w.client() for _ in range(WAITING)]
+        clients = [await w.client() for _ in range(WAITING_CLIENTS)]
         for number, client in enumerate(clients):
             sent[f"r{number}"] = trio.current_time()
-            await client.send(X_Request_ID=f"r{number}", X_Timeout_Ms=str(int(patience)))
-        assert [(await client.reply()).status for client in clients] == [200] * WAITING
-        for id, (at, told_ms) in told.items():
+            await client.send(X_Request_ID=f"r{number}", X_Timeout_Ms=str(int(client_timeout_ms)))
+        assert [(await client.reply()).status for client in clients] == [200] * WAITING_CLIENTS
+        for id, (at, stated_ms) in received.items():
             assert at - sent[id] > outage / 2
-            assert told_ms <= patience - (at - sent[id]) * 1000.0 + 150.0
+            assert stated_ms <= client_timeout_ms - (at - sent[id]) * 1000.0 + 150.0
 
 
 @timed_story
-async def test_a_backlog_that_was_seen_empty_makes_nobody_look_as_if_it_had_waited(monkeypatch):
-    # A system that does not tell how long data has lain: only the wait itself bounds it.
+async def test_backlog_known_to_be_empty_resets_the_counted_wait(monkeypatch):
+    # The kernel does not report the age of the data, so only the wait in the backlog limits it.
     monkeypatch.setattr("yewrill.net.backlog.seconds_since_last_data", lambda sock: float("inf"))
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
         backlog = Backlog(SimpleNamespace(sock=listening))
-        backlog.note_readable()  # somebody waited, and another run took them
+        backlog.note_readable()  # a client waited, and another process accepted it
         assert not backlog.has_waiting()
         await trio.sleep(5.0)
         with socket.create_connection(listening.getsockname()):
@@ -133,15 +137,15 @@
 
 
 @timed_story
-async def test_the_first_client_after_a_quiet_start_has_not_waited(monkeypatch):
+async def test_first_client_after_idle_start_counts_no_wait(monkeypatch):
     monkeypatch.setattr("yewrill.net.backlog.seconds_since_last_data", lambda sock: float("inf"))
-    told = []
+    stated_timeouts = []
 
     async def note(exchange):
-        told.append(float(exchange.headers["x-timeout-ms"]))
+        stated_timeouts.append(float(exchange.headers["x-timeout-ms"]))
         await exchange.done()
 
     async with world(Peer("d1", note)) as w:
         await trio.sleep(10.0)
         assert (await w.ask(X_Timeout_Ms="2000")).status == 200
-        assert told[0] > 1900.0
+        assert stated_timeouts[0] > 1900.0
--- a/tests/test_call_errors.py
+++ b/tests/test_call_errors.py
@@ -1,4 +1,4 @@
-"""Reads and writes of connections that fail for want of memory for a moment lose nobody's answer."""
+"""Transient errors of socket calls, such as a lack of memory, lose no answer and blame no worker."""
 
 import errno
 import os
@@ -14,7 +14,7 @@
 
 
 class FaultySocket:
-    """A connection's socket whose named calls fail while `failing()` says so."""
+    """A socket whose named calls fail while `failing()` returns true."""
 
     def __init__(self, sock, calls, error, failing):
         self._sock = sock
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def faults(monkeypatch):
-    """All connections made from here on fail with what is put into the list: calls, error, until when."""
+    """A list of (calls, errno, end time): connections opened after an entry was added fail accordingly."""
     current = []
     real = Connection.__init__
 
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.ENOMEM, errno.EINTR])
 @pytest.mark.parametrize("calls", [("recv_into",), ("send",), ("recv", "recv_into", "send")])
 @timed_story
-async def test_calls_that_fail_for_a_moment_lose_no_answer(calls, error, faults):
+async def test_socket_calls_that_fail_briefly_lose_no_answer(calls, error, faults):
     async with world(Peer("d1", done), Peer("d2", done)) as w:
         before = Retries.total
         faults.append((calls, error, trio.current_time() + 0.1))
@@ -66,7 +66,7 @@
 
 
 @timed_story
-async def test_a_call_that_goes_on_failing_is_given_up_in_time(faults):
+async def test_socket_call_that_keeps_failing_closes_the_connection_in_time(faults):
     async with world(Peer("d1", done)) as w:
         faults.append((("recv_into",), errno.ENOBUFS, trio.current_time() + 60.0))
         client = await w.client()
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.EAGAIN])
 @timed_story
-async def test_a_connect_that_fails_for_a_reason_of_ours_blames_no_worker(error, faults):
+async def test_connect_that_fails_for_a_local_reason_ejects_no_worker(error, faults):
     async with world(Peer("d1", done)) as w:
         faults.append((("connect",), error, trio.current_time() + 0.02))
         statuses = [(await w.ask(X_Request_ID=f"r{number}")).status for number in range(3)]
@@ -87,8 +87,8 @@
         assert not w.service.engine.ejected()
 
 
-def failing_once(monkeypatch, name, error, times=3):
-    """Have a wait of the event loop fail a few times, as its system calls may (epoll_ctl)."""
+def fail_waits(monkeypatch, name, error, times=3):
+    """Make a wait function of the event loop fail `times` times, as epoll_ctl may."""
     real, failed = getattr(trio.lowlevel, name), []
 
     async def wait(sock):
@@ -103,11 +103,11 @@
 
 @pytest.mark.parametrize("error", [errno.ENOMEM, errno.ENOSPC])
 @timed_story
-async def test_a_wait_that_fails_ends_neither_the_program_nor_a_request(error, monkeypatch):
+async def test_failing_wait_for_a_socket_ends_neither_process_nor_request(error, monkeypatch):
     async with world(Peer("d1", done)) as w:
         client = await w.client()
         await w.until(lambda: len(w.service.listener.clients) == 1)
-        failed = failing_once(monkeypatch, "wait_readable", error, times=4)
+        failed = fail_waits(monkeypatch, "wait_readable", error, times=4)
         await client.send(X_Request_ID="r1")
         assert (await client.reply()).status == 200
         assert (await w.ask(X_Request_ID="r2")).status == 200
@@ -115,7 +115,7 @@
 
 
 @timed_story
-async def test_a_fault_in_the_drain_leaves_no_request_without_its_answer(monkeypatch, caplog):
+async def test_exception_during_drain_leaves_no_request_unanswered(monkeypatch, caplog):
     gate = trio.Event()
 
     async def waits(exchange):
@@ -123,7 +123,7 @@
         await exchange.done()
 
     def faulty(*args, **kwargs):
-        raise RuntimeError("a fault of our own")
+        raise RuntimeError("a bug for the test")
 
     peer = Peer("d1", waits)
     async with world(peer, timing={"linger_ms": 50, "grace_ms": 2000}) as w:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Stories of the platform's front, each told over loopback sockets against scripted peers."""
+"""The platform frontend and the service behind it, over loopback sockets against scripted workers."""
 
 import errno
 import os
@@ -20,7 +20,7 @@
 
 
 @story
-async def test_a_job_is_passed_on_whole_and_its_result_is_the_body():
+async def test_request_is_forwarded_whole_and_its_result_is_the_body():
     peer = Peer("d1", done)
     async with world(peer) as w:
         client = await w.client()
@@ -37,10 +37,10 @@
         assert (seen.target, seen.body, seen.id) == ("/tour/a?b=%20c", b"route", "r2")
         assert seen.headers["idempotency-key"] == "k1" and seen.headers["cookie"] == "user=7"
         assert 0 < int(seen.headers["x-timeout-ms"]) < 2000
-        assert peer.connections == 1  # kept between jobs
+        assert peer.connections == 1  # reused for all requests
 
 
-def failing_once(failure):
+def fail_first_attempt(failure):
     async def script(exchange):
         if exchange.headers["x-request-id"] == "r1" and not script.failed:
             script.failed = True
@@ -52,12 +52,12 @@
     return script
 
 
-async def dies(exchange):
+async def reset_after_start(exchange):
     await exchange.say("started")
     exchange.reset()
 
 
-async def lost(exchange):
+async def reports_lost(exchange):
     await exchange.say("lost")
 
 
@@ -65,7 +65,7 @@
     await exchange.say("done", id="r9", result="another's")
 
 
-async def nonsense(exchange):
+async def malformed_json(exchange):
     await exchange.raw("{]\n")
 
 
@@ -73,19 +73,19 @@
     await exchange.say("done")
 
 
-async def unwritable(exchange):
+async def unencodable_result(exchange):
     await exchange.raw('{"id":"r1","from":"d","state":"done","result":[1e999]}\n')
 
 
-async def surrogate(exchange):
+async def lone_surrogate_result(exchange):
     await exchange.raw('{"id":"r1","from":"d","state":"done","result":"\\ud800"}\n')
 
 
-async def too_far(exchange):
+async def share_above_one(exchange):
     await exchange.say("running", share=7)
 
 
-async def endless(exchange):
+async def endless_line(exchange):
     while True:
         await exchange.raw("x" * 9000)
 
@@ -94,45 +94,45 @@
     await exchange.stream.send_all(b"\x00\x01 what\r\n\r\n")
 
 
-async def returned(exchange):
+async def status_503_not_processed(exchange):
     await exchange.status(503, "X-Not-Processed: 1")
 
 
-async def handed_back(exchange):
+async def reports_returned(exchange):
     await exchange.say("returned")
 
 
-async def error(exchange):
+async def status_500(exchange):
     await exchange.status(500)
 
 
-async def plain_503(exchange):
+async def status_503(exchange):
     await exchange.status(503)
 
 
 @pytest.mark.parametrize(
     "failure, never_ran",
     [
-        (dies, False),
-        (lost, False),
+        (reset_after_start, False),
+        (reports_lost, False),
         (other_id, False),
-        (nonsense, False),
-        (endless, False),
+        (malformed_json, False),
+        (endless_line, False),
         (not_http, False),
         (no_result, False),
-        (unwritable, False),
-        (surrogate, False),
-        (too_far, False),
-        (error, False),
-        (plain_503, False),
-        (returned, True),
-        (handed_back, True),
+        (unencodable_result, False),
+        (lone_surrogate_result, False),
+        (share_above_one, False),
+        (status_500, False),
+        (status_503, False),
+        (status_503_not_processed, True),
+        (reports_returned, True),
     ],
 )
 @story
-async def test_what_may_have_run_is_sent_again_only_as_its_class_allows(failure, never_ran):
+async def test_attempt_that_may_have_run_is_retried_only_as_its_class_allows(failure, never_ran):
     for target, again in (("/tour", True), ("/once", never_ran)):
-        script = failing_once(failure)
+        script = fail_first_attempt(failure)
         peers = [Peer("d1", script), Peer("d2", script)]
         async with world(*peers) as w:
             reply = await w.ask(target)
@@ -141,10 +141,10 @@
 
 
 @story
-async def test_a_refused_connection_never_ran_so_any_class_is_tried_elsewhere():
+async def test_refused_connection_is_retried_elsewhere_for_any_class():
     dead, alive = Peer("d0", done), Peer("d1", done)
     async with world(dead, alive) as w:
-        with socket.socket() as unused:  # a port that nobody listens on
+        with socket.socket() as unused:  # a port without a listener
             unused.bind(("127.0.0.1", 0))
             w.discovery.tell({**dead.entry(), "addr": f"127.0.0.1:{unused.getsockname()[1]}"})
             await w.until(lambda: w.service.endpoints.version == 2)
@@ -154,7 +154,7 @@
 
 
 @timed_story
-async def test_a_silent_destination_is_given_up_before_the_client_is():
+async def test_silent_worker_times_out_before_the_client():
     gone = trio.Event()
 
     async def silent(exchange):
@@ -169,7 +169,7 @@
 
 
 @story
-async def test_a_client_that_leaves_stops_the_retry_that_is_pending():
+async def test_client_that_leaves_stops_its_pending_retry():
     peers = [Peer("d1", hang), Peer("d2", hang)]
     async with world(*peers) as w:
         client = await w.client()
@@ -179,7 +179,7 @@
         await w.until(lambda: not w.service.listener.clients)
         for peer in peers:
             for stream in list(peer.live):
-                await trio.aclose_forcefully(stream)  # the attempt dies: no second one may follow
+                await trio.aclose_forcefully(stream)  # ends the attempt: no second one may follow
         for peer in peers:
             peer.script = done
         assert (await w.ask(X_Request_ID="r2")).status == 200
@@ -187,9 +187,9 @@
 
 
 @timed_story
-async def test_a_job_that_no_destination_can_take_is_refused_at_once_with_advice():
+async def test_request_without_any_worker_is_rejected_at_once_with_retry_after():
     async with world(Peer("d1", done)) as w:
-        w.discovery.tell(full=True)  # a whole list that omits every destination removes it
+        w.discovery.tell(full=True)  # a full list without workers removes all of them
         await w.until(lambda: len(w.service.endpoints) == 0)
         began = trio.current_time()
         replies = []
@@ -204,7 +204,7 @@
 
 
 @story
-async def test_a_draining_destination_gets_nothing_new_and_its_idle_connections_are_closed():
+async def test_draining_worker_gets_no_request_and_its_idle_connections_are_closed():
     peers = [Peer("d1", done), Peer("d2", done)]
     async with world(*peers) as w:
         for i in range(8):
@@ -220,7 +220,7 @@
 
 
 @timed_story
-async def test_the_watch_goes_on_at_once_and_outlives_a_silent_discovery(monkeypatch):
+async def test_watch_polls_again_at_once_and_survives_a_silent_discovery(monkeypatch):
     from yewrill.net import discovery
 
     monkeypatch.setattr(discovery, "ANSWER_GRACE_SECONDS", 0.1)
@@ -242,8 +242,9 @@
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @timed_story
-async def test_sighup_moves_the_watch_at_once_and_a_faulty_file_changes_nothing(front, caplog):
-    previous = signal.signal(signal.SIGHUP, lambda *_: None)  # without a receiver: fail, do not die
+async def test_sighup_moves_the_watch_at_once_and_an_invalid_file_changes_nothing(front, caplog):
+    # Without a receiver the test is to fail, not the process to be killed.
+    previous = signal.signal(signal.SIGHUP, lambda *_: None)
     peers = [Peer("d1", hang), Peer("d2", done)]
     try:
         async with world(peers[0], front=front, signals=True) as w:
@@ -257,24 +258,22 @@
             w.raw["settings"] = SETTINGS
             peers[1].front = front
             await w.nursery.start(peers[1].serve)
-            there = Discovery(peers)
-            there.version = (
-                1  # an older count than the watch has seen: versions are each discovery's own
-            )
-            w.raw.update(discovery=await there.serve(w.nursery), name="other")
+            other_discovery = Discovery(peers)
+            # Lower than the version that the watch has seen: each discovery has its own numbers.
+            other_discovery.version = 1
+            w.raw.update(discovery=await other_discovery.serve(w.nursery), name="other")
             began = trio.current_time()
             os.kill(os.getpid(), signal.SIGHUP)
-            await w.until(lambda: len(w.service.endpoints) == 2 and len(there.calls) == 2)
-            assert trio.current_time() - began < 1.0  # in the midst of a held call
-            assert "from=" not in there.calls[0][1]
+            await w.until(lambda: len(w.service.endpoints) == 2 and len(other_discovery.calls) == 2)
+            assert trio.current_time() - began < 1.0  # during a held call
+            assert "from=" not in other_discovery.calls[0][1]
             assert "reload_ignored keys=name" in caplog.text
             assert w.service.engine._module.fleet.workers["d1"] is learned
             peers[0].script = done
             assert (await w.ask(X_Request_ID="r2")).status == 200
             await w.nursery.start(finish, peers[0].exchanges[0])
-            assert (
-                await client.reply()
-            ).status == 200  # what was taken before is served through it
+            # A request accepted before the reload is served to its end.
+            assert (await client.reply()).status == 200
     finally:
         signal.signal(signal.SIGHUP, previous)
 
@@ -285,7 +284,7 @@
 
 
 @story
-async def test_a_connection_that_ended_or_bears_stray_bytes_is_not_used_again():
+async def test_worker_connection_with_end_or_stray_bytes_is_not_reused():
     async def then_closes(exchange):
         await exchange.done()
         await exchange.stream.aclose()
@@ -298,22 +297,23 @@
         peer = Peer("d1", script)
         async with world(peer) as w:
             for i in range(5):
-                reply = await w.ask("/once", X_Request_ID=f"r{i}")  # a reset would fail this class
+                # This class is not retried after a reset.
+                reply = await w.ask("/once", X_Request_ID=f"r{i}")
                 assert reply.status == 200
             assert peer.connections == 5 and len(peer.exchanges) == 5
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @story
-async def test_kept_connections_that_break_under_their_next_request_leave_nobody_out(front):
-    async def wears_out(exchange):
+async def test_reused_connections_that_are_reset_cost_no_request_and_eject_no_worker(front):
+    async def resets_second_use(exchange):
         if exchange.stream in used:
             exchange.reset()
         else:
             used.add(exchange.stream)
             await exchange.done()
 
-    used, peers = set(), [Peer("d1", wears_out), Peer("d2", wears_out)]
+    used, peers = set(), [Peer("d1", resets_second_use), Peer("d2", resets_second_use)]
     async with world(*peers, front=front) as w:
         for i in range(12):
             client = await w.client()
@@ -326,14 +326,15 @@
             worker.ejection.until <= w.service.engine.now() and not worker.ejection.failures
             for worker in w.service.engine._module.fleet.workers.values()
         )
-        assert (
-            sum(len(p.exchanges) for p in peers) <= 12 + 2
-        )  # one loss each, then new connections only
+        # One reset for each worker, then only new connections.
+        assert sum(len(p.exchanges) for p in peers) <= 12 + 2
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @timed_story
-async def test_a_connection_that_falls_silent_costs_neither_its_job_nor_its_destination(front):
+async def test_attempt_on_a_silent_connection_ends_early_and_does_not_count_against_its_worker(
+    front,
+):
     async def first_is_silent(exchange):
         if exchange.id == "r0":
             await exchange.closed()
@@ -343,34 +344,34 @@
             await exchange.done()
 
     given_up, peer = trio.Event(), Peer("d1", first_is_silent)
-    tells = {"specifics": {"tells_start": True, "progress": 1000.0, "queue_order": "fifo"}}
-    async with world(peer, front=front, settings=tells) as w:
+    start_reports = {"specifics": {"tells_start": True, "progress": 1000.0, "queue_order": "fifo"}}
+    async with world(peer, front=front, settings=start_reports) as w:
         silent = await w.client()
         await silent.send(X_Request_ID="r0")
         await w.until(lambda: peer.exchanges)
-        await trio.sleep(0.03)  # long enough for the order of arrival to be sure
+        await trio.sleep(0.03)  # so that the order of arrival is certain
         assert (await w.ask(X_Request_ID="r1")).status == 200
-        await given_up.wait()  # long before its time was up: the later job had started
+        await given_up.wait()  # long before its timeout: the later request had started
         assert peer.exchanges[1].id == "r1"
         assert not w.service.engine._module.fleet.workers["d1"].ejection.failures
 
 
 @story
-async def test_a_destination_that_goes_on_talking_after_its_answer_holds_nobody_up():
-    async def talks(exchange):
+async def test_worker_that_keeps_sending_after_its_answer_delays_no_request():
+    async def sends_after_answer(exchange):
         await exchange.say("done", result="profile")
         while True:
             await exchange.raw("more\n" * 1500)
 
-    peer = Peer("d1", talks)
+    peer = Peer("d1", sends_after_answer)
     async with world(peer) as w:
         for i in range(3):
             assert (await w.ask(X_Request_ID=f"r{i}")).status == 200
-        await w.until(lambda: not peer.live)  # its connections are given up
+        await w.until(lambda: not peer.live)  # its connections are closed
 
 
 @timed_story
-async def test_idle_connections_are_retired_before_the_other_side_does_it():
+async def test_idle_worker_connections_are_closed_before_the_worker_closes_them():
     peer = Peer("d1", done)
     async with world(peer, settings={"limits": {**SETTINGS["limits"], "idle_close": 1000.0}}) as w:
         assert (await w.ask()).status == 200
@@ -381,7 +382,7 @@
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @story
-async def test_a_first_try_with_little_patience_is_served_and_a_marked_late_retry_refused(front):
+async def test_first_try_with_a_short_timeout_is_served_and_a_marked_retry_is_rejected(front):
     async with world(
         Peer("d1", done), front=front, settings={"client_habits": {"marks_retry": True}}
     ) as w:
@@ -426,7 +427,7 @@
 
 @pytest.mark.parametrize("given, status", BAD, ids=[str(i) for i in range(len(BAD))])
 @story
-async def test_bad_input_is_answered_before_the_core_sees_it(given, status):
+async def test_bad_request_is_rejected_before_any_attempt(given, status):
     peer = Peer("d1", done)
     async with world(peer) as w:
         assert (await w.ask(**given)).status == status
@@ -436,7 +437,7 @@
 
 OUTER = b"POST /tour HTTP/1.1\r\nHost: x\r\nX-Request-ID: outer\r\nX-Tenant-Id: acme\r\n"
 INNER = OUTER.replace(b"outer", b"inner") + b"Content-Length: 0\r\n\r\n"
-HIDING = [
+SMUGGLING = [
     OUTER + b"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" % (5 + len(INNER)),
     OUTER + b"transfer-ENCODING: Chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
     OUTER + b"Transfer-Encoding:\r\n chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
@@ -451,11 +452,9 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
-@pytest.mark.parametrize("outer", HIDING, ids=[str(i) for i in range(len(HIDING))])
+@pytest.mark.parametrize("outer", SMUGGLING, ids=[str(i) for i in range(len(SMUGGLING))])
 @story
-async def test_a_body_that_may_hide_a_request_is_refused_and_nothing_behind_it_is_read(
-    outer, front
-):
+async def test_ambiguous_framing_is_rejected_and_nothing_after_it_is_read(outer, front):
     peer = Peer("d1", done)
     async with world(peer, front=front) as w:
         stream = await trio.open_tcp_stream(*w.service.listener.address)
@@ -468,7 +467,7 @@
 
 
 @story
-async def test_only_known_headers_of_checked_form_reach_a_destination():
+async def test_only_known_valid_headers_reach_a_worker():
     peer = Peer("d1", done)
     async with world(peer) as w:
         odd = {"Transfer-Coding": "chunked", "X-Odd": "\xff", "Upgrade": "h2c", "Cookie": "user=7"}
@@ -487,7 +486,7 @@
     "raw", [b"\x16\x03\x01\x02\x00\r\n\r\n", b"POST /tour HTTP/1.1\r\nHost x\r\n\r\n"]
 )
 @story
-async def test_malformed_http_is_answered_400(raw):
+async def test_malformed_http_gets_400(raw):
     async with world(Peer("d1", done)) as w:
         stream = await trio.open_tcp_stream(*w.service.listener.address)
         await stream.send_all(raw)
@@ -495,7 +494,7 @@
 
 
 @timed_story
-async def test_a_drain_finishes_what_was_taken_and_takes_what_still_comes():
+async def test_drain_finishes_open_requests_and_serves_new_ones_until_the_socket_closes():
     go_on = trio.Event()
 
     async def slow(exchange):
@@ -511,9 +510,8 @@
         assert (await idle.ask("/up", method="GET")).status == 503
         late, quiet = await w.client(), await w.client()
         await late.send(X_Request_ID="r2")
-        assert (
-            await quiet.stream.receive_some() == b""
-        )  # an idle connection is closed with the listener
+        # An idle connection is closed together with the listening socket.
+        assert await quiet.stream.receive_some() == b""
         with pytest.raises(OSError):
             await w.client()
         assert not w.ended.is_set()
@@ -525,7 +523,7 @@
 
 
 @timed_story
-async def test_a_drain_serves_kept_connections_as_long_as_it_may_and_leaves_nothing_unanswered():
+async def test_drain_serves_kept_connections_within_its_grace_and_answers_every_request():
     async def script(exchange):
         await (hang if exchange.id == "last" else done)(exchange)
 
@@ -535,7 +533,7 @@
         began = trio.current_time()
         w.nursery.start_soon(w.service.drain)
         await w.until(lambda: w.service.run_state.draining and not w.service.listener.accepting)
-        reply = await kept.ask(X_Request_ID="r2")  # a restart is no reason to send it away
+        reply = await kept.ask(X_Request_ID="r2")  # a restart does not close kept connections
         assert reply.status == 200 and "connection" not in reply.headers
         await slow.send("/once", X_Request_ID="last", X_Timeout_Ms="3000")
         assert (await slow.reply()).status == 502
@@ -545,13 +543,13 @@
 
 
 @story
-async def test_a_fault_in_the_module_or_an_attempt_costs_one_answer_only(monkeypatch):
+async def test_exception_in_policy_or_attempt_fails_one_request_only(monkeypatch):
     async with world(Peer("d1", done)) as w:
         handle = w.service.engine._module.handle
 
         def faulty(now, events):
             if any(isinstance(e, api.RequestArrived) and e.request_class == 2 for e in events):
-                raise RuntimeError("a fault for the test")
+                raise RuntimeError("a bug for the test")
             return handle(now, events)
 
         monkeypatch.setattr(w.service.engine._module, "handle", faulty)
@@ -564,12 +562,12 @@
 
 
 @story
-async def test_without_descriptors_clients_wait_and_are_served_later(monkeypatch):
+async def test_accept_without_descriptors_serves_waiting_clients_later(monkeypatch):
     async with world(Peer("d1", done)) as w:
         real, failures = w.service.listener.sock, []
 
         class Short:
-            """The listening socket, out of descriptors a few times."""
+            """The listening socket, whose `accept` fails three times for lack of descriptors."""
 
             def accept(self):
                 if len(failures) < 3:
@@ -586,7 +584,7 @@
 
 
 @timed_story
-async def test_our_own_shortage_is_not_held_against_a_destination(monkeypatch):
+async def test_local_descriptor_shortage_does_not_eject_a_worker(monkeypatch):
     async with world(Peer("d1", done)) as w:
         real = Connection.open
 
@@ -594,20 +592,18 @@
             raise OSError(errno.EMFILE, "Too many open files")
 
         monkeypatch.setattr(Connection, "open", short)
-        assert (
-            await w.ask("/once")
-        ).status == 503  # refused, which a class that ran would not allow
+        # A rejection, which shows that nothing ran; a request that may have run would fail with 502.
+        assert (await w.ask("/once")).status == 503
         assert (await w.service.worker_client.probe("d1"))[0] is AttemptOutcome.REJECTED
         monkeypatch.setattr(Connection, "open", real)
         began = trio.current_time()
         assert (await w.ask("/once", X_Request_ID="r2")).status == 200
-        assert (
-            trio.current_time() - began < 0.2
-        )  # a destination thought unreachable is left alone longer
+        # An ejected worker would get no request for longer than this.
+        assert trio.current_time() - began < 0.2
 
 
 @story
-async def test_probes_tell_live_destinations_from_dead_ones():
+async def test_probe_outcome_follows_the_workers_health():
     peer = Peer("d1", done)
 
     async def script(exchange):
@@ -624,18 +620,17 @@
             assert (await w.service.worker_client.probe("d1"))[0] is outcome
         peer.script = hang
         assert (await w.service.worker_client.probe("d1"))[0] is AttemptOutcome.UNREACHABLE
-        assert (
-            peer.connections == 4
-        )  # each on its own: an old connection says little of the destination
+        # Each probe opens a connection: an old one says little about the worker.
+        assert peer.connections == 4
 
 
 @story
-async def test_a_fault_in_a_standing_task_does_not_end_the_program(monkeypatch):
+async def test_exception_in_a_supervised_task_does_not_end_the_process(monkeypatch):
     async with world(Peer("d1", done)) as w:
 
         def faulty(answer, cached=False):
             monkeypatch.undo()
-            raise KeyError("a fault for the test")
+            raise KeyError("a bug for the test")
 
         monkeypatch.setattr(w.service.endpoints, "apply", faulty)
         w.discovery.tell()
@@ -644,7 +639,7 @@
 
 
 @timed_story
-async def test_client_connections_are_bounded_and_idle_ones_give_way():
+async def test_client_connections_are_bounded_and_the_longest_idle_is_evicted():
     async with world(Peer("d1", done), limits={"sockets": 80}) as w:
         clients = []
         for i in range(40):
@@ -659,7 +654,7 @@
 
 @FRONTS
 @timed_story
-async def test_silence_and_half_a_request_end_in_time_and_a_kept_connection_does_not(
+async def test_silent_or_incomplete_request_gets_408_in_time_and_a_kept_connection_stays(
     front, monkeypatch
 ):
     monkeypatch.setattr(listener, "REQUEST_TIMEOUT_SECONDS", 0.15)
@@ -677,9 +672,7 @@
 
 @FRONTS
 @timed_story
-async def test_a_flood_of_silent_connections_takes_no_place_from_those_that_work(
-    front, monkeypatch
-):
+async def test_flood_of_silent_connections_displaces_no_working_client(front, monkeypatch):
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.05)
     async with world(Peer("d1", done), front=front, limits={"sockets": 80}) as w:
         kept = await w.client()
@@ -688,7 +681,7 @@
         flood = []
         for i in range(4):
             flood += [await w.client() for _ in range(40)]
-            # Whoever comes behind them has its answer, and is not the one to give way.
+            # A client behind them gets its answer and is not evicted.
             assert (await w.ask(X_Request_ID=f"n{i}")).status == 200
             assert len(w.service.listener.clients) <= 22
         if front == "platform":
@@ -697,7 +690,7 @@
 
 @FRONTS
 @story
-async def test_many_requests_at_once_on_a_connection_are_refused_before_the_core(front):
+async def test_pipelined_requests_are_rejected_before_any_attempt(front):
     peer = Peer("d1", done)
     async with world(peer, front=front) as w:
         stream = await trio.open_tcp_stream(*w.service.listener.address)
@@ -712,15 +705,15 @@
 
 @FRONTS
 @story
-async def test_an_id_in_use_at_a_client_or_a_destination_is_refused_and_its_holder_is_untouched(
+async def test_request_id_in_use_gets_409_and_does_not_affect_the_open_request(
     front,
 ):
-    async def when_told(exchange):
+    async def waits(exchange):
         exchange.go_on = trio.Event()
         await exchange.go_on.wait()
         await exchange.done()
 
-    peer = Peer("d1", when_told)
+    peer = Peer("d1", waits)
     async with world(peer, front=front) as w:
         holder = await w.client()
         await holder.send()
@@ -732,7 +725,7 @@
         await left.send(X_Request_ID="r2")
         await w.until(lambda: len(peer.exchanges) == 2)
         await left.stream.aclose()
-        assert (await w.ask(X_Request_ID="r2")).status == 409  # its attempt is still out
+        assert (await w.ask(X_Request_ID="r2")).status == 409  # its attempt is still running
         assert [e.id for e in peer.exchanges] == ["r1", "r2"]
         peer.exchanges[1].go_on.set()
         await w.until(lambda: not w.service.engine._live)
@@ -741,7 +734,7 @@
 
 
 @story
-async def test_pick_report_tick_without_any_sockets():
+async def test_engine_picks_and_retries_without_sockets():
     settings = api.Settings(classes=[api.RequestClass("c", 500.0, 1000.0)], max_attempts=2)
     engine = DecisionEngine(settings, 1)
     engine.update_endpoints([Endpoint("d1", ("", 0)), Endpoint("d2", ("", 0))], full=True)
@@ -753,11 +746,11 @@
         second = await engine.pick(request)
         assert isinstance(second, Attempt) and second.worker != first.worker
         engine.report(second, AttemptOutcome.RESET)
-        assert isinstance(await engine.pick(request), Rejection)  # two attempts are the most
+        assert isinstance(await engine.pick(request), Rejection)  # max_attempts is 2
         nursery.cancel_scope.cancel()
 
 
-def test_every_ending_has_an_outcome_and_only_unsent_ones_prove_that_nothing_ran():
+def test_only_outcomes_of_unsent_attempts_prove_that_nothing_ran():
     never = {e for e in AttemptOutcome if e.policy_outcome in api.NEVER_RAN}
     assert never == {
         AttemptOutcome.REJECTED,
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -1,4 +1,4 @@
-"""Stories of the progress front: server-sent events, and exactly one final event for each request."""
+"""The progress frontend: server-sent events with exactly one final event for each request."""
 
 import random
 import socket
@@ -17,7 +17,7 @@
 
 
 async def read_stream(client):
-    """A reply's status and its events, read to the end of the stream."""
+    """Read a reply to the end of its stream; returns the reply and its events."""
     reply = await client.reply()
     return reply, EventStreamParser().feed(reply.body)
 
@@ -33,7 +33,7 @@
         await client.stream.aclose()
 
 
-async def climbs(exchange):
+async def reports_then_waits(exchange):
     await exchange.say("started")
     await exchange.say("running", share=0.4)
     exchange.seen = trio.Event()
@@ -42,8 +42,8 @@
 
 
 @story
-async def test_progress_is_passed_on_as_it_comes_and_the_answer_is_the_last_event():
-    peer = Peer("d1", climbs)
+async def test_progress_is_forwarded_immediately_and_the_answer_is_the_last_event():
+    peer = Peer("d1", reports_then_waits)
     async with world(peer, front="progress") as w:
         client = await w.client()
         await client.send()
@@ -66,8 +66,8 @@
         assert peer.exchanges[0].headers["accept"] == "text/event-stream"
 
 
-def dies_first(then):
-    """The first attempt of all peers tells of progress and dies; the next ones go on as told."""
+def reset_first(then):
+    """A script whose first attempt over all workers reports progress and is reset; later ones run `then`."""
 
     async def script(exchange):
         if script.first:
@@ -84,10 +84,8 @@
 
 @pytest.mark.parametrize("target, final", [("/tour", "served"), ("/once", "failed")])
 @story
-async def test_a_destination_that_dies_mid_stream_is_retried_only_as_the_class_allows(
-    target, final
-):
-    script = dies_first(done)
+async def test_worker_reset_during_stream_is_retried_only_as_the_class_allows(target, final):
+    script = reset_first(done)
     peers = [Peer("d1", script), Peer("d2", script)]
     async with world(*peers, front="progress") as w:
         script.passed.set()
@@ -97,14 +95,14 @@
 
 
 @story
-async def test_a_client_that_leaves_while_a_retry_is_pending_stops_the_retry():
-    script = dies_first(done)
+async def test_client_that_leaves_while_a_retry_is_pending_stops_the_retry():
+    script = reset_first(done)
     peers = [Peer("d1", script), Peer("d2", script)]
     async with world(*peers, front="progress") as w:
         client = await w.client()
         await client.send()
         await w.until(lambda: any(p.exchanges for p in peers))
-        # The retry will find no destination, so it stays pending until its client has left.
+        # The retry finds no worker, so it stays pending until its client has left.
         w.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in peers))
         await w.until(lambda: w.service.endpoints.version == 2)
         script.passed.set()
@@ -119,13 +117,15 @@
 
 
 @timed_story
-async def test_the_deadline_holds_while_progress_flows():
-    async def forever(exchange):
+async def test_deadline_applies_while_progress_is_reported():
+    async def reports_progress_forever(exchange):
         while True:
             await exchange.say("running", share=0.1)
             await trio.sleep(0.01)
 
-    async with world(Peer("d1", forever), front="progress", timing={"answer_margin_ms": 400}) as w:
+    async with world(
+        Peer("d1", reports_progress_forever), front="progress", timing={"answer_margin_ms": 400}
+    ) as w:
         began = trio.current_time()
         reply, events = await ask(w, X_Timeout_Ms="900")
         assert trio.current_time() - began < 0.9
@@ -134,7 +134,7 @@
 
 
 @story
-async def test_a_refusal_tells_when_to_return():
+async def test_refused_event_states_retry_after():
     async with world(front="progress") as w:
         reply, events = await ask(w)
         assert [e.type for e in events] == ["refused"]
@@ -142,7 +142,7 @@
 
 
 @story
-async def test_a_plain_answer_in_place_of_a_stream_ends_that_attempt_only():
+async def test_worker_answer_that_is_no_stream_fails_that_attempt_only():
     async def plain(exchange):
         exchange.front = "platform"
         await exchange.done()
@@ -159,7 +159,7 @@
 
 
 @story
-async def test_a_reader_that_reconnects_is_told_to_stop_and_bad_input_gets_no_stream():
+async def test_reconnecting_reader_gets_204_and_bad_request_gets_no_stream():
     peer = Peer("d1", done)
     async with world(peer, front="progress") as w:
         assert (await w.ask(Last_Event_ID="3")).status == 204
@@ -168,32 +168,32 @@
 
 
 @story
-async def test_a_slow_reader_is_dropped_without_growing_anything(monkeypatch):
+async def test_slow_reader_is_disconnected_and_uses_bounded_memory(monkeypatch):
     monkeypatch.setattr(client_connection, "SEND_TIMEOUT_SECONDS", 0.3)
 
-    async def floods(exchange):
+    async def sends_progress_forever(exchange):
         while True:
             await exchange.say("running", share=0.1)
 
-    async with world(Peer("d1", floods), front="progress") as w:
+    async with world(Peer("d1", sends_progress_forever), front="progress") as w:
         client = await w.client()
         await w.until(lambda: w.service.listener.clients)
-        held = next(iter(w.service.listener.clients))
-        # Small buffers in the system, and a client that never reads: the ring is all that may fill.
-        held.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        served_client = next(iter(w.service.listener.clients))
+        # Small kernel buffers and a client that never reads: the output stays in the outbound buffer.
+        served_client.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.stream.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         await client.send(X_Timeout_Ms="15000")
-        await w.until(lambda: held.request is not None)
-        request = held.request
-        await w.until(lambda: held.disconnected)
+        await w.until(lambda: served_client.request is not None)
+        request = served_client.request
+        await w.until(lambda: served_client.disconnected)
         assert request.client_left and w.service.engine.now() < request.deadline - 5000.0
-        assert len(held.connection.outbound) <= 8192
+        assert len(served_client.connection.outbound) <= 8192
         await client.stream.aclose()
 
 
 @story
-async def test_draining_new_streams_get_a_plain_503_and_the_open_ones_their_final_event():
-    peer = Peer("d1", climbs)
+async def test_while_draining_new_streams_get_503_and_open_ones_their_final_event():
+    peer = Peer("d1", reports_then_waits)
     async with world(peer, front="progress", timing={"linger_ms": 100, "grace_ms": 1000}) as w:
         client = await w.client()
         await client.send()
@@ -209,26 +209,26 @@
 
 
 @story
-async def test_thousands_of_streams_have_one_final_event_each_and_none_after_the_drain():
+async def test_thousands_of_streams_get_one_final_event_each_and_none_after_the_drain():
     rng = random.Random(7)
-    total, finals, left, plain, ended = 2400, [], 0, 0, 0
+    total, finals, left, rejected_while_draining, ended = 2400, [], 0, 0, 0
 
-    async def odd(exchange):
-        """Some die mid-stream, some hand the job back, some fail; most serve."""
-        fate = rng.random()
-        if fate < 0.8:
+    async def mixed_outcomes(exchange):
+        """Some attempts are reset during the stream, some are returned, some fail; most are served."""
+        draw = rng.random()
+        if draw < 0.8:
             await exchange.say("running", share=0.5)
-        if fate < 0.15:
+        if draw < 0.15:
             exchange.reset()
-        elif fate < 0.2:
+        elif draw < 0.2:
             await exchange.say("returned")
-        elif fate < 0.25:
+        elif draw < 0.25:
             await exchange.say("failed")
         else:
             await exchange.done()
 
-    async def one(w, number, slots):
-        nonlocal left, plain
+    async def run_client(w, number, slots):
+        nonlocal left, rejected_while_draining
         try:
             client = await w.client()
             try:
@@ -240,7 +240,7 @@
                     return
                 reply, events = await read_stream(client)
                 if reply.status == 503:
-                    plain += 1
+                    rejected_while_draining += 1
                     return
                 assert reply.status == 200 and not w.ended.is_set()
                 assert {ujson.loads(e.data)["id"] for e in events} == {f"r{number}"}
@@ -252,10 +252,10 @@
         finally:
             slots.release()
 
-    peers = [Peer(f"d{i}", odd, cell=i % 2) for i in range(8)]
+    peers = [Peer(f"d{i}", mixed_outcomes, cell=i % 2) for i in range(8)]
     async with world(*peers, front="progress", timing={"linger_ms": 1000}) as w:
         slots = trio.Semaphore(40)
-        # Whether the flood has a stream refused is chance: the first one meets no worker that takes work.
+        # Whether any of the many streams is refused is random; so the first one finds no running worker.
         w.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in peers))
         await w.until(lambda: w.service.endpoints.version == 2)
         reply, events = await ask(w, X_Request_ID="r0")
@@ -266,36 +266,36 @@
         async with trio.open_nursery() as nursery:
             for number in range(1, total):
                 await slots.acquire()
-                nursery.start_soon(one, w, number, slots)
+                nursery.start_soon(run_client, w, number, slots)
                 if number == total - 20:
                     w.nursery.start_soon(w.service.drain)
         await w.ended.wait()
         ended = sum(len(p.exchanges) for p in peers)
         assert not w.service.listener.clients and w.service.engine.pending == 0
-    assert len(finals) + left + plain == total
+    assert len(finals) + left + rejected_while_draining == total
     assert {"served", "failed", "refused"} <= set(finals) and left > 100
     assert ended == sum(len(p.exchanges) for p in peers)  # nothing was sent after the drain
 
 
 @story
-async def test_progress_of_a_dead_attempt_is_dropped_and_only_the_latest_is_kept():
+async def test_progress_of_an_ended_attempt_is_dropped_and_only_the_latest_is_kept():
     request = Request("r1", 0, 0.0)
     dead, live = (Attempt(request, number, "d1", 0.0) for number in (0, 1))
-    outlet = _ProgressBuffer(request)
-    outlet.progress(dead, 0.9)  # never passed on before its attempt died
+    buffer = _ProgressBuffer(request)
+    buffer.progress(dead, 0.9)  # not sent before its attempt ended
     request.live = live
     with trio.move_on_after(0.05) as waited:
-        await outlet.next()
+        await buffer.next()
     assert waited.cancelled_caught
     for share in (0.1, 0.2, 0.3):
-        outlet.progress(live, share)
-    assert await outlet.next() == (1, 0.3)
-    outlet.progress(live, 0.4)
-    outlet.end(None)
-    assert await outlet.next() is None  # once the answer is there, nothing goes before it
+        buffer.progress(live, share)
+    assert await buffer.next() == (1, 0.3)
+    buffer.progress(live, 0.4)
+    buffer.end(None)
+    assert await buffer.next() is None  # once there is an answer, no more progress is sent
 
 
-def test_the_event_stream_format():
+def test_event_stream_is_encoded_and_parsed_as_specified():
     text = (
         '\ufeff: a comment\r\nevent: progress\rid: 4\r\ndata:{"a":\ndata: "ü"}\n\n'
         "retry: 10\nodd: field\ndata\n\nevent: never\n\ndata: cut off\n"
@@ -316,7 +316,7 @@
 
 
 @story
-async def test_a_hanging_stream_without_progress_fails_before_the_client_gives_up():
+async def test_hanging_stream_without_progress_fails_before_the_client_timeout():
     async with world(Peer("d1", hang), front="progress", timing={"answer_margin_ms": 400}) as w:
         reply, events = await ask(w, target="/save", X_Timeout_Ms="900")
         assert [e.type for e in events] == ["failed"]
--- a/yewrill/net/worker_connections.py
+++ b/yewrill/net/worker_connections.py
@@ -32,7 +32,7 @@
     http: ClientSide
     address: tuple[str, int]
     idle_since: float = 0.0
-    reused: bool = False  # it has carried a complete exchange
+    reused: bool = False  # it has been in the pool before
     reusable_from: float = 0.0  # not reused before this time
 
 
@@ -216,7 +216,7 @@
                 del self._idle[worker]
 
     def _collect_ended(self) -> None:
-        """Return connections whose HTTP message is now complete to the pool; close overdue ones."""
+        """Put connections whose HTTP message is now complete back into the pool; close overdue ones."""
         now = trio.current_time()
         unfinished, self._unfinished = self._unfinished, []
         for message in unfinished:
