--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -72,7 +72,7 @@
 
 
 def when_connection_is_taken(monkeypatch, act) -> list[str]:
-    """Call `act` as the first attempt takes its connection, without an event loop iteration until it is sent.
+    """Call `act` as the first attempt takes its connection; no event loop iteration precedes its last check.
 
     Returns the workers of all attempts begun.
     """
@@ -112,9 +112,9 @@
         monkeypatch.setattr(
             self.module.selection,
             "worker_for",
-            lambda job, need: self.module.fleet.workers.get(self.worker),
+            lambda request, need: self.module.fleet.workers.get(self.worker),
         )
-        monkeypatch.setattr(self.module.admission, "admit", lambda job, now: "")
+        monkeypatch.setattr(self.module.admission, "admit", lambda request, now: "")
 
     @property
     def held(self) -> int:
@@ -912,8 +912,8 @@
         assert (await w.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
         # An attempt on the idle connection is sent without waiting.
         await w.until(lambda: w.service.worker_connections._idle.get("d1"))
-        gone = [socket.create_connection(w.service.listener.address) for _ in range(50)]
-        for i, sock in enumerate(gone):
+        closed_clients = [socket.create_connection(w.service.listener.address) for _ in range(50)]
+        for i, sock in enumerate(closed_clients):
             sock.sendall(raw_request(f"left{i}") * raw)
             sock.close()  # before the service has accepted any of them
         seen = []
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -155,17 +155,17 @@
 
 @timed_story
 async def test_silent_worker_times_out_before_the_client():
-    gone = trio.Event()
+    connection_closed = trio.Event()
 
     async def silent(exchange):
         await exchange.closed()
-        gone.set()
+        connection_closed.set()
 
     async with world(Peer("d1", silent), timing={"answer_margin_ms": 400}) as w:
         began = trio.current_time()
         reply = await w.ask(X_Timeout_Ms="900")
         assert reply.status == 502 and 0.4 < trio.current_time() - began < 0.9
-        await gone.wait()
+        await connection_closed.wait()
 
 
 @story
@@ -230,9 +230,9 @@
         calls = w.discovery.calls
         await w.until(lambda: len(calls) >= 2)
         w.discovery.tell(peer.entry())
-        told = trio.current_time()
+        changed_at = trio.current_time()
         await w.until(lambda: len(calls) >= 3 and w.service.endpoints.version == 2)
-        assert calls[-1][0] - told < 0.2 and "from=2" in calls[-1][1]
+        assert calls[-1][0] - changed_at < 0.2 and "from=2" in calls[-1][1]
         w.discovery.silent = True
         await w.until(lambda: len(calls) >= 6)
         w.discovery.silent = False
--- a/yewrill/net/connection.py
+++ b/yewrill/net/connection.py
@@ -127,9 +127,8 @@
         except OSError as error:
             if error.errno not in WAIT_SETUP_ERRORS:
                 raise
-            await trio.sleep(
-                MAX_PAUSE_SECONDS
-            )  # in place of the wait; the caller tries its call again
+            # Pause in place of the wait; the caller then tries its call again.
+            await trio.sleep(MAX_PAUSE_SECONDS)
 
     async def fill(self) -> int:
         """Read available data into the inbound buffer; returns the byte count, 0 at the end of the stream."""
--- a/yewrill/net/discovery.py
+++ b/yewrill/net/discovery.py
@@ -25,9 +25,8 @@
 # within RECOVERY_TIMEOUT_SECONDS.
 HOLD_MS = 4000
 ANSWER_GRACE_SECONDS = 0.8  # beyond the hold time, before discovery counts as silent
-RECOVERY_TIMEOUT_SECONDS = (
-    3.0  # not shorter: an abandoned call still takes its turn in discovery's queue
-)
+# Not shorter: an abandoned call still takes its turn in discovery's queue.
+RECOVERY_TIMEOUT_SECONDS = 3.0
 # Short, so that an answer soon shows that discovery is reachable, with or without a change.
 RECOVERY_HOLD_MS = 1000
 CONNECT_TIMEOUT_SECONDS = 0.5  # the kernel retransmits a lost SYN only after 1 s
--- a/yewrill/net/endpoint_list.py
+++ b/yewrill/net/endpoint_list.py
@@ -13,7 +13,7 @@
 from yewrill.policy import interface as api
 
 MAX_DETACHED = 10_000
-# How long a new process is told that a worker was attached again.
+# For this time after a worker was attached again, a new process is informed of that.
 REATTACHED_RETENTION_SECONDS = 60.0
 
 
--- a/yewrill/net/worker_client.py
+++ b/yewrill/net/worker_client.py
@@ -31,9 +31,8 @@
 log = logging.getLogger("yewrill.destinations")
 
 PROBE_PATH = "/alive"
-LOAD_PATH = (
-    "/metrics/load"  # a health check that returns a load report, for workers that report load
-)
+# The health check of workers that report load; its response body is a load report.
+LOAD_PATH = "/metrics/load"
 MAX_REPORT_BYTES = 4096
 PROBE_TIMEOUT_SECONDS = 0.2
 # A response without a request id may be sent twice, some milliseconds apart, and the second one would be
