--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -5,8 +5,8 @@
 import trio
 from fleet_world import World
 from helper import Discovery, Peer, done, hang, story, timed_story, world
-from test_discovery import drains
-from test_endings import FRONTS, LONG, ROOMY, raw_request
+from test_discovery import set_draining
+from test_endings import FRONTS, LONG_DEADLINES, LONG_TIMEOUT, raw_request
 
 from yewrill.net.listener import Listener
 from yewrill.policy import interface as api
@@ -19,7 +19,7 @@
 @story
 async def test_a_client_accepted_in_the_turn_of_the_end_has_its_answer(already_sent, monkeypatch):
     peer, accepted = Peer("d1", done), []
-    async with world(peer, settings=ROOMY, timing={"linger_ms": 0, "grace_ms": 1500}) as w:
+    async with world(peer, settings=LONG_DEADLINES, timing={"linger_ms": 0, "grace_ms": 1500}) as w:
         real = Listener._accept_one
 
         def accepts(listener):
@@ -49,12 +49,12 @@
 async def test_no_request_is_left_without_an_answer_by_workers_that_are_silent_and_an_end(front):
     peers = [Peer(f"d{i}", hang) for i in range(3)]
     async with world(
-        *peers, front=front, settings=ROOMY, timing={"linger_ms": 50, "grace_ms": 1400}
+        *peers, front=front, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
     ) as w:
         clients = [await w.client() for _ in range(30)]
         for number, client in enumerate(clients):
             target = ("/tour", "/save", "/once")[number % 3]
-            await client.send(target, X_Request_ID=f"r{number}", **LONG)
+            await client.send(target, X_Request_ID=f"r{number}", **LONG_TIMEOUT)
         await w.until(lambda: len(w.service.listener.clients) == 30)
         began = trio.current_time()
         w.nursery.start_soon(w.service.drain)
@@ -106,17 +106,17 @@
 @timed_story
 async def test_a_reload_that_moves_discovery_is_followed_by_a_workers_drain():
     peers = [Peer("d1", done), Peer("d2", done)]
-    async with world(*peers, settings=ROOMY) as w:
+    async with world(*peers, settings=LONG_DEADLINES) as w:
         there = Discovery(peers)
         w.raw["discovery"] = await there.serve(w.nursery)
         began = trio.current_time()
         w.service.reload()
-        there.tell(drains(peers[0]), full=True)  # before the first call to it
+        there.tell(set_draining(peers[0]), full=True)  # before the first call to it
         await w.until(lambda: not w.service.endpoints.may_send("d1"))
         assert trio.current_time() - began < 4.0
         sent = len(peers[0].exchanges)
         for number in range(10):
-            assert (await w.ask(X_Request_ID=f"r{number}", **LONG)).status == 200
+            assert (await w.ask(X_Request_ID=f"r{number}", **LONG_TIMEOUT)).status == 200
         assert len(peers[0].exchanges) == sent and len(peers[1].exchanges) >= 10
 
 
@@ -129,21 +129,21 @@
 
     go_on, peer = trio.Event(), Peer("d1", waits)
     async with world(
-        peer, front=front, settings=ROOMY, timing={"linger_ms": 50, "grace_ms": 4000}
+        peer, front=front, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 4000}
     ) as w:
         there = Discovery([peer])
         there.silent = True  # the new discovery says nothing: what is known goes on serving
         address = await there.serve(w.nursery)
         clients = [await w.client() for _ in range(8)]
         for number, client in enumerate(clients[:4]):
-            await client.send(X_Request_ID=f"r{number}", **LONG)
+            await client.send(X_Request_ID=f"r{number}", **LONG_TIMEOUT)
         await w.until(lambda: peer.exchanges)
         w.raw["discovery"] = address
         w.service.reload()
         w.nursery.start_soon(w.service.drain)
         await w.until(lambda: w.service.run_state.draining)
         for number, client in enumerate(clients[4:], 4):
-            await client.send(X_Request_ID=f"r{number}", **LONG)
+            await client.send(X_Request_ID=f"r{number}", **LONG_TIMEOUT)
         if front == "platform":
             await w.until(lambda: w.service.engine.pending == 8)
         else:  # no new streams in a drain: each is told so at once
