--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,7 @@
-"""One owner at a time: duties on the log, fences, what the disk keeps, and members in a bad network."""
+"""Leases: the lease table, fences, codecs of messages and of stored state, and simulated members with faults.
+
+The tests guard against two holders of a role at once, and against commands of a former holder being executed.
+"""
 
 from dataclasses import replace
 
@@ -50,34 +53,36 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 500), LEASE_COMMANDS), max_size=60))
-def test_a_duty_has_one_owner_its_numbers_only_grow_and_a_request_counts_once(entries):
-    state, clock, highest = LeaseTable(), 0, {}
-    for i, (wait, wish) in enumerate(entries, 1):
-        clock, command = clock + wait, replace(wish, id=i)
-        before = LeaseTable.unpack(state.pack())
-        result = state.apply(clock, command)
-        assert before.apply(clock, command) == result and before == state  # all who apply it agree
-        held = state.view(command.role, state.clock)
+def test_the_lease_table_has_one_holder_per_role_growing_numbers_and_no_repeated_effects(entries):
+    table, clock, highest = LeaseTable(), 0, {}
+    for i, (elapsed_ms, drawn) in enumerate(entries, 1):
+        clock, command = clock + elapsed_ms, replace(drawn, id=i)
+        before = LeaseTable.unpack(table.pack())
+        result = table.apply(clock, command)
+        assert (
+            before.apply(clock, command) == result and before == table
+        )  # a table restored from bytes agrees
+        current = table.view(command.role, table.clock)
         if result.ok and command.action == CLAIM:
             assert result.number == highest.get(command.role, 0) + 1
             highest[command.role] = result.number
-        assert state.highest_numbers.get(command.role, 0) == highest.get(command.role, 0)
-        assert not held.holder or held.number == state.highest_numbers[command.role]
-        assert state.apply(clock, command) == result  # once more: the same, and nothing moves
+        assert table.highest_numbers.get(command.role, 0) == highest.get(command.role, 0)
+        assert not current.holder or current.number == table.highest_numbers[command.role]
+        assert table.apply(clock, command) == result  # a repetition has the same result
 
 
 @given(st.lists(st.tuples(st.sampled_from("xy"), st.integers(0, 9)), max_size=30))
-def test_a_fence_lets_no_number_pass_below_the_highest(orders):
+def test_a_fence_refuses_numbers_below_the_highest(commands):
     fence, highest = Fence(), {}
-    for duty, number in orders:
-        assert fence.admits(duty, number) == (number >= highest.get(duty, 0))
-        highest[duty] = max(number, highest.get(duty, 0))
+    for role, number in commands:
+        assert fence.admits(role, number) == (number >= highest.get(role, 0))
+        highest[role] = max(number, highest.get(role, 0))
 
 
 SNAPSHOT = st.builds(
     Snapshot, st.integers(0, 9), st.integers(0, 9), st.just(("a",)), st.binary(max_size=3000)
 )
-SAID = st.one_of(
+MESSAGES = st.one_of(
     st.builds(Request, LEASE_COMMANDS),
     st.builds(Reply, st.integers(0, 9), st.booleans(), st.just(LeaseResult(True, 1, "a", 5))),
     st.builds(
@@ -92,18 +97,22 @@
 )
 
 
-@given(SAID, st.randoms(), st.binary(max_size=30))
-def test_what_is_said_comes_out_whole_from_its_parts_in_any_order(what, rng, noise):
-    parts, joiner = split_payload(pack(what), 7), FragmentAssembler()
-    rng.shuffle(parts)
-    found = [whole for part in parts if (whole := joiner.take("a", part)) is not None]
-    assert [unpack(whole) for whole in found] == [what]
-    for bad in (noise, parts[0][:-1]):
+@given(MESSAGES, st.randoms(), st.binary(max_size=30))
+def test_messages_are_decoded_from_fragments_in_any_order_and_malformed_ones_are_refused(
+    message, rng, invalid
+):
+    fragments, assembler = split_payload(pack(message), 7), FragmentAssembler()
+    rng.shuffle(fragments)
+    decoded = [
+        payload for fragment in fragments if (payload := assembler.take("a", fragment)) is not None
+    ]
+    assert [unpack(payload) for payload in decoded] == [message]
+    for malformed in (invalid, fragments[0][:-1]):
         with pytest.raises(MalformedPayload):
-            unpack(joiner.take("b", bad) or b"")
+            unpack(assembler.take("b", malformed) or b"")
 
 
-DISK = st.builds(
+STATES = st.builds(
     PersistentRaftState,
     st.integers(0, 9),
     st.sampled_from(("", "a", "~")),
@@ -113,8 +122,8 @@
 
 
 @settings(max_examples=30)
-@given(st.lists(DISK, min_size=1, max_size=6))
-def test_the_disk_holds_what_was_saved_last(tmp_path_factory, states):
+@given(st.lists(STATES, min_size=1, max_size=6))
+def test_the_store_returns_the_state_and_fences_saved_last(tmp_path_factory, states):
     path, before = tmp_path_factory.mktemp("raft"), None
     with Store(path) as store:
         for i, state in enumerate(states, 1):
@@ -127,7 +136,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_two_own_a_duty_at_once_and_no_late_order_is_obeyed(seed):
+def test_random_faults_give_no_two_holders_at_once_and_stale_commands_are_refused(seed):
     net = trouble(seed)
     net.peace()
     assert net.until(lambda: bool(net.owners()), 20) is not None
@@ -135,7 +144,7 @@
     assert [number for _, _, number in net.owned] == sorted(number for _, _, number in net.owned)
 
 
-def broken(seeds):
+def first_violation(seeds):
     for seed in seeds:
         try:
             trouble(seed)
@@ -144,18 +153,18 @@
     return ""
 
 
-def test_a_grant_that_outlasts_what_was_granted_is_found(monkeypatch):
+def test_the_simulation_finds_a_lease_that_its_holder_counts_too_long(monkeypatch):
     monkeypatch.setattr(lease_table_module, "MAX_CLOCK_DRIFT", -4.0)
-    assert "act at once" in (found := broken(range(12))) or "owns with" in found
+    assert "act at once" in (violation := first_violation(range(12))) or "owns with" in violation
 
 
-def test_a_fence_that_lets_all_pass_is_found(monkeypatch):
-    monkeypatch.setattr(Fence, "admits", lambda self, duty, number: True)
-    assert "obeyed" in broken(range(12))
+def test_the_simulation_finds_a_fence_that_admits_every_number(monkeypatch):
+    monkeypatch.setattr(Fence, "admits", lambda self, role, number: True)
+    assert "obeyed" in first_violation(range(12))
 
 
 @pytest.mark.parametrize("members", [3, 24])
-def test_another_owns_soon_after_the_owner_has_died(members):
+def test_another_member_gets_the_lease_soon_after_the_holder_was_killed(members):
     net = OwnNet(members, members)
     assert net.until(lambda: bool(net.owners()), 6) is not None
     name, number = net.owners()[0]
@@ -164,7 +173,7 @@
     assert net.owners()[0][1] > number
 
 
-def test_without_a_majority_of_voters_nobody_owns_and_with_it_somebody_does_again():
+def test_the_lease_is_held_only_while_there_is_a_majority_of_voters():
     net = OwnNet(4, 6)
     assert net.until(lambda: bool(net.owners()), 6) is not None
     for name in ("m0", "m1"):
@@ -176,7 +185,7 @@
     assert net.until(lambda: bool(net.owners()), 10) is not None
 
 
-def test_what_was_given_up_is_had_by_another_at_once():
+def test_a_lease_that_was_given_up_goes_to_another_member_at_once():
     net = OwnNet(5, 6, wanting=2)
     net.until(lambda: bool(net.owners()), 6)
     name, number = net.owners()[0]
@@ -185,7 +194,7 @@
     assert net.until(lambda: bool(net.owners()), 4) is not None and net.owners()[0][1] == number + 1
 
 
-def test_a_voter_whose_disk_fails_stands_down_and_the_others_go_on():
+def test_a_voter_whose_disk_fails_stops_voting_and_the_others_go_on():
     net = OwnNet(6, 5, 3)
     net.until(lambda: bool(net.owners()), 6)
     leader = next(
@@ -196,7 +205,7 @@
     assert net.owners() and leader.node.driver.raft.role != "leader"
 
 
-def test_after_a_stop_of_all_somebody_owns_again_however_long_they_had_run():
+def test_the_lease_is_granted_again_after_all_members_were_stopped():
     net = OwnNet(7, 5)
     net.run(60)
     for name in net.members:
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -1,5 +1,7 @@
-"""The replicated log: explored exhaustively within bounds, each invariant shown to fail by one small change;
-random runs with every fault at once."""
+"""The replicated log: all orders of events within bounds, and long random runs with many faults at once.
+
+Mutants, each with one fault, show that the checks find a violation of each invariant.
+"""
 
 import random
 from dataclasses import replace
@@ -22,51 +24,56 @@
 # ------------------------------------------------------------------------------------- mutants of the machine
 
 
-class VoteNotKept(Raft):
-    def _on_vote(self, m):
-        super()._on_vote(m)
+class VoteNotStored(Raft):
+    def _on_vote(self, message):
+        super()._on_vote(message)
         self.ready.save = None
 
 
 class VotesForOlderLogs(Raft):
-    def _is_up_to_date(self, m):
+    def _is_up_to_date(self, message):
         return True
 
 
 class VotesTwice(Raft):
-    def _on_vote(self, m):
+    def _on_vote(self, message):
         self.vote = ""
-        super()._on_vote(m)
+        super()._on_vote(message)
 
 
-class CommitsAnEarlierTerm(Raft):
+class CommitsEntriesOfEarlierTerms(Raft):
     def _advance_commit_index(self):
         for index in range(self.last_index, self.commit_index, -1):
             if self._majority(
-                {self.me} | {name for name, upto in self.match_index.items() if upto >= index}
+                {self.me} | {name for name, matched in self.match_index.items() if matched >= index}
             ):
                 self._commit_to(index)
                 return
 
 
-class TakesWhatDoesNotFit(Raft):
-    def _on_append(self, m):
+class AppendsWithoutMatchingTerm(Raft):
+    def _on_append(self, message):
         super()._on_append(
-            replace(m, entry_term=self.term_at(m.index)) if m.index <= self.last_index else m
+            replace(message, entry_term=self.term_at(message.index))
+            if message.index <= self.last_index
+            else message
         )
 
 
-class HearsEarlierIncarnations(Raft):
-    def receive(self, m):
-        self.incarnations[m.sender] = min(self.incarnations.get(m.sender, 0), m.incarnation)
-        super().receive(m)
+class AcceptsEarlierIncarnations(Raft):
+    def receive(self, message):
+        self.incarnations[message.sender] = min(
+            self.incarnations.get(message.sender, 0), message.incarnation
+        )
+        super().receive(message)
 
 
-# -------------------------------------------------------------------------------------------------- exploring
+# ------------------------------------------------------------------------------------------------- all orders
 
 
-class Later(Checker):
-    """From the middle of the thesis's figure 3.7: an entry of term 2 at one voter, of term 3 at another."""
+class StartsAtFigure37(Checker):
+    """Starts in the middle of figure 3.7 of Ongaro's thesis: one voter has an entry of term 2, another one
+    of term 3."""
 
     def start(self) -> World:
         world = super().start()
@@ -85,54 +92,53 @@
 ONE_TERM = Bounds(term=1, log=2, messages=2, crashes=0)
 ELECTIONS = Bounds(term=2, log=2, messages=2, orders=0, crashes=0, states=15_000)
 CRASH = Bounds(term=1, log=1, messages=2, orders=0, crashes=1, states=15_000)
-TAIL = Bounds(term=2, log=2, messages=2, orders=0, crashes=1, tails=1, states=8_000)
-EARLIER = Bounds(term=5, log=3, messages=2, orders=0, crashes=0, states=25_000)
+LOST_TAIL = Bounds(term=2, log=2, messages=2, orders=0, crashes=1, tails=1, states=8_000)
+EARLIER_TERMS = Bounds(term=5, log=3, messages=2, orders=0, crashes=0, states=25_000)
 
 
 @pytest.mark.parametrize(
-    ("checker", "bounds", "whole"),
+    ("checker", "bounds", "complete"),
     [
         (Checker, ONE_TERM, True),
         (Checker, ELECTIONS, False),
         (Checker, CRASH, False),
-        (Checker, TAIL, False),
-        (Later, replace(EARLIER, states=6_000), False),
+        (Checker, LOST_TAIL, False),
+        (StartsAtFigure37, replace(EARLIER_TERMS, states=6_000), False),
     ],
 )
-def test_no_order_of_events_within_the_bounds_breaks_an_invariant(
-    checker, bounds, whole, monkeypatch
+def test_every_order_of_events_within_the_bounds_keeps_the_invariants(
+    checker, bounds, complete, monkeypatch
 ):
-    monkeypatch.setattr(
-        raft_module, "MAX_ENTRIES_PER_MESSAGE", 1
-    )  # so that parts of what is sent may arrive
+    # One entry per message, so that only some of several entries may arrive.
+    monkeypatch.setattr(raft_module, "MAX_ENTRIES_PER_MESSAGE", 1)
     found = checker(bounds).run()
     assert not found.broken, (found.broken, found.path)
-    assert found.whole or not whole
+    assert found.whole or not complete
 
 
 @pytest.mark.parametrize(
-    ("mutant", "checker", "bounds", "trust"),
+    ("mutant", "checker", "bounds", "trust_disk"),
     [
-        (VoteNotKept, Checker, CRASH, True),
+        (VoteNotStored, Checker, CRASH, True),
         (VotesTwice, Checker, ELECTIONS, False),
         (VotesForOlderLogs, Checker, ELECTIONS, False),
-        (CommitsAnEarlierTerm, Later, EARLIER, False),
-        (Raft, Checker, TAIL, True),
+        (CommitsEntriesOfEarlierTerms, StartsAtFigure37, EARLIER_TERMS, False),
+        (Raft, Checker, LOST_TAIL, True),
     ],
 )
-def test_the_checker_finds_a_machine_that_is_a_little_wrong(
-    mutant, checker, bounds, trust, monkeypatch
+def test_the_checker_finds_the_fault_of_each_mutant(
+    mutant, checker, bounds, trust_disk, monkeypatch
 ):
     monkeypatch.setattr(raft_module, "MAX_ENTRIES_PER_MESSAGE", 1)
-    found = checker(bounds, mutant, trust_disk=trust).run()
+    found = checker(bounds, mutant, trust_disk=trust_disk).run()
     assert found.broken and found.path
 
 
 # ---------------------------------------------------------------------------------------------- random runs
 
 
-def chaos(seed, create_raft=Raft, span=30.0, tails=True):
-    """Everything that may befall five voters, or three, at random; then peace, and they must work again."""
+def run_with_random_faults(seed, create_raft=Raft, duration_seconds=30.0, lose_tails=True):
+    """Run three or five voters with random faults, then without: they must be able to commit again."""
     rng = random.Random(seed)
     voters = rng.choice((3, 5))
     path = Path(
@@ -140,22 +146,22 @@
     )
     net = RaftNet(seed, voters, path, create_raft=create_raft)
     net.voters[rng.choice(net.names)].clock_rate = 1.1
-    orders, end = 0, net.now + span
+    proposal_count, end = 0, net.now + duration_seconds
     while net.now < end:
         net.run(0.1)
         net.check()
-        orders += net.propose(b"%d" % orders)
-        chance, who = rng.random(), rng.choice(net.names)
+        proposal_count += net.propose(b"%d" % proposal_count)
+        chance, target = rng.random(), rng.choice(net.names)
         down = [name for name, voter in net.voters.items() if not voter.up]
         if chance < 0.02 and not down:
-            net.kill(who)
+            net.kill(target)
         elif chance < 0.08 and down:
-            net.restart(down[0], rng.choice((0, 0, 1, 2, 4)) if tails else 0)
+            net.restart(down[0], rng.choice((0, 0, 1, 2, 4)) if lose_tails else 0)
         elif chance < 0.10:
-            net.pause(who, 3.0 * rng.random())
+            net.pause(target, 3.0 * rng.random())
         elif chance < 0.12:
-            rest = [name for name in net.names if name != who]
-            net.cut([who], rest, both=rng.random() < 0.5, heal_after=4.0 * rng.random())
+            others = [name for name in net.names if name != target]
+            net.cut([target], others, both=rng.random() < 0.5, heal_after=4.0 * rng.random())
         elif chance < 0.14 and (leader := net.leader()) is not None and leader.applied_index > 3:
             leader.raft.compact(leader.applied_index - 2, b"state")
             net._process_output(leader, leader.raft.take())
@@ -171,37 +177,38 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_fault_breaks_the_log_and_peace_brings_it_back(seed):
-    assert len(chaos(seed).committed) > 20
+def test_faults_break_no_invariant_and_the_log_recovers_after_them(seed):
+    assert len(run_with_random_faults(seed).committed) > 20
 
 
 @pytest.mark.parametrize(
-    "mutant", [HearsEarlierIncarnations, TakesWhatDoesNotFit, VotesForOlderLogs, VotesTwice]
+    "mutant",
+    [AcceptsEarlierIncarnations, AppendsWithoutMatchingTerm, VotesForOlderLogs, VotesTwice],
 )
-def test_random_runs_find_a_machine_that_is_a_little_wrong(mutant):
-    def breaks(seed):
+def test_random_runs_find_the_fault_of_each_mutant(mutant):
+    def finds_fault(seed):
         try:
-            chaos(seed, mutant)
+            run_with_random_faults(seed, mutant)
         except (Broken, AssertionError, IndexError):
             return True
         return False
 
-    assert any(breaks(seed) for seed in range(60))
+    assert any(finds_fault(seed) for seed in range(60))
 
 
-def test_who_lost_its_tail_votes_for_nobody_until_a_leader_has_brought_it_back():
+def test_a_voter_that_lost_its_log_tail_grants_no_vote_until_a_leader_has_restored_it():
     names = ("a", "b", "c")
     disk = PersistentRaftState(snapshot=Snapshot(0, 0, names))
     nodes = {name: Raft(name, 1, disk, trust_disk=True) for name in names}
 
     def run(*cut):
-        """Carry messages until there are none."""
-        waiting = [m for raft in nodes.values() for m in raft.take().messages]
-        while waiting:
-            m = waiting.pop(0)
-            if m.sender not in cut and m.to not in cut:
-                nodes[m.to].receive(m)
-                waiting += nodes[m.to].take().messages
+        """Deliver messages until there are none."""
+        pending = [message for raft in nodes.values() for message in raft.take().messages]
+        while pending:
+            message = pending.pop(0)
+            if message.sender not in cut and message.to not in cut:
+                nodes[message.to].receive(message)
+                pending += nodes[message.to].take().messages
 
     nodes["a"].campaign()
     run("c")
@@ -210,7 +217,7 @@
     nodes["a"].send_heartbeats()
     run("c")
     assert nodes["b"].commit_index == 2
-    nodes["b"] = Raft("b", 2, disk)  # nothing of it was on disk
+    nodes["b"] = Raft("b", 2, disk)  # its disk has lost everything
     nodes["b"].send_heartbeats()
     run("a")
     nodes["c"].campaign()
@@ -226,7 +233,7 @@
     assert nodes["b"].is_voting and nodes["b"].commit_index == nodes["a"].commit_index == 2
 
 
-def test_voters_change_one_at_a_time_and_a_read_needs_a_majority():
+def test_voter_changes_are_refused_beyond_one_and_reads_need_a_majority():
     names = ("a", "b", "c")
     leader = Raft("a", 1, PersistentRaftState(snapshot=Snapshot(0, 0, names)), trust_disk=True)
     peers = {
@@ -235,17 +242,17 @@
     }
 
     def run(cut=()):
-        waiting, seen = leader.take(), []
-        while waiting.messages:
-            m = waiting.messages.pop(0)
-            seen += waiting.readable
-            node = leader if m.to == "a" else peers.get(m.to)
-            if node is not None and m.to not in cut:
-                node.receive(m)
-                out = node.take()
-                seen += out.readable
-                waiting.messages += out.messages
-        return seen + waiting.readable
+        pending, confirmed_reads = leader.take(), []
+        while pending.messages:
+            message = pending.messages.pop(0)
+            confirmed_reads += pending.readable
+            node = leader if message.to == "a" else peers.get(message.to)
+            if node is not None and message.to not in cut:
+                node.receive(message)
+                output = node.take()
+                confirmed_reads += output.readable
+                pending.messages += output.messages
+        return confirmed_reads + pending.readable
 
     leader.campaign()
     run()
@@ -253,9 +260,9 @@
     assert leader.read(1) and run(cut="bc") == []
     assert leader.read(2) and 2 in run()
     assert leader.propose(VOTERS, voters=("a", "b", "c", "d"))
-    assert not leader.propose(VOTERS, voters=("a", "b", "c"))  # one at a time
+    assert not leader.propose(VOTERS, voters=("a", "b", "c"))  # only one change at a time
     run()
     assert leader.commit_index == leader.last_index and peers["d"].voters() == ("a", "b", "c", "d")
     assert leader.propose(VOTERS, voters=("b", "c", "d"))
     run()
-    assert leader.role != "leader"  # it has left
+    assert leader.role != "leader"  # it is no voter any more
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,5 @@
-"""Leaving a zone as a fleet: pure machines in a virtual network, the guards, one service that goes by it."""
+"""Zone failover: the plan and its capacity limits, simulated fleets of failover machines, the policy that
+follows traffic weights, and a service with operators' orders."""
 
 import random
 from itertools import pairwise
@@ -41,7 +42,7 @@
 )
 
 
-# ------------------------------------------------------------------------------------------ plan and guards
+# ----------------------------------------------------------------------------------- plan and capacity limits
 
 
 COUNT = st.integers(0, MAX_ATTEMPT_COUNT).flatmap(
@@ -54,13 +55,13 @@
     st.dictionaries(st.text(min_size=1, max_size=9), COUNT, max_size=64),
     st.binary(max_size=40),
 )
-def test_what_is_said_comes_out_as_it_went_in_and_nothing_else_is_taken(plan, counts, noise):
+def test_messages_are_decoded_as_encoded_and_malformed_ones_are_refused(plan, counts, invalid):
     assert unpack(pack(ZoneMessage(3, plan.version, plan=plan))).plan.version == plan.version
-    told = ZoneMessage(ANSWER, plan.version, 7, True, 2.5, counts, ("a",))
-    assert unpack(pack(told)) == told
+    answer = ZoneMessage(ANSWER, plan.version, 7, True, 2.5, counts, ("a",))
+    assert unpack(pack(answer)) == answer
     for data in (
-        noise,
-        pack(told)[:-1],
+        invalid,
+        pack(answer)[:-1],
         pack(ZoneMessage(3, (plan.number + 1, plan.version[1]), plan=plan)),
     ):
         with pytest.raises(Malformed):
@@ -68,28 +69,27 @@
 
 
 @given(st.dictionaries(st.sampled_from("abcdef"), st.floats(0.1, 1e4), min_size=2), st.data())
-def test_a_zone_is_left_only_as_far_as_the_guards_allow(capacity, data):
+def test_min_traffic_weight_keeps_to_the_capacity_limits(capacity, data):
     zones = sorted(capacity)
     plan = FailoverPlan(1, data.draw(st.dictionaries(st.sampled_from(zones[1:]), ENTRY)))
     zone, total = zones[0], sum(capacity.values())
     busy, most_out = data.draw(st.floats(0.0, 1.5)) * total, data.draw(st.floats(0.0, 1.0))
-    share = min_traffic_weight(plan, zone, capacity, busy, most_out)
+    weight = min_traffic_weight(plan, zone, capacity, busy, most_out)
     others = sum(c * plan.traffic_weight(z) / FULL_WEIGHT for z, c in capacity.items() if z != zone)
-    assert 0 <= share <= FULL_WEIGHT
-    if (
-        share < FULL_WEIGHT
-    ):  # then what goes out is carried by the others, and no more than the stated part is out
+    assert 0 <= weight <= FULL_WEIGHT
+    # If traffic moves, the other zones have capacity for it, and no more than the allowed fraction is left.
+    if weight < FULL_WEIGHT:
         assert (
-            busy - busy * capacity[zone] / total * share / FULL_WEIGHT
+            busy - busy * capacity[zone] / total * weight / FULL_WEIGHT
             <= 0.95 * others + 0.001 * busy
         )
         assert (
-            total - others - capacity[zone] * share / FULL_WEIGHT
+            total - others - capacity[zone] * weight / FULL_WEIGHT
             <= most_out * total + 0.001 * total
         )
 
 
-def test_the_way_back_ends_well_and_each_entry_has_a_next_step():
+def test_recovery_steps_lead_to_the_full_traffic_weight():
     entry, steps = ZoneEntry(0, 3), []
     while entry is not None:
         entry = next_recovery_step(entry)
@@ -98,106 +98,113 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 5), st.sampled_from("ab"), st.booleans()), max_size=60))
-def test_counts_are_of_the_last_window_only(ended):
+def test_evidence_counts_only_the_attempts_in_its_window(ended):
     evidence, now, log = Evidence(), 0.0, []
     for wait, zone, lost in ended:
         now += wait
         evidence.record_attempt(now, zone, lost)
         log.append((now, zone, lost))
-        for thin, span, most in ((), 2.5, 8), ("ab", 4.0, 64):
+        for low_traffic_zones, span, most in ((), 2.5, 8), ("ab", 4.0, 64):
             for name in "ab":
-                late = [one for at, z, one in log if z == name and at >= now - span][-most:]
-                assert evidence.counts(now, thin).get(name, (0, 0)) == (len(late), sum(late))
+                recent = [is_lost for at, z, is_lost in log if z == name and at >= now - span][
+                    -most:
+                ]
+                assert evidence.counts(now, low_traffic_zones).get(name, (0, 0)) == (
+                    len(recent),
+                    sum(recent),
+                )
 
 
-# ----------------------------------------------------------------------------------------- the virtual fleet
+# ----------------------------------------------------------------------------------------- simulated fleets
 
 
-def left(net, zone):
+def is_left(net, zone):
     return net.agreed() and max(net.traffic_weight(zone)) < 0.5
 
 
-def back(net, zone):
+def has_recovered(net, zone):
     return net.agreed() and min(net.traffic_weight(zone)) == 1.0
 
 
-def never_back(net):
-    """Versions of every member only rise, in the order in which they were taken."""
+def versions_only_rise(net):
+    """Whether the plan versions of every member only rose, in the order in which it adopted them."""
     return all(
         [c[1] for c in m.changes] == sorted(c[1] for c in m.changes) for m in net.members.values()
     )
 
 
 @pytest.mark.parametrize(("members", "zones"), [(6, 2), (24, 3), (60, 8)])
-def test_a_dead_zone_is_left_by_all_soon_and_taken_back_in_steps(members, zones):
+def test_a_dead_zone_is_left_by_all_members_and_recovers_in_steps(members, zones):
     net = ZoneNet(members, members, zones, load=0.4).run(5)
     net.loss["z0"] = 1.0
-    assert net.until(lambda: left(net, "z0"), 4) is not None
+    assert net.until(lambda: is_left(net, "z0"), 4) is not None
     net.run(1.5)
     net.loss["z0"] = 0.0
     began = net.now
-    assert net.until(lambda: back(net, "z0"), 60) is not None
-    assert never_back(net)
-    steps = [shares.get("z0", 1.0) for _, _, shares in net.members["m0001"].changes]
+    assert net.until(lambda: has_recovered(net, "z0"), 60) is not None
+    assert versions_only_rise(net)
+    steps = [weights.get("z0", 1.0) for _, _, weights in net.members["m0001"].changes]
     assert steps[steps.index(0.0) :] == [0.0, 0.05, 0.2, 0.5, 1.0] and net.now - began > 2
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_well_fleet_on_a_lossy_network_leaves_nothing(seed):
+def test_healthy_zones_are_not_left_on_a_lossy_network(seed):
     net = ZoneNet(seed, 24, 3, path=Path(delay=0.02, jitter=0.05, loss=0.2, twice=0.1)).run(30)
     assert not any(m.machine.plan.number for m in net.living())
 
 
-def test_plans_are_agreed_on_and_versions_never_go_back_in_a_lossy_network():
+def test_members_agree_and_versions_only_rise_on_a_lossy_network():
     net = ZoneNet(5, 24, 3, path=Path(delay=0.02, jitter=0.05, loss=0.2, twice=0.1)).run(3)
     net.loss["z1"] = 0.9
-    assert net.until(lambda: left(net, "z1"), 8) is not None
+    assert net.until(lambda: is_left(net, "z1"), 8) is not None
     net.loss["z1"] = 0.0
-    assert net.until(lambda: back(net, "z1"), 90) is not None and never_back(net)
+    assert net.until(lambda: has_recovered(net, "z1"), 90) is not None and versions_only_rise(net)
 
 
-def liar(net, name, *, plan=None):
-    """It says in every message that all zones fail, and tells everyone of a plan of its own."""
+def make_faulty(net, name, *, plan=None):
+    """Make a member report in every answer that all zones fail, and send a plan of its own otherwise."""
     rng = random.Random(1)
 
-    def lie(data):
-        said = unpack(data)
-        if said.kind == ANSWER:
+    def rewrite(data):
+        message = unpack(data)
+        if message.kind == ANSWER:
             counts = {zone: (MAX_ATTEMPT_COUNT, MAX_ATTEMPT_COUNT) for zone in net.zones}
             return pack(
-                ZoneMessage(ANSWER, said.version, said.number, False, 1e9, counts, tuple(net.zones))
+                ZoneMessage(
+                    ANSWER, message.version, message.number, False, 1e9, counts, tuple(net.zones)
+                )
             )
         number = max(m.machine.plan.number for m in net.living()) + rng.choice((1, 2, 50, 10**6))
-        made = FailoverPlan(number, plan or {rng.choice(net.zones): ZoneEntry(0, 64)})
-        return pack(ZoneMessage(3, made.version, plan=made))
+        faulty_plan = FailoverPlan(number, plan or {rng.choice(net.zones): ZoneEntry(0, 64)})
+        return pack(ZoneMessage(3, faulty_plan.version, plan=faulty_plan))
 
-    net.members[name].rewrite_message = lie
+    net.members[name].rewrite_message = rewrite
 
 
 @pytest.mark.parametrize(("members", "zones"), [(6, 3), (24, 3)])
-def test_a_lone_liar_has_no_zone_left_and_none_kept_out(members, zones):
+def test_a_single_faulty_member_can_not_have_a_zone_left_or_keep_it_in_use(members, zones):
     net = ZoneNet(3, members, zones)
-    liar(net, "m0001")
+    make_faulty(net, "m0001")
     net.run(20)
     honest = [m for m in net.living() if m.name != "m0001"]
     assert not any(m.machine.plan.zones for m in honest)
     assert sum(m.machine.statistics.polls for m in honest) < 20 * 2.6 * len(
         honest
-    )  # nor are they kept busy
+    )  # the faulty member can't cause many polls
     net.loss["z0"] = 1.0
     net.run(6)
     assert all(m.machine.traffic_weights().get("z0", 1.0) < 0.1 for m in honest if m.zone != "z0")
     assert all(set(m.machine.plan.zones) == {"z0"} for m in honest)
 
 
-def test_a_zone_that_is_cut_off_from_one_other_only_is_not_left_by_all():
+def test_a_zone_that_only_one_other_zone_can_not_reach_is_not_left():
     net = ZoneNet(4, 24, 4).run(2)
     net.blocked_zone_pairs.add(("z1", "z0"))
     net.run(15)
     assert not any(m.machine.plan.number for m in net.living())
 
 
-def test_what_a_third_of_the_members_sees_and_the_rest_does_not_moves_nobody():
+def test_a_failure_that_only_a_third_of_the_members_sees_makes_no_plan():
     net = ZoneNet(21, 24, 4).run(2)
     net.unaffected = set(sorted(net.members)[8:])
     net.loss["z2"] = 1.0
@@ -205,17 +212,17 @@
     assert not any(m.machine.plan.number for m in net.living())
 
 
-def test_a_region_of_two_zones_of_four_is_left_whole_and_no_third_zone_after_it():
+def test_two_of_four_zones_are_left_but_not_a_third():
     net = ZoneNet(22, 24, 4, load=0.4).run(2)
     net.loss["z0"] = net.loss["z1"] = 1.0
-    assert net.until(lambda: left(net, "z0") and left(net, "z1"), 10) is not None
+    assert net.until(lambda: is_left(net, "z0") and is_left(net, "z1"), 10) is not None
     net.loss["z2"] = 1.0
     net.run(6)
     assert min(net.traffic_weight("z2")) >= 0.9 or min(net.traffic_weight("z0")) > 0.0
 
 
 @pytest.mark.parametrize(
-    ("regions", "doubts"),
+    ("regions", "is_degraded"),
     [
         ({}, True),
         ({"z0": "alps", "z1": "sea", "z2": "sea"}, False),
@@ -223,16 +230,18 @@
         ({"z0": "alps", "z1": "sea", "z2": "plain"}, True),
     ],
 )
-def test_who_loses_most_zones_doubts_itself_unless_they_are_just_another_region(regions, doubts):
+def test_a_member_that_loses_most_zones_is_degraded_unless_they_are_one_other_region(
+    regions, is_degraded
+):
     machine = FailoverMachine("a", "z0", list, random.Random(1), 0.0)
     machine.regions = lambda: regions
     for zone in ("z0", "z1", "z2"):
         for _ in range(4):
             machine.record_attempt(0.0, zone, zone != "z0")
-    assert machine.is_degraded() == doubts
+    assert machine.is_degraded() == is_degraded
 
 
-def test_who_is_cut_off_itself_blames_nobody():
+def test_members_that_are_cut_off_themselves_make_no_plan():
     net = ZoneNet(4, 24, 4).run(2)
     net.blocked_zone_pairs |= {("z1", zone) for zone in net.zones if zone != "z1"}
     net.partition(net.members_of("z1"), net.members_of("z0", "z2", "z3"), heal_after=12)
@@ -240,44 +249,47 @@
     assert not any(m.machine.plan.number for m in net.living())
 
 
-def test_two_of_three_zones_are_not_both_left():
+def test_two_of_three_failing_zones_are_not_both_left():
     net = ZoneNet(8, 24, 3).run(2)
     net.loss["z0"] = net.loss["z1"] = 1.0
     for _ in range(40):
         net.run(0.5)
         out = [m.machine.traffic_weights() for m in net.living()]
         assert all(
-            sum(1 - shares.get(zone, 1.0) for zone in net.zones) <= 0.5 * 3 + 0.01 for shares in out
+            sum(1 - weights.get(zone, 1.0) for zone in net.zones) <= 0.5 * 3 + 0.01
+            for weights in out
         )
 
 
-def test_a_failing_zone_keeps_what_the_others_at_nine_tenths_cannot_carry():
+def test_a_failing_zone_keeps_the_traffic_that_the_others_have_no_capacity_for():
     net = ZoneNet(6, 24, 3, load=0.9).run(2)
     net.loss["z0"] = 1.0
     net.run(10)
     assert min(net.traffic_weight("z0")) > 0.8
     for member in net.members.values():
-        member.machine.busy *= 0.6  # there is room now
-    assert net.until(lambda: left(net, "z0"), 6) is not None
+        member.machine.busy *= 0.6  # now the other zones have capacity
+    assert net.until(lambda: is_left(net, "z0"), 6) is not None
 
 
-def test_a_minority_makes_no_plan_and_joins_the_rest_later():
+def test_a_minority_makes_no_plan_and_adopts_the_majoritys_after_healing():
     net = ZoneNet(9, 24, 3).run(2)
-    few = [f"m{i:04d}" for i in range(8)]
-    net.partition(few, [name for name in net.members if name not in few], heal_after=40)
+    minority = [f"m{i:04d}" for i in range(8)]
+    net.partition(minority, [name for name in net.members if name not in minority], heal_after=40)
     net.run(net.detection_delay + 1)
     net.loss["z2"] = 1.0
     net.run(12)
-    assert all(net.members[name].machine.plan.number == 0 for name in few)
+    assert all(net.members[name].machine.plan.number == 0 for name in minority)
     assert all(
         net.members[f"m{i:04d}"].machine.traffic_weights().get("z2", 1.0) < 0.1
         for i in range(8, 24)
     )
     net.run(20)
-    assert net.until(lambda: left(net, "z2") or back(net, "z2"), 15) is not None and never_back(net)
+    assert net.until(
+        lambda: is_left(net, "z2") or has_recovered(net, "z2"), 15
+    ) is not None and versions_only_rise(net)
 
 
-def test_one_that_was_paused_wakes_without_undoing_the_plan_and_takes_the_new_one():
+def test_a_member_that_was_paused_adopts_the_current_plan():
     net = ZoneNet(10, 24, 3).run(2)
     net.pause("m0004", 20)
     net.pause("m0005", 20)
@@ -285,49 +297,49 @@
     net.run(19)
     before = max(m.machine.plan.number for m in net.living())
     assert before > 0
-    woken = net.members["m0004"].machine
+    paused = net.members["m0004"].machine
     assert net.until(
-        lambda: net.agreed() and woken.plan.number >= before, 6
-    ) is not None and never_back(net)
+        lambda: net.agreed() and paused.plan.number >= before, 6
+    ) is not None and versions_only_rise(net)
 
 
-def test_a_clock_that_is_an_hour_ahead_changes_nothing():
+def test_failover_does_not_depend_on_a_members_clock_offset():
     net = ZoneNet(11, 12, 3)
     net.members["m0002"].clock_offset = 3600.0
     net.members["m0002"].machine.due += 3600.0
     net.run(3)
     net.loss["z0"] = 1.0
-    assert net.until(lambda: left(net, "z0"), 5) is not None
+    assert net.until(lambda: is_left(net, "z0"), 5) is not None
     net.loss["z0"] = 0.0
-    assert net.until(lambda: back(net, "z0"), 60) is not None and never_back(net)
+    assert net.until(lambda: has_recovered(net, "z0"), 60) is not None and versions_only_rise(net)
 
 
-def test_a_zone_that_flaps_is_left_for_longer_each_time():
+def test_a_flapping_zone_is_left_for_longer_each_time():
     net = ZoneNet(12, 24, 3).run(2)
     for i in range(24):
         net.at(net.now + 3.0 * i, lambda i=i: net.loss.update(z0=float(i % 2 == 0)))
     net.run(72)
-    leaves = max(
+    leave_count = max(
         sum(
-            b.get("z0", 1.0) < 0.05 < a.get("z0", 1.0)  # not a trial that failed
+            b.get("z0", 1.0) < 0.05 < a.get("z0", 1.0)  # without failed trials
             for (_, _, a), (_, _, b) in pairwise(m.changes)
         )
         for m in net.members.values()
     )
-    strikes = max(
+    penalty_count = max(
         m.machine.plan.zones["z0"].penalty_count
         for m in net.living()
         if "z0" in m.machine.plan.zones
     )
-    assert strikes >= 3
-    assert 1 <= leaves <= 6  # of the twelve failures
-    assert never_back(net)
+    assert penalty_count >= 3
+    assert 1 <= leave_count <= 6  # of the twelve failures
+    assert versions_only_rise(net)
 
 
-def test_a_failure_in_the_middle_of_a_return_leaves_again_at_once():
+def test_a_zone_that_fails_during_recovery_is_left_again_at_once():
     net = ZoneNet(13, 24, 3).run(2)
     net.loss["z0"] = 1.0
-    net.until(lambda: left(net, "z0"), 5)
+    net.until(lambda: is_left(net, "z0"), 5)
     net.loss["z0"] = 0.0
     assert net.until(lambda: 0.2 <= min(net.traffic_weight("z0")) < 1.0, 30) is not None
     net.loss["z0"] = 1.0
@@ -335,7 +347,7 @@
     assert net.members["m0001"].machine.plan.zones["z0"].penalty_count == 2
 
 
-def test_a_plan_is_agreed_on_while_nearly_all_restart():
+def test_members_agree_on_a_plan_while_most_of_them_restart():
     net = ZoneNet(14, 24, 3).run(2)
     names = sorted(net.members)[:22]
     for i, name in enumerate(names):
@@ -343,13 +355,13 @@
     net.run(2)
     net.loss["z0"] = 1.0
     net.run(6)
-    assert net.until(lambda: left(net, "z0"), 6) is not None
+    assert net.until(lambda: is_left(net, "z0"), 6) is not None
 
 
-def test_what_all_members_together_send_to_a_returning_zone_is_its_share():
+def test_all_members_together_keep_to_a_recovering_zones_traffic_weight():
     net = ZoneNet(15, 60, 3).run(2)
     net.loss["z0"] = 1.0
-    net.until(lambda: left(net, "z0"), 5)
+    net.until(lambda: is_left(net, "z0"), 5)
     net.loss["z0"] = 0.0
     assert net.until(lambda: net.agreed() and net.traffic_weight("z0")[0] == 0.05, 20) is not None
     start = net.now
@@ -358,7 +370,7 @@
     assert max(net.traffic_weight("z0")) == 0.05 and sent <= 2 * 0.05 * 60 * 20 / 3
 
 
-def test_without_news_a_plan_stands_for_its_time_only():
+def test_a_plan_expires_when_no_message_arrives():
     machine = FailoverMachine(
         "a", "x", lambda: [Member("b", ("h", 1), "y", True)], random.Random(1), 0.0
     )
@@ -371,43 +383,48 @@
     assert machine.traffic_weights() == {}
 
 
-def test_an_owner_alone_makes_plans_also_of_what_it_does_not_see_and_an_earlier_one_is_refused():
+def test_only_the_lease_holder_makes_plans_and_those_of_an_earlier_holder_are_refused():
     net = ZoneNet(23, 24, 3).run(2)
     for member in net.members.values():
         member.machine.epoch = 2
         member.machine.owner = "" if member.name == "m0001" else "m0001"
     net.unaffected = {"m0001"}
     net.loss["z0"] = 1.0
-    assert net.until(lambda: left(net, "z0"), 6) is not None
+    assert net.until(lambda: is_left(net, "z0"), 6) is not None
     assert [m.name for m in net.members.values() if m.machine.statistics.plans_made] == ["m0001"]
-    late = FailoverPlan(PLANS_PER_EPOCH + 9, {"z2": ZoneEntry(0)})  # of grant 1
+    late_plan = FailoverPlan(
+        PLANS_PER_EPOCH + 9, {"z2": ZoneEntry(0)}
+    )  # of the lease with number 1
     for member in net.living():
         member.machine.receive(
-            net.now, pack(ZoneMessage(3, late.version, plan=late)), "m0002", ("10.0.0.1", 1026)
+            net.now,
+            pack(ZoneMessage(3, late_plan.version, plan=late_plan)),
+            "m0002",
+            ("10.0.0.1", 1026),
         )
     assert not any(
-        r.plan is late for m in net.living() for r in m.machine._unconfirmed_plans.values()
+        r.plan is late_plan for m in net.living() for r in m.machine._unconfirmed_plans.values()
     )
 
 
-# -------------------------------------------------------------------------------- the module and the service
+# -------------------------------------------------------------------------------- the policy and the service
 
 
-def decided(shares, zone_of, jobs=200, **more):
-    """How many of so many jobs the module sends to each zone."""
-    spec = api.RequestClass("a", 500.0, 4000.0)
-    module = Dispatcher(api.Settings([spec], zone=0, reports_start=True, fees=more), 1)
+def count_by_zone(weights, zone_of, jobs=200, **more):
+    """How many of `jobs` requests the policy sends to each zone."""
+    request_class = api.RequestClass("a", 500.0, 4000.0)
+    policy = Dispatcher(api.Settings([request_class], zone=0, reports_start=True, fees=more), 1)
     entries = [api.WorkerEntry(name, zone) for name, zone in zone_of.items()]
-    module.handle(0.0, [api.WorkerList(api.ListForm.FULL, entries)])
-    if shares is not None:
-        module.handle(0.0, [api.ZoneTrafficWeights(shares)])
+    policy.handle(0.0, [api.WorkerList(api.ListForm.FULL, entries)])
+    if weights is not None:
+        policy.handle(0.0, [api.ZoneTrafficWeights(weights)])
     counts, now = {}, 0.0
     for i in range(jobs):
         now += 50.0
-        for action in module.handle(now, [api.RequestArrived(f"j{i}", 0, now + 4000.0)]):
+        for action in policy.handle(now, [api.RequestArrived(f"j{i}", 0, now + 4000.0)]):
             if isinstance(action, api.Send):
                 counts[zone_of[action.worker]] = counts.get(zone_of[action.worker], 0) + 1
-                module.handle(
+                policy.handle(
                     now + 20.0,
                     [
                         api.AttemptStarted(action.request_id, 0, action.worker),
@@ -427,16 +444,16 @@
 WORKERS = {f"w{i}": i % 2 for i in range(12)}
 
 
-def test_the_module_sends_a_zone_its_share_and_crosses_at_once_where_its_own_is_left():
-    assert decided({}, WORKERS, cross_zone=0.3) == {0: 200}
-    assert decided({0: 0.0}, WORKERS, cross_zone=0.3) == {1: 200}
-    part = decided({0: 0.25}, WORKERS, cross_zone=0.3)
-    assert 45 <= part[0] <= 55 and part[0] + part[1] == 200
-    assert set(decided({1: 0.0}, WORKERS)) == {0}  # without a fee all zones are near
+def test_the_policy_keeps_to_traffic_weights_and_leaves_its_own_zone_at_once():
+    assert count_by_zone({}, WORKERS, cross_zone=0.3) == {0: 200}
+    assert count_by_zone({0: 0.0}, WORKERS, cross_zone=0.3) == {1: 200}
+    counts_at_quarter = count_by_zone({0: 0.25}, WORKERS, cross_zone=0.3)
+    assert 45 <= counts_at_quarter[0] <= 55 and counts_at_quarter[0] + counts_at_quarter[1] == 200
+    assert set(count_by_zone({1: 0.0}, WORKERS)) == {0}  # without a fee all zones are equal
 
 
-def test_where_there_is_nowhere_else_a_left_zone_is_sent_to_all_the_same():
-    assert decided({0: 0.0}, {"w0": 0, "w1": 0}) == {0: 200}
+def test_the_policy_uses_a_left_zone_if_there_is_no_other():
+    assert count_by_zone({0: 0.0}, {"w0": 0, "w1": 0}) == {0: 200}
 
 
 ZONES = {
@@ -451,7 +468,7 @@
 
 
 @story
-async def test_the_service_goes_by_the_operators_orders_and_counts_what_its_zones_do():
+async def test_the_service_follows_operators_orders_and_counts_attempts_by_zone():
     peer = Peer("d1", done)
     async with world(
         peer, settings={"areas": ["room", "hall"]}, mgmt="127.0.0.1:0", **ZONES
@@ -464,7 +481,7 @@
         assert (await here.call("PUT /_zones/leave?name=room")).status == 200
         fleet = here.service.engine._module.fleet
         await here.until(lambda: fleet.zone_weights == {0: 0.0})
-        assert (await here.ask(X_Request_ID="r2")).status == 200  # there is nowhere else
+        assert (await here.ask(X_Request_ID="r2")).status == 200  # there is no other zone
         assert (await here.call("PUT /_zones/return?name=room")).status == 200
         await here.until(lambda: fleet.zone_weights == {})
         assert zones.status()["zones"][0]["order"] == ""
@@ -479,7 +496,7 @@
         ({"members": {**ZONES["members"], "zone": ""}}, "members.zone"),
     ],
 )
-def test_a_faulty_key_of_the_plan_is_named(change, key):
+def test_an_invalid_setting_of_zones_is_named_in_the_error(change, key):
     raw = {
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
