--- a/tests/test_calendar.py
+++ b/tests/test_calendar.py
@@ -1,4 +1,8 @@
-"""The calendar: the timeline against an array, windows at changes of clocks, the book against its rules."""
+"""The calendar: the timeline against an array of slots, windows over changes of clocks, and the book.
+
+The state machine test guards against lost or double bookings, and against two voters whose books differ after
+the same entries, also if one of them was restored from a snapshot.
+"""
 
 from datetime import UTC, datetime
 
@@ -26,16 +30,18 @@
 from yewrill.reservations.timeline import Timeline
 from yewrill.reservations.windows import MINUTE, Window, occurrences
 
-SPAN = 40
+MOMENTS = 40
 
 
-def agree(line: Timeline, naive: list[int]) -> None:
-    for start in range(0, SPAN - 1, 3):
-        for end in range(start + 1, SPAN, 5):
-            assert line.max_reserved(start, end) == max(naive[start:end])
-            assert line.free_slots(start, end) == line.ceiling - line.max_reserved(start, end)
-    level = [0, *line.steps.values()]
-    assert level[-1] == 0 and all(a != b for a, b in zip(level, level[1:], strict=False))
+def check_against_array(timeline: Timeline, array: list[int]) -> None:
+    for start in range(0, MOMENTS - 1, 3):
+        for end in range(start + 1, MOMENTS, 5):
+            assert timeline.max_reserved(start, end) == max(array[start:end])
+            assert timeline.free_slots(start, end) == timeline.ceiling - timeline.max_reserved(
+                start, end
+            )
+    levels = [0, *timeline.steps.values()]
+    assert levels[-1] == 0 and all(a != b for a, b in zip(levels, levels[1:], strict=False))
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -46,42 +52,46 @@
     ),
     st.tuples(st.integers(1, 12), st.integers(1, 8), st.integers(0, 25), st.integers(0, 25)),
 )
-def test_timeline_is_as_an_array(changes, asked):
-    line, naive = Timeline(7), [0] * SPAN
-    for adds, start, length, slots in changes:
-        span = range(start, start + length)
-        sign = 1 if adds else -1
-        right = all(0 <= naive[at] + sign * slots <= 7 for at in span)
-        before = dict(line.steps)
+def test_a_timeline_agrees_with_an_array_of_slots(changes, search):
+    timeline, array = Timeline(7), [0] * MOMENTS
+    for is_add, start, length, slots in changes:
+        moments = range(start, start + length)
+        sign = 1 if is_add else -1
+        is_valid = all(0 <= array[at] + sign * slots <= 7 for at in moments)
+        before = dict(timeline.steps)
         try:
-            (line.add if adds else line.remove)(start, start + length, slots)
+            (timeline.add if is_add else timeline.remove)(start, start + length, slots)
         except ValueError:
-            assert not right and dict(line.steps) == before
+            assert not is_valid and dict(timeline.steps) == before
             continue
-        assert right
-        for at in span:
-            naive[at] += sign * slots
-    agree(line, naive)
-    length, slots, earliest, latest = asked
+        assert is_valid
+        for at in moments:
+            array[at] += sign * slots
+    check_against_array(timeline, array)
+    length, slots, earliest, latest = search
     fit = next(
         (
             at
             for at in range(earliest, latest + 1)
-            if all(held + slots <= 7 for held in naive[at : at + length])
+            if all(held + slots <= 7 for held in array[at : at + length])
         ),
         None,
     )
-    assert line.first_fit(length, slots, earliest, latest) == fit
-    span = naive[earliest : earliest + length]
-    top = [earliest + at for at, held in enumerate(span) if held == max(span)]
-    assert line.peak_span(earliest, earliest + length) == (max(span), top[0], top[-1] + 1)
+    assert timeline.first_fit(length, slots, earliest, latest) == fit
+    reserved = array[earliest : earliest + length]
+    peak_moments = [earliest + at for at, held in enumerate(reserved) if held == max(reserved)]
+    assert timeline.peak_span(earliest, earliest + length) == (
+        max(reserved),
+        peak_moments[0],
+        peak_moments[-1] + 1,
+    )
 
 
-def utc(windows) -> list[str]:
+def utc_starts(windows) -> list[str]:
     return [f"{datetime.fromtimestamp(one.start / 1000, UTC):%m-%d %H:%M}" for one in windows]
 
 
-FAR = int(datetime(2027, 1, 1, tzinfo=UTC).timestamp()) * 1000
+LATEST_END = int(datetime(2027, 1, 1, tzinfo=UTC).timestamp()) * 1000
 
 
 @pytest.mark.parametrize(
@@ -100,14 +110,14 @@
         ("Asia/Tokyo", datetime(2026, 3, 28, 2, 30), ["03-27 17:30", "03-28 17:30", "03-29 17:30"]),
     ],
 )
-def test_windows_at_a_change_of_clocks(zone, first, starts):
-    found = occurrences("FREQ=DAILY;COUNT=3", zone, first, 180 * MINUTE, FAR, 60)
-    assert utc(found) == starts
+def test_windows_keep_their_local_start_over_a_change_of_clocks(zone, first, starts):
+    found = occurrences("FREQ=DAILY;COUNT=3", zone, first, 180 * MINUTE, LATEST_END, 60)
+    assert utc_starts(found) == starts
     assert {one.end - one.start for one in found} == {180 * MINUTE}
 
 
 @pytest.mark.parametrize(
-    "rule, zone, length, words",
+    "rule, zone, length, message",
     [
         ("FREQ=DAILY", "Europe/Zurich", 60, "more than 60"),
         ("FREQ=DAILY;COUNT=2", "Europe/Nowhere", 60, "no time zone"),
@@ -119,9 +129,9 @@
         ("FREQ=DAILY;UNTIL=20250101T000000", "UTC", 60, "no window"),
     ],
 )
-def test_rules_that_are_refused(rule, zone, length, words):
-    with pytest.raises(ValueError, match=words):
-        occurrences(rule, zone, datetime(2026, 6, 1, 5, 30), length * MINUTE, FAR, 60)
+def test_an_invalid_rule_or_zone_is_refused(rule, zone, length, message):
+    with pytest.raises(ValueError, match=message):
+        occurrences(rule, zone, datetime(2026, 6, 1, 5, 30), length * MINUTE, LATEST_END, 60)
 
 
 TENANTS, HOUR = ("ann", "bob"), 60 * MINUTE
@@ -140,18 +150,18 @@
 
 
 class BookMachine(RuleBasedStateMachine):
-    """Two books get the same entries, one of them put back from its bytes now and then."""
+    """Two books get the same entries; one of them is sometimes restored from the other's snapshot."""
 
     def __init__(self):
         super().__init__()
         self.book, self.other, self.at = Book(CONFIG), Book(CONFIG), 0
-        self.booked, self.given, self.offers, self.count = {}, [], [], 0
+        self.booked, self.applied, self.offers, self.count = {}, [], [], 0
 
-    def enter(self, entry):
+    def apply_entry(self, entry):
         data = encode(entry)
         result = self.book.apply(self.at, data)
         assert self.other.apply(self.at, data) == result
-        self.given.append((data, result))
+        self.applied.append((data, result))
         return read_result(result)
 
     def name(self):
@@ -163,24 +173,24 @@
         slots=st.integers(1, 9),
         start=st.integers(0, 20),
         hours=st.integers(1, 4),
-        every=st.sampled_from((1, 1, 3)),
+        window_count=st.sampled_from((1, 1, 3)),
         slack=st.sampled_from((0, 0, 6)),
         spread=st.builds(Spread, st.sampled_from((0, 1, 2)), st.integers(1, 2)),
     )
-    def ask(self, tenant, slots, start, hours, every, slack, spread):
+    def ask(self, tenant, slots, start, hours, window_count, slack, spread):
         first = (self.at // HOUR + start) * HOUR
         length = hours * HOUR
         if slack:
-            windows, every = (Window(first, first + length + slack * HOUR),), 1
+            windows, window_count = (Window(first, first + length + slack * HOUR),), 1
         else:
-            starts = range(first, first + every * 5 * HOUR, 5 * HOUR)
+            starts = range(first, first + window_count * 5 * HOUR, 5 * HOUR)
             windows = tuple(Window(at, at + length) for at in starts)
-        got = self.enter(
+        result = self.apply_entry(
             Ask(tenant, self.name(), "gpu", slots, windows, length if slack else 0, spread)
         )
-        if isinstance(got, Refused):
-            self.offers += [(tenant, one) for one in got.offers]
-            if slack and spread.zones == 1 and got.reason == "full":
+        if isinstance(result, Refused):
+            self.offers += [(tenant, one) for one in result.offers]
+            if slack and spread.zones == 1 and result.reason == "full":
                 low = max(first, self.at + 5 * MINUTE)
                 last = min(windows[0].end, self.at + 24 * HOUR) - length
                 assert not any(
@@ -188,76 +198,91 @@
                     for at in range(low, last + 1, MINUTE)
                 )
             return
-        assert got.windows == windows or slack and windows[0].start <= got.windows[0].start
-        for window, placed in zip(got.windows, got.placements, strict=True):
-            assert window.end - window.start == length and sum(part for _, part in placed) == slots
-            assert len(placed) == 1 if spread.zones == 1 else len(placed) > 1
-            assert all(part <= -(-slots // spread.zones) for _, part in placed)
-            assert not spread.per_worker or all(part <= 4 * spread.per_worker for _, part in placed)
-        self.booked[got.number] = tenant, dict(zip(got.windows, got.placements, strict=True))
+        assert result.windows == windows or slack and windows[0].start <= result.windows[0].start
+        for window, placement in zip(result.windows, result.placements, strict=True):
+            assert (
+                window.end - window.start == length and sum(part for _, part in placement) == slots
+            )
+            assert len(placement) == 1 if spread.zones == 1 else len(placement) > 1
+            assert all(part <= -(-slots // spread.zones) for _, part in placement)
+            assert not spread.per_worker or all(
+                part <= 4 * spread.per_worker for _, part in placement
+            )
+        self.booked[result.number] = (
+            tenant,
+            dict(zip(result.windows, result.placements, strict=True)),
+        )
 
     @precondition(lambda self: self.offers)
     @rule(data=st.data())
     def take(self, data):
         tenant, offer = self.offers.pop(data.draw(st.integers(0, len(self.offers) - 1)))
-        got = self.enter(TakeOffer(tenant, self.name(), offer.number))
-        if isinstance(got, Booked):
-            assert self.at < offer.held_until and got.windows == (offer.window,)
-            self.booked[got.number] = tenant, dict(zip(got.windows, got.placements, strict=True))
+        result = self.apply_entry(TakeOffer(tenant, self.name(), offer.number))
+        if isinstance(result, Booked):
+            assert self.at < offer.held_until and result.windows == (offer.window,)
+            self.booked[result.number] = (
+                tenant,
+                dict(zip(result.windows, result.placements, strict=True)),
+            )
         else:
-            assert got.reason == ("quota" if self.at < offer.held_until else "unknown")
+            assert result.reason == ("quota" if self.at < offer.held_until else "unknown")
 
     @precondition(lambda self: self.booked)
-    @rule(data=st.data(), what=st.sampled_from((Cancel, Release)))
-    def give_back(self, data, what):
+    @rule(data=st.data(), entry_type=st.sampled_from((Cancel, Release)))
+    def cancel_or_release(self, data, entry_type):
         number = data.draw(st.sampled_from(sorted(self.booked)))
         tenant, windows = self.booked[number]
         other = TENANTS[tenant == TENANTS[0]]
-        assert self.enter(what(other, self.name(), number)).reason in ("not-yours", "unknown")
-        if not isinstance(self.enter(what(tenant, self.name(), number)), Done):
+        assert self.apply_entry(entry_type(other, self.name(), number)).reason in (
+            "not-yours",
+            "unknown",
+        )
+        if not isinstance(self.apply_entry(entry_type(tenant, self.name(), number)), Done):
             return
-        if what is Cancel:
-            left = {one: placed for one, placed in windows.items() if one.start < self.at + HOUR}
+        if entry_type is Cancel:
+            remaining = {
+                one: placement for one, placement in windows.items() if one.start < self.at + HOUR
+            }
         else:
-            left = {
+            remaining = {
                 Window(one.start, max(one.start + MINUTE, self.at))
                 if one.start <= self.at < one.end
-                else one: placed
-                for one, placed in windows.items()
+                else one: placement
+                for one, placement in windows.items()
             }
-        self.booked[number] = tenant, left
+        self.booked[number] = tenant, remaining
 
     @rule(minutes=st.sampled_from((1, 20, 90)))
-    def later(self, minutes):
+    def pass_time(self, minutes):
         self.at += minutes * MINUTE
-        self.enter(Tick())
+        self.apply_entry(Tick())
 
-    @precondition(lambda self: self.given)
+    @precondition(lambda self: self.applied)
     @rule(data=st.data())
-    def again(self, data):
-        entry, result = data.draw(st.sampled_from(self.given))
+    def repeat_entry(self, data):
+        entry, result = data.draw(st.sampled_from(self.applied))
         before = self.book.pack()
         assert self.book.apply(self.at, entry) == result and self.book.pack() == before
 
     @rule()
-    def put_back(self):
+    def restore_other(self):
         self.other = Book(CONFIG)
         self.other.restore(self.book.pack())
 
     @invariant()
-    def all_is_kept(self):
-        kept = {
+    def books_agree_and_hold_what_was_booked(self):
+        held_bookings = {
             number: (one.tenant, dict(zip(one.windows, one.placements, strict=True)))
             for number, one in self.book.open_bookings.items()
             if not one.held_until
         }
-        open_ = {
+        expected = {
             number: (tenant, {one: at for one, at in windows.items() if one.end > self.at})
             for number, (tenant, windows) in self.booked.items()
         }
-        assert kept == {number: one for number, one in open_.items() if one[1]}
-        for (zone, _), line in self.book.timelines.items():
-            assert max(line.steps.values(), default=0) <= {"a": 7, "b": 6, "c": 3}[zone]
+        assert held_bookings == {number: one for number, one in expected.items() if one[1]}
+        for (zone, _), timeline in self.book.timelines.items():
+            assert max(timeline.steps.values(), default=0) <= {"a": 7, "b": 6, "c": 3}[zone]
         assert self.book.pack() == self.other.pack()
         assert {key: one.steps for key, one in self.book.timelines.items()} == {
             key: one.steps for key, one in self.other.timelines.items()
