--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize(("members", "zones"), [(6, 3), (24, 3)])
-def test_a_single_faulty_member_can_not_have_a_zone_left_or_keep_it_in_use(members, zones):
+def test_a_single_faulty_member_cannot_have_a_zone_left_or_keep_it_in_use(members, zones):
     net = ZoneNet(3, members, zones)
     make_faulty(net, "m0001")
     net.run(20)
@@ -197,7 +197,7 @@
     assert all(set(m.machine.plan.zones) == {"z0"} for m in honest)
 
 
-def test_a_zone_that_only_one_other_zone_can_not_reach_is_not_left():
+def test_a_zone_that_only_one_other_zone_cannot_reach_is_not_left():
     net = ZoneNet(4, 24, 4).run(2)
     net.blocked_zone_pairs.add(("z1", "z0"))
     net.run(15)
