--- a/tests/test_calendar.py
+++ b/tests/test_calendar.py
@@ -88,7 +88,7 @@
 
 
 def utc_starts(windows) -> list[str]:
-    return [f"{datetime.fromtimestamp(one.start / 1000, UTC):%m-%d %H:%M}" for one in windows]
+    return [f"{datetime.fromtimestamp(window.start / 1000, UTC):%m-%d %H:%M}" for window in windows]
 
 
 LATEST_END = int(datetime(2027, 1, 1, tzinfo=UTC).timestamp()) * 1000
@@ -113,7 +113,7 @@
 def test_windows_keep_their_local_start_over_a_change_of_clocks(zone, first, starts):
     found = occurrences("FREQ=DAILY;COUNT=3", zone, first, 180 * MINUTE, LATEST_END, 60)
     assert utc_starts(found) == starts
-    assert {one.end - one.start for one in found} == {180 * MINUTE}
+    assert {window.end - window.start for window in found} == {180 * MINUTE}
 
 
 @pytest.mark.parametrize(
@@ -189,7 +189,7 @@
             Ask(tenant, self.name(), "gpu", slots, windows, length if slack else 0, spread)
         )
         if isinstance(result, Refused):
-            self.offers += [(tenant, one) for one in result.offers]
+            self.offers += [(tenant, offer) for offer in result.offers]
             if slack and spread.zones == 1 and result.reason == "full":
                 low = max(first, self.at + 5 * MINUTE)
                 last = min(windows[0].end, self.at + 24 * HOUR) - length
@@ -241,14 +241,16 @@
             return
         if entry_type is Cancel:
             remaining = {
-                one: placement for one, placement in windows.items() if one.start < self.at + HOUR
+                window: placement
+                for window, placement in windows.items()
+                if window.start < self.at + HOUR
             }
         else:
             remaining = {
-                Window(one.start, max(one.start + MINUTE, self.at))
-                if one.start <= self.at < one.end
-                else one: placement
-                for one, placement in windows.items()
+                Window(window.start, max(window.start + MINUTE, self.at))
+                if window.start <= self.at < window.end
+                else window: placement
+                for window, placement in windows.items()
             }
         self.booked[number] = tenant, remaining
 
@@ -272,20 +274,22 @@
     @invariant()
     def books_agree_and_hold_what_was_booked(self):
         held_bookings = {
-            number: (one.tenant, dict(zip(one.windows, one.placements, strict=True)))
-            for number, one in self.book.open_bookings.items()
-            if not one.held_until
+            number: (booking.tenant, dict(zip(booking.windows, booking.placements, strict=True)))
+            for number, booking in self.book.open_bookings.items()
+            if not booking.held_until
         }
         expected = {
-            number: (tenant, {one: at for one, at in windows.items() if one.end > self.at})
+            number: (tenant, {window: at for window, at in windows.items() if window.end > self.at})
             for number, (tenant, windows) in self.booked.items()
         }
-        assert held_bookings == {number: one for number, one in expected.items() if one[1]}
+        assert held_bookings == {
+            number: booking for number, booking in expected.items() if booking[1]
+        }
         for (zone, _), timeline in self.book.timelines.items():
             assert max(timeline.steps.values(), default=0) <= {"a": 7, "b": 6, "c": 3}[zone]
         assert self.book.pack() == self.other.pack()
-        assert {key: one.steps for key, one in self.book.timelines.items()} == {
-            key: one.steps for key, one in self.other.timelines.items()
+        assert {key: timeline.steps for key, timeline in self.book.timelines.items()} == {
+            key: timeline.steps for key, timeline in self.other.timelines.items()
         }
         assert max(self.book.held_offers.values(), default=0) <= 9
 
--- a/yewrill/lab/raftnet.py
+++ b/yewrill/lab/raftnet.py
@@ -23,7 +23,7 @@
     Ready,
     Snapshot,
 )
-from yewrill.leases.timing import Driver, Times
+from yewrill.leases.timing import RaftDriver, RaftTiming
 
 
 @dataclass(eq=False)
@@ -31,7 +31,7 @@
     """One simulated voter, with its disk."""
 
     name: str
-    driver: Driver
+    driver: RaftDriver
     disk: PersistentRaftState
     saved_states: list[PersistentRaftState] = field(default_factory=list)
     incarnation: int = 1
@@ -54,11 +54,11 @@
         seed: int,
         voters: int = 3,
         path: Path | None = None,
-        times: Times | None = None,
+        times: RaftTiming | None = None,
         create_raft: Callable[..., Raft] = Raft,
     ):
         super().__init__(seed, path or Path(delay=0.005, jitter=0.005))
-        self.times, self.create_raft = times or Times(), create_raft
+        self.times, self.create_raft = times or RaftTiming(), create_raft
         self.names = tuple(f"v{i}" for i in range(voters))
         self.committed: list[LogEntry] = []
         self.leaders: dict[int, str] = {}
@@ -71,8 +71,8 @@
             self.voters[name] = Voter(name, self._driver(raft), disk, [disk])
             self._schedule(self.voters[name])
 
-    def _driver(self, raft: Raft) -> Driver:
-        return Driver(raft, random.Random(self.rng.getrandbits(64)), self.now, self.times)
+    def _driver(self, raft: Raft) -> RaftDriver:
+        return RaftDriver(raft, random.Random(self.rng.getrandbits(64)), self.now, self.times)
 
     # -- faults
 
--- a/yewrill/leases/format.py
+++ b/yewrill/leases/format.py
@@ -1,6 +1,6 @@
 """The codec of lease messages, the payload of membership datagrams (`membership/parts.py`).
 
-Any value that doesn't have the expected type or size raises Malformed.
+Any value that doesn't have the expected type or size raises MalformedPayload.
 """
 
 from __future__ import annotations
@@ -122,7 +122,7 @@
 
 
 def unpack(data: bytes) -> LeaseMessage:
-    """Decode one message. Raises Malformed."""
+    """Decode one message. Raises MalformedPayload."""
     try:
         kind, *rest = msgpack.unpackb(data)
         if kind == SUBMIT:
--- a/yewrill/leases/node.py
+++ b/yewrill/leases/node.py
@@ -42,7 +42,7 @@
     restore_all,
     unpack_entry,
 )
-from yewrill.leases.timing import Driver, Times
+from yewrill.leases.timing import RaftDriver, RaftTiming
 
 SNAPSHOT_AFTER_ENTRIES = 256
 REPLY_TIMEOUT_SECONDS = 0.4  # then another voter is asked
@@ -115,7 +115,7 @@
         *,
         lease_seconds: float = 3.0,
         trust_disk: bool = False,
-        times: Times | None = None,
+        times: RaftTiming | None = None,
         machines: Mapping[str, StateMachine] | None = None,
     ):
         self.machines = dict(machines or {})
@@ -124,7 +124,7 @@
         self.me, self.voters, self.lease_seconds = me, tuple(voters), lease_seconds
         self._rng = rng
         self.driver = (
-            Driver(Raft(me, incarnation, disk, trust_disk=trust_disk), rng, now, times)
+            RaftDriver(Raft(me, incarnation, disk, trust_disk=trust_disk), rng, now, times)
             if me in self.voters
             else None
         )
--- a/yewrill/leases/timing.py
+++ b/yewrill/leases/timing.py
@@ -18,18 +18,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class RaftTiming:
     """Durations in seconds."""
 
     heartbeat_interval: float = 0.1
     election_timeout: float = 0.6  # the shortest; the longest is twice that
 
 
-class Driver:
+class RaftDriver:
     """Calls a `Raft` when its timers are due."""
 
-    def __init__(self, raft: Raft, rng: random.Random, now: float, times: Times | None = None):
-        self.raft, self._rng, self._times = raft, rng, times or Times()
+    def __init__(self, raft: Raft, rng: random.Random, now: float, times: RaftTiming | None = None):
+        self.raft, self._rng, self._times = raft, rng, times or RaftTiming()
         self._next_heartbeat_at = now
         self._next_quorum_check_at = now + self._times.election_timeout
         self._restart_election_timeout(now)
--- a/yewrill/reservations/book.py
+++ b/yewrill/reservations/book.py
@@ -82,11 +82,14 @@
         state = _read_state(data) if data else State(0, 1, [], [], [])
         self.at, self.next_number = state.at, state.next_number
         self.timelines = {
-            (one.zone, one.kind): Timeline(max(0, one.slots - one.reserve - one.floor))
-            for one in self.config.capacity
+            (capacity.zone, capacity.kind): Timeline(
+                max(0, capacity.slots - capacity.reserve - capacity.floor)
+            )
+            for capacity in self.config.capacity
         }
         self.workers = {
-            (one.zone, one.kind): one.workers - one.reserve_workers for one in self.config.capacity
+            (capacity.zone, capacity.kind): capacity.workers - capacity.reserve_workers
+            for capacity in self.config.capacity
         }
         self.open_bookings: SortedDict = SortedDict()  # number -> Booking
         # (when a booking's first window ends or an offer expires, number)
@@ -248,10 +251,15 @@
         if not any(kind == ask.kind for _, kind in self.timelines):
             return Refused("unknown-kind", f"There is no kind {ask.kind!r}.")
         last = 0
-        for one in windows:
-            if one.start < last or one.start >= one.end or one.start % MINUTE or one.end % MINUTE:
+        for window in windows:
+            if (
+                window.start < last
+                or window.start >= window.end
+                or window.start % MINUTE
+                or window.end % MINUTE
+            ):
                 return Refused("bad-window", "Windows are full minutes, one after another.")
-            last = one.end
+            last = window.end
         if not windows or ask.length_ms % MINUTE or ask.length_ms and len(windows) > 1:
             return Refused(
                 "bad-window", "This needs windows, or a length of full minutes in just one."
@@ -342,7 +350,9 @@
             if not peaks:
                 return None
             start = (
-                max(one[0] for one in peaks) - length if backwards else min(one[1] for one in peaks)
+                max(peak[0] for peak in peaks) - length
+                if backwards
+                else min(peak[1] for peak in peaks)
             )
         return None
 
@@ -418,7 +428,8 @@
         windows: list[Window | None] = list(booking.windows)
         if isinstance(entry, Cancel):
             windows = [
-                one if one.start < self.at + self.config.cutoff else None for one in booking.windows
+                window if window.start < self.at + self.config.cutoff else None
+                for window in booking.windows
             ]
             if None not in windows:
                 return Refused(
@@ -434,7 +445,7 @@
 
 
 def _slot_ms(slots: int, windows: Iterable[Window]) -> int:
-    return slots * sum(one.end - one.start for one in windows)
+    return slots * sum(window.end - window.start for window in windows)
 
 
 def _split(free_slots: list[tuple[int, str]], slots: int, spread: Spread) -> Placement | None:
@@ -443,7 +454,7 @@
     With a spread over several zones, no zone gets more than half of the slots.
     """
     if spread.zones == 1:
-        free, zone = min(free_slots, key=lambda one: (-one[0], one[1]))
+        free, zone = min(free_slots, key=lambda pair: (-pair[0], pair[1]))
         return ((zone, slots),) if free >= slots else None
     max_share, remaining, placements = -(-slots // 2), slots, []
     for index, (free, zone) in enumerate(free_slots):
--- a/yewrill/zone_failover/machine.py
+++ b/yewrill/zone_failover/machine.py
@@ -96,8 +96,8 @@
     # From this fraction on, a zone that is left in part may be left further, if the others have room by now.
     dead_loss_ratio: float = 0.95
     min_poll_attempts: int = 6  # fewer attempts in a poll are no evidence
-    max_attempts_per_member: int = 8  # more attempts of one member are scaled down to this weight
-    min_recovery_attempts: int = 3  # enough to show that a zone with a plan entry is failing again
+    max_attempts_per_member: int = 8  # the attempts of one member weigh at most this
+    min_recovery_attempts: int = 3  # enough to show that a zone in the plan still fails
     min_failing_voters: int = 3  # members that must see the zone fail
     hold_time: float = 2.0  # from leaving a zone to its trial; doubled with each penalty
     max_hold_time: float = (
--- a/yewrill/zone_failover/plan.py
+++ b/yewrill/zone_failover/plan.py
@@ -14,7 +14,7 @@
 FULL_WEIGHT = 1000
 RECOVERY_RAMP = (50, 200, 500, FULL_WEIGHT)  # weights of a recovering zone; the first is the trial
 MAX_ZONES = 64
-# Each lease on the role of making plans has this range of plan numbers: fencing number * PLANS_PER_EPOCH on.
+# Plan numbers per lease on the role of making plans: a lease's range begins at its fencing number times this.
 PLANS_PER_EPOCH = 2**24
 # The fraction of the other zones' capacity that may be in use once a zone is left.
 MAX_UTILIZATION = 0.95
