--- a/yewrill/leases/commands.py
+++ b/yewrill/leases/commands.py
@@ -32,7 +32,7 @@
 @owners.command(name="list")
 @at.addresses_option
 def list_roles(addresses: tuple[str, ...]) -> None:
-    """List each duty with its owner and the highest fencing number that any dispatcher reports."""
+    """List each duty with its owner. The number is the highest that any dispatcher reports."""
     replies, complete = _fetch_status(addresses)
     latest: dict[str, dict] = {}
     for reply in replies.values():
@@ -49,7 +49,7 @@
 @owners.command()
 @at.addresses_option
 def show(addresses: tuple[str, ...]) -> None:
-    """Show the owners that each dispatcher knows, and the state of the voters."""
+    """Show what each dispatcher knows of owners and voters."""
     replies, complete = _fetch_status(addresses)
     for address, reply in replies.items():
         voter = reply.get("voter")
@@ -81,7 +81,7 @@
 @click.argument("role", metavar="DUTY")
 @at.addresses_option
 def move(role: str, addresses: tuple[str, ...]) -> None:
-    """Make the owner of a duty, if it is one of these dispatchers, give it up, so that another gets it."""
+    """Move a duty to another dispatcher. Its owner has to be one of the addressed dispatchers."""
     failed = False
     for address, status, body in at.each(
         addresses, "PUT", f"/_ownership/release?name={quote(role, safe='')}"
--- a/yewrill/zone_failover/commands.py
+++ b/yewrill/zone_failover/commands.py
@@ -27,7 +27,7 @@
     "--json", "as_json", is_flag=True, help="Print the answer of each management listener as JSON."
 )
 def show(addresses: tuple[str, ...], as_json: bool) -> None:
-    """Show the plan that each dispatcher holds, and why it last changed."""
+    """Show the plan of each dispatcher, and why it changed."""
     answers = each(addresses, "GET", "/_zones")
     plans = {address: ujson.loads(body) for address, status, body in answers if status == 200}
     failed = [(address, status, body) for address, status, body in answers if status != 200]
