--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -34,13 +34,13 @@
 
 def begin(seed: int, loss: float = 0.0, members: int = 24) -> ViewNet:
     net = ViewNet(seed, members, path=Path(loss=loss)).run(8.0)
-    net.unserved.clear()
+    net.seconds_without_lease.clear()
     return net
 
 
 def end(net: ViewNet, **found: float | None) -> Found:
     told = {key: [MOST if value is None else value] for key, value in found.items()}
-    return told | {"false_out": [len(net.false_out)], "both_sides": [len(net.both_sides)]}
+    return told | {"false_out": [len(net.false_removals)], "both_sides": [len(net.violations)]}
 
 
 def kills(seed: int, loss: float, count: int) -> Found:
@@ -49,21 +49,21 @@
     took, returns = [], []
     for _ in range(count):
         name = net.rng.choice(NAMES)
-        net.spare.add(name)
+        net.exempt.add(name)
         net.run(net.rng.random())
         net.kill(name)
-        took.append(net.until(lambda name=name: net.gone([name]), MOST, 0.05) or MOST)
+        took.append(net.until(lambda name=name: net.removed([name]), MOST, 0.05) or MOST)
         net.run(4.0)
         net.restart(name)
         returns.append(net.until(net.agreed, MOST) or MOST)
-        net.spare.clear()
+        net.exempt.clear()
         net.run(4.0)
     return end(net) | {key: took, f"return{'_30loss' if loss else ''}": returns}
 
 
 def steady(seed: int, loss: float, span: float) -> Found:
     net = begin(seed, loss).run(span)
-    return end(net) | {"unserved_30loss": [sum(net.unserved.values()) / (24 * span)]}
+    return end(net) | {"unserved_30loss": [sum(net.seconds_without_lease.values()) / (24 * span)]}
 
 
 def odd(seed: int, kind: str) -> Found:
@@ -71,13 +71,13 @@
     net = begin(seed)
     one = net.rng.choice(NAMES)
     others = [name for name in NAMES if name != one]
-    net.spare.add(one)
+    net.exempt.add(one)
     if kind == "deaf":
         net.cut(others, [one], both=False)
     else:
         net.cut([one], others if kind == "mute" else net.rng.sample(others, 12), both=False)
     net.run(30.0)
-    return end(net, **{f"unserved_{kind}": sum(net.unserved.values()) / (24 * 30.0)})
+    return end(net, **{f"unserved_{kind}": sum(net.seconds_without_lease.values()) / (24 * 30.0)})
 
 
 def halves(seed: int, first: int, both: bool) -> Found:
@@ -87,18 +87,18 @@
     sides = NAMES[:first], NAMES[first:]
     net.cut(*sides, both=both, heal_after=30.0)
     net.run(15.0)
-    going = [sum(net.holds(name) is not None for name in side) for side in sides]
+    going = [sum(net.leased_view(name) is not None for name in side) for side in sides]
     net.run(15.0)
-    out = len({name for _, name in net.false_out})
+    out = len({name for _, name in net.false_removals})
     wrong = out if first == 12 else 0 if out < 12 else out
     sides_going = max(0, sum(count > 0 for count in going) - 1)
     found = end(net, heal=net.until(net.agreed, MOST))
-    return found | {"false_out": [wrong], "both_sides": [len(net.both_sides) + sides_going]}
+    return found | {"false_out": [wrong], "both_sides": [len(net.violations) + sides_going]}
 
 
 def pauses(seed: int) -> Found:
     net = begin(seed)
-    net.cycle(NAMES[:8], 2.5, 1.5, net.now + 60.0)
+    net.pause_repeatedly(NAMES[:8], 2.5, 1.5, net.now + 60.0)
     return end(net.run(62.0))
 
 
@@ -106,16 +106,16 @@
     net = begin(seed)
     net.pause("m0003", 30.0)
     net.run(30.0)
-    acts = int(net.holds("m0003") is not None)
+    acts = int(net.leased_view("m0003") is not None)
     found = end(net, back_after_30s_pause=net.until(net.agreed, MOST))
-    return found | {"both_sides": [len(net.both_sides) + acts]}
+    return found | {"both_sides": [len(net.violations) + acts]}
 
 
 def rack(seed: int, size: int) -> Found:
     net = begin(seed)
     names = net.rng.sample(NAMES, size)
     net.kill(*names)
-    took = net.until(lambda: net.gone(names), MOST, 0.05)
+    took = net.until(lambda: net.removed(names), MOST, 0.05)
     net.run(5.0)
     return end(net, rack=took, rack_changes=max(net.digests) - 1)
 
@@ -123,7 +123,7 @@
 def flap(seed: int) -> Found:
     """Stopped for 6 s four times: how long each return takes."""
     net = begin(seed)
-    net.spare.add("m0004")
+    net.exempt.add("m0004")
     found = {}
     for turn in range(4):
         net.pause("m0004", 6.0)
@@ -135,16 +135,16 @@
 def small(seed: int) -> Found:
     """A twin, a restart, a leave, then the end of all and their return with what they kept."""
     net = begin(seed)
-    twin = net.double("m0002", ("10.9.9.9", 7000))
+    twin = net.start_duplicate("m0002", ("10.9.9.9", 7000))
     net.run(6.0)
     refused = int(twin.machine.standing(net.now) == "refused: name is taken")
     twin.dead = True
-    net.spare.update(NAMES)
+    net.exempt.update(NAMES)
     net.restart("m0005")
     restart = net.until(net.agreed, MOST)
     net.run(4.0)
     net.leave("m0007", 2.0)
-    leave = net.until(lambda: net.gone(["m0007"]), MOST, 0.05)
+    leave = net.until(lambda: net.removed(["m0007"]), MOST, 0.05)
     net.run(6.0)
     before = max(net.digests)
     net.kill(*NAMES)
@@ -169,23 +169,23 @@
 
 def thousand(seed: int, settle: float, span: float) -> Found:
     net = ViewNet(seed, 1000, check=settle > 20.0).run(settle)
-    net.unserved.clear()
-    before = {node.name: node.sent for node in net.all}
+    net.seconds_without_lease.clear()
+    before = {node.name: node.sent for node in net.all_nodes}
     net.run(span)
-    rates = sorted((node.sent - before[node.name]) / span for node in net.all)
+    rates = sorted((node.sent - before[node.name]) / span for node in net.all_nodes)
     found = {"bytes_1000": [rates[-1]], "bytes_1000_median": [rates[500]]}
     if settle > 20.0:
-        found["unserved_1000"] = [sum(net.unserved.values()) / (1000 * span)]
+        found["unserved_1000"] = [sum(net.seconds_without_lease.values()) / (1000 * span)]
         net.kill("m0500")
-        found["detect_1000"] = [net.until(lambda: net.gone(["m0500"]), MOST) or MOST]
+        found["detect_1000"] = [net.until(lambda: net.removed(["m0500"]), MOST) or MOST]
     return end(net) | found
 
 
 def bytes_of(seed: int) -> Found:
     net = begin(seed)
-    before = {node.name: node.sent for node in net.all}
+    before = {node.name: node.sent for node in net.all_nodes}
     net.run(20.0)
-    return end(net, bytes_24=max(node.sent - before[node.name] for node in net.all) / 20.0)
+    return end(net, bytes_24=max(node.sent - before[node.name] for node in net.all_nodes) / 20.0)
 
 
 def plan(quick: bool) -> list[tuple]:
--- a/tests/fixture_conversation.py
+++ b/tests/fixture_conversation.py
@@ -15,7 +15,7 @@
 from yewrill.membership.machine import SwimMember as Membership
 from yewrill.membership.messages import Claim
 from yewrill.membership.messages import Message as Datagram
-from yewrill.views.format import Parts
+from yewrill.views.format import MessageAssembler
 from yewrill.views.format import pack as pack_views
 from yewrill.views.machine import ViewMachine as Viewer
 from yewrill.views.view import Entry
@@ -78,7 +78,7 @@
         entry = Entry(name, 100 + at, address, "room", ("voter",))
         machines[name] = Viewer(entry, VOTERS, None, random.Random(at), 0.0)
         machines[name].set_known_members(ADDRESSES, 0.0)
-        parts[name] = Parts()
+        parts[name] = MessageAssembler()
     said: list[str] = []
     for step in range(STEPS):
         now = STEP * step
--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -169,12 +169,12 @@
     founding = Bootstrap(ENTRIES[0], (ENTRIES[0].name,), None, 5.0, lambda size: 0.0)
     founding.tick(0.0)
     return {
-        "digest": [VIEW.digest.hex(), VIEW.after(CHANGE).digest.hex()],
-        "names after the change": list(VIEW.after(CHANGE).names),
+        "digest": [VIEW.digest.hex(), VIEW.next_view(CHANGE).digest.hex()],
+        "names after the change": list(VIEW.next_view(CHANGE).names),
         "neighbours": [list(VIEW.edges(rank)) for rank in range(size)],
-        "places": list(VIEW.places("joiner", 5)),
-        "turns": VIEW.turns(),
-        "order of joiners": [admission.order(entry.name).hex() for entry in ENTRIES],
+        "places": list(VIEW.observers_of("joiner", 5)),
+        "turns": VIEW.proposal_order(),
+        "order of joiners": [admission.sort_key(entry.name).hex() for entry in ENTRIES],
         "tellers": [admission.sends_change(rank, "joiner") for rank in range(size)],
         "bitmaps": [
             views.encode_bitmap(value, width).hex()
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -29,7 +29,13 @@
 from yewrill.store.commands import check_all
 from yewrill.store.files import RealFiles
 from yewrill.tracing import reading
-from yewrill.views.format import Parts, decode_bitmap, decode_round, decode_tally, decode_vote
+from yewrill.views.format import (
+    MessageAssembler,
+    decode_bitmap,
+    decode_round,
+    decode_tally,
+    decode_vote,
+)
 from yewrill.views.view import PersistedView
 from yewrill.zone_failover.format import unpack as read_zones
 
@@ -78,9 +84,9 @@
 def test_messages_of_views_are_read():
     stored, size = read_encoded("views"), len(messages.ENTRIES)
     for label, message in messages.VIEW_MESSAGES:
-        parts = Parts()
+        parts = MessageAssembler()
         assert [parts.take("d01", part) for part in stored[label]][-1] == message, label
-    parts = Parts()
+    parts = MessageAssembler()
     beat = [parts.take("d01", part) for part in stored["beat, whole"]][-1]
     assert decode_round(beat.round, size) == messages.ROUND
     assert decode_vote(beat.vote, size) == messages.WORD
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -27,7 +27,7 @@
     Heartbeat,
     JoinRequest,
     JoinResponse,
-    Parts,
+    MessageAssembler,
     decode_tally,
     decode_vote,
     encode_tally,
@@ -102,7 +102,7 @@
     """Whom a member of a view of nine vouches for, that has heard these call three times each."""
     view = View(1, entries(9))
     machine = ViewsMachine(view.entries[rank], (), None, random.Random(rank), 0.0)
-    machine.take(view, 0.0)
+    machine.install(view, 0.0)
     for call in range(4):
         now = 0.1 + 0.3 * call
         for name in heard:
@@ -117,14 +117,14 @@
     names = [f"j{i}" for i in range(40)]
     lists = [vouching(rank, random.Random(rank).sample(names, len(names))) for rank in range(9)]
     for attested in lists:
-        assert len(attested) > MAX_ATTESTED and attested == sorted(attested, key=admission.order)
+        assert len(attested) > MAX_ATTESTED and attested == sorted(attested, key=admission.sort_key)
     enough = watermarks(8)[1]  # vouchers that a joiner needs
     come = [name for name in names if sum(name in v[:MAX_ATTESTED] for v in lists) >= enough]
     assert len(come) >= MAX_ATTESTED // 2
 
 
 def test_joiners_call_the_more_rarely_the_more_are_before_them():
-    names = sorted((f"j{i}" for i in range(200)), key=admission.order)
+    names = sorted((f"j{i}" for i in range(200)), key=admission.sort_key)
     found = [admission.slowdown(8, name, names) for name in names]
     assert found[:8] == [1] * 8 and found == sorted(found) and max(found) <= admission.MAX_SLOWDOWN
     assert sum(1.0 / stretch for stretch in found) < 45  # calls of 200 come to those of so many
@@ -135,17 +135,17 @@
     view = View(4, entries(40))
     one = Attestations(view, 0, 0.25)
     joiner = Entry("new", 7, ("h", 99))
-    assert one.recipients(1.0, frozenset()) == [] and one.take(0, (joiner,))
+    assert one.recipients(1.0, frozenset()) == [] and one.record(0, (joiner,))
     told = {e.name for e in one.recipients(1.0, frozenset())}
-    turns = [view.entries[rank].name for rank in view.turns()]
+    turns = [view.entries[rank].name for rank in view.proposal_order()]
     assert told == set(turns[:PROPOSERS]) - {"m0000"}
     assert one.recipients(1.1, frozenset()) == []  # not again at once
     later = {e.name for e in one.recipients(1.0 + SHIFT_SECONDS, frozenset())}
     assert later == set(turns[: 2 * PROPOSERS]) - {"m0000"}
-    dead = frozenset(view.turns()[:PROPOSERS])
+    dead = frozenset(view.proposal_order()[:PROPOSERS])
     again = {e.name for e in one.recipients(30.0, dead)}
     assert again and not again & {view.entries[rank].name for rank in dead}
-    assert one.attesters() == {joiner: {0}} and not one.take(0, (joiner,))
+    assert one.attesters() == {joiner: {0}} and not one.record(0, (joiner,))
 
 
 # -- the vote, where the other holds the proposal
@@ -170,8 +170,8 @@
             random.Random(rank),
             ViewCounters(),
             0.0,
-            crashed=False,
-            lease=99.0,
+            stale_leases=False,
+            lease_until=99.0,
         )
         for rank in (0, 1)
     )
@@ -186,7 +186,7 @@
     assert second.vote is None and second.tally is not None  # we have told it ourselves
     one.merge(1.2, second, to_other, "m0001")
     assert one.vote.state.accepted == 0b111
-    parts = Parts()
+    parts = MessageAssembler()
     whole = [message for part in pack(first) if (message := parts.take("m0000", part)) is not None]
     assert [type(message) for message in whole] == [Heartbeat]
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -40,14 +40,14 @@
         self.entries = {name: node.machine.me for name, node in self.net.nodes.items()}
 
     def view(self, name):
-        return self.net.holds(name)
+        return self.net.leased_view(name)
 
 
 @pytest.fixture
 def fleet():
     worlds = []
     yield worlds
-    assert worlds[0].net.both_sides == []  # no two partitions went on at once
+    assert worlds[0].net.violations == []  # no two partitions went on at once
 
 
 def step_text(pattern):
@@ -113,7 +113,9 @@
 )
 def pause_repeatedly(fleet, who, stop, every, span):
     net = fleet[0].net
-    net.cycle(member_names(who), float(every) - float(stop), float(stop), net.now + float(span))
+    net.pause_repeatedly(
+        member_names(who), float(every) - float(stop), float(stop), net.now + float(span)
+    )
 
 
 @when(step_text(WHO + r" leaves"))
@@ -125,20 +127,20 @@
 @when(step_text(WHO + r" receives nothing any more"))
 def cut_receiving(fleet, who):
     net = fleet[0].net
-    net.spare |= set(member_names(who))
+    net.exempt |= set(member_names(who))
     net.cut(set(net.nodes) - set(member_names(who)), member_names(who), both=False)
 
 
 @when(step_text(r"nothing that " + WHO + r" sends arrives any more"))
 def cut_sending(fleet, who):
     net = fleet[0].net
-    net.spare |= set(member_names(who))
+    net.exempt |= set(member_names(who))
     net.cut(member_names(who), set(net.nodes) - set(member_names(who)), both=False)
 
 
 @when(step_text(WHO + r" cannot reach dispatchers (?P<others>[\d a-z]+)"))
 def cut_between(fleet, who, others):
-    fleet[0].net.spare |= {*member_names(who), *member_names(others)}
+    fleet[0].net.exempt |= {*member_names(who), *member_names(others)}
     fleet[0].net.cut(member_names(who), member_names(others))
 
 
@@ -149,7 +151,7 @@
 
 @when(step_text(WHO + r" receive nothing from dispatchers (?P<others>[\d a-z]+)"))
 def cut_one_direction(fleet, who, others):
-    fleet[0].net.spare |= {*member_names(who), *member_names(others)}
+    fleet[0].net.exempt |= {*member_names(who), *member_names(others)}
     fleet[0].net.cut(member_names(others), member_names(who), both=False)
 
 
@@ -160,13 +162,13 @@
 
 @when(step_text(r"another process starts with the name of " + WHO))
 def second_process(fleet, who):
-    fleet[0].second_process = fleet[0].net.double(member_names(who)[0], ("10.9.9.9", 7000))
+    fleet[0].second_process = fleet[0].net.start_duplicate(member_names(who)[0], ("10.9.9.9", 7000))
 
 
 @when(step_text(WHO + r" is removed and joins again (?P<times>\d+) times"))
 def remove_and_rejoin(fleet, who, times):
     net, (name,) = fleet[0].net, member_names(who)
-    net.spare.add(name)
+    net.exempt.add(name)
     for _ in range(int(times)):
         net.cut([name], set(net.nodes) - {name})
         assert net.until(lambda: net.agreed(set(net.nodes) - {name}), 20.0) is not None
@@ -223,15 +225,15 @@
 
 @then("no healthy dispatcher was removed")
 def no_healthy_one_was_removed(fleet):
-    assert fleet[0].net.false_out == []
+    assert fleet[0].net.false_removals == []
 
 
 @then(step_text(r"no other than " + WHO + r" was removed"))
 def no_other_was_removed(fleet, who):
     net = fleet[0].net
     others = set(net.nodes) - set(member_names(who))
-    assert net.false_out == []
-    assert all(others <= set(view.names) for view in net.orders.values())
+    assert net.false_removals == []
+    assert all(others <= set(view.names) for view in net.views_by_number.values())
 
 
 @then(step_text(WHO + r" has a new entry"))
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -16,9 +16,9 @@
     Heartbeat,
     JoinRequest,
     JoinResponse,
+    MessageAssembler,
     Page,
     PageRequest,
-    Parts,
     Register,
     decode_bitmap,
     decode_round,
@@ -40,7 +40,7 @@
 
 def net_of(seed, members=24, *, settle=6.0, **more):
     net = ViewNet(seed, members, **more).run(settle)
-    net.unserved.clear()
+    net.seconds_without_lease.clear()
     return net
 
 
@@ -50,8 +50,8 @@
 
 def sound(net):
     """Never two sides, and no well one left out."""
-    assert net.both_sides == []
-    assert net.false_out == []
+    assert net.violations == []
+    assert net.false_removals == []
 
 
 def entries(count):
@@ -78,9 +78,9 @@
 def test_a_joiner_is_watched_by_whom_its_places_name():
     view = View(1, entries(24))
     new = Entry("new", 77, ("h", 99))
-    after = view.after(encode_change(set(), [new]))
+    after = view.next_view(encode_change(set(), [new]))
     assert after.number == 2 and after.names == (*view.names, "new")
-    assert view.places("new", 77) == after.edges(24)
+    assert view.observers_of("new", 77) == after.edges(24)
 
 
 @given(
@@ -89,17 +89,17 @@
 )
 def test_a_change_gives_all_the_same_next_view(out, come):
     view = View(7, entries(24))
-    after = view.after(encode_change(out, come))
+    after = view.next_view(encode_change(out, come))
     stay = [e for rank, e in enumerate(view.entries) if rank not in out]
     assert list(after.entries[: len(stay)]) == stay
     new = [e.name for e in after.entries[len(stay) :]]
     assert new == sorted(new) and len(set(after.names)) == len(after) and after.number == 8
-    assert after.digest == View(7, entries(24)).after(encode_change(out, come[::-1])).digest
+    assert after.digest == View(7, entries(24)).next_view(encode_change(out, come[::-1])).digest
 
 
 @given(st.binary(max_size=60))
 def test_what_is_no_change_leaves_the_list(data):
-    after = View(1, entries(3)).after(data)
+    after = View(1, entries(3)).next_view(data)
     assert after.number == 2 and 1 <= len(after) <= 67
 
 
@@ -107,7 +107,7 @@
     many = [Entry(f"{'n' * 50}{i:03d}", i, ("h" * 40, 1)) for i in range(64)]
     value = encode_change({1, 2}, many)
     assert len(value) <= MAX_CHANGE_BYTES
-    assert 5 < len(View(1, entries(3)).after(value)) < 20
+    assert 5 < len(View(1, entries(3)).next_view(value)) < 20
 
 
 ENTRY = st.builds(
@@ -203,7 +203,7 @@
     parts = pack(message, 9)
     assert max(map(len, parts)) < 999
     order.shuffle(parts)
-    taker = Parts()
+    taker = MessageAssembler()
     assert [taker.take("m", part) for part in parts] == [None] * (len(parts) - 1) + [message]
 
 
@@ -213,7 +213,7 @@
     data = bytearray(b"".join(pack(message)))
     data[at % len(data)] = byte
     for tried in (bytes(data), bytes(data[: at % len(data)]), bytes(data[1:])):
-        for take in (unpack, lambda b: Parts().take("m", b)):
+        for take in (unpack, lambda b: MessageAssembler().take("m", b)):
             with contextlib.suppress(MalformedPayload):
                 take(tried)
 
@@ -325,7 +325,7 @@
         for _ in range(2):  # at most two: of a view founded meanwhile, a majority must live
             net.run(0.2 + 0.5 * net.rng.random())
             name = net.rng.choice(NAMES[:5])
-            net.spare.add(name)
+            net.exempt.add(name)
             net.restart(name)
         assert net.until(net.agreed, 60.0) is not None
         sound(net)
@@ -335,44 +335,48 @@
 def test_a_killed_one_is_out_of_all_views(loss, most):
     net = net_of(2, path=Path(loss=loss))
     for name in ("m0007", "m0016"):
-        net.spare.add(name)
+        net.exempt.add(name)
         net.kill(name)
-        assert net.until(lambda name=name: net.gone([name]), 30.0, 0.05) < most
+        assert net.until(lambda name=name: net.removed([name]), 30.0, 0.05) < most
         net.run(4.0)
     assert net.agreed()
     sound(net)
-    assert sum(net.unserved.values()) < 1.0
+    assert sum(net.seconds_without_lease.values()) < 1.0
 
 
 def test_nobody_is_out_at_30_percent_loss():
     net = net_of(3, path=Path(loss=0.3)).run(30.0)
-    assert highest(net) == 1 and sum(net.unserved.values()) < 1.0
+    assert highest(net) == 1 and sum(net.seconds_without_lease.values()) < 1.0
     sound(net)
 
 
 @pytest.mark.parametrize("kind", ["deaf", "mute", "half"])
 def test_one_that_hears_or_is_heard_by_few_takes_nobody_out(kind):
     net = net_of(4)
-    net.spare.add("m0005")
+    net.exempt.add("m0005")
     others = [name for name in NAMES if name != "m0005"]
     if kind == "half":
         others = net.rng.sample(others, 12)
     net.cut(*((others, ["m0005"]) if kind == "deaf" else (["m0005"], others)), both=False)
     net.run(20.0)
     sound(net)
-    assert net.unserved == {}
+    assert net.seconds_without_lease == {}
     assert highest(net) == (1 if kind == "half" else 2)
-    assert (net.holds("m0005") is None) == (kind != "half")
+    assert (net.leased_view("m0005") is None) == (kind != "half")
 
 
 def test_one_that_stays_unstable_holds_the_others_up_for_a_while_only():
     net = net_of(4, rules=ViewTiming(patience=4.0))
-    net.spare.update(("m0005", "m0009"))
+    net.exempt.update(("m0005", "m0009"))
     net.cut(["m0005"], net.rng.sample([n for n in NAMES if n != "m0005"], 12), both=False)
     net.run(2.5)
     net.kill("m0009")
-    took = net.until(lambda: net.gone(["m0009"]), 20.0, 0.05)
-    assert 3.0 < took < 6.0 and highest(net) == 2 and net.orders[2].rank_of("m0005") is not None
+    took = net.until(lambda: net.removed(["m0009"]), 20.0, 0.05)
+    assert (
+        3.0 < took < 6.0
+        and highest(net) == 2
+        and net.views_by_number[2].rank_of("m0005") is not None
+    )
     sound(net)
 
 
@@ -380,9 +384,9 @@
     """What they say of all others is one cause each, so they say nothing."""
     net = net_of(15)
     deaf = ["m0001", "m0002", "m0003"]
-    net.spare.update(deaf)
+    net.exempt.update(deaf)
     net.cut([name for name in NAMES if name not in deaf], deaf, both=False)
-    assert net.until(lambda: net.gone(deaf, NAMES[4:]), 30.0, 0.1) < 7.0
+    assert net.until(lambda: net.removed(deaf, NAMES[4:]), 30.0, 0.1) < 7.0
     net.run(3.0)
     sound(net)
 
@@ -391,7 +395,7 @@
     net = net_of(9)
     net.cut(NAMES[:12], NAMES[12:], both=False, heal_after=14.0)
     net.run(13.0)
-    assert highest(net) == 1 and not [name for name in NAMES if net.holds(name)]
+    assert highest(net) == 1 and not [name for name in NAMES if net.leased_view(name)]
     net.run(1.0)
     assert net.until(net.agreed, 10.0) is not None
     sound(net)
@@ -399,10 +403,12 @@
 
 def test_a_larger_side_that_hears_all_but_is_not_heard_goes_on_in_the_view_as_it_is():
     net = net_of(16)
-    net.spare.update(NAMES[15:])
+    net.exempt.update(NAMES[15:])
     net.cut(NAMES[:15], NAMES[15:], both=False, heal_after=12.0)
     net.run(8.0)
-    assert highest(net) == 1 and {name for name in NAMES if net.holds(name)} == set(NAMES[:15])
+    assert highest(net) == 1 and {name for name in NAMES if net.leased_view(name)} == set(
+        NAMES[:15]
+    )
     net.run(4.0)
     assert net.until(net.agreed, 30.0) is not None
     sound(net)
@@ -412,24 +418,24 @@
 def test_after_a_cut_the_larger_side_goes_on_alone_until_it_heals(both):
     net = net_of(6)
     small, large = NAMES[:9], NAMES[9:]
-    net.spare.update(small)
+    net.exempt.update(small)
     net.cut(small, large, both=both, heal_after=12.0)
     net.run(3.5)
-    assert not [name for name in small if net.holds(name)]
+    assert not [name for name in small if net.leased_view(name)]
     assert net.nodes["m0000"].machine.describe(net.now) != "in"
     net.run(8.0)
-    assert net.agreed(large) and not [name for name in small if net.holds(name)]
+    assert net.agreed(large) and not [name for name in small if net.leased_view(name)]
     assert net.until(net.agreed, 90.0) is not None
     sound(net)
-    assert net.unserved == {}
+    assert net.seconds_without_lease == {}
 
 
 def test_short_pauses_of_a_third_take_nobody_out():
     net = net_of(7)
-    net.spare.update(NAMES[:8])
-    net.cycle(NAMES[:8], 2.5, 1.5, net.now + 25.0)
+    net.exempt.update(NAMES[:8])
+    net.pause_repeatedly(NAMES[:8], 2.5, 1.5, net.now + 25.0)
     net.run(25.0)
-    net.spare.clear()
+    net.exempt.clear()
     sound(net)
     assert highest(net) == 1
 
@@ -464,9 +470,9 @@
 def test_a_rack_is_one_change(size):
     net = net_of(9)
     rack = NAMES[-size:]
-    net.spare.update(rack)
+    net.exempt.update(rack)
     net.kill(*rack)
-    assert net.until(lambda: net.gone(rack), 30.0, 0.05) < 3.0
+    assert net.until(lambda: net.removed(rack), 30.0, 0.05) < 3.0
     net.run(5.0)
     assert highest(net) == 2 and net.agreed()
     sound(net)
@@ -474,7 +480,7 @@
 
 def test_one_that_flaps_is_out_once_each_time_and_waits_longer():
     net = net_of(10, 12)
-    net.spare.add("m0004")
+    net.exempt.add("m0004")
     back = []
     for _ in range(3):
         net.pause("m0004", 5.0)
@@ -487,7 +493,7 @@
 
 def test_the_later_of_two_processes_under_one_name_is_refused():
     net = net_of(11, 12)
-    second = net.double("m0002", ("10.9.9.9", 7000))
+    second = net.start_duplicate("m0002", ("10.9.9.9", 7000))
     net.run(8.0)
     assert second.machine.describe(net.now) == "refused: name is taken"
     assert net.nodes["m0002"].machine.describe(net.now) == "in" and highest(net) == 1
@@ -497,30 +503,30 @@
 def test_a_restart_is_another_process_and_one_change():
     net = net_of(12, 12)
     before = net.nodes["m0002"].machine.me.incarnation
-    net.spare.add("m0002")
+    net.exempt.add("m0002")
     net.restart("m0002")
     assert net.until(net.agreed, 20.0) is not None
     assert highest(net) == 2
-    assert net.orders[2].find("m0002", before) is None
+    assert net.views_by_number[2].find("m0002", before) is None
     sound(net)
 
 
 def test_a_planned_leave_is_quick():
     net = net_of(13)
-    net.spare.add("m0007")
+    net.exempt.add("m0007")
     leaver = net.nodes["m0007"]
     net.leave("m0007", 2.0)
     assert leaver.machine.view(net.now) is None
-    assert net.until(lambda: net.gone(["m0007"]), 20.0, 0.05) < 0.6
+    assert net.until(lambda: net.removed(["m0007"]), 20.0, 0.05) < 0.6
     net.run(1.0)
     assert leaver.machine.describe(net.now) == "left"
     sound(net)
-    assert net.unserved == {}
+    assert net.seconds_without_lease == {}
 
 
 def test_all_end_and_begin_again_with_what_they_kept():
     net = net_of(14, 9, founders=3)
-    net.spare.update(NAMES)
+    net.exempt.update(NAMES)
     net.restart("m0008")
     assert net.until(net.agreed, 20.0) is not None
     before = highest(net)
@@ -542,7 +548,7 @@
     """One loses touch and holds its lease; the others change twice as fast as they can."""
     for seed in range(6):
         net = net_of(seed, 9)
-        net.spare.update(NAMES)
+        net.exempt.update(NAMES)
         net.cut(["m0000"], NAMES[1:9])
         net.run(0.6)
         net.leave("m0001", 1.0)
@@ -560,7 +566,7 @@
     """Pauses, kills, cuts of one direction and loss as they come; at the end all are in one view."""
     net = net_of(100 + seed, 12, founders=3, path=Path(loss=0.1, duplication=0.05, jitter=0.01))
     names = NAMES[:12]
-    net.spare.update(names)
+    net.exempt.update(names)
     for _ in range(12):
         what, name = net.rng.randrange(5), net.rng.choice(names)
         if what == 0:
@@ -591,7 +597,7 @@
 def member(size=3):
     view = View(4, tuple(Entry(n, i + 1, ("10.0.0.1", i + 1)) for i, n in enumerate(NAMES[:size])))
     machine = ViewMachine(view.entries[0], (), None, random.Random(1), 0.0, ViewTiming())
-    machine.take(view, 0.0)
+    machine.install(view, 0.0)
     return machine, view
 
 
@@ -653,7 +659,7 @@
 
 def test_what_leaves_no_majority_is_not_proposed():
     for out in ((4,), (2, 3, 4)):
-        inside = inside_of(0, 5, crashed=False, lease=99.0)
+        inside = inside_of(0, 5, stale_leases=False, lease_until=99.0)
         for rank in (0, 1, 2, 3):
             if rank not in out:
                 bad = sum(1 << place for place, s in enumerate(inside.view.edges(rank)) if s in out)
@@ -665,8 +671,8 @@
 
 @pytest.mark.parametrize("late", [False, True])
 def test_promises_that_come_late_decide_nothing(late):
-    rank = View(4, entries(3)).turns()[0]
-    inside = inside_of(rank, crashed=False, lease=99.0)
+    rank = View(4, entries(3)).proposal_order()[0]
+    inside = inside_of(rank, stale_leases=False, lease_until=99.0)
     inside.leaving = True
     inside.publish()
     inside.propose_if_due(0.0)
@@ -680,15 +686,17 @@
     assert bool(inside.vote.state.proposal) != late
 
 
-@pytest.mark.parametrize("crashed, at", [(False, 1.0), (True, 3.0)])
-def test_after_a_crash_the_next_view_waits_for_leases(crashed, at):
+@pytest.mark.parametrize("stale_leases, at", [(False, 1.0), (True, 3.0)])
+def test_after_a_crash_the_next_view_waits_for_leases(stale_leases, at):
     """Unless nobody went against his will, and all of the view are there."""
-    inside = inside_of(View(4, entries(3)).turns()[0], crashed=crashed, lease=99.0)
+    inside = inside_of(
+        View(4, entries(3)).proposal_order()[0], stale_leases=stale_leases, lease_until=99.0
+    )
     inside.leaving = True
     inside.publish()
     inside._renewal.merge(0.5, Round(0, -1, -1, 0, 0b111))
     inside.propose_if_due(0.6)
-    inside.propose_if_due(at - 0.1 if crashed else at)
-    assert (inside.vote.state.ballot > (0, -1)) != crashed
+    inside.propose_if_due(at - 0.1 if stale_leases else at)
+    assert (inside.vote.state.ballot > (0, -1)) != stale_leases
     inside.propose_if_due(inside.lease_seconds + 1.0)
     assert inside.vote.state.ballot > (0, -1)
--- a/yewrill/lab/scale/events.py
+++ b/yewrill/lab/scale/events.py
@@ -66,7 +66,7 @@
         view = View(1, tuple(node.views.me for node in self.nodes.values()))
         for node in self.nodes.values():
             self._settle(node)
-            self._put(node, self._say(node, node.views.take(view, self.now)))
+            self._put(node, self._say(node, node.views.install(view, self.now)))
             self._settle(node)
 
     def watch(self) -> None:
--- a/yewrill/lab/scale/virtual.py
+++ b/yewrill/lab/scale/virtual.py
@@ -19,7 +19,7 @@
 from yewrill.membership.messages import DEAD, LEFT, Claim
 from yewrill.membership.parts import MalformedPayload
 from yewrill.membership.transport import IP_UDP_HEADER_BYTES, VIEWS, Address, Datagram, Transport
-from yewrill.views.format import Parts, pack, priority_of
+from yewrill.views.format import MessageAssembler, pack, priority_of
 from yewrill.views.machine import Step
 from yewrill.views.machine import ViewMachine as ViewsMachine
 from yewrill.views.timing import ViewTiming as ViewsRules
@@ -54,7 +54,7 @@
     address: Address
     transport: Transport
     views: ViewsMachine
-    parts: Parts = field(default_factory=Parts)
+    parts: MessageAssembler = field(default_factory=MessageAssembler)
     disk: PersistedView | None = None
     dead: bool = False
     number: int = 0  # of its last message of views
--- a/yewrill/lab/viewnet.py
+++ b/yewrill/lab/viewnet.py
@@ -12,7 +12,7 @@
 
 from yewrill.lab.netsim import Path, PausableNetwork
 from yewrill.membership.parts import MalformedPayload
-from yewrill.views.format import Parts, pack
+from yewrill.views.format import MessageAssembler, pack
 from yewrill.views.machine import Step, ViewMachine
 from yewrill.views.timing import ViewTiming
 from yewrill.views.view import Entry, PersistedView, View
@@ -30,7 +30,7 @@
     paused_until: float = -1.0
     dead: bool = False
     sent: int = 0  # bytes
-    parts: Parts = field(default_factory=Parts)
+    parts: MessageAssembler = field(default_factory=MessageAssembler)
     inbox: list[tuple[str, tuple[str, int], bytes]] = field(default_factory=list)
     number: int = 0  # of its last message
     armed: float = float("inf")  # when its timer goes off
@@ -52,15 +52,17 @@
         super().__init__(seed, path)
         self.rules = rules or ViewTiming()
         self.nodes: dict[str, Node] = {}
-        self.all: list[Node] = []
+        self.all_nodes: list[Node] = []
         self._at: dict[tuple[str, int], Node] = {}
         self.founders = tuple(f"m{i:04d}" for i in range(min(founders, members)))
         self.digests: dict[int, bytes] = {}
-        self.orders: dict[int, View] = {}
-        self.both_sides: list[str] = []  # what must never be
-        self.false_out: list[tuple[float, str]] = []  # well ones that a view left out
-        self.spare: set[str] = set()  # whose being taken out is no fault of the views
-        self.unserved: dict[str, float] = {}  # seconds in which a well member had no lease
+        self.views_by_number: dict[int, View] = {}
+        self.violations: list[str] = []  # what must never be
+        self.false_removals: list[tuple[float, str]] = []  # well ones that a view left out
+        self.exempt: set[str] = set()  # whose being taken out is no fault of the views
+        self.seconds_without_lease: dict[
+            str, float
+        ] = {}  # seconds in which a well member had no lease
         self._killed: dict[int, float] = {}
         names = [f"m{i:04d}" for i in range(members)]
         for i, name in enumerate(names):
@@ -68,7 +70,7 @@
         if formed:
             view = View(1, tuple(node.machine.me for node in self.nodes.values()))
             for node in self.nodes.values():
-                self._do(node, node.machine.take(view, self.now))
+                self._do(node, node.machine.install(view, self.now))
         self._check_leases = check
         if check:
             self.at(self.now, self._look)
@@ -82,7 +84,7 @@
         )
         node = Node(name, address, machine, disk, was={me.incarnation})
         self.nodes[name] = self._at[address] = node
-        self.all.append(node)
+        self.all_nodes.append(node)
         self._tell_all()
         self._arm(node)
         return node
@@ -103,7 +105,7 @@
         old.dead = True
         return self.start(name, old.address, old.disk)
 
-    def double(self, name: str, address: tuple[str, int]) -> Node:
+    def start_duplicate(self, name: str, address: tuple[str, int]) -> Node:
         """Another process under the same name; `nodes` keeps the first."""
         first = self.nodes[name]
         second = self.start(name, address)
@@ -183,10 +185,10 @@
                 continue
             known = self.digests.setdefault(view.number, view.digest)
             if known != view.digest:
-                self.both_sides.append(f"{self.now:.2f}: two views {view.number}")
-            before = self.orders.get(view.number - 1)
-            if view.number not in self.orders:
-                self.orders[view.number] = view
+                self.violations.append(f"{self.now:.2f}: two views {view.number}")
+            before = self.views_by_number.get(view.number - 1)
+            if view.number not in self.views_by_number:
+                self.views_by_number[view.number] = view
                 for entry in before.entries if before is not None else ():
                     other = self.nodes.get(entry.name)
                     if (
@@ -196,26 +198,28 @@
                         and not other.dead
                         and self.now >= other.paused_until
                         and not other.machine._leaving
-                        and entry.name not in self.spare
+                        and entry.name not in self.exempt
                     ):
-                        self.false_out.append((self.now, entry.name))
+                        self.false_removals.append((self.now, entry.name))
             if node.disk is None or node.disk.number < view.number:
-                self.both_sides.append(f"{self.now:.2f}: {node.name} did not keep {view.number}")
+                self.violations.append(f"{self.now:.2f}: {node.name} did not keep {view.number}")
         node.machine.changes.clear()
 
     def _look(self) -> None:
         numbers = set()
-        for node in self.all:
+        for node in self.all_nodes:
             if not node.dead and self.now >= node.paused_until:
                 view = node.machine.view(self.now)
                 if view is not None:
                     numbers.add(view.number)
-                elif node.name not in self.spare:
-                    self.unserved[node.name] = self.unserved.get(node.name, 0.0) + LOOK
+                elif node.name not in self.exempt:
+                    self.seconds_without_lease[node.name] = (
+                        self.seconds_without_lease.get(node.name, 0.0) + LOOK
+                    )
             if node.machine.counts.conflict:
-                self.both_sides.append(f"{self.now:.2f}: conflict at {node.name}")
+                self.violations.append(f"{self.now:.2f}: conflict at {node.name}")
         if numbers and max(numbers) - min(numbers) > 1:
-            self.both_sides.append(f"{self.now:.2f}: leases in {min(numbers)} and {max(numbers)}")
+            self.violations.append(f"{self.now:.2f}: leases in {min(numbers)} and {max(numbers)}")
         self.at(self.now + LOOK, self._look)
 
     # -- what they think
@@ -223,19 +227,19 @@
     def living(self) -> list[Node]:
         return [node for node in self.nodes.values() if not node.dead]
 
-    def holds(self, name: str) -> View | None:
+    def leased_view(self, name: str) -> View | None:
         return self.nodes[name].machine.view(self.now)
 
     def agreed(self, among: Iterable[str] | None = None) -> bool:
         """Whether all that live (or these) hold leases in one view of just them."""
         names = {node.name for node in self.living()} if among is None else set(among)
-        views = [self.holds(name) for name in names]
+        views = [self.leased_view(name) for name in names]
         return all(
             view is not None and set(view.names) == names and view.digest == views[0].digest
             for view in views
         )
 
-    def gone(self, names: Iterable[str], among: Iterable[str] | None = None) -> bool:
+    def removed(self, names: Iterable[str], among: Iterable[str] | None = None) -> bool:
         """Whether none of these processes (as they are) is in any view that one of the others holds."""
         lost = {(name, self.nodes[name].machine.me.incarnation) for name in names}
         left = [
@@ -249,15 +253,19 @@
             for process in lost
         )
 
-    def cycle(self, names: Iterable[str], run: float, stop: float, until: float) -> None:
+    def pause_repeatedly(self, names: Iterable[str], run: float, stop: float, until: float) -> None:
         """Let these pause again and again, each in its own time."""
         for name in names:
-            self._cycle(name, run, stop, until, self.now + self.rng.random() * (run + stop))
+            self._pause_repeatedly(
+                name, run, stop, until, self.now + self.rng.random() * (run + stop)
+            )
 
-    def _cycle(self, name: str, run: float, stop: float, until: float, at: float) -> None:
+    def _pause_repeatedly(
+        self, name: str, run: float, stop: float, until: float, at: float
+    ) -> None:
         def again() -> None:
             if self.now < until:
                 self.pause(name, stop)
-                self._cycle(name, run, stop, until, self.now + run + stop)
+                self._pause_repeatedly(name, run, stop, until, self.now + run + stop)
 
         self.at(at, again)
--- a/yewrill/views/admission.py
+++ b/yewrill/views/admission.py
@@ -20,7 +20,7 @@
 
 
 @lru_cache(maxsize=8192)
-def order(name: str) -> bytes:
+def sort_key(name: str) -> bytes:
     """Sort key of a joiner's name."""
     return hashlib.blake2b(name.encode(), digest_size=8, person=b"view-join").digest()
 
@@ -29,8 +29,8 @@
     """By how many times a joiner's interval is longer, in front of a view of this size. `joiners`: the names
     of all that seem to live and are not in that view."""
     batch = max(MIN_BATCH, size)
-    before = sorted(order(other) for other in joiners if other != name)
-    return min(MAX_SLOWDOWN, 1 + bisect_left(before, order(name)) // batch)
+    before = sorted(sort_key(other) for other in joiners if other != name)
+    return min(MAX_SLOWDOWN, 1 + bisect_left(before, sort_key(name)) // batch)
 
 
 def sends_change(rank: int, name: str) -> bool:
--- a/yewrill/views/attestation.py
+++ b/yewrill/views/attestation.py
@@ -20,13 +20,13 @@
 
     def __init__(self, view: View, rank: int, interval: float):
         self._view, self._rank, self._interval = view, rank, interval
-        self._turns = view.turns()
+        self._turns = view.proposal_order()
         self._by_rank: dict[int, tuple[Entry, ...]] = {}
         self._notified: tuple[Entry, ...] = ()
         self._told_at = -1e18
         self._since = -1e18  # when we began to vouch for somebody
 
-    def take(self, rank: int, joiners: tuple[Entry, ...]) -> bool:
+    def record(self, rank: int, joiners: tuple[Entry, ...]) -> bool:
         """Record whom a member attests. Returns whether that has changed."""
         if self._by_rank.get(rank, ()) == joiners:
             return False
--- a/yewrill/views/facade.py
+++ b/yewrill/views/facade.py
@@ -19,7 +19,7 @@
 from yewrill.service.subsystems import SubsystemContext
 from yewrill.store import Batch, Store, StoreError, StorePoisoned
 from yewrill.views.config import ViewsConfig
-from yewrill.views.format import Parts, pack, priority_of
+from yewrill.views.format import MessageAssembler, pack, priority_of
 from yewrill.views.machine import Step, ViewMachine
 from yewrill.views.view import Entry, PersistedView, View
 
@@ -119,7 +119,7 @@
         return []
 
     async def _serve(self, link: MembershipLink, machine: ViewMachine) -> None:
-        listed, parts = None, Parts()
+        listed, parts = None, MessageAssembler()
         while True:
             if listed is not link.list_changed:
                 listed = link.list_changed
--- a/yewrill/views/format.py
+++ b/yewrill/views/format.py
@@ -165,7 +165,7 @@
         raise MalformedPayload(str(error)) from error
 
 
-class Parts:
+class MessageAssembler:
     """Takes the parts of messages. Bounded."""
 
     def __init__(self) -> None:
--- a/yewrill/views/machine.py
+++ b/yewrill/views/machine.py
@@ -115,7 +115,10 @@
         inside = self._member
         return (
             inside.view
-            if inside is not None and now < inside.lease and not self._leaving and not self.stopped
+            if inside is not None
+            and now < inside.lease_until
+            and not self._leaving
+            and not self.stopped
             else None
         )
 
@@ -142,7 +145,13 @@
         if self.stopped:
             return self.stopped
         if self.installed is not None:
-            return "leaving" if self._leaving else "in" if now < self._member.lease else "no lease"
+            return (
+                "leaving"
+                if self._leaving
+                else "in"
+                if now < self._member.lease_until
+                else "no lease"
+            )
         if self._refusal:
             return f"refused: {self._refusal}"
         if self._known_view is None and self._bootstrap.founder:
@@ -248,7 +257,7 @@
 
     # -- from one view to the next
 
-    def take(self, view: View, now: float) -> Step:
+    def install(self, view: View, now: float) -> Step:
         """Be in a view that is known for certain: as the first one of a virtual network."""
         self._now = now
         self._move(view, None)
@@ -271,15 +280,18 @@
         """Be in the next view. What we hold of a lease goes with us, if we know what changed."""
         before, now = self._member, self._now
         # The first view of all follows none; of one that was fetched, nobody knows what changed.
-        lease, crashed, edges = NEVER, view.number > 1, {}
+        lease_until, stale_leases, edges = NEVER, view.number > 1, {}
         if before is not None and last is not None:
-            lease, edges = before.lease, {edge.entry: edge for edge in before.edges.values()}
+            lease_until, edges = (
+                before.lease_until,
+                {edge.entry: edge for edge in before.edges.values()},
+            )
             removed = _removed_names(before.view, view)
             for name in sorted(removed - before.left):
                 self._record_removal(name)
-            crashed = not removed <= before.left
+            stale_leases = not removed <= before.left
         elif self._known_view is not None and last is not None:
-            crashed = bool(_removed_names(self._known_view, view))
+            stale_leases = bool(_removed_names(self._known_view, view))
         self._member = ViewMember(
             view,
             rank,
@@ -288,8 +300,8 @@
             self.counts,
             now,
             last=last,
-            lease=lease,
-            crashed=crashed,
+            lease_until=lease_until,
+            stale_leases=stale_leases,
             edges=edges,
         )
         self._known_view, self._fetch, self._refusal = None, None, ""
@@ -314,9 +326,9 @@
         """Keep what we accepted, and go on to what is decided."""
         inside = self._member
         if inside.vote.accepted is not None:
-            self._require_persisted(inside.view.after(inside.vote.accepted[1]))
+            self._require_persisted(inside.view.next_view(inside.vote.accepted[1]))
         if inside.vote.decided is not None:
-            self._move(inside.view.after(inside.vote.decided), inside.vote.decided)
+            self._move(inside.view.next_view(inside.vote.decided), inside.vote.decided)
 
     def _record_removal(self, name: str) -> None:
         times, at = self._removals.get(name, (0, NEVER))
@@ -416,7 +428,7 @@
         ready.sort(
             key=lambda c: (
                 now - c.attested > self.rules.patience,
-                admission.order(c.entry.name),
+                admission.sort_key(c.entry.name),
             )
         )
         return tuple(c.entry for c in ready)
@@ -432,7 +444,8 @@
         return (
             near
             and self._wait_seconds(c.entry.name) <= 0.0
-            and self._member.rank in self._member.view.places(c.entry.name, c.entry.incarnation)
+            and self._member.rank
+            in self._member.view.observers_of(c.entry.name, c.entry.incarnation)
         )
 
     def _answer(
@@ -478,8 +491,8 @@
         """Whether a new caller is noted; the last in the order gives way to one before it."""
         if len(self._callers) < MAX_CALLERS:
             return True
-        last = max(self._callers, key=admission.order)
-        if admission.order(name) > admission.order(last):
+        last = max(self._callers, key=admission.sort_key)
+        if admission.sort_key(name) > admission.sort_key(last):
             return False
         del self._callers[last]
         return True
@@ -507,7 +520,7 @@
         if seen is not None:
             to = {
                 seen.entries[rank].address: None
-                for rank in seen.places(self.me.name, self.me.incarnation)
+                for rank in seen.observers_of(self.me.name, self.me.incarnation)
             }
         else:
             to = {known[name]: None for name in self._bootstrap.founders if name in known}
@@ -578,7 +591,7 @@
             if number <= ours.number:
                 return
             if last is not None and number == ours.number + 1:
-                view = ours.after(last)
+                view = ours.next_view(last)
                 if view.digest == digest:
                     self._move(view, last)
                     return
--- a/yewrill/views/view.py
+++ b/yewrill/views/view.py
@@ -123,10 +123,10 @@
         found = self._edges.get(rank)
         if found is None:
             entry = self.entries[rank]
-            found = self._edges[rank] = self.places(entry.name, entry.incarnation, rank)
+            found = self._edges[rank] = self.observers_of(entry.name, entry.incarnation, rank)
         return found
 
-    def places(self, name: str, incarnation: int, rank: int = -1) -> tuple[int, ...]:
+    def observers_of(self, name: str, incarnation: int, rank: int = -1) -> tuple[int, ...]:
         """Who would watch a process, had it a place on the rings; `rank`: the one it has."""
         size = len(self.entries)
         if size - (rank >= 0) < MAX_FULL_MESH:
@@ -137,7 +137,7 @@
             near |= {ring[at - 1][1], ring[(at + (rank >= 0)) % size][1]}
         return tuple(sorted(near))
 
-    def turns(self) -> list[int]:
+    def proposal_order(self) -> list[int]:
         """The ranks in the order in which they may propose the next view."""
         return sorted(
             range(len(self.entries)),
@@ -146,7 +146,7 @@
             ).digest(),
         )
 
-    def after(self, value: bytes) -> View:
+    def next_view(self, value: bytes) -> View:
         """The next view by an agreed change: who stays keeps its order, who comes is behind, by name. What
         is no change leaves the list as it is."""
         try:
--- a/yewrill/views/view_member.py
+++ b/yewrill/views/view_member.py
@@ -57,9 +57,12 @@
 
 
 class ViewMember:
-    """`last`: the change that led to this view, if we saw it. `lease`: until when one holds that we have from
-    the view before. `crashed`: somebody may act by the view before who does not know of this one. `edges`:
-    evidence of links, by whom they lead to."""
+    """One member's part in one view.
+
+    `last`: the change that led to this view, if this member saw it. `lease_until`: end of the lease carried
+    over from the previous view. `stale_leases`: some process may still hold a lease in the previous view
+    without knowing of this one. `edges`: evidence from the previous view, by the entry at the other end.
+    """
 
     def __init__(
         self,
@@ -71,13 +74,18 @@
         now: float,
         *,
         last: bytes | None = None,
-        lease: float = NEVER,
-        crashed: bool = True,
+        lease_until: float = NEVER,
+        stale_leases: bool = True,
         edges: dict[Entry, Edge] | None = None,
     ):
         self.view, self.rank, self.rules, self._rng, self._counts = view, rank, rules, rng, counts
         self.interval = beat = rules.beat(len(view))
-        self.last, self.lease, self.began, self._crashed = last, lease, now, crashed
+        self.last, self.lease_until, self.began, self._stale_leases = (
+            last,
+            lease_until,
+            now,
+            stale_leases,
+        )
         self.lease_seconds = rules.lease_for(len(view))
         edges = edges or {}
         self.edges = {
@@ -96,7 +104,7 @@
         self._renewal = LeaseRenewal(
             rank, len(view), now, beat, (1.0 + view.depth) * beat, shortest
         )
-        self._turns = view.turns()
+        self._turns = view.proposal_order()
         self._sum = 0
         self.attestations = Attestations(view, rank, beat)
         self._push, self._pushed = Push.VOTE, NEVER
@@ -226,7 +234,7 @@
         if 4 * faulty.bit_count() > 3 * len(self.edges) and len(self.edges) > 1:
             faulty = 0  # it is us: one cause, not eight
         self.publish(faulty)
-        self.attestations.take(self.rank, joiners[:MAX_ATTESTED])
+        self.attestations.record(self.rank, joiners[:MAX_ATTESTED])
 
     def publish(self, faulty: int | None = None) -> None:
         """Change our register, where there is something new in it. `bad`: bits of our edges."""
@@ -283,7 +291,7 @@
         removed = out | leaving
         joining = []
         for entry, by in attested.items():
-            places = view.places(entry.name, entry.incarnation)
+            places = view.observers_of(entry.name, entry.incarnation)
             rank = view.rank_of(entry.name)
             if (rank is None or rank in removed) and len(by & set(places)) >= watermarks(
                 len(places)
@@ -308,7 +316,7 @@
             vote.accepted is not None or vote.state.accepted > 0
         )
         self.turn_at = float("inf")
-        if not unfinished and (not value or now >= self.lease):
+        if not unfinished and (not value or now >= self.lease_until):
             return  # without a lease no majority hears us: what we would propose is of another time
         out = self.cut[0]
         turn = rules.turn * [
@@ -322,7 +330,7 @@
             )
         if vote.state.ballot > NONE:
             at = max(at, self._vote_changed_at + self.rules.ballot)
-        if self._crashed or not self._renewal.complete:
+        if self._stale_leases or not self._renewal.complete:
             at = max(at, self.began + self.lease_seconds)
         if now >= at + turn:
             self._counts.proposed += 1
@@ -344,7 +352,7 @@
             self._renew()
 
     def _renew(self) -> None:
-        self.lease = max(self.lease, self._renewal.proven_at + self.lease_seconds)
+        self.lease_until = max(self.lease_until, self._renewal.proven_at + self.lease_seconds)
 
     def merge(self, now: float, beat: Heartbeat, edge: Edge | None, sender: str) -> None:
         """Take what another of the same view knows. Raises Malformed and ValueError."""
@@ -357,7 +365,7 @@
         self._take_registers(now, beat, edge)
         if beat.attested is not None:
             rank = self.view.find(sender, beat.incarnation)
-            if rank is not None and self.attestations.take(rank, beat.attested):
+            if rank is not None and self.attestations.record(rank, beat.attested):
                 self.propose_if_due(now)
         vote_state = self._vote_of(beat, edge)
         if vote_state is not None:
