--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -5,7 +5,7 @@
 import pytest
 
 from yewrill.lab.viewcheck import Bounds, explore
-from yewrill.views.agreement import NONE, Agreement, VoteState
+from yewrill.views.agreement import NO_BALLOT, Agreement, VoteState
 
 SMALL = Bounds(members=3, opened=2, words=2, deaths=1)
 
@@ -23,10 +23,10 @@
         if (
             word.ballot[1] == self.rank
             and not word.proposal
-            and self._proposed
+            and self._own_proposal
             and word.promised.bit_count() >= self.majority
         ):
-            self.state = word._replace(proposal=self._proposed)
+            self.state = word._replace(proposal=self._own_proposal)
         super()._advance()
 
 
@@ -44,7 +44,7 @@
     def _advance(self):
         word = self.state
         if word.ballot[1] == self.rank and not word.proposal:
-            self.state = word._replace(proposal=word.highest_value or self._proposed)
+            self.state = word._replace(proposal=word.highest_value or self._own_proposal)
         super()._advance()
 
 
@@ -82,8 +82,8 @@
     for turn in range(4000):
         if turn % 400 == 0:
             opener = votes[rng.choice(alive)]
-            opener.offer(b"by %d" % opener.rank)
-            opener.open()
+            opener.set_proposal(b"by %d" % opener.rank)
+            opener.open_ballot()
         a, b = rng.sample(alive, 2)
         if rng.random() > 0.3:
             votes[b].merge(votes[a].state)
@@ -99,8 +99,8 @@
         VoteState((10**7, 0)),
         VoteState((1, 0), 1 << 5),
         VoteState((1, 0), 1, (1, 0), b"x"),
-        VoteState((1, 0), 1, NONE, b"x"),
-        VoteState((1, 0), 1, NONE, b"", b"", 1),
+        VoteState((1, 0), 1, NO_BALLOT, b"x"),
+        VoteState((1, 0), 1, NO_BALLOT, b"", b"", 1),
     ],
 )
 def test_what_no_member_could_say_is_refused(word):
@@ -112,9 +112,9 @@
 
 def test_a_word_heard_twice_or_late_changes_nothing():
     a, b = Agreement(0, 3), Agreement(1, 3)
-    a.offer(b"a")
-    a.open()
+    a.set_proposal(b"a")
+    a.open_ballot()
     first = a.state
     assert b.merge(first) and not b.merge(first)
-    b.open()
+    b.open_ballot()
     assert a.merge(b.state) and not b.merge(first) and a.state.ballot == (2, 1)
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -30,10 +30,10 @@
     unpack,
 )
 from yewrill.views.lease_renewal import LeaseRenewal, Round
-from yewrill.views.machine import MAX_CALLERS, ViewMachine
+from yewrill.views.machine import MAX_TRACKED_JOINERS, ViewMachine
 from yewrill.views.timing import ViewCounters, ViewTiming
 from yewrill.views.view import MAX_CHANGE_BYTES, Entry, PersistedView, View, encode_change
-from yewrill.views.view_member import MAX_REGISTER_MISMATCHES, ViewMember
+from yewrill.views.view_member import MAX_CHECKSUM_MISMATCHES, ViewMember
 
 NAMES = [f"m{i:04d}" for i in range(24)]
 
@@ -366,7 +366,7 @@
 
 
 def test_one_that_stays_unstable_holds_the_others_up_for_a_while_only():
-    net = net_of(4, rules=ViewTiming(patience=4.0))
+    net = net_of(4, timing=ViewTiming(unstable_timeout=4.0))
     net.exempt.update(("m0005", "m0009"))
     net.cut(["m0005"], net.rng.sample([n for n in NAMES if n != "m0005"], 12), both=False)
     net.run(2.5)
@@ -458,7 +458,7 @@
     net.run(29.9)
     assert machine.view(net.now) is None
     net.run(0.2)
-    assert machine.counts.late >= 1
+    assert machine.counters.pauses >= 1
     assert net.until(net.agreed, 20.0) is not None
     assert (
         machine.me.incarnation != before and highest(net) == 3
@@ -605,15 +605,15 @@
     machine, view = member()
     machine.receive(0.1, Heartbeat(4, b"another!", 2, 250, 0, 0), "m0001", ("10.0.0.1", 2))
     assert machine.describe(0.1) == "conflict" and machine.view(0.1) is None
-    assert machine.counts.conflict == 1 and machine.tick(9.0).messages == []
+    assert machine.counters.conflicts == 1 and machine.tick(9.0).messages == []
 
 
 def test_nonsense_is_counted_and_grows_no_table():
     machine, view = member()
-    for i in range(3 * MAX_CALLERS):
+    for i in range(3 * MAX_TRACKED_JOINERS):
         call = JoinRequest(Entry(f"x{i}", i, ("10.1.1.1", 9)), 0, 250, -1, 0)
         machine.receive(0.1, call, f"x{i}", ("10.1.1.1", 9))
-    assert len(machine._callers) == MAX_CALLERS
+    assert len(machine._joiners) == MAX_TRACKED_JOINERS
     beat = Heartbeat(
         4,
         view.digest,
@@ -625,7 +625,7 @@
         (Register(4000, 9, 1),),
     )
     machine.receive(0.2, beat, "m0001", ("10.0.0.1", 2))
-    assert machine.counts.refused == 1 and not machine._member.registers
+    assert machine.counters.rejected == 1 and not machine._member.registers
     machine.receive(0.3, Heartbeat(2**40, b"higher!!", 2, 250, 0, 0), "m0001", ("10.0.0.1", 2))
     machine.receive(0.4, Page(2**40, b"higher!!", 0, 1, entries(2)), "m0001", ("10.0.0.1", 2))
     assert machine.installed == view  # pages that are not what was told
@@ -650,10 +650,10 @@
     one, other = inside_of(0), inside_of(1)
     one.publish(0b10)
     for at in range(1, 5):  # nothing of it arrives
-        assert one.beats(float(at))[0][1].registers == (one.registers[0],) * (at == 1)
-    for at in range(5, 5 + MAX_REGISTER_MISMATCHES + 1):
-        other.merge(float(at), one.beats(float(at))[0][1], one.edges[1], "m0000")
-        one.merge(float(at), other.beats(float(at))[0][1], one.edges[1], "m0001")
+        assert one.heartbeats(float(at))[0][1].registers == (one.registers[0],) * (at == 1)
+    for at in range(5, 5 + MAX_CHECKSUM_MISMATCHES + 1):
+        other.merge(float(at), one.heartbeats(float(at))[0][1], one.edges[1], "m0000")
+        one.merge(float(at), other.heartbeats(float(at))[0][1], one.edges[1], "m0001")
     assert other.registers == one.registers and one.registers[0].faulty
 
 
@@ -663,10 +663,10 @@
         for rank in (0, 1, 2, 3):
             if rank not in out:
                 bad = sum(1 << place for place, s in enumerate(inside.view.edges(rank)) if s in out)
-                inside._set(Register(rank, 1, bad))
+                inside._store_register(Register(rank, 1, bad))
         inside.propose_if_due(20.0)
         inside.propose_if_due(40.0)
-        assert inside.cut[0] == set(out) and inside._counts.proposed == (len(out) == 1)
+        assert inside.cut[0] == set(out) and inside._counters.proposed == (len(out) == 1)
 
 
 @pytest.mark.parametrize("late", [False, True])
--- a/yewrill/lab/viewcheck.py
+++ b/yewrill/lab/viewcheck.py
@@ -49,12 +49,12 @@
 
 def _load(make: Callable[[int, int], Agreement], rank: int, size: int, state: State) -> Agreement:
     vote = make(rank, size)
-    vote.state, vote.accepted, vote.decided, vote._proposed = state
+    vote.state, vote.accepted, vote.decided, vote._own_proposal = state
     return vote
 
 
 def _save(vote: Agreement) -> State:
-    return vote.state, vote.accepted, vote.decided, vote._proposed
+    return vote.state, vote.accepted, vote.decided, vote._own_proposal
 
 
 def explore(bounds: Bounds, make: Callable[[int, int], Agreement] = Agreement) -> Found:
@@ -90,8 +90,8 @@
         state = world.members[rank]
         if world.opened < bounds.opened and state[0].ballot[0] < bounds.tries and state[2] is None:
             vote = _load(make, rank, size, state)
-            vote.offer(b"%d" % rank)
-            vote.open()
+            vote.set_proposal(b"%d" % rank)
+            vote.open_ballot()
             yield f"{rank} opens {vote.state.ballot}", _after(world, bounds, rank, vote, opened=1)
         for word in world.words:
             vote = _load(make, rank, size, state)
--- a/yewrill/lab/viewnet.py
+++ b/yewrill/lab/viewnet.py
@@ -17,8 +17,10 @@
 from yewrill.views.timing import ViewTiming
 from yewrill.views.view import Entry, PersistedView, View
 
-HEAD = 20 + 45  # bytes of a datagram round its cargo: mark, code; name, runs, counter
-LOOK = 0.05  # seconds between two looks at the leases
+DATAGRAM_HEADER_BYTES = (
+    20 + 45
+)  # bytes of a datagram round its cargo: mark, code; name, runs, counter
+CHECK_INTERVAL_SECONDS = 0.05  # seconds between two looks at the leases
 
 
 @dataclass(eq=False)
@@ -30,11 +32,11 @@
     paused_until: float = -1.0
     dead: bool = False
     sent: int = 0  # bytes
-    parts: MessageAssembler = field(default_factory=MessageAssembler)
+    assembler: MessageAssembler = field(default_factory=MessageAssembler)
     inbox: list[tuple[str, tuple[str, int], bytes]] = field(default_factory=list)
-    number: int = 0  # of its last message
-    armed: float = float("inf")  # when its timer goes off
-    was: set[int] = field(default_factory=set)  # its incarnations
+    messages_sent: int = 0  # of its last message
+    next_wakeup: float = float("inf")  # when its timer goes off
+    incarnations: set[int] = field(default_factory=set)  # its incarnations
 
 
 class ViewNet(PausableNetwork):
@@ -44,16 +46,16 @@
         members: int,
         *,
         founders: int = 3,
-        rules: ViewTiming | None = None,
+        timing: ViewTiming | None = None,
         path: Path | None = None,
         formed: bool = True,
         check: bool = True,
     ):
         super().__init__(seed, path)
-        self.rules = rules or ViewTiming()
+        self.timing = timing or ViewTiming()
         self.nodes: dict[str, Node] = {}
         self.all_nodes: list[Node] = []
-        self._at: dict[tuple[str, int], Node] = {}
+        self._nodes_by_address: dict[tuple[str, int], Node] = {}
         self.founders = tuple(f"m{i:04d}" for i in range(min(founders, members)))
         self.digests: dict[int, bytes] = {}
         self.views_by_number: dict[int, View] = {}
@@ -70,26 +72,26 @@
         if formed:
             view = View(1, tuple(node.machine.me for node in self.nodes.values()))
             for node in self.nodes.values():
-                self._do(node, node.machine.install(view, self.now))
-        self._check_leases = check
+                self._carry_out(node, node.machine.install(view, self.now))
+        self._checks_leases = check
         if check:
-            self.at(self.now, self._look)
+            self.at(self.now, self._check_leases)
 
     # -- who is there
 
     def start(self, name: str, address: tuple[str, int], disk: PersistedView | None = None) -> Node:
         me = Entry(name, self.rng.getrandbits(47) + 1, address, "z0")
         machine = ViewMachine(
-            me, self.founders, disk, random.Random(self.rng.getrandbits(64)), self.now, self.rules
+            me, self.founders, disk, random.Random(self.rng.getrandbits(64)), self.now, self.timing
         )
-        node = Node(name, address, machine, disk, was={me.incarnation})
-        self.nodes[name] = self._at[address] = node
+        node = Node(name, address, machine, disk, incarnations={me.incarnation})
+        self.nodes[name] = self._nodes_by_address[address] = node
         self.all_nodes.append(node)
-        self._tell_all()
+        self._update_known_members()
         self._arm(node)
         return node
 
-    def _tell_all(self) -> None:
+    def _update_known_members(self) -> None:
         known = {name: node.address for name, node in self.nodes.items() if not node.dead}
         if len(known) > 64:  # none needs all: a few to begin with
             known = {name: known[name] for name in sorted(known)[:64]}
@@ -110,12 +112,12 @@
         first = self.nodes[name]
         second = self.start(name, address)
         self.nodes[name] = first
-        self._tell_all()
+        self._update_known_members()
         return second
 
     def leave(self, name: str, linger: float = 0.2) -> None:
         node = self.nodes[name]
-        self._do(node, node.machine.leave(self.now))
+        self._carry_out(node, node.machine.leave(self.now))
         self.at(self.now + linger, lambda: setattr(node, "dead", True))
 
     # -- the network
@@ -123,15 +125,15 @@
     def _arm(self, node: Node) -> None:
         """See that its machine ticks when it is due; a timer set for later stands no more."""
         when = max(node.machine.due, self.now + 1e-3)
-        if when >= node.armed or when == float("inf"):
+        if when >= node.next_wakeup or when == float("inf"):
             return
-        node.armed = when
+        node.next_wakeup = when
 
         def tick() -> None:
-            if node.dead or node.armed != when:
+            if node.dead or node.next_wakeup != when:
                 return
             if self.now >= node.paused_until:
-                node.armed = float("inf")
+                node.next_wakeup = float("inf")
                 self._tick(node)
                 self._arm(node)
             else:
@@ -141,20 +143,20 @@
 
     def _tick(self, node: Node) -> None:
         if self.now >= node.machine.due:
-            self._do(node, node.machine.tick(self.now))
+            self._carry_out(node, node.machine.tick(self.now))
 
-    def _do(self, node: Node, step: Step) -> None:
+    def _carry_out(self, node: Node, step: Step) -> None:
         if step.persist is not None:
             node.disk = step.persist
-        node.was.add(node.machine.me.incarnation)
+        node.incarnations.add(node.machine.me.incarnation)
         if node.machine.changes:
-            self._installs(node)
+            self._record_installs(node)
         self._arm(node)
         for address, message in step.messages:
-            node.number += 1
-            to = self._at.get(address)
-            for part in pack(message, node.number):
-                node.sent += len(part) + 1 + HEAD
+            node.messages_sent += 1
+            to = self._nodes_by_address.get(address)
+            for part in pack(message, node.messages_sent):
+                node.sent += len(part) + 1 + DATAGRAM_HEADER_BYTES
                 if to is not None:
                     self.deliver(
                         self.path(node.name, to.name),
@@ -171,15 +173,15 @@
 
     def _take(self, node: Node, sender: str, source: tuple[str, int], data: bytes) -> None:
         try:
-            message = node.parts.take(sender, data)
+            message = node.assembler.take(sender, data)
         except MalformedPayload:
             return
         if message is not None:
-            self._do(node, node.machine.receive(self.now, message, sender, source))
+            self._carry_out(node, node.machine.receive(self.now, message, sender, source))
 
     # -- what must never be
 
-    def _installs(self, node: Node) -> None:
+    def _record_installs(self, node: Node) -> None:
         for _, view in node.machine.changes:
             if view is None:
                 continue
@@ -194,7 +196,7 @@
                     if (
                         view.find(entry.name, entry.incarnation) is None
                         and other is not None
-                        and entry.incarnation in other.was
+                        and entry.incarnation in other.incarnations
                         and not other.dead
                         and self.now >= other.paused_until
                         and not other.machine._leaving
@@ -205,7 +207,7 @@
                 self.violations.append(f"{self.now:.2f}: {node.name} did not keep {view.number}")
         node.machine.changes.clear()
 
-    def _look(self) -> None:
+    def _check_leases(self) -> None:
         numbers = set()
         for node in self.all_nodes:
             if not node.dead and self.now >= node.paused_until:
@@ -214,13 +216,13 @@
                     numbers.add(view.number)
                 elif node.name not in self.exempt:
                     self.seconds_without_lease[node.name] = (
-                        self.seconds_without_lease.get(node.name, 0.0) + LOOK
+                        self.seconds_without_lease.get(node.name, 0.0) + CHECK_INTERVAL_SECONDS
                     )
-            if node.machine.counts.conflict:
+            if node.machine.counters.conflicts:
                 self.violations.append(f"{self.now:.2f}: conflict at {node.name}")
         if numbers and max(numbers) - min(numbers) > 1:
             self.violations.append(f"{self.now:.2f}: leases in {min(numbers)} and {max(numbers)}")
-        self.at(self.now + LOOK, self._look)
+        self.at(self.now + CHECK_INTERVAL_SECONDS, self._check_leases)
 
     # -- what they think
 
--- a/yewrill/views/__init__.py
+++ b/yewrill/views/__init__.py
@@ -1,12 +1,14 @@
-"""Views: one numbered list of members that a majority agreed on, and who may act by it.
+"""Agreed views: numbered lists of members, each agreed on by a majority of the previous one, with leases.
 
-Promises: no two views of one number, and no leases of views of which neither follows the other; whoever holds
-a lease has been heard by a majority of its view, and has heard it, within that lease. A fleet that starts at
-once agrees within its budgets, batch by batch. It does not promise a view while no majority can talk.
+Guarantees: there are no two views with the same number, and all leases held at one time are in the same view
+or in two consecutive ones. The holder of a lease has exchanged messages, in both directions and possibly
+through other members, with a majority of its view within the duration of that lease. A fleet that starts all
+at once forms a view in batches, within its bandwidth budgets. There may be no view while no majority can
+communicate.
 
-`machine.py` (pure) is one process's side, `view_member.py` its part in one view: `agreement.py` votes on the
-next one, `lease_renewal.py` renews the lease, `cut.py` detects who is out, `attestation.py` sends who attests
-which joiners, `admission.py` orders the joiners, `bootstrap.py` makes the first view, `timing.py` has the
-timing and the evidence of one edge, `format.py` the wire format; `facade.py` is the subsystem.
-docs/views-design.md says why.
+`machine.py` is the state machine of one process and `view_member.py` its part in one view: `agreement.py`
+votes on the next view, `lease_renewal.py` renews the lease, `cut.py` detects faulty members, `attestation.py`
+tells proposers who attests which joiners, `admission.py` orders the joiners, `bootstrap.py` forms the first
+view, `timing.py` has the timing and the evidence about one edge, and `format.py` is the wire format. None of
+these does I/O; `facade.py` is the subsystem of the service. The design is explained in docs/views-design.md.
 """
--- a/yewrill/views/agreement.py
+++ b/yewrill/views/agreement.py
@@ -1,67 +1,71 @@
-"""One member's side of the vote on what follows a view: one decree, ballots of two phases, as a state that
-merges. Pure.
-
-Paxos (Lamport, "The part-time parliament", 1998) among the members of the view, each known by its rank.
-The whole vote is one `Word`, for the highest ballot that anybody told of: who has promised it, the highest
-that any of them had accepted before, what its opener proposes, who has accepted that. Words merge (bits are
-joined, the higher ballot replaces the lower), so whoever has one may pass it on, over any path and in any
-order, and a word heard twice changes nothing.
-
-A member promises by putting its bit in together with what it accepted last, in one step; so a word with a
-majority's promises has the highest value that any of them accepted. Votes are in memory only: whoever
-restarts is another entry, and votes no more in this view.
+"""One member's side of the vote on the change that follows a view, as a mergeable state. It does no I/O.
+
+Single-decree Paxos (Lamport, "The part-time parliament", 1998) among the members of the view, each
+identified by its rank. The whole vote is one `VoteState`, for the highest known ballot: which members have
+promised it, the highest ballot that any of them had accepted before, the opener's proposal, and which members
+have accepted that. States merge (bitmaps are united, a higher ballot replaces a lower one), so any member may
+pass a state on, over any path and in any order, and a state received twice changes nothing.
+
+A member sets its promise bit and adds what it accepted last in one step. A state with promises of a majority
+therefore has the highest value that any of them accepted. Votes are in memory only: a process that restarts
+is another entry and does not vote in this view again.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-Ballot = tuple[int, int]  # the try, and the rank of whoever opened it
-NONE: Ballot = (0, -1)
-MAX_ROUND = 1_000_000  # a try above is nonsense: nobody could open a higher one for ever
+Ballot = tuple[int, int]  # number, and rank of the member that opened it
+NO_BALLOT: Ballot = (0, -1)
+# Higher numbers are rejected: a ballot near the limit of the wire format could not be outbid.
+MAX_BALLOT_NUMBER = 1_000_000
 
 
 class VoteState(NamedTuple):
-    """All that is known of the vote. Bitmaps of ranks are whole numbers."""
+    """The known state of the vote. Sets of members are bitmaps of ranks."""
 
-    ballot: Ballot = NONE
+    ballot: Ballot = NO_BALLOT
     promised: int = 0
-    highest_accepted: Ballot = NONE  # the highest ballot that one of them had accepted
+    highest_accepted: Ballot = NO_BALLOT  # before, by a member that promised
     highest_value: bytes = b""
-    proposal: bytes = b""  # b"": nothing yet
+    proposal: bytes = b""  # b"": none yet
     accepted: int = 0
 
 
 class Agreement:
-    """The vote as the member of one rank sees it, and its own promises."""
+    """The vote as one member knows it, with its own promises and acceptances."""
 
     def __init__(self, rank: int, size: int):
         self.rank, self.size = rank, size
         self.state = VoteState()
-        self.accepted: tuple[Ballot, bytes] | None = None  # by us: kept before it is told
+        self.accepted: tuple[Ballot, bytes] | None = (
+            None  # by this member; persisted before sending
+        )
         self.decided: bytes | None = None
-        self._proposed = b""
+        self._own_proposal = b""
 
     @property
     def majority(self) -> int:
-        """How many members a majority has."""
+        """Number of members in a majority."""
         return self.size // 2 + 1
 
-    def open(self) -> None:
-        """Begin a ballot of ours above all that we know of."""
+    def open_ballot(self) -> None:
+        """Opens a ballot above all known ones."""
         self._promise(VoteState((self.state.ballot[0] + 1, self.rank)))
         self._advance()
 
-    def offer(self, value: bytes) -> None:
-        """What we propose where nothing is to be taken over. Raises ValueError if it is empty."""
+    def set_proposal(self, value: bytes) -> None:
+        """Sets the value to propose if no member has accepted one before. Raises ValueError if empty."""
         if not value:
             raise ValueError("a proposal can't be empty")
-        self._proposed = value
+        self._own_proposal = value
         self._advance()
 
     def merge(self, other: VoteState) -> bool:
-        """Take what another knows. True: we know more by it, or said something ourselves, so pass it on.
-        Raises ValueError for what no member could say."""
+        """Merges another member's state. Returns whether ours has changed, so that it has to be passed on.
+
+        Raises ValueError for a state that no correct member can send.
+        """
         self._check(other)
         before = self.state
         if other.ballot > before.ballot:
@@ -82,27 +86,27 @@
         return self.state != before
 
     def _check(self, vote_state: VoteState) -> None:
-        """Raises ValueError. Two proposals under one ballot can't be."""
+        """Raises ValueError if a state is invalid or has another proposal than ours for the same ballot."""
         ours = self.state
-        other = (
+        conflicting_proposal = (
             vote_state.ballot == ours.ballot
             and vote_state.proposal
             and ours.proposal not in (b"", vote_state.proposal)
         )
         if (
-            not 0 <= vote_state.ballot[0] <= MAX_ROUND
+            not 0 <= vote_state.ballot[0] <= MAX_BALLOT_NUMBER
             or not -1 <= vote_state.ballot[1] < self.size
             or (vote_state.promised | vote_state.accepted) >> self.size
-            or vote_state.highest_accepted >= vote_state.ballot > NONE
-            or (vote_state.highest_accepted == NONE) != (vote_state.highest_value == b"")
+            or vote_state.highest_accepted >= vote_state.ballot > NO_BALLOT
+            or (vote_state.highest_accepted == NO_BALLOT) != (vote_state.highest_value == b"")
             or (vote_state.accepted and not vote_state.proposal)
-            or other
+            or conflicting_proposal
         ):
-            raise ValueError("no word of this vote")
+            raise ValueError("invalid vote state")
 
     def _promise(self, vote_state: VoteState) -> None:
-        """Take a higher ballot, and promise it with what we accepted before."""
-        ballot, value = self.accepted or (NONE, b"")
+        """Adopts a higher ballot and promises it, adding what this member accepted before."""
+        ballot, value = self.accepted or (NO_BALLOT, b"")
         highest_accepted, highest_value = max(
             (vote_state.highest_accepted, vote_state.highest_value), (ballot, value)
         )
@@ -119,7 +123,9 @@
             and not vote_state.proposal
             and vote_state.promised.bit_count() >= self.majority
         ):
-            vote_state = vote_state._replace(proposal=vote_state.highest_value or self._proposed)
+            vote_state = vote_state._replace(
+                proposal=vote_state.highest_value or self._own_proposal
+            )
         if vote_state.proposal and not vote_state.accepted >> self.rank & 1:
             vote_state = vote_state._replace(accepted=vote_state.accepted | 1 << self.rank)
             self.accepted = vote_state.ballot, vote_state.proposal
--- a/yewrill/views/bootstrap.py
+++ b/yewrill/views/bootstrap.py
@@ -1,10 +1,12 @@
-"""The first view, or the first after all have ended: all founders together, and none else. Pure.
+"""Bootstraps the first view, or the first one after all members have stopped. It does no I/O.
 
-Each that is in no view tells the founders so, and which view it kept last. Once every founder is there, and
-where views were kept a majority of the highest one's names too, each founder agrees to one number and list
-(and keeps it before it says so). Whoever hears that all founders agree to the same has the view. A founder
-may agree to another list later, as long as it has seen no view: the former then can't come about any more,
-except with one who saw it complete, and that one is in a view and agrees to nothing.
+Only the founders form such a view, and all of them have to take part. A process in no view tells the founders
+so, with the number of the view that it persisted last. Once every founder is present, and a majority of the
+members of the highest persisted view if there is one, each founder agrees to one number and list, which it
+persists before it says so. A founder that hears that all founders agree to the same one has the view.
+
+A founder that knows of no view may agree to another list later. The earlier view can then no longer be
+formed, except by a founder that has seen all agree to it; that one is in a view and agrees to no other.
 """
 
 from __future__ import annotations
@@ -22,9 +24,11 @@
 
 
 @dataclass(slots=True)
-class _ReceivedCall:
-    call: JoinRequest
-    at: float
+class _ReceivedRequest:
+    """The last join request of a process, and when it arrived."""
+
+    request: JoinRequest
+    received_at: float
 
 
 def _digest(entries: tuple[Entry, ...]) -> bytes:
@@ -34,10 +38,10 @@
 
 
 class Bootstrap:
-    """One founder's part, while it is in no view.
+    """One founder's part in the bootstrap, while it is in no view.
 
-    `fresh`: seconds for which a join request counts. `wait(size)`: seconds for which all must be present if
-    views were persisted, so that leases in them have expired.
+    `request_lifetime`: seconds for which a join request counts. `min_presence(size)`: seconds for which all
+    must be present before a view follows a persisted one of this size, so that leases in it have expired.
     """
 
     def __init__(
@@ -45,80 +49,85 @@
         me: Entry,
         founders: tuple[str, ...],
         persisted: PersistedView | None,
-        fresh: float,
-        wait: Callable[[int], float],
+        request_lifetime: float,
+        min_presence: Callable[[int], float],
     ):
         self.me, self.founders, self.persisted = (
             me,
             tuple(sorted(set(founders)))[:MAX_FOUNDERS],
             persisted,
         )
-        self._fresh_seconds, self._wait_seconds = fresh, wait
-        self._calls: dict[str, _ReceivedCall] = {}
+        self._request_lifetime_seconds, self._min_presence_seconds = request_lifetime, min_presence
+        self._requests: dict[str, _ReceivedRequest] = {}
         self._known_views: dict[int, PersistedView] = (
             {} if persisted is None else {persisted.number: persisted}
         )
-        self._complete_since = -1.0  # since when all are there
+        self._all_present_since = -1.0  # negative while some are missing
         self.accept: tuple[int, bytes] = (0, b"")
         self.missing: tuple[str, ...] = self.founders
-        self.wants = 0  # the number of a persisted view whose names we need
+        self.wanted_number = 0  # number of a persisted view whose names are needed, 0: none
 
     @property
-    def founder(self) -> bool:
+    def is_founder(self) -> bool:
         """Whether this process is one of the founders."""
         return self.me.name in self.founders
 
-    def record(self, call: JoinRequest, now: float) -> None:
-        """Record a join request of another process."""
-        name = call.entry.name
-        if name in self._calls or len(self._calls) < MAX_ENTRIES:
-            self._calls[name] = _ReceivedCall(call, now)
-        if call.names is not None and call.names.number == self.wants:
-            self._known_views = {call.names.number: call.names}
+    def record(self, request: JoinRequest, now: float) -> None:
+        """Records a join request of another process."""
+        name = request.entry.name
+        if name in self._requests or len(self._requests) < MAX_ENTRIES:
+            self._requests[name] = _ReceivedRequest(request, now)
+        if request.names is not None and request.names.number == self.wanted_number:
+            self._known_views = {request.names.number: request.names}
 
     def tick(self, now: float) -> tuple[PersistedView | None, View | None]:
-        """What must be persisted before we send more, and the view once all founders agree."""
-        if not self.founder:
+        """Returns what must be persisted before anything is sent, and the view once all founders agree."""
+        if not self.is_founder:
             return None, None
-        self._calls = {
-            name: s for name, s in self._calls.items() if now - s.at < self._fresh_seconds
+        self._requests = {
+            name: r
+            for name, r in self._requests.items()
+            if now - r.received_at < self._request_lifetime_seconds
         }
-        calls = {name: s.call for name, s in self._calls.items() if name != self.me.name}
-        there = {*calls, self.me.name}
-        self.missing = tuple(name for name in self.founders if name not in there)
-        highest = max((call.persisted for call in calls.values()), default=0)
+        requests = {name: r.request for name, r in self._requests.items() if name != self.me.name}
+        present = {*requests, self.me.name}
+        self.missing = tuple(name for name in self.founders if name not in present)
+        highest = max((request.persisted for request in requests.values()), default=0)
         highest = max(highest, self.persisted.number if self.persisted else 0)
-        self.wants = 0
+        self.wanted_number = 0
         if highest:
             known = self._known_views.get(highest)
             if known is None:
-                self.wants = highest
-                self._complete_since = -1.0
+                self.wanted_number = highest
+                self._all_present_since = -1.0
                 return None, None
-            lost = [name for name in known.names if name not in there]
-            if 2 * (len(known.names) - len(lost)) <= len(known.names):
-                self.missing = (*self.missing, *(name for name in lost if name not in self.missing))
+            absent = [name for name in known.names if name not in present]
+            if 2 * (len(known.names) - len(absent)) <= len(known.names):
+                self.missing = (
+                    *self.missing,
+                    *(name for name in absent if name not in self.missing),
+                )
         if self.missing:
-            self._complete_since = -1.0
+            self._all_present_since = -1.0
             return None, None
-        if self._complete_since < 0.0:
-            self._complete_since = now
-        if highest and now - self._complete_since < self._wait_seconds(
+        if self._all_present_since < 0.0:
+            self._all_present_since = now
+        if highest and now - self._all_present_since < self._min_presence_seconds(
             len(self._known_views[highest].names)
         ):
             return None, None
         entries = tuple(
-            self.me if name == self.me.name else calls[name].entry for name in self.founders
+            self.me if name == self.me.name else requests[name].entry for name in self.founders
         )
         digest = _digest(entries)
         accepts = [
             self.accept,
-            *(calls[name].accept for name in self.founders if name != self.me.name),
+            *(requests[name].accept for name in self.founders if name != self.me.name),
         ]
         number = max(highest + 1, *(n if d == digest else n + 1 for n, d in accepts))
         persist = None
         if self.accept != (number, digest):
             self.accept = (number, digest)
             persist = PersistedView(number, tuple(entry.name for entry in entries))
-        agreed = all(call == self.accept for call in accepts[1:])
+        agreed = all(accept == self.accept for accept in accepts[1:])
         return persist, View(number, entries) if agreed else None
--- a/yewrill/views/config.py
+++ b/yewrill/views/config.py
@@ -1,4 +1,4 @@
-"""What the operators' file says of the views."""
+"""The section `views` of the settings file."""
 
 from __future__ import annotations
 
@@ -10,8 +10,12 @@
 
 
 class ViewsConfig(Struct, frozen=True, forbid_unknown_fields=True):
-    """Who founds the first view, the same list everywhere; where this dispatcher keeps which view it was in
-    last; words for what it can do, which others read in the view."""
+    """Settings of the agreed views.
+
+    `founders`: names of the dispatchers that bootstrap the first view, the same list on every dispatcher.
+    `dir`: directory in which this dispatcher persists the view that it accepted last. `can`: capabilities
+    that this dispatcher announces in its entry of the view.
+    """
 
     founders: Annotated[tuple[Name, ...], Meta(min_length=1, max_length=64)]
     dir: Annotated[str, Meta(min_length=1)]
@@ -21,4 +25,4 @@
 
     def __post_init__(self) -> None:
         if len(set(self.founders)) != len(self.founders):
-            raise ValueError("founders: the same name is there twice")
+            raise ValueError("founders: the same name is listed twice")
--- a/yewrill/views/cut.py
+++ b/yewrill/views/cut.py
@@ -1,9 +1,10 @@
-"""Cut detection (Suresh and others, Rapid, 2018): from the registers of the observers to who is out. Pure.
+"""Cut detection: derives the faulty members from the observers' alerts (Suresh et al., Rapid, 2018).
 
-Each observer's *register* says which of its edges are not well. Of a subject's edges, HIGH bad ones make it
-out, LOW make it unstable. An observer that is itself at least unstable counts as bad for a subject that has
-LOW others: it can't be heard for it. One whose every edge is bad or leads to one that is out is out too. In
-which order the registers came does not matter.
+Each observer reports in its register which of its edges are faulty. A subject with alerts on at least the
+high watermark of its edges is faulty; one that only reaches the low watermark is unstable. An observer that
+is itself unstable or faulty counts as an alert about a subject that reaches the low watermark by others,
+because its own reports may not arrive. A subject is also faulty if each of its observers either reports it or
+is faulty. The result does not depend on the order of the alerts.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 def watermarks(degree: int) -> tuple[int, int]:
-    """The low and the high mark for so many edges."""
+    """Returns the low and the high watermark for a subject with this many edges."""
     high = max(math.ceil(0.75 * degree), degree // 2 + 1)
     return min(high, max(2, math.ceil(0.25 * degree))), high
 
@@ -21,25 +22,28 @@
 def detect_cut(
     edges: Callable[[int], tuple[int, ...]], alerts: Iterable[tuple[int, int]]
 ) -> tuple[frozenset[int], frozenset[int]]:
-    """Who is out and who is unstable. `alerts`: pairs of observer, and rank of whom it finds not well."""
-    voices: dict[int, set[int]] = {}
+    """Returns the ranks of the faulty and of the unstable members. `alerts`: observer and subject ranks."""
+    accusers: dict[int, set[int]] = {}
     for observer, subject in alerts:
-        voices.setdefault(subject, set()).add(observer)
-    doubted = {
-        subject for subject, of in voices.items() if len(of) >= watermarks(len(edges(subject)))[0]
+        accusers.setdefault(subject, set()).add(observer)
+    suspected = {
+        subject
+        for subject, observers in accusers.items()
+        if len(observers) >= watermarks(len(edges(subject)))[0]
     }
     out = {
         subject
-        for subject in doubted
-        if sum(o in voices[subject] or o in doubted for o in edges(subject))
+        for subject in suspected
+        if sum(o in accusers[subject] or o in suspected for o in edges(subject))
         >= watermarks(len(edges(subject)))[1]
     }
     more = True
-    while more:  # one that nobody vouches for but who is out himself
+    # Adds the subjects whose observers all report them or are faulty, until there are no more.
+    while more:
         more = {
             subject
-            for subject, of in voices.items()
-            if subject not in out and all(o in of or o in out for o in edges(subject))
+            for subject, observers in accusers.items()
+            if subject not in out and all(o in observers or o in out for o in edges(subject))
         }
         out |= more
-    return frozenset(out), frozenset(doubted - out)
+    return frozenset(out), frozenset(suspected - out)
--- a/yewrill/views/facade.py
+++ b/yewrill/views/facade.py
@@ -1,4 +1,4 @@
-"""The subsystem of the views: runs one member's machine on the membership's link, and persists its view."""
+"""The subsystem `views`: runs one member's state machine on the membership's link, and persists its view."""
 
 from __future__ import annotations
 
@@ -25,13 +25,14 @@
 
 log = logging.getLogger("yewrill.views")
 
-MAX_QUEUED = 512  # datagrams that wait for the disk; more are dropped, as on any network
+# Datagrams that wait while the store is written; more are dropped, as a network may do.
+MAX_QUEUED_DATAGRAMS = 512
 PERSISTED_KEY = b"views/kept"
-GOODBYE_SECONDS = 0.5  # at the end, to announce that we leave
+LEAVE_TIMEOUT_SECONDS = 0.5  # for announcing the departure at the end
 
 
 class Views:
-    """A subsystem of the service, on top of the membership."""
+    """The subsystem that maintains the agreed views, on top of the membership."""
 
     name = "views"
     calls: Mapping[str, Any] = {}
@@ -40,53 +41,58 @@
         self._config = config
         self._machine: ViewMachine | None = None
         self._store: Store | None = None
-        self._unpersisted: PersistedView | None = (
-            None  # what is said next rests on it, and it is not on disk yet
-        )
+        # A view that is not on disk yet; nothing is sent until it is.
+        self._unpersisted: PersistedView | None = None
         self._queue: list[tuple[bytes, str, Address]] = []
-        self._woken = trio.Event()
+        self._wakeup = trio.Event()
         self._watchers: list[Callable[[], None]] = []
-        self._notified: tuple[int, bool] = (0, False)
-        self._number = random.SystemRandom().getrandbits(40)  # of messages that are cut in parts
-        self._lost = self._malformed = self._persist_failures = 0
+        self._notified_state: tuple[int, bool] = (0, False)
+        # Number of the last message, by which its fragments are told apart from others.
+        self._message_number = random.SystemRandom().getrandbits(40)
+        self._dropped = self._malformed = self._persist_failures = 0
 
     def attach(self, context: SubsystemContext) -> None:
-        """Take the membership that it builds on."""
+        """Sets the membership that the views are built on."""
         members = context.subsystems["members"]
         assert isinstance(members, Members)
         self._members = members
 
-    # -- what other parts use
+    # -- for other subsystems
 
     def view(self) -> View | None:
-        """The view that we hold a lease in; None without one.
+        """Returns the view in which this member holds a lease, None without a lease.
 
-        With a lease a majority of the view has recently received from us, and we from it. Without one nothing
-        may be decided by the list of members.
+        A lease means recent contact with a majority of the view, in both directions. Without one, no decision
+        may be based on the list of members.
         """
         return None if self._machine is None else self._machine.view(trio.current_time())
 
     @property
     def number(self) -> int:
-        """The number of that view; 0: none."""
+        """Number of the view in which this member holds a lease, 0 without a lease."""
         view = self.view()
         return 0 if view is None else view.number
 
     def watch(self, wake: Callable[[], None]) -> None:
-        """Have `wake` called whenever a view is installed, or its lease is lost or regained."""
+        """Registers a callback for when a view is installed, or its lease is lost or regained."""
         self._watchers.append(wake)
 
     # -- running
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Run until cancelled; then the view is left, within GOODBYE_SECONDS. Raises StoreError, OSError."""
+        """Runs until cancelled, then leaves the view within LEAVE_TIMEOUT_SECONDS.
+
+        Raises StoreError or OSError if the store can't be opened.
+        """
         await self._members.opened.wait()
         link = self._members.link
         assert link is not None
         self._store = store = await trio.to_thread.run_sync(Store, self._config.dir)
         try:
-            found = store.get(PERSISTED_KEY)
-            persisted = None if found is None else msgspec.msgpack.decode(found, type=PersistedView)
+            stored = store.get(PERSISTED_KEY)
+            persisted = (
+                None if stored is None else msgspec.msgpack.decode(stored, type=PersistedView)
+            )
             me = link.machine.me
             rng = random.Random(random.SystemRandom().getrandbits(64))
             entry = Entry(me.name, rng.getrandbits(48) | 1, me.address, me.zone, self._config.can)
@@ -105,24 +111,24 @@
         finally:
             link.payload_handlers.pop(VIEWS, None)
             with trio.CancelScope(shield=True):
-                with trio.move_on_after(GOODBYE_SECONDS):
+                with trio.move_on_after(LEAVE_TIMEOUT_SECONDS):
                     if self._machine is not None:
                         await self._carry_out(link, self._machine.leave(trio.current_time()))
                 await self._close_store()
 
     def _receive(self, data: bytes, sender: str, address: Address) -> list:
-        if len(self._queue) < MAX_QUEUED:
+        if len(self._queue) < MAX_QUEUED_DATAGRAMS:
             self._queue.append((data, sender, address))
-            self._woken.set()
+            self._wakeup.set()
         else:
-            self._lost += 1
+            self._dropped += 1
         return []
 
     async def _serve(self, link: MembershipLink, machine: ViewMachine) -> None:
-        listed, parts = None, MessageAssembler()
+        last_list_change, assembler = None, MessageAssembler()
         while True:
-            if listed is not link.list_changed:
-                listed = link.list_changed
+            if last_list_change is not link.list_changed:
+                last_list_change = link.list_changed
                 machine.set_known_members(
                     {
                         name: m.claim.address
@@ -132,17 +138,16 @@
                     trio.current_time(),
                 )
             with trio.move_on_at(link.next_turn(machine.due)):
-                await self._woken.wait()
-            self._woken = trio.Event()
+                await self._wakeup.wait()
+            self._wakeup = trio.Event()
             now = trio.current_time()
-            if (
-                now >= machine.due
-            ):  # a pause is seen by it, before what arrived meanwhile is looked at
+            # Ticks first: the machine detects a pause before it processes what arrived meanwhile.
+            if now >= machine.due:
                 await self._carry_out(link, machine.tick(now))
             queue, self._queue = self._queue, []
             for data, sender, address in queue:
                 try:
-                    message = parts.take(sender, data)
+                    message = assembler.take(sender, data)
                 except MalformedPayload:
                     self._malformed += 1
                     continue
@@ -152,18 +157,18 @@
             self._notify(machine)
 
     async def _carry_out(self, link: MembershipLink, step: Step) -> None:
-        """Persist first, then send: messages rest on what is persisted, also by an earlier step."""
+        """Persists, then sends. Messages may depend on what an earlier step had to persist."""
         if step.persist is not None:
             self._unpersisted = step.persist
         if self._unpersisted is not None and not await self._persist(self._unpersisted):
             return
         for address, message in step.messages:
-            self._number += 1
-            parts = [(address, part) for part in pack(message, self._number)]
+            self._message_number += 1
+            parts = [(address, part) for part in pack(message, self._message_number)]
             await link.send_payloads(VIEWS, parts, priority_of(message))
 
     async def _persist(self, persisted: PersistedView) -> bool:
-        """Persist a view; returns whether that succeeded. A store whose sync failed is reopened next time."""
+        """Persists a view; returns whether that succeeded. A poisoned store is reopened next time."""
         try:
             if self._store is None:
                 self._store = await trio.to_thread.run_sync(Store, self._config.dir)
@@ -186,10 +191,10 @@
     def _notify(self, machine: ViewMachine) -> None:
         installed = machine.installed
         view = machine.view(trio.current_time())
-        number, holds = (0 if installed is None else installed.number), view is not None
-        if (number, holds) == self._notified:
+        number, has_lease = (0 if installed is None else installed.number), view is not None
+        if (number, has_lease) == self._notified_state:
             return
-        self._notified = number, holds
+        self._notified_state = number, has_lease
         if view is not None:
             log.info(
                 "view_installed number=%d digest=%s members=%s",
@@ -205,7 +210,7 @@
     # -- operators
 
     def status(self) -> dict[str, Any]:
-        """For operators, as plain values."""
+        """Returns the status for operators, as plain values."""
         machine, now = self._machine, trio.current_time()
         if machine is None:
             return {"view": None, "standing": "not running"}
@@ -222,7 +227,7 @@
                     "name": e.name,
                     "zone": e.zone,
                     "address": ":".join(map(str, e.address)),
-                    "can": list(e.can),
+                    "can": list(e.capabilities),
                     "incarnation": f"{e.incarnation:012x}",
                 }
                 for e in installed.entries
@@ -231,19 +236,19 @@
         }
 
     def metrics(self) -> dict[str, int]:
-        """Counts since the start, by the names operators see."""
+        """Returns the counters since the start, by metric name."""
         if self._machine is None:
             return {}
-        counts = self._machine.counts
+        counters = self._machine.counters
         return {
             "views_number": self.number,
-            "views_installed": counts.installed,
-            "views_proposed": counts.proposed,
-            "views_taken_out": counts.taken_out,
-            "views_late": counts.late,
-            "views_conflict": counts.conflict,
-            "views_refused": counts.refused,
-            "views_lost": self._lost,
+            "views_installed": counters.installed,
+            "views_proposed": counters.proposed,
+            "views_taken_out": counters.removed,
+            "views_late": counters.pauses,
+            "views_conflict": counters.conflicts,
+            "views_refused": counters.rejected,
+            "views_lost": self._dropped,
             "views_malformed": self._malformed,
             "views_not_kept": self._persist_failures,
         }
--- a/yewrill/views/format.py
+++ b/yewrill/views/format.py
@@ -1,5 +1,7 @@
-"""The wire format of views: messages between members, as payloads of the membership's datagrams, fragmented
-where they exceed one. Whatever violates its form or its bounds is rejected.
+"""Wire format of the views: messages between members, as msgpack payloads of the membership's datagrams.
+
+A message that exceeds one datagram is fragmented. Messages that violate the schema or its bounds are
+rejected.
 """
 
 from __future__ import annotations
@@ -12,26 +14,29 @@
 
 from yewrill.membership.intake import Priority
 from yewrill.membership.parts import FragmentAssembler, MalformedPayload, split_payload
-from yewrill.views.agreement import MAX_ROUND, VoteState
+from yewrill.views.agreement import MAX_BALLOT_NUMBER, VoteState
 from yewrill.views.lease_renewal import Round
 from yewrill.views.view import MAX_CHANGE_BYTES, MAX_ENTRIES, Entry, Number, PersistedView, Rank
 
-VERSION = 2  # of what beats may hold
-MAX_JOINERS = 8  # in one register; version 2 has none there
-MAX_ATTESTED = 16  # joiners that one member vouches for at a time
+VERSION = 2  # version of the heartbeat format
+# Joiners in one register. Version 2 sends joiners as attestations instead, and none in registers.
+MAX_JOINERS = 8
+MAX_ATTESTED = 16  # joiners that one member attests at a time
 PAGE_ENTRIES = 10  # entries of a view's list in one page
 
 Digest = Annotated[bytes, Meta(min_length=8, max_length=8)]
 Bits = Annotated[bytes, Meta(max_length=MAX_ENTRIES // 8 + 1)]
 Value = Annotated[bytes, Meta(max_length=MAX_CHANGE_BYTES + 3 * MAX_ENTRIES)]
 Opener = Annotated[int, Meta(ge=-1, lt=MAX_ENTRIES)]
-Ballot = tuple[Annotated[int, Meta(ge=0, le=MAX_ROUND)], Opener]
+Ballot = tuple[Annotated[int, Meta(ge=0, le=MAX_BALLOT_NUMBER)], Opener]
 Millis = Annotated[int, Meta(ge=-1, le=3_600_000)]  # -1: never
 
 
 class Register(Struct, frozen=True, array_like=True):
-    """What an observer reports: its faulty edges (bits, in the order of ranks), the joiners that it attests,
-    and whether it leaves. The higher number replaces the lower.
+    """Report of one observer: its faulty edges, the joiners that it attests, and whether it leaves.
+
+    `faulty` has a bit for each edge, in the order of ranks. A register with a higher number replaces one with
+    a lower number.
     """
 
     rank: Rank
@@ -42,17 +47,17 @@
 
 
 class WireRound(Struct, frozen=True, array_like=True):
-    """A renewal round; bitmaps as `encode_bitmap` makes them."""
+    """A renewal round of leases, with bitmaps as written by `encode_bitmap`."""
 
     number: Number
     opener: Opener
     opener_before: Opener
-    before: Bits
+    bits_before: Bits
     bits: Bits
 
 
 class WireVote(Struct, frozen=True, array_like=True):
-    """`proposal` None: the same as `best_value`."""
+    """The state of a vote. `proposal` is None if it equals `highest_value`."""
 
     ballot: Ballot
     promised: Bits
@@ -63,7 +68,7 @@
 
 
 class WireTally(Struct, frozen=True, array_like=True):
-    """A vote for a receiver that holds its proposal already: `proposal` is the digest of that."""
+    """The state of a vote for a receiver that holds the proposal: `proposal` is a digest of it."""
 
     ballot: Ballot
     promised: Bits
@@ -72,12 +77,13 @@
 
 
 class Heartbeat(Struct, frozen=True, array_like=True, tag=1):
-    """A heartbeat along an edge.
+    """A heartbeat along an edge, or a push between two heartbeats.
 
-    `interval`: ms to the next one, 0 where this is one out of turn. `received_ago_ms`: since the last message
-    of the other. `sum`: over all registers. `last`: the change that led to this view, while the other
-    may not have it. `version`: what the sender understands; 1 ignores all that follows. `attested`: joiners
-    that the sender attests, in a message to those that propose; such a one may come along no edge.
+    `interval`: ms to the next heartbeat, 0 in a push. `received_ago_ms`: ms since the sender last received a
+    message of the receiver. `registers_checksum`: over all registers. `last_change`: the change that led to
+    this view, while the receiver may not have it. `version`: the format that the sender understands; version
+    1 ignores the fields after it. `attested`: joiners that the sender attests, in a message to the next
+    proposers, which may come from a member without a common edge.
     """
 
     number: Number
@@ -85,21 +91,23 @@
     incarnation: Number
     interval: Millis
     received_ago_ms: Millis
-    sum: Annotated[int, Meta(ge=0, lt=2**32)]
+    registers_checksum: Annotated[int, Meta(ge=0, lt=2**32)]
     round: WireRound | None = None
     registers: Annotated[tuple[Register, ...], Meta(max_length=64)] = ()
     vote: WireVote | None = None
-    last: Value | None = None
+    last_change: Value | None = None
     version: Annotated[int, Meta(ge=0, lt=256)] = 1
     tally: WireTally | None = None
     attested: Annotated[tuple[Entry, ...], Meta(max_length=MAX_ATTESTED)] | None = None
 
 
 class JoinRequest(Struct, frozen=True, array_like=True, tag=2):
-    """From a process that is in no view.
+    """A request of a process that is in no view.
 
-    `number`: the view that it knows of. `persisted`: the number of the view that it persisted. `accept`: the
-    first view that it agrees to: number, and digest of the entries.
+    `number`: the view that it knows of, or 0. `received_ago_ms`: ms since a join response of the receiver.
+    `persisted`: number of the view that it persisted, or 0. `accept`: the first view that it agrees to, as
+    number and digest of the entries. `names`: the persisted view, for a founder that asked for its names.
+    `wants_names`: whether the sender needs the names of the highest persisted view.
     """
 
     entry: Entry
@@ -109,22 +117,22 @@
     persisted: Number
     accept: tuple[Number, bytes] = (0, b"")
     names: PersistedView | None = None
-    wants: bool = False
+    wants_names: bool = False
 
 
 class JoinResponse(Struct, frozen=True, array_like=True, tag=3):
-    """The response of a member of a view. `size`: how many are in it, 0: not stated."""
+    """Response of a member of a view. `size`: number of members, 0 if not stated."""
 
     number: Number
     digest: Digest
     received_ago_ms: Millis
     refusal: Annotated[str, Meta(max_length=64)] = ""
-    last: Value | None = None
+    last_change: Value | None = None
     size: Annotated[int, Meta(ge=0, le=MAX_ENTRIES)] = 0
 
 
 class PageRequest(Struct, frozen=True, array_like=True, tag=4):
-    """Asks for a page of a view's list."""
+    """Requests a page of a view's list."""
 
     number: Number
     page: Annotated[int, Meta(ge=0, lt=MAX_ENTRIES // PAGE_ENTRIES + 1)]
@@ -146,19 +154,19 @@
 
 
 def priority_of(message: Message) -> Priority:
-    """The class of a message in the sender's byte budget."""
+    """Returns the priority of a message in the sender's byte budget."""
     if isinstance(message, Heartbeat | JoinRequest):
         return Priority.HEARTBEAT
     return Priority.GOSSIP if isinstance(message, JoinResponse) else Priority.LIST
 
 
 def pack(message: Message, number: int = 0) -> list[bytes]:
-    """A message as cargo, in parts of under 999 bytes; `number` tells a sender's messages apart."""
+    """Encodes a message, in fragments of under 999 bytes; `number` identifies it among the sender's."""
     return split_payload(_ENCODER.encode(message), number)
 
 
 def unpack(data: bytes) -> Message:
-    """A whole message. Raises MalformedPayload."""
+    """Decodes a message. Raises MalformedPayload."""
     try:
         return _DECODER.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -166,109 +174,115 @@
 
 
 class MessageAssembler:
-    """Takes the parts of messages. Bounded."""
+    """Reassembles messages from their fragments, in bounded memory."""
 
     def __init__(self) -> None:
-        self._joiner = FragmentAssembler()
+        self._assembler = FragmentAssembler()
 
-    def take(self, sender: str, cargo: bytes) -> Message | None:
-        """A message, once its last part is there. Raises MalformedPayload."""
-        whole = self._joiner.take(sender, cargo)
+    def take(self, sender: str, payload: bytes) -> Message | None:
+        """Takes a fragment; returns the message once it is complete. Raises MalformedPayload."""
+        whole = self._assembler.take(sender, payload)
         return None if whole is None else unpack(whole)
 
 
 def encode_bitmap(value: int, size: int) -> bytes:
-    """A bitmap of ranks: as it is, or, where that is shorter, the ranks that are in it or are not."""
-    for mark, listed in ((1, value), (2, value ^ (1 << size) - 1)):
+    """Encodes a bitmap of ranks: as bits, or as a list of the ranks set or not set where that is shorter."""
+    for encoding, listed in ((1, value), (2, value ^ (1 << size) - 1)):
         if 16 * listed.bit_count() < size:
-            ranks = [at for at, bit in enumerate(reversed(f"{listed:b}")) if bit == "1"]
-            return bytes((mark,)) + b"".join(rank.to_bytes(2, "little") for rank in ranks)
+            ranks = [rank for rank, bit in enumerate(reversed(f"{listed:b}")) if bit == "1"]
+            return bytes((encoding,)) + b"".join(rank.to_bytes(2, "little") for rank in ranks)
     return b"\0" + value.to_bytes((size + 7) // 8, "little")
 
 
 def decode_bitmap(data: bytes, size: int) -> int:
-    """A bitmap from bytes. Raises MalformedPayload."""
-    mark, rest = data[:1], data[1:]
-    if mark == b"\0":
+    """Decodes a bitmap of ranks. Raises MalformedPayload."""
+    encoding, rest = data[:1], data[1:]
+    if encoding == b"\0":
         value = int.from_bytes(rest, "little")
-    elif mark in (b"\1", b"\2") and len(rest) % 2 == 0:
+    elif encoding in (b"\1", b"\2") and len(rest) % 2 == 0:
         value = 0
-        for at in range(0, len(rest), 2):
-            value |= 1 << min(int.from_bytes(rest[at : at + 2], "little"), size)
-        if mark == b"\2" and not value >> size:
+        for offset in range(0, len(rest), 2):
+            value |= 1 << min(int.from_bytes(rest[offset : offset + 2], "little"), size)
+        if encoding == b"\2" and not value >> size:
             value ^= (1 << size) - 1
     else:
-        raise MalformedPayload("bitmap")
+        raise MalformedPayload("malformed bitmap")
     if value >> size:
-        raise MalformedPayload("ranks")
+        raise MalformedPayload("rank is not in the view")
     return value
 
 
-def encode_round(r: Round, size: int) -> WireRound:
-    """The wire form of a round in a view of this size."""
+def encode_round(renewal_round: Round, size: int) -> WireRound:
+    """Encodes a renewal round in a view of this size."""
     return WireRound(
-        r.number,
-        r.opener,
-        r.opener_before,
-        encode_bitmap(r.before, size),
-        encode_bitmap(r.bits, size),
+        renewal_round.number,
+        renewal_round.opener,
+        renewal_round.opener_before,
+        encode_bitmap(renewal_round.bits_before, size),
+        encode_bitmap(renewal_round.bits, size),
     )
 
 
-def decode_round(r: WireRound, size: int) -> Round:
-    """Raises MalformedPayload where it is none of a view of this size."""
-    if r.opener >= size or r.opener_before >= size:
-        raise MalformedPayload("ranks")
+def decode_round(renewal_round: WireRound, size: int) -> Round:
+    """Decodes a renewal round. Raises MalformedPayload if it does not fit a view of this size."""
+    if renewal_round.opener >= size or renewal_round.opener_before >= size:
+        raise MalformedPayload("rank is not in the view")
     return Round(
-        r.number,
-        r.opener,
-        r.opener_before,
-        decode_bitmap(r.before, size),
-        decode_bitmap(r.bits, size),
+        renewal_round.number,
+        renewal_round.opener,
+        renewal_round.opener_before,
+        decode_bitmap(renewal_round.bits_before, size),
+        decode_bitmap(renewal_round.bits, size),
     )
 
 
-def encode_vote(w: VoteState, size: int) -> WireVote:
-    """The wire form of a vote in a view of this size."""
+def encode_vote(vote_state: VoteState, size: int) -> WireVote:
+    """Encodes the state of a vote in a view of this size."""
     return WireVote(
-        w.ballot,
-        encode_bitmap(w.promised, size),
-        w.highest_accepted,
-        w.highest_value,
-        None if w.proposal == w.highest_value else w.proposal,
-        encode_bitmap(w.accepted, size),
+        vote_state.ballot,
+        encode_bitmap(vote_state.promised, size),
+        vote_state.highest_accepted,
+        vote_state.highest_value,
+        None if vote_state.proposal == vote_state.highest_value else vote_state.proposal,
+        encode_bitmap(vote_state.accepted, size),
     )
 
 
-def decode_vote(w: WireVote, size: int) -> VoteState:
-    """Raises MalformedPayload where it is none of a view of this size; the vote looks at the rest."""
+def decode_vote(vote: WireVote, size: int) -> VoteState:
+    """Decodes the state of a vote; `Agreement.merge` validates its content.
+
+    Raises MalformedPayload if a bitmap does not fit a view of this size.
+    """
     return VoteState(
-        w.ballot,
-        decode_bitmap(w.promised, size),
-        w.highest_accepted,
-        w.highest_value,
-        w.highest_value if w.proposal is None else w.proposal,
-        decode_bitmap(w.accepted, size),
+        vote.ballot,
+        decode_bitmap(vote.promised, size),
+        vote.highest_accepted,
+        vote.highest_value,
+        vote.highest_value if vote.proposal is None else vote.proposal,
+        decode_bitmap(vote.accepted, size),
     )
 
 
 def digest_of(proposal: bytes) -> bytes:
-    """What stands for a proposal in a tally."""
+    """Returns the digest that stands for a proposal in a tally."""
     return hashlib.blake2b(proposal, digest_size=8, person=b"view-proposal").digest()
 
 
-def encode_tally(w: VoteState, size: int) -> WireTally:
-    """A word of which the other holds the proposal."""
+def encode_tally(vote_state: VoteState, size: int) -> WireTally:
+    """Encodes the state of a vote for a peer that holds the proposal."""
     return WireTally(
-        w.ballot,
-        encode_bitmap(w.promised, size),
-        encode_bitmap(w.accepted, size),
-        digest_of(w.proposal),
+        vote_state.ballot,
+        encode_bitmap(vote_state.promised, size),
+        encode_bitmap(vote_state.accepted, size),
+        digest_of(vote_state.proposal),
     )
 
 
 def decode_tally(tally: WireTally, ours: VoteState, size: int) -> VoteState | None:
-    """The word that a tally stands for; None where ours is not of that proposal. Raises MalformedPayload."""
+    """Returns the vote state that a tally stands for, None if our proposal is another one.
+
+    Raises MalformedPayload if a bitmap does not fit a view of this size.
+    """
     if (
         tally.ballot != ours.ballot
         or not ours.proposal
--- a/yewrill/views/lease_renewal.py
+++ b/yewrill/views/lease_renewal.py
@@ -1,12 +1,17 @@
-"""Lease renewal by rounds (as a quorum read): a majority has recently received from us, and we from it. Pure.
-
-Rounds follow each other; each member adds its bit to the present one and passes it on. Whoever holds a
-majority's bits opens the next, which carries the bitmap of the one before as it then was. A member's lease
-runs from the moment it put its bit into a round, once it sees the round after it with its bit in the bitmap
-before *and a majority's bits in its own*: each of these was put after the opener had ours. So a majority has
-heard us after that moment, and we them, over whatever path; an old datagram read after a pause proves
-nothing. (A majority in the bitmap before is not enough: who wakes up with the others' old bits in its
-inbox would add its own, open the next round itself, and find its lease in it.)
+"""Lease renewal by rounds, as in a quorum read: they prove recent contact with a majority in both directions.
+
+Rounds are numbered; each member adds its bit to the current round and passes it on. A member that has the
+bits of a majority opens the next round, which includes the bitmap of the previous one as the opener knew it.
+
+A member's lease starts when it added its bit to a round. It is proven once the member sees the next round
+with its bit in the previous bitmap *and with the bits of a majority in the new bitmap*: each of these was
+added after the opener had received this member's bit. So a majority has heard this member since then, and
+this member has heard them, over whatever path. An old datagram that is read after a pause proves nothing.
+
+A majority in the previous bitmap alone is not enough: a member that resumes after a pause with old bits of
+the others in its socket buffer could add its own bit, open the next round itself, and take that for a lease.
+
+This module does no I/O.
 """
 
 from __future__ import annotations
@@ -14,27 +19,28 @@
 from typing import NamedTuple
 
 NEVER = -1e18
-MAX_SIGNED_ROUNDS = 16  # rounds of which the time of our bit is remembered
+MAX_SIGNED_ROUNDS = 16  # recent rounds for which the time of this member's bit is kept
 
 
 class Round(NamedTuple):
-    """A round: its number, openers as ranks (-1: nobody) and the bitmap of the members in it.
+    """A round: its number, its opener and the previous opener as ranks (-1: none), and the members in it.
 
-    `before` is the bitmap of the previous round, as the opener of this one had it.
+    `bits` is the bitmap of the members in this round, `bits_before` that of the previous round as this opener
+    knew it.
     """
 
     number: int = 0
     opener: int = -1
     opener_before: int = -1
-    before: int = 0
+    bits_before: int = 0
     bits: int = 0
 
 
 class LeaseRenewal:
     """One member's part in the rounds of a view.
 
-    A round lasts two beats and at least `shortest` seconds once all are in it, and waits up to `patience`
-    seconds for all.
+    A round with all members lasts two heartbeat intervals, and at least `min_round_seconds`. A round that
+    lacks members waits for them for up to `max_round_seconds`.
     """
 
     def __init__(
@@ -42,52 +48,54 @@
         rank: int,
         size: int,
         now: float,
-        beat: float,
-        patience: float,
-        shortest: float = 0.0,
+        interval: float,
+        max_round_seconds: float,
+        min_round_seconds: float = 0.0,
     ):
-        self._me, self._rank = 1 << rank, rank
+        self._own_bit, self._rank = 1 << rank, rank
         self.size, self.majority = size, size // 2 + 1
-        self._beat = beat
-        self._shortest = max(2.0 * beat, shortest)
-        self._patience = max(patience, shortest)
-        self.frozen = False  # we accepted the next view, and add no more bits in this one
+        self._interval = interval
+        self._min_round_seconds = max(2.0 * interval, min_round_seconds)
+        self._max_round_seconds = max(max_round_seconds, min_round_seconds)
+        self.frozen = False  # set once the next view is accepted: no more bits are added
         self.round = Round()
-        self.since = now
-        self.complete = False  # a round had all members: so all have installed this view
-        self.proven_at = NEVER  # the time of our last bit that a majority has confirmed
+        self.round_since = now
+        self.complete = False  # a round had all members, so all have installed this view
+        self.proven_at = NEVER  # time of this member's last bit that a majority has confirmed
         self._signed_at: dict[tuple[int, int], float] = {}
         self._sign(now)
         self._update_proof()
 
     def merge(self, now: float, other: Round) -> bool:
-        """Merge another member's round. Returns whether ours has changed."""
-        mine = self.round
-        if other[:2] > mine[:2]:
-            self.round, self.since = other, now
+        """Merges another member's round. Returns whether ours has changed."""
+        ours = self.round
+        if other[:2] > ours[:2]:
+            self.round, self.round_since = other, now
             self._sign(now)
             self._update_proof()
-        elif other[:2] == mine[:2] and other.bits | mine.bits != mine.bits:
-            self.round = mine._replace(bits=mine.bits | other.bits)
+        elif other[:2] == ours[:2] and other.bits | ours.bits != ours.bits:
+            self.round = ours._replace(bits=ours.bits | other.bits)
             self._update_proof()
         else:
             return False
         return True
 
     def tick(self, now: float) -> bool:
-        """Open the next round if it is time. Returns whether it was opened."""
-        r, age = self.round, now - self.since
+        """Opens the next round if it is due. Returns whether it was opened."""
+        r, age = self.round, now - self.round_since
         if self.frozen or r.bits.bit_count() < self.majority:
             return False
-        # Whoever opened this one goes first. It waits for all, but not for long: were those left alone
-        # that missed the round before, who is far from the opener would never be in one.
-        # The lease that came from the view before is to be renewed soon.
-        shortest = self._shortest if self.proven_at > NEVER else 2.0 * self._beat
-        wait = shortest if r.bits.bit_count() == self.size else self._patience
-        if age < wait + (0.0 if r.opener in (self._rank, -1) else 2.0 * self._beat):
+        # The opener of this round opens the next one; others do so later, if it does not. It waits for all
+        # members for a while, since otherwise one many hops away would never be in a round. Until there is a
+        # proof in this view, rounds are short, to renew the lease carried over from the previous view soon.
+        min_round_seconds = (
+            self._min_round_seconds if self.proven_at > NEVER else 2.0 * self._interval
+        )
+        wait = min_round_seconds if r.bits.bit_count() == self.size else self._max_round_seconds
+        if age < wait + (0.0 if r.opener in (self._rank, -1) else 2.0 * self._interval):
             return False
         self.round = Round(r.number + 1, self._rank, r.opener, r.bits, 0)
-        self.since = now
+        self.round_since = now
         self._sign(now)
         self._update_proof()
         return True
@@ -95,7 +103,7 @@
     def _sign(self, now: float) -> None:
         if self.frozen:
             return
-        self.round = self.round._replace(bits=self.round.bits | self._me)
+        self.round = self.round._replace(bits=self.round.bits | self._own_bit)
         self._signed_at[self.round[:2]] = now
         if len(self._signed_at) > MAX_SIGNED_ROUNDS:
             del self._signed_at[min(self._signed_at)]
@@ -103,6 +111,10 @@
     def _update_proof(self) -> None:
         r = self.round
         self.complete |= r.bits.bit_count() == self.size
-        put = self._signed_at.get((r.number - 1, r.opener_before))
-        if put is not None and r.before & self._me and r.bits.bit_count() >= self.majority:
-            self.proven_at = max(self.proven_at, put)
+        signed_at = self._signed_at.get((r.number - 1, r.opener_before))
+        if (
+            signed_at is not None
+            and r.bits_before & self._own_bit
+            and r.bits.bit_count() >= self.majority
+        ):
+            self.proven_at = max(self.proven_at, signed_at)
--- a/yewrill/views/machine.py
+++ b/yewrill/views/machine.py
@@ -1,15 +1,19 @@
-"""One member's part in the views, pure: messages and the time in, what to keep and messages out.
-
-In a view it beats along its edges, publishes a register of those that are not well, votes on the next view,
-and answers the roll-call that gives its lease. In none it founds the first with the other founders, or calls
-the members of one until they vouch for it. docs/views-design.md has the whole. Seconds of one steady clock.
-
-- *Late ourselves.* Whoever comes to a tick or a message late was paused: that span is taken out of all links,
-  and nothing is proposed before it has heard again. Its lease has run out by the clock.
-- *Kept first.* A `Step`'s `keep` is on disk before its messages go: they say that we accepted it.
-- *One behind at most.* A lease is carried into the next view. Whoever accepted the next view signs no more
-  rounds in this one, and a view is followed by another only once all of it are there, or once a lease has
-  passed: so nobody acts by a view two back.
+"""State machine of one process in the agreed views. It does no I/O: messages and the time go in, the view to
+persist and the messages to send come out.
+
+In a view, the process sends heartbeats along its edges, publishes a register of its faulty edges, votes on
+the next view, and takes part in the rounds that renew its lease. Outside a view, it bootstraps the first one
+together with the other founders, or sends join requests to the members of one until enough of them attest
+it. See docs/views-design.md. Times are seconds of one monotonic clock.
+
+- *Local pauses.* A tick or message that comes late shows that this process was paused. The pause is left out
+  of the evidence about every link, and nothing is proposed before others have been heard again. The lease
+  still expires by the clock.
+- *Persist before send.* A `Step` is persisted before its messages are sent, because they tell others that
+  this member has accepted the next view.
+- *At most one view behind.* A lease is carried over into the next view. A member that has accepted the next
+  view adds no bit to further rounds of this one, and a view is followed by another only once all its members
+  have installed it, or once a lease has expired: so nobody acts by the view before the previous one.
 """
 
 from __future__ import annotations
@@ -35,21 +39,31 @@
 from yewrill.views.view_member import ViewMember
 
 Address = tuple[str, int]
-MAX_CALLERS = 64
-MAX_CHANGES = 64  # that nobody took yet
-# Members of the list per interval between two calls of one that knows of no view; its longest in intervals
-CALLERS_NEW, MAX_SLOWDOWN_NEW = 16.0, 12.0
-SMALL_FLEET = 32  # that are no large fleet
-# A list that has not grown by so many times for so many seconds is taken for whole
-GROWTH, GROWTH_SECONDS = 1.1, 1.0
-MAX_FETCH_SLOWDOWN = 2  # how far behind a joiner may be that fetches the list
-PAGE_RETRY_SECONDS = 2.0  # seconds until a list is asked for again
-CALLERS_PERSISTED, MAX_SLOWDOWN_PERSISTED = 48.0, 4.0
+MAX_TRACKED_JOINERS = 64
+# Entries of `changes` that are kept until the caller takes them.
+MAX_UNREAD_CHANGES = 64
+# A process that knows of no view sends its join requests at an interval that grows with the list of members,
+# so that those it asks get about this many requests per heartbeat interval, up to the slowdown.
+REQUESTS_PER_INTERVAL_NEW = 16.0
+MAX_SLOWDOWN_NEW = 12.0
+# A list of members of up to this size does not delay join requests by its growth.
+SMALL_FLEET_MEMBERS = 32
+# A list that has not grown by this factor for this time is taken for complete.
+LIST_GROWTH_FACTOR = 1.1
+LIST_STABLE_SECONDS = 1.0
+# A joiner with a higher slowdown does not fetch the view: it joins a later one.
+MAX_FETCH_SLOWDOWN = 2
+# Time without a page after which a list is fetched anew.
+PAGE_RETRY_SECONDS = 2.0
+# The limits of REQUESTS_PER_INTERVAL_NEW and MAX_SLOWDOWN_NEW for a process that has persisted a view. It
+# is slowed down less: the founders wait for such processes and count recent requests only.
+REQUESTS_PER_INTERVAL_PERSISTED = 48.0
+MAX_SLOWDOWN_PERSISTED = 4.0
 
 
 @dataclass(slots=True)
 class Step:
-    """What must be on disk first, then what is to be sent."""
+    """What the caller has to persist, and the messages to send after that."""
 
     persist: PersistedView | None = None
     messages: list[tuple[Address, Message]] = field(default_factory=list)
@@ -57,23 +71,23 @@
 
 @dataclass(slots=True)
 class _Fetch:
-    """A list that is asked for in pages."""
+    """The list of a view while it is fetched in pages."""
 
     number: int
     source: Address
-    at: float
+    progress_at: float
     digest: bytes = b""
     pages: int = 1
-    got: dict[int, tuple[Entry, ...]] = field(default_factory=dict)
+    received: dict[int, tuple[Entry, ...]] = field(default_factory=dict)
 
 
 def _removed_names(before: View, view: View) -> set[str]:
-    """The names of those that are in the view before only."""
+    """Returns the names of the processes that are in `before` and not in `view`."""
     return {e.name for e in before.entries if view.find(e.name, e.incarnation) is None}
 
 
 class ViewMachine:
-    """One process: in a view, joining one, or bootstrapping the first."""
+    """State machine of one process: in a view, joining one, or bootstrapping the first."""
 
     def __init__(
         self,
@@ -82,41 +96,39 @@
         persisted: PersistedView | None,
         rng: random.Random,
         now: float,
-        rules: ViewTiming | None = None,
+        timing: ViewTiming | None = None,
     ):
         self.me, self.founders, self.persisted = me, tuple(founders), persisted
-        self.rules, self._rng = rules or ViewTiming(), rng
-        self.counts = ViewCounters()
-        self.changes: list[
-            tuple[float, View | None]
-        ] = []  # what was installed, until somebody takes it
-        self.stopped = ""  # why for good: "left", "conflict"
-        self._known: dict[str, Address] = {}
-        self._grew_at = NEVER  # when the list of those that live last grew much
-        self._removals: dict[
-            str, tuple[int, float]
-        ] = {}  # how often it was taken out, and when last
+        self.timing, self._rng = timing or ViewTiming(), rng
+        self.counters = ViewCounters()
+        # Time and view of each installation, None where this process was removed; the caller clears it.
+        self.changes: list[tuple[float, View | None]] = []
+        self.stopped = ""  # the reason, once the machine has stopped for good: "left" or "conflict"
+        self._known_members: dict[str, Address] = {}
+        self._members_grew_at = NEVER  # when the list last grew by LIST_GROWTH_FACTOR
+        # By name: number of recent removals, and time of the last one.
+        self._removals: dict[str, tuple[int, float]] = {}
         self._member: ViewMember | None = None
         self._known_view: View | None = None
         self._now = self._last_run = now
-        self._beat_at = now + rng.random() * self.rules.interval
+        self._next_heartbeat_at = now + rng.random() * self.timing.interval
         self._leaving = False
-        self._callers: dict[str, Edge] = {}
-        self._notified: dict[Address, float] = {}  # who was told of a newer view, when
+        self._joiners: dict[str, Edge] = {}
+        self._notified_at: dict[Address, float] = {}  # when an outdated peer was last notified
         self._fetch: _Fetch | None = None
         self._persist: PersistedView | None = None
-        self._out: list[tuple[Address, Message]] = []
-        self._outside(None)
+        self._outgoing: list[tuple[Address, Message]] = []
+        self._reset_outside_view(None)
 
-    # -- what others see
+    # -- state
 
     def view(self, now: float) -> View | None:
-        """The view while we hold a lease in it."""
-        inside = self._member
+        """Returns the view while this process holds a lease in it, else None."""
+        member = self._member
         return (
-            inside.view
-            if inside is not None
-            and now < inside.lease_until
+            member.view
+            if member is not None
+            and now < member.lease_until
             and not self._leaving
             and not self.stopped
             else None
@@ -124,24 +136,26 @@
 
     @property
     def installed(self) -> View | None:
-        """The view that we are in, with a lease or without."""
+        """The view that this process is in, with or without a lease; None outside a view."""
         return self._member.view if self._member is not None else None
 
     @property
     def interval(self) -> float:
-        """Seconds between two heartbeats at the size of the view that we know of."""
-        known = self.installed or self._known_view
-        return self.rules.beat(len(known) if known is not None else 1)
+        """Seconds between two heartbeats at the size of the known view."""
+        view = self.installed or self._known_view
+        return self.timing.interval_for(len(view) if view is not None else 1)
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """Time at which `tick` has something to do."""
         if self.stopped:
             return float("inf")
-        return min(self._beat_at, self._member.due if self._member is not None else float("inf"))
+        return min(
+            self._next_heartbeat_at, self._member.due if self._member is not None else float("inf")
+        )
 
     def describe(self, now: float) -> str:
-        """The state in one line, for operators."""
+        """Returns the state in one line, for operators."""
         if self.stopped:
             return self.stopped
         if self.installed is not None:
@@ -154,7 +168,7 @@
             )
         if self._refusal:
             return f"refused: {self._refusal}"
-        if self._known_view is None and self._bootstrap.founder:
+        if self._known_view is None and self._bootstrap.is_founder:
             missing = self._bootstrap.missing
             return "founding: waits for " + (", ".join(missing[:8]) or "agreement")
         return "joining"
@@ -162,66 +176,70 @@
     # -- events
 
     def set_known_members(self, addresses: dict[str, Address], now: float) -> None:
-        """Who seems to live, from the membership: where to begin."""
-        if len(addresses) > max(SMALL_FLEET, GROWTH * len(self._known)):
-            self._grew_at = now
-        self._known = dict(list(addresses.items())[:MAX_ENTRIES])
+        """Sets the addresses of the live members, from the membership; join requests start from these."""
+        if len(addresses) > max(SMALL_FLEET_MEMBERS, LIST_GROWTH_FACTOR * len(self._known_members)):
+            self._members_grew_at = now
+        self._known_members = dict(list(addresses.items())[:MAX_ENTRIES])
 
     def tick(self, now: float) -> Step:
-        """Do what is due."""
+        """Runs whatever is due."""
         if self.stopped:
             return Step()
         self._advance_clock(now)
         if self.installed is None:
-            if now >= self._beat_at:
-                waits = self._now - self._grew_at < GROWTH_SECONDS
-                self._beat_at = now + (self.interval if waits else self._call_interval())
-                self._call()
+            if now >= self._next_heartbeat_at:
+                list_is_growing = self._now - self._members_grew_at < LIST_STABLE_SECONDS
+                self._next_heartbeat_at = now + (
+                    self.interval if list_is_growing else self._join_interval()
+                )
+                self._send_join_requests()
         else:
             self._advance(now)
-        return self._step()
+        return self._collect_step()
 
     def _advance(self, now: float) -> None:
-        inside = self._member
-        inside.renew_lease(now)
-        full = now >= self._beat_at
-        if full:
-            self._beat_at = max(self._beat_at + self.interval, now + 0.5 * self.interval)
-            inside.observe(now, self._attested_joiners())
-            self._callers = {
-                name: c
-                for name, c in self._callers.items()
-                if now - c.last_received < 8.0 * c.interval
+        member = self._member
+        member.renew_lease(now)
+        heartbeat_due = now >= self._next_heartbeat_at
+        if heartbeat_due:
+            self._next_heartbeat_at = max(
+                self._next_heartbeat_at + self.interval, now + 0.5 * self.interval
+            )
+            member.observe(now, self._attested_joiners())
+            self._joiners = {
+                name: joiner
+                for name, joiner in self._joiners.items()
+                if now - joiner.last_received < 8.0 * joiner.interval
             }
-        if full or now >= inside.turn_at:
-            inside.propose_if_due(now)
-            self._voted()
-        if full and self._member is not None:
-            for edge, beat in self._member.beats(now):
-                self._send(edge.entry.address, beat)
-            for entry, beat in self._member.attestation_messages(now):
-                self._send(entry.address, beat)
-
-    def receive(self, now: float, what: Message, sender: str, address: Address) -> Step:
-        """Take a message of an authenticated sender."""
+        if heartbeat_due or now >= member.propose_at:
+            member.propose_if_due(now)
+            self._apply_vote()
+        if heartbeat_due and self._member is not None:
+            for edge, heartbeat in self._member.heartbeats(now):
+                self._send(edge.entry.address, heartbeat)
+            for entry, heartbeat in self._member.attestation_messages(now):
+                self._send(entry.address, heartbeat)
+
+    def receive(self, now: float, message: Message, sender: str, address: Address) -> Step:
+        """Processes a message of an authenticated sender."""
         if self.stopped or sender == self.me.name:
             return Step()
         self._advance_clock(now)
-        if isinstance(what, Heartbeat):
-            self._take_beat(what, sender, address)
-        elif isinstance(what, JoinRequest):
-            if what.entry.name == sender:
-                self._take_call(what, address)
-        elif isinstance(what, JoinResponse):
-            self._take_answer(what, sender, address)
-        elif isinstance(what, PageRequest):
-            self._take_ask(what, address)
+        if isinstance(message, Heartbeat):
+            self._receive_heartbeat(message, sender, address)
+        elif isinstance(message, JoinRequest):
+            if message.entry.name == sender:
+                self._receive_join_request(message, address)
+        elif isinstance(message, JoinResponse):
+            self._receive_join_response(message, sender, address)
+        elif isinstance(message, PageRequest):
+            self._receive_page_request(message, address)
         else:
-            self._take_page(what)
-        return self._step()
+            self._receive_page(message)
+        return self._collect_step()
 
     def leave(self, now: float) -> Step:
-        """Go by a planned change: no lease from here on. `standing` says "left" once it is done."""
+        """Gives up the lease and asks to be removed from the view; `stopped` is "left" once that is done."""
         self._advance_clock(now)
         self._leaving = True
         if self.installed is None:
@@ -230,89 +248,92 @@
             self._member.leaving = True
             self._member.publish()
             self._member.propose_if_due(now)
-            self._voted()
-        return self._step()
+            self._apply_vote()
+        return self._collect_step()
 
     def _advance_clock(self, now: float) -> None:
-        """Note the time; where we come late, we were paused."""
-        late = now - max(self.due, self._last_run)
+        """Records the time. Running late means that this process was paused, which counts against no peer."""
+        paused_seconds = now - max(self.due, self._last_run)
         self._now, self._last_run = max(now, self._now), now
-        if late > max(0.5, self.interval):
-            self.counts.late += 1
-            for caller in self._callers.values():
-                caller.exclude_pause(late)
+        if paused_seconds > max(0.5, self.interval):
+            self.counters.pauses += 1
+            for joiner in self._joiners.values():
+                joiner.exclude_pause(paused_seconds)
             if self._member is not None:
-                self._member.exclude_pause(late, now)
+                self._member.exclude_pause(paused_seconds, now)
 
-    def _step(self) -> Step:
+    def _collect_step(self) -> Step:
         if self._member is not None and not self.stopped:
-            for edge, beat in self._member.pushes(self._now):
-                self._send(edge.entry.address, beat)
-        step = Step(self._persist, self._out)
-        self._persist, self._out = None, []
+            for edge, heartbeat in self._member.push_messages(self._now):
+                self._send(edge.entry.address, heartbeat)
+        step = Step(self._persist, self._outgoing)
+        self._persist, self._outgoing = None, []
         return step
 
     def _send(self, address: Address, message: Message) -> None:
-        self._out.append((address, message))
+        self._outgoing.append((address, message))
 
-    # -- from one view to the next
+    # -- changing views
 
     def install(self, view: View, now: float) -> Step:
-        """Be in a view that is known for certain: as the first one of a virtual network."""
+        """Enters a view that was agreed on elsewhere, such as the first one of a simulated network."""
         self._now = now
-        self._move(view, None)
-        return self._step()
-
-    def _outside(self, seen: View | None) -> None:
-        """Be in no view; `seen`: the one we know of."""
-        self._member, self._known_view, self._refusal, self._fetch = None, seen, "", None
-        self._reported_size = 0  # of the view that answers told of
-        self._answers: dict[Address, float] = {}  # who answered our calls, when last
+        self._adopt_view(view, None)
+        return self._collect_step()
+
+    def _reset_outside_view(self, known_view: View | None) -> None:
+        """Resets to being in no view; `known_view`: the latest one that this process knows of."""
+        self._member, self._known_view, self._refusal, self._fetch = None, known_view, "", None
+        self._reported_view_size = 0  # size of the view according to join responses
+        self._responded_at: dict[Address, float] = {}  # time of the last join response
         self._bootstrap = Bootstrap(
             self.me,
             self.founders,
             self.persisted,
-            max(2.0, 8.0 * self.rules.interval),
-            self.rules.lease_for,
+            max(2.0, 8.0 * self.timing.interval),
+            self.timing.lease_for,
         )
 
-    def _begin(self, view: View, rank: int, last: bytes | None) -> None:
-        """Be in the next view. What we hold of a lease goes with us, if we know what changed."""
+    def _enter_view(self, view: View, rank: int, last_change: bytes | None) -> None:
+        """Enters the next view. The lease is carried over if the change that led to it is known."""
         before, now = self._member, self._now
-        # The first view of all follows none; of one that was fetched, nobody knows what changed.
+        # Without knowing the change, stale leases in the previous view have to be assumed. The first view
+        # has no previous one.
         lease_until, stale_leases, edges = NEVER, view.number > 1, {}
-        if before is not None and last is not None:
+        if before is not None and last_change is not None:
             lease_until, edges = (
                 before.lease_until,
                 {edge.entry: edge for edge in before.edges.values()},
             )
             removed = _removed_names(before.view, view)
-            for name in sorted(removed - before.left):
+            for name in sorted(removed - before.leaving_names):
                 self._record_removal(name)
-            stale_leases = not removed <= before.left
-        elif self._known_view is not None and last is not None:
+            stale_leases = not removed <= before.leaving_names
+        elif self._known_view is not None and last_change is not None:
             stale_leases = bool(_removed_names(self._known_view, view))
         self._member = ViewMember(
             view,
             rank,
-            self.rules,
+            self.timing,
             self._rng,
-            self.counts,
+            self.counters,
             now,
-            last=last,
+            last_change=last_change,
             lease_until=lease_until,
             stale_leases=stale_leases,
             edges=edges,
         )
         self._known_view, self._fetch, self._refusal = None, None, ""
-        self.counts.installed += 1
+        self.counters.installed += 1
         self.changes.append((now, view))
-        del self.changes[:-MAX_CHANGES]
-        self._callers = {
-            n: c for n, c in self._callers.items() if view.find(n, c.entry.incarnation) is None
+        del self.changes[:-MAX_UNREAD_CHANGES]
+        self._joiners = {
+            name: joiner
+            for name, joiner in self._joiners.items()
+            if view.find(name, joiner.entry.incarnation) is None
         }
         self._require_persisted(view)
-        self._beat_at = min(self._beat_at, now + 0.02)
+        self._next_heartbeat_at = min(self._next_heartbeat_at, now + 0.02)
         if self._leaving:
             self._member.leaving = True
             self._member.publish()
@@ -322,134 +343,136 @@
         if self.persisted != persisted:
             self.persisted = self._persist = persisted
 
-    def _voted(self) -> None:
-        """Keep what we accepted, and go on to what is decided."""
-        inside = self._member
-        if inside.vote.accepted is not None:
-            self._require_persisted(inside.view.next_view(inside.vote.accepted[1]))
-        if inside.vote.decided is not None:
-            self._move(inside.view.next_view(inside.vote.decided), inside.vote.decided)
+    def _apply_vote(self) -> None:
+        """Persists the view that this member has accepted, and adopts the one that is decided."""
+        member = self._member
+        if member.vote.accepted is not None:
+            self._require_persisted(member.view.next_view(member.vote.accepted[1]))
+        if member.vote.decided is not None:
+            self._adopt_view(member.view.next_view(member.vote.decided), member.vote.decided)
 
     def _record_removal(self, name: str) -> None:
         times, at = self._removals.get(name, (0, NEVER))
-        times = times + 1 if self._now - at < self.rules.remember else 1
+        times = times + 1 if self._now - at < self.timing.removal_retention else 1
         self._removals.pop(name, None)
         self._removals[name] = (times, self._now)
         if len(self._removals) > MAX_ENTRIES:
             del self._removals[next(iter(self._removals))]
 
-    def _wait_seconds(self, name: str) -> float:
-        """Seconds until one taken out may be vouched for."""
+    def _rejoin_delay(self, name: str) -> float:
+        """Returns the seconds until a removed member may be attested again."""
         times, at = self._removals.get(name, (0, NEVER))
         if not times:
             return 0.0
         return (
             at
-            + min(self.rules.longest_wait, self.rules.first_wait * 2.0 ** (times - 1))
+            + min(self.timing.max_rejoin_delay, self.timing.min_rejoin_delay * 2.0 ** (times - 1))
             - self._now
         )
 
-    def _move(self, view: View, last: bytes | None) -> None:
-        """A higher view is known: it is ours, or we are out of it."""
+    def _adopt_view(self, view: View, last_change: bytes | None) -> None:
+        """Follows a higher view: enters it, or resets if this process is not in it."""
         rank = view.find(self.me.name, self.me.incarnation)
         if rank is not None:
-            self._begin(view, rank, last)
+            self._enter_view(view, rank, last_change)
         elif self._leaving:
             self._stop("left")
         elif self._member is not None:
-            self.counts.taken_out += 1
+            self.counters.removed += 1
             self.changes.append((self._now, None))
             self.me = Entry(
                 self.me.name,
                 self._rng.getrandbits(47) + 1,
                 self.me.address,
                 self.me.zone,
-                self.me.can,
+                self.me.capabilities,
             )
-            self._outside(view)
+            self._reset_outside_view(view)
         else:
             self._known_view, self._fetch, self._refusal = view, None, ""
-            self._answers.clear()
-            self._beat_at = min(
-                self._beat_at, self._now + self._rng.random() * self._call_interval()
+            self._responded_at.clear()
+            self._next_heartbeat_at = min(
+                self._next_heartbeat_at, self._now + self._rng.random() * self._join_interval()
             )
 
-    def _stop(self, why: str) -> None:
-        self.stopped, self._member = why, None
+    def _stop(self, reason: str) -> None:
+        self.stopped, self._member = reason, None
 
-    # -- from others in views
+    # -- heartbeats
 
-    def _take_beat(self, beat: Heartbeat, sender: str, address: Address) -> None:
-        inside = self._member
-        if inside is None:
-            self._learn(beat.number, beat.digest, beat.last, address)
+    def _receive_heartbeat(self, heartbeat: Heartbeat, sender: str, address: Address) -> None:
+        member = self._member
+        if member is None:
+            self._learn_of_view(heartbeat.number, heartbeat.digest, heartbeat.last_change, address)
             return
-        view, rank = inside.view, inside.view.find(sender, beat.incarnation)
-        edge = inside.edges.get(rank) if rank is not None else None
-        if beat.number == view.number and beat.digest != view.digest:
-            self.counts.conflict += 1
+        view, rank = member.view, member.view.find(sender, heartbeat.incarnation)
+        edge = member.edges.get(rank) if rank is not None else None
+        if heartbeat.number == view.number and heartbeat.digest != view.digest:
+            self.counters.conflicts += 1
             self._stop("conflict")
             return
         if edge is not None:
-            edge.take(self._now, beat.received_ago_ms, beat.interval)
-            edge.number = max(edge.number, beat.number)
-        if beat.number > view.number:
-            self._learn(beat.number, beat.digest, beat.last, address)
-        elif beat.number < view.number:
-            self._notify(address)
+            edge.record_message(self._now, heartbeat.received_ago_ms, heartbeat.interval)
+            edge.view_number = max(edge.view_number, heartbeat.number)
+        if heartbeat.number > view.number:
+            self._learn_of_view(heartbeat.number, heartbeat.digest, heartbeat.last_change, address)
+        elif heartbeat.number < view.number:
+            self._notify_outdated(address)
         elif rank is not None:
             try:
-                inside.merge(self._now, beat, edge, sender)
+                member.merge(self._now, heartbeat, edge, sender)
             except (MalformedPayload, ValueError):
-                self.counts.refused += 1
-            self._voted()
+                self.counters.rejected += 1
+            self._apply_vote()
 
-    def _notify(self, address: Address) -> None:
-        """Tell one that is behind, once a beat at most."""
-        if self._now - self._notified.get(address, NEVER) < self.interval:
+    def _notify_outdated(self, address: Address) -> None:
+        """Tells an outdated peer of the newer view, at most once per heartbeat interval."""
+        if self._now - self._notified_at.get(address, NEVER) < self.interval:
             return
-        if len(self._notified) > MAX_ENTRIES:
-            self._notified.clear()
-        self._notified[address] = self._now
-        self._send(address, self._answer("", -1, self.installed.number - 1))
+        if len(self._notified_at) > MAX_ENTRIES:
+            self._notified_at.clear()
+        self._notified_at[address] = self._now
+        self._send(address, self._join_response("", -1, self.installed.number - 1))
 
-    # -- those that are in none
+    # -- joining
 
     def _attested_joiners(self) -> tuple[Entry, ...]:
-        """Whom we vouch for, in the order in which all members prefer them. Those that the others have not
-        vouched for with us for long go behind: the rest does not wait for them."""
+        """Returns the joiners that this member attests, in the order that all members share.
+
+        Joiners that the others have not attested in time go to the end, so that they don't hold up the rest.
+        """
         now = self._now
-        for caller in self._callers.values():
-            if not self._can_attest(caller):
-                caller.attested = None
-            elif caller.attested is None:
-                caller.attested = now
-        ready = [c for c in self._callers.values() if c.attested is not None]
+        for joiner in self._joiners.values():
+            if not self._can_attest(joiner):
+                joiner.attested_since = None
+            elif joiner.attested_since is None:
+                joiner.attested_since = now
+        ready = [joiner for joiner in self._joiners.values() if joiner.attested_since is not None]
         ready.sort(
-            key=lambda c: (
-                now - c.attested > self.rules.patience,
-                admission.sort_key(c.entry.name),
+            key=lambda joiner: (
+                now - joiner.attested_since > self.timing.unstable_timeout,
+                admission.sort_key(joiner.entry.name),
             )
         )
-        return tuple(c.entry for c in ready)
-
-    def _can_attest(self, c: Edge) -> bool:
-        near = (
-            c.calls >= 3
-            and max(self._now - c.last_received, self._now - c.last_received_by_peer)
-            < 4.0 * c.interval
-            and c.link.state(self._now, self.rules.threshold, self.rules.max_silence)
+        return tuple(joiner.entry for joiner in ready)
+
+    def _can_attest(self, joiner: Edge) -> bool:
+        reachable = (
+            joiner.messages_received >= 3
+            and max(self._now - joiner.last_received, self._now - joiner.last_received_by_peer)
+            < 4.0 * joiner.interval
+            and joiner.link.state(self._now, self.timing.phi_threshold, self.timing.max_silence)
             == LinkState.HEALTHY
         )
         return (
-            near
-            and self._wait_seconds(c.entry.name) <= 0.0
+            reachable
+            and self._rejoin_delay(joiner.entry.name) <= 0.0
             and self._member.rank
-            in self._member.view.observers_of(c.entry.name, c.entry.incarnation)
+            in self._member.view.observers_of(joiner.entry.name, joiner.entry.incarnation)
         )
 
-    def _answer(
-        self, refusal: str, received_ago_ms: int, number: int, last: bool = True
+    def _join_response(
+        self, refusal: str, received_ago_ms: int, number: int, include_change: bool = True
     ) -> JoinResponse:
         view = self.installed
         return JoinResponse(
@@ -457,114 +480,132 @@
             view.digest,
             received_ago_ms,
             refusal,
-            self._member.last if last and number == view.number - 1 else None,
+            self._member.last_change if include_change and number == view.number - 1 else None,
             len(view),
         )
 
-    def _take_call(self, call: JoinRequest, address: Address) -> None:
-        view, name = self.installed, call.entry.name
+    def _receive_join_request(self, request: JoinRequest, address: Address) -> None:
+        view, name = self.installed, request.entry.name
         if view is None:
-            self._bootstrap.record(call, self._now)
-            if call.wants and self._bootstrap.persisted is not None:
-                self._send(address, self._call_to(address, self._bootstrap.persisted))
+            self._bootstrap.record(request, self._now)
+            if request.wants_names and self._bootstrap.persisted is not None:
+                self._send(address, self._join_request(address, self._bootstrap.persisted))
             self._try_bootstrap()
             return
-        caller = self._callers.get(name)
-        if caller is None or caller.entry != call.entry:
-            if caller is None and not self._has_room_for(name):
-                self._send(address, self._answer("", -1, call.number))
+        joiner = self._joiners.get(name)
+        if joiner is None or joiner.entry != request.entry:
+            if joiner is None and not self._has_room_for(name):
+                self._send(address, self._join_response("", -1, request.number))
                 return
             received_ago_ms = -1
-            every = call.interval / 1000.0 or self.interval
-            caller = self._callers[name] = Edge(call.entry, every, self._now)
-            caller.last_received_by_peer = NEVER
+            interval = request.interval / 1000.0 or self.interval
+            joiner = self._joiners[name] = Edge(request.entry, interval, self._now)
+            joiner.last_received_by_peer = NEVER
         else:
-            received_ago_ms = min(3_600_000, int(1000 * (self._now - caller.last_received)))
-        caller.take(self._now, call.received_ago_ms, call.interval)
-        # A caller speaks to many members: a part of them tell it the change, which may be long.
-        last = admission.sends_change(self._member.rank, name)
+            received_ago_ms = min(3_600_000, int(1000 * (self._now - joiner.last_received)))
+        joiner.record_message(self._now, request.received_ago_ms, request.interval)
+        # The joiner asks many members. Only some of them include the last change, which may be long.
+        include_change = admission.sends_change(self._member.rank, name)
         self._send(
-            address, self._answer(self._objection(call.entry), received_ago_ms, call.number, last)
+            address,
+            self._join_response(
+                self._refusal_for(request.entry), received_ago_ms, request.number, include_change
+            ),
         )
 
     def _has_room_for(self, name: str) -> bool:
-        """Whether a new caller is noted; the last in the order gives way to one before it."""
-        if len(self._callers) < MAX_CALLERS:
+        """Returns whether a new joiner can be tracked, in place of the last one in the order if need be."""
+        if len(self._joiners) < MAX_TRACKED_JOINERS:
             return True
-        last = max(self._callers, key=admission.sort_key)
+        last = max(self._joiners, key=admission.sort_key)
         if admission.sort_key(name) > admission.sort_key(last):
             return False
-        del self._callers[last]
+        del self._joiners[last]
         return True
 
-    def _objection(self, entry: Entry) -> str:
-        """Why one that calls is not vouched for yet, "" where nothing speaks against it."""
+    def _refusal_for(self, entry: Entry) -> str:
+        """Returns why a joiner is not attested yet, "" if there is no such reason."""
         rank = self.installed.rank_of(entry.name)
         if rank is not None:
-            there = self.installed.entries[rank]
+            existing = self.installed.entries[rank]
             if (
-                there.incarnation != entry.incarnation
-                and there.address != entry.address
-                and not any(rank in of for of in self._member.cut)
+                existing.incarnation != entry.incarnation
+                and existing.address != entry.address
+                and not any(rank in ranks for ranks in self._member.cut)
             ):
                 return "name is taken"
-        wait = self._wait_seconds(entry.name)
+        wait = self._rejoin_delay(entry.name)
         return f"was taken out, waits {wait:.0f} s" if wait > 0.0 else ""
 
-    def _call(self) -> None:
-        """Speak to those that could take us in, or found a view with us."""
-        if self._now - self._grew_at < GROWTH_SECONDS and not self._bootstrap.founder:
-            return  # a whole fleet may be starting: how many are before us is not known yet
-        seen, known = self._known_view, self._known
-        to: dict[Address, None] = {}
-        if seen is not None:
-            to = {
-                seen.entries[rank].address: None
-                for rank in seen.observers_of(self.me.name, self.me.incarnation)
+    def _send_join_requests(self) -> None:
+        """Sends join requests: to the observers in the known view or the founders, and to a random member."""
+        if (
+            self._now - self._members_grew_at < LIST_STABLE_SECONDS
+            and not self._bootstrap.is_founder
+        ):
+            return  # a whole fleet may be starting: the place in the order is not known yet
+        known_view, known_members = self._known_view, self._known_members
+        targets: dict[Address, None] = {}
+        if known_view is not None:
+            targets = {
+                known_view.entries[rank].address: None
+                for rank in known_view.observers_of(self.me.name, self.me.incarnation)
             }
         else:
-            to = {known[name]: None for name in self._bootstrap.founders if name in known}
-        others = [known[name] for name in sorted(known) if name != self.me.name]
-        to |= dict.fromkeys(self._rng.sample(others, min(1, len(others))))
-        to.pop(self.me.address, None)
+            targets = {
+                known_members[name]: None
+                for name in self._bootstrap.founders
+                if name in known_members
+            }
+        others = [known_members[name] for name in sorted(known_members) if name != self.me.name]
+        targets |= dict.fromkeys(self._rng.sample(others, min(1, len(others))))
+        targets.pop(self.me.address, None)
         self._try_bootstrap()
         if self.installed is not None:
             return
-        for address in to:
-            self._send(address, self._call_to(address))
-        self._ask()
+        for address in targets:
+            self._send(address, self._join_request(address))
+        self._request_pages()
 
     def _slowdown(self) -> int:
-        """How far behind we are among those that join, in batches."""
-        seen = self._known_view
-        size = max(self._reported_size, 0 if seen is None else len(seen))
-        joiners = [n for n in self._known if seen is None or seen.rank_of(n) is None]
+        """Returns by which factor this process slows down its requests, for the joiners ahead of it."""
+        known_view = self._known_view
+        size = max(self._reported_view_size, 0 if known_view is None else len(known_view))
+        joiners = [
+            name
+            for name in self._known_members
+            if known_view is None or known_view.rank_of(name) is None
+        ]
         return admission.slowdown(size, self.me.name, joiners)
 
-    def _call_interval(self) -> float:
-        """Seconds between two calls: the longer, the more call beside us."""
-        size = len(self._known)
-        if self._bootstrap.founder and self._known_view is None:
+    def _join_interval(self) -> float:
+        """Returns the seconds between two join requests; it grows with the number of other joiners."""
+        size = len(self._known_members)
+        if self._bootstrap.is_founder and self._known_view is None:
             return self.interval
-        if self._known_view is not None or self._reported_size:
-            return self.rules.call * self._slowdown()
-        if (
-            self._bootstrap.persisted is not None
-        ):  # founders wait for us, and count what is fresh only
-            return self.interval * min(MAX_SLOWDOWN_PERSISTED, max(1.0, size / CALLERS_PERSISTED))
-        return self.interval * min(MAX_SLOWDOWN_NEW, max(1.0, size / CALLERS_NEW))
+        if self._known_view is not None or self._reported_view_size:
+            return self.timing.join_interval * self._slowdown()
+        if self._bootstrap.persisted is not None:
+            return self.interval * min(
+                MAX_SLOWDOWN_PERSISTED, max(1.0, size / REQUESTS_PER_INTERVAL_PERSISTED)
+            )
+        return self.interval * min(MAX_SLOWDOWN_NEW, max(1.0, size / REQUESTS_PER_INTERVAL_NEW))
 
-    def _call_to(self, address: Address, names: PersistedView | None = None) -> JoinRequest:
-        ago, bootstrap, seen = self._answers.get(address), self._bootstrap, self._known_view
+    def _join_request(self, address: Address, names: PersistedView | None = None) -> JoinRequest:
+        responded_at, bootstrap, known_view = (
+            self._responded_at.get(address),
+            self._bootstrap,
+            self._known_view,
+        )
         return JoinRequest(
             self.me,
-            0 if seen is None else seen.number,
-            int(1000 * self._call_interval()),
-            -1 if ago is None else min(3_600_000, int(1000 * (self._now - ago))),
+            0 if known_view is None else known_view.number,
+            int(1000 * self._join_interval()),
+            -1 if responded_at is None else min(3_600_000, int(1000 * (self._now - responded_at))),
             0 if bootstrap.persisted is None else bootstrap.persisted.number,
             bootstrap.accept,
             names,
-            bootstrap.wants > 0,
+            bootstrap.wanted_number > 0,
         )
 
     def _try_bootstrap(self) -> None:
@@ -574,60 +615,62 @@
         if persist is not None:
             self.persisted = self._persist = persist
         if view is not None:
-            self._move(view, None)
+            self._adopt_view(view, None)
 
-    def _take_answer(self, answer: JoinResponse, sender: str, address: Address) -> None:
+    def _receive_join_response(self, response: JoinResponse, sender: str, address: Address) -> None:
         if self.installed is None:
-            if address in self._answers or len(self._answers) < MAX_CALLERS:
-                self._answers[address] = self._now
-            self._refusal = answer.refusal
-            self._reported_size = max(self._reported_size, answer.size)
-        self._learn(answer.number, answer.digest, answer.last, address)
-
-    def _learn(self, number: int, digest: bytes, last: bytes | None, address: Address) -> None:
-        """There is a view of this number: take it, or ask for it."""
+            if address in self._responded_at or len(self._responded_at) < MAX_TRACKED_JOINERS:
+                self._responded_at[address] = self._now
+            self._refusal = response.refusal
+            self._reported_view_size = max(self._reported_view_size, response.size)
+        self._learn_of_view(response.number, response.digest, response.last_change, address)
+
+    def _learn_of_view(
+        self, number: int, digest: bytes, last_change: bytes | None, address: Address
+    ) -> None:
+        """Adopts a newer view if its change is included and fits the known view; else fetches its list."""
         ours = self.installed or self._known_view
         if ours is not None:
             if number <= ours.number:
                 return
-            if last is not None and number == ours.number + 1:
-                view = ours.next_view(last)
+            if last_change is not None and number == ours.number + 1:
+                view = ours.next_view(last_change)
                 if view.digest == digest:
-                    self._move(view, last)
+                    self._adopt_view(view, last_change)
                     return
         fetch = self._fetch
         newer = fetch is None or number > fetch.number
-        if newer or self._now - fetch.at > PAGE_RETRY_SECONDS:
+        if newer or self._now - fetch.progress_at > PAGE_RETRY_SECONDS:
             self._fetch = _Fetch(number, address, self._now)
-            # What follows ours is likely to be told as a change, with which our lease is carried over.
+            # The view right after ours usually arrives as a change, with which the lease is carried over.
             follows = ours is not None and number == ours.number + 1
             if (not newer or not follows) and self._may_fetch():
                 self._send(address, PageRequest(number, 0))
 
     def _may_fetch(self) -> bool:
-        """Whether a list is worth its bytes: those that join much later will need another one."""
-        if self.installed is not None or self._bootstrap.founder:
+        """Returns whether to fetch the list now; a joiner far behind in the order will need a later one."""
+        if self.installed is not None or self._bootstrap.is_founder:
             return True
         return self._slowdown() <= MAX_FETCH_SLOWDOWN
 
-    def _ask(self) -> None:
+    def _request_pages(self) -> None:
         fetch = self._fetch
         if fetch is not None and self._may_fetch():
-            missing = [page for page in range(fetch.pages) if page not in fetch.got][:8]
+            missing = [page for page in range(fetch.pages) if page not in fetch.received][:8]
             for page in missing:
                 self._send(fetch.source, PageRequest(fetch.number, page))
 
-    def _take_ask(self, ask: PageRequest, address: Address) -> None:
+    def _receive_page_request(self, request: PageRequest, address: Address) -> None:
         view = self.installed
-        if view is None or ask.number > view.number:
+        if view is None or request.number > view.number:
             return
         pages = (len(view) + PAGE_ENTRIES - 1) // PAGE_ENTRIES
-        page = ask.page if ask.number == view.number else 0
+        page = request.page if request.number == view.number else 0
         if page < pages:
             entries = view.entries[page * PAGE_ENTRIES : page * PAGE_ENTRIES + PAGE_ENTRIES]
             self._send(address, Page(view.number, view.digest, page, pages, entries))
 
-    def _take_page(self, page: Page) -> None:
+    def _receive_page(self, page: Page) -> None:
         fetch, ours = self._fetch, self.installed or self._known_view
         if (
             fetch is None
@@ -637,18 +680,26 @@
         ):
             return
         if page.number != fetch.number or page.digest != fetch.digest:
-            # Who joins stands at the end: full pages of the view before are likely to be the same.
-            fetch.got = {at: got for at, got in fetch.got.items() if len(got) == PAGE_ENTRIES}
+            # Joiners are appended to the list, so full pages of an older view are likely to be the same.
+            fetch.received = {
+                index: entries
+                for index, entries in fetch.received.items()
+                if len(entries) == PAGE_ENTRIES
+            }
             fetch.number, fetch.digest = page.number, page.digest
-        fetch.pages, fetch.at = page.pages, self._now
-        fetch.got[page.page] = page.entries
-        fetch.got = {at: got for at, got in fetch.got.items() if at < fetch.pages}
-        if len(fetch.got) < fetch.pages:
-            if page.page == 0 or len(fetch.got) % 8 == 0:
-                self._ask()
+        fetch.pages, fetch.progress_at = page.pages, self._now
+        fetch.received[page.page] = page.entries
+        fetch.received = {
+            index: entries for index, entries in fetch.received.items() if index < fetch.pages
+        }
+        if len(fetch.received) < fetch.pages:
+            if page.page == 0 or len(fetch.received) % 8 == 0:
+                self._request_pages()
             return
-        view = View(fetch.number, sum((fetch.got.get(at, ()) for at in range(fetch.pages)), ()))
+        view = View(
+            fetch.number, sum((fetch.received.get(index, ()) for index in range(fetch.pages)), ())
+        )
         if view.digest == fetch.digest and len(set(view.names)) == len(view):
-            self._move(view, None)
+            self._adopt_view(view, None)
         else:
             self._fetch = None
--- a/yewrill/views/timing.py
+++ b/yewrill/views/timing.py
@@ -1,4 +1,4 @@
-"""Timing of the views, counters of a member, and the evidence about one edge. Pure."""
+"""Timing of the views, counters of a member, and the evidence about one edge. It does no I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from yewrill.membership.evidence import LinkState, PeerLink
 from yewrill.views.agreement import Ballot
-from yewrill.views.view import Entry, depth_of
+from yewrill.views.view import Entry, estimate_diameter
 
 NEVER = -1e18
 
@@ -15,46 +15,50 @@
 class ViewTiming:
     """Timing of views, in seconds unless stated otherwise.
 
-    Beats come every `interval` up to `constant` members, and above more rarely, by the size to the power of
-    `growth`, but never more rarely than every `slowest`. Up to `small` members each heartbeat carries the
-    renewal round, above that every other one.
+    The interval of heartbeats is `interval` in views of up to `constant_interval_size` members. In larger
+    ones it grows with the size to the power of `interval_growth_exponent`, up to `max_interval`. In views of
+    up to `small_view_size` members each heartbeat carries the renewal round, in larger ones about half do.
     """
 
     interval: float = 0.25
-    slowest: float = 1.0
-    constant: int = 24
-    growth: float = 0.65
-    small: int = 100
-    lease: float = 3.0  # the shortest lease
-    silence: float = 1.75  # the shortest silence of an edge that makes it faulty
-    silent_beats: float = 3.5  # the same in beats, where these are long
-    threshold: float = 6.0  # phi
+    max_interval: float = 1.0
+    constant_interval_size: int = 24
+    interval_growth_exponent: float = 0.65
+    small_view_size: int = 100
+    min_lease: float = 3.0
+    min_silence: float = 1.75  # shortest silence after which an edge is faulty
+    min_silence_heartbeats: float = 3.5  # the same in heartbeat intervals, whichever is longer
+    phi_threshold: float = 6.0  # phi of the accrual failure detector, without a unit
     max_silence: float = 10.0
-    settle: float = 2.0  # beats for which a cut must be stable before it is proposed
-    call: float = 0.3  # between two join requests of a process that knows of a view
-    gather: float = 1.2  # from the first joiner on, so that others join with it
-    turn: float = 0.3  # until the next member may propose
-    ballot: float = 1.0  # after which a ballot without a majority's promises is given up
-    patience: float = 10.0  # with unstable members
-    push: float = 0.05  # between two messages out of turn along an edge, at the shortest interval
-    push_edges: int = 4  # to which one message goes out of turn at a time
-    round_share: float = 0.2  # of a lease: the shortest renewal round
-    first_wait: float = 2.0  # of a removed member, before it is attested
-    longest_wait: float = 300.0
-    remember: float = 600.0  # how long a removal is remembered, and doubles the wait
-
-    def beat(self, size: int) -> float:
-        """Seconds between two beats along an edge. What a member sends a second falls with the size."""
-        longer = max(1.0, size / self.constant) ** self.growth
-        return min(self.slowest, self.interval * longer)
-
-    def push_gap(self, size: int) -> float:
-        """Seconds between two messages out of turn along an edge."""
-        return self.push * self.beat(size) / self.interval
+    cut_stable_heartbeats: float = (
+        2.0  # heartbeat intervals for which a change is stable before it is proposed
+    )
+    join_interval: float = 0.3  # between two join requests of a process that knows of a view
+    join_batch_delay: float = 1.2  # after the first joiner, so that others join with it
+    proposer_delay: float = 0.3  # between the turns of two proposers
+    ballot_timeout: float = 1.0  # without progress, after which a new ballot may be opened
+    unstable_timeout: float = (
+        10.0  # for which unstable members, or joiners not admitted, hold up others
+    )
+    push_interval: float = 0.05  # between two pushes, at the shortest heartbeat interval
+    push_edges: int = 4  # number of edges for one push of long messages
+    min_round_share: float = 0.2  # shortest renewal round, as a fraction of the lease
+    min_rejoin_delay: float = 2.0  # after the first removal; doubles with each further one
+    max_rejoin_delay: float = 300.0
+    removal_retention: float = 600.0  # after which a removal no longer counts for the delay
+
+    def interval_for(self, size: int) -> float:
+        """Returns the seconds between two heartbeats, so that a member's sending rate falls with the size."""
+        factor = max(1.0, size / self.constant_interval_size) ** self.interval_growth_exponent
+        return min(self.max_interval, self.interval * factor)
+
+    def push_interval_for(self, size: int) -> float:
+        """Returns the seconds between two pushes."""
+        return self.push_interval * self.interval_for(size) / self.interval
 
     def lease_for(self, size: int) -> float:
-        """Seconds that a lease lasts in a view of so many."""
-        return max(self.lease, 3.0 * self.beat(size) * (2.0 + depth_of(size)))
+        """Returns the duration of a lease in a view of this size."""
+        return max(self.min_lease, 3.0 * self.interval_for(size) * (2.0 + estimate_diameter(size)))
 
 
 @dataclass(slots=True)
@@ -63,32 +67,39 @@
 
     installed: int = 0
     proposed: int = 0
-    taken_out: int = 0  # times that the others removed us
-    late: int = 0
-    conflict: int = 0
-    refused: int = 0  # messages that fit no view that we know
+    removed: int = 0  # times that this process was removed from a view
+    pauses: int = 0  # local pauses, detected by late timers
+    conflicts: int = 0  # other lists under the number of our view
+    rejected: int = 0  # messages that are malformed or don't fit the view
 
 
 class Edge:
-    """What is known of one other process, and of both directions of the link to it."""
+    """The evidence about one other process, and about both directions of the link to it."""
 
     def __init__(self, entry: Entry, interval: float, now: float):
         self.entry, self.interval = entry, interval
         self.link = PeerLink(interval, now)
         self.last_received = now
-        self.last_received_by_peer = now  # when it last received from us
-        self.calls = 0
-        self.other_sum = 0  # heartbeats whose registers differed from ours
-        self.number = 0  # of the highest view that it was in
-        self.version = 1  # of the format that it speaks
-        self.has: dict[int, int] = {}  # numbers of the view's registers that it has or was sent
-        self.proposal: tuple[Ballot, bytes] | None = None  # of the present vote: the one it holds
-        self.attested: float | None = None  # of a joiner: since when we attest it
-
-    def take(self, now: float, received_ago_ms: int, interval: int) -> None:
-        """Record a message.
-
-        `received_ago_ms`: since it received from us, -1: never; `interval`: ms to the next one, 0: none.
+        self.last_received_by_peer = now  # when the peer last received a message from this process
+        self.messages_received = 0
+        self.checksum_mismatches = 0  # heartbeats in a row whose registers differed from ours
+        self.view_number = 0  # highest view that the peer was in
+        self.format_version = 1  # version of the heartbeat format that the peer understands
+        self.register_numbers: dict[
+            int, int
+        ] = {}  # by rank, the registers that the peer has or was sent
+        self.known_proposal: tuple[Ballot, bytes] | None = (
+            None  # ballot and proposal that the peer holds
+        )
+        self.attested_since: float | None = (
+            None  # since when this process attests the peer, a joiner
+        )
+
+    def record_message(self, now: float, received_ago_ms: int, interval: int) -> None:
+        """Records a message of the peer.
+
+        `received_ago_ms`: ms since the peer received from this process, -1: never. `interval`: ms to the next
+        heartbeat, 0 in a push.
         """
         ago = None if received_ago_ms < 0 else received_ago_ms / 1000.0
         if interval:
@@ -97,21 +108,21 @@
         if ago is not None:
             self.last_received_by_peer = max(self.last_received_by_peer, now - ago)
         self.last_received = now
-        self.calls += 1
+        self.messages_received += 1
 
     def begin_view(self) -> None:
-        """Forget what it holds of the previous view."""
-        self.other_sum, self.has, self.proposal = 0, {}, None
+        """Forgets what the peer holds of the previous view."""
+        self.checksum_mismatches, self.register_numbers, self.known_proposal = 0, {}, None
 
-    def faulty(self, now: float, rules: ViewTiming, least: float) -> bool:
-        """Whether a direction has been silent for `least` seconds, which loss does not explain."""
+    def faulty(self, now: float, timing: ViewTiming, min_silence: float) -> bool:
+        """Returns whether a direction is silent for `min_silence` seconds and loss does not explain it."""
         return (
-            now - min(self.last_received, self.last_received_by_peer) >= least
-            and self.link.state(now, rules.threshold, rules.max_silence) != LinkState.HEALTHY
+            now - min(self.last_received, self.last_received_by_peer) >= min_silence
+            and self.link.state(now, timing.phi_threshold, timing.max_silence) != LinkState.HEALTHY
         )
 
     def exclude_pause(self, duration: float) -> None:
-        """Leave a local pause out of every silence."""
+        """Leaves a local pause out of the silences."""
         self.link.exclude_pause(duration)
         self.last_received += duration
         self.last_received_by_peer += duration
