--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -7,12 +7,12 @@
 from yewrill.lab.viewcheck import Bounds, explore
 from yewrill.views.agreement import NO_BALLOT, Agreement, VoteState
 
-SMALL = Bounds(members=3, opened=2, words=2, deaths=1)
+SMALL = Bounds(members=3, ballots=2, messages=2, crashes=1)
 
 
 def test_three_members_explored_in_all_orders_never_decide_two_values():
     found = explore(SMALL)
-    assert found.broken == "" and found.whole and found.states > 5_000
+    assert found.violation == "" and found.exhaustive and found.states > 5_000
 
 
 class OwnValue(Agreement):
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("mutant", [OwnValue, Forgets, Hasty, Half, LooksBack])
 def test_each_rule_of_the_vote_is_needed(mutant):
     found = explore(SMALL, mutant)
-    assert found.broken.startswith("decided") and found.path
+    assert found.violation.startswith("decided") and found.trace
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/yewrill/lab/viewcheck.py
+++ b/yewrill/lab/viewcheck.py
@@ -1,10 +1,9 @@
-"""Explores the vote on what follows a view exhaustively within bounds, and checks its one promise in every
-state: no two values are ever decided.
+"""Explores the vote on the change of a view exhaustively within bounds, and checks that all decide one value.
 
-Breadth first over all orders of: a member opens a ballot (and offers a value of its own), any member's word
-as it was at any time reaches any other (words once said may arrive late, again, or never), a member dies (its
-votes and its seat go together: nobody comes back under its rank). States are told apart by what each member
-holds; worlds that differ only in members' names are one.
+The search is breadth-first over all orders of these events: a member opens a ballot with a value of its own;
+a vote state that a member had at any time reaches another member (late, again, or never); a member crashes,
+and stays so, since a restarted process never takes up its old rank. Global states are identified by what each
+member knows, and states that differ only in the ranks of the members count as one.
 """
 
 from __future__ import annotations
@@ -17,142 +16,175 @@
 from yewrill.lab.raftcheck import unrolled
 from yewrill.views.agreement import Agreement, VoteState
 
-State = tuple[VoteState, tuple | None, bytes | None, bytes]  # word, accepted, decided, offered
+# Vote state, accepted ballot and value, decided value, own proposal.
+MemberState = tuple[VoteState, tuple | None, bytes | None, bytes]
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
+    """Bounds of the exploration."""
+
     members: int = 3
-    tries: int = 2  # the highest try of a ballot
-    opened: int = 2  # ballots opened in all
-    words: int = 4  # different words under way; the oldest gives way
-    deaths: int = 1
+    ballot_numbers: int = 2  # highest number of a ballot
+    ballots: int = 2  # ballots opened in total
+    messages: int = 4  # distinct messages in flight; the oldest is dropped beyond that
+    crashes: int = 1
     states: int = 400_000
 
 
 @dataclass(frozen=True, slots=True)
-class World:
-    members: tuple[State, ...]
-    words: tuple[VoteState, ...] = ()
-    opened: int = 0
-    dead: int = 0  # bits
+class GlobalState:
+    """The states of all members and the messages in flight."""
+
+    members: tuple[MemberState, ...]
+    messages: tuple[VoteState, ...] = ()
+    opened_ballots: int = 0
+    crashed: int = 0  # bitmap of ranks
     decided: frozenset[bytes] = frozenset()
 
 
 @dataclass(slots=True)
-class Found:
+class ExplorationResult:
+    """The outcome of an exploration; `trace` holds the events that lead to a violation."""
+
     states: int
-    whole: bool  # nothing was left out within the bounds
-    broken: str = ""
-    path: tuple[str, ...] = ()
+    exhaustive: bool  # all states within the bounds were visited
+    violation: str = ""
+    trace: tuple[str, ...] = ()
 
 
-def _load(make: Callable[[int, int], Agreement], rank: int, size: int, state: State) -> Agreement:
-    vote = make(rank, size)
+def _load(
+    new_agreement: Callable[[int, int], Agreement], rank: int, size: int, state: MemberState
+) -> Agreement:
+    vote = new_agreement(rank, size)
     vote.state, vote.accepted, vote.decided, vote._own_proposal = state
     return vote
 
 
-def _save(vote: Agreement) -> State:
+def _save(vote: Agreement) -> MemberState:
     return vote.state, vote.accepted, vote.decided, vote._own_proposal
 
 
-def explore(bounds: Bounds, make: Callable[[int, int], Agreement] = Agreement) -> Found:
-    """All that can happen within the bounds; the first state in which two values are decided, if any."""
+def explore(
+    bounds: Bounds, new_agreement: Callable[[int, int], Agreement] = Agreement
+) -> ExplorationResult:
+    """Visits all states within the bounds, up to the first one in which two values are decided."""
     size = bounds.members
-    start = World(tuple(_save(make(rank, size)) for rank in range(size)))
-    orders = list(permutations(range(size)))
-    seen = {_key(start, orders)}
-    waiting: deque[tuple[World, tuple]] = deque([(start, ())])
-    while waiting:
-        world, path = waiting.popleft()
-        for told, after in _steps(world, bounds, make):
-            if len(after.decided) > 1:
-                return Found(
-                    len(seen), False, f"decided {sorted(after.decided)}", (*unrolled(path), told)
+    initial = GlobalState(tuple(_save(new_agreement(rank, size)) for rank in range(size)))
+    permuted_ranks = list(permutations(range(size)))
+    seen = {_canonical_key(initial, permuted_ranks)}
+    queue: deque[tuple[GlobalState, tuple]] = deque([(initial, ())])
+    while queue:
+        current, path = queue.popleft()
+        for event, following in _steps(current, bounds, new_agreement):
+            if len(following.decided) > 1:
+                return ExplorationResult(
+                    len(seen),
+                    False,
+                    f"decided {sorted(following.decided)}",
+                    (*unrolled(path), event),
                 )
-            key = _key(after, orders)
+            key = _canonical_key(following, permuted_ranks)
             if key not in seen:
                 if len(seen) >= bounds.states:
-                    return Found(len(seen), False)
+                    return ExplorationResult(len(seen), False)
                 seen.add(key)
-                waiting.append((after, (path, told)))
-    return Found(len(seen), True)
+                queue.append((following, (path, event)))
+    return ExplorationResult(len(seen), True)
 
 
 def _steps(
-    world: World, bounds: Bounds, make: Callable[[int, int], Agreement]
-) -> Iterator[tuple[str, World]]:
+    current: GlobalState, bounds: Bounds, new_agreement: Callable[[int, int], Agreement]
+) -> Iterator[tuple[str, GlobalState]]:
     size = bounds.members
     for rank in range(size):
-        if world.dead >> rank & 1:
+        if current.crashed >> rank & 1:
             continue
-        state = world.members[rank]
-        if world.opened < bounds.opened and state[0].ballot[0] < bounds.tries and state[2] is None:
-            vote = _load(make, rank, size, state)
+        state = current.members[rank]
+        if (
+            current.opened_ballots < bounds.ballots
+            and state[0].ballot[0] < bounds.ballot_numbers
+            and state[2] is None
+        ):
+            vote = _load(new_agreement, rank, size, state)
             vote.set_proposal(b"%d" % rank)
             vote.open_ballot()
-            yield f"{rank} opens {vote.state.ballot}", _after(world, bounds, rank, vote, opened=1)
-        for word in world.words:
-            vote = _load(make, rank, size, state)
-            vote.merge(word)
+            yield (
+                f"{rank} opens {vote.state.ballot}",
+                _after(current, bounds, rank, vote, opened_ballots=1),
+            )
+        for vote_state in current.messages:
+            vote = _load(new_agreement, rank, size, state)
+            vote.merge(vote_state)
             if _save(vote) != state:
-                yield f"{rank} hears {word}", _after(world, bounds, rank, vote)
-        if world.dead.bit_count() < bounds.deaths:
+                yield f"{rank} receives {vote_state}", _after(current, bounds, rank, vote)
+        if current.crashed.bit_count() < bounds.crashes:
             yield (
-                f"{rank} dies",
-                World(
-                    world.members, world.words, world.opened, world.dead | 1 << rank, world.decided
+                f"{rank} crashes",
+                GlobalState(
+                    current.members,
+                    current.messages,
+                    current.opened_ballots,
+                    current.crashed | 1 << rank,
+                    current.decided,
                 ),
             )
 
 
-def _after(world: World, bounds: Bounds, rank: int, vote: Agreement, opened: int = 0) -> World:
-    members = (*world.members[:rank], _save(vote), *world.members[rank + 1 :])
-    words = tuple(w for w in world.words if w != vote.state)
-    words = (*words, vote.state)[-bounds.words :]
-    decided = world.decided if vote.decided is None else world.decided | {vote.decided}
-    return World(members, words, world.opened + opened, world.dead, decided)
+def _after(
+    current: GlobalState, bounds: Bounds, rank: int, vote: Agreement, opened_ballots: int = 0
+) -> GlobalState:
+    members = (*current.members[:rank], _save(vote), *current.members[rank + 1 :])
+    messages = tuple(message for message in current.messages if message != vote.state)
+    messages = (*messages, vote.state)[-bounds.messages :]
+    decided = current.decided if vote.decided is None else current.decided | {vote.decided}
+    return GlobalState(
+        members, messages, current.opened_ballots + opened_ballots, current.crashed, decided
+    )
+
+
+def _canonical_key(current: GlobalState, permuted_ranks: list[tuple[int, ...]]) -> int:
+    """Returns a hash that is the same for states that differ only in the ranks of the members.
 
+    It is taken of the least renamed state over all permutations of the ranks.
+    """
+    return hash(min(_renamed(current, new_ranks) for new_ranks in permuted_ranks))
 
-def _key(world: World, orders: list[tuple[int, ...]]) -> int:
-    """A number that is the same for worlds that differ in the members' names only: rank r is called order[r].
-    Which of the orders: the one that gives the least picture; values are named after whoever offered them."""
-    return hash(min(_picture(world, order) for order in orders))
 
+def _renamed(current: GlobalState, new_ranks: tuple[int, ...]) -> tuple:
+    """Returns the state with rank r replaced by new_ranks[r]; a value is identified by who proposes it."""
 
-def _picture(world: World, to: tuple[int, ...]) -> tuple:
     def bits(mask: int) -> int:
-        return sum(1 << name for rank, name in enumerate(to) if mask >> rank & 1)
+        return sum(1 << new_rank for rank, new_rank in enumerate(new_ranks) if mask >> rank & 1)
 
-    def ballot(at: tuple[int, int]) -> tuple[int, int]:
-        return at if at[1] < 0 else (at[0], to[at[1]])
+    def ballot(old: tuple[int, int]) -> tuple[int, int]:
+        return old if old[1] < 0 else (old[0], new_ranks[old[1]])
 
-    def value(text: bytes | None) -> int:
-        return -1 if not text else to[int(text)]
+    def value(data: bytes | None) -> int:
+        return -1 if not data else new_ranks[int(data)]
 
-    def word(w: VoteState) -> tuple:
+    def vote(vote_state: VoteState) -> tuple:
         return (
-            ballot(w.ballot),
-            bits(w.promised),
-            ballot(w.highest_accepted),
-            value(w.highest_value),
-            value(w.proposal),
-            bits(w.accepted),
+            ballot(vote_state.ballot),
+            bits(vote_state.promised),
+            ballot(vote_state.highest_accepted),
+            value(vote_state.highest_value),
+            value(vote_state.proposal),
+            bits(vote_state.accepted),
         )
 
-    members: list[tuple] = [()] * len(to)
-    for rank, (said, accepted, decided, offered) in enumerate(world.members):
-        members[to[rank]] = (
-            word(said),
+    members: list[tuple] = [()] * len(new_ranks)
+    for rank, (state, accepted, decided, proposal) in enumerate(current.members):
+        members[new_ranks[rank]] = (
+            vote(state),
             ((0, -1), -1) if accepted is None else (ballot(accepted[0]), value(accepted[1])),
             value(decided),
-            value(offered),
+            value(proposal),
         )
     return (
         tuple(members),
-        tuple(map(word, world.words)),
-        world.opened,
-        bits(world.dead),
-        tuple(sorted(map(value, world.decided))),
+        tuple(map(vote, current.messages)),
+        current.opened_ballots,
+        bits(current.crashed),
+        tuple(sorted(map(value, current.decided))),
     )
--- a/yewrill/lab/viewnet.py
+++ b/yewrill/lab/viewnet.py
@@ -1,7 +1,9 @@
-"""View machines in the virtual network: seeded, in virtual time. Members are killed, paused, restarted with
-what they kept, cut off in one direction, doubled; who runs is told to all at once, as the membership would
-in time. At every install and every step of a lease it looks for what must never be: two views of one number,
-and leases of two views of which neither follows the other. Seconds.
+"""State machines of agreed views in a simulated network, in virtual time and reproducible by seed.
+
+Members are killed, paused, restarted with what they persisted, partitioned in one direction or both, and
+duplicated under one name. Each is told the live members at once, as the membership would after a while. At
+every installation of a view and at regular intervals, the network checks the safety properties: no two views
+have the same number, and leases are held in the same view or in two consecutive ones. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -17,14 +19,15 @@
 from yewrill.views.timing import ViewTiming
 from yewrill.views.view import Entry, PersistedView, View
 
-DATAGRAM_HEADER_BYTES = (
-    20 + 45
-)  # bytes of a datagram round its cargo: mark, code; name, runs, counter
-CHECK_INTERVAL_SECONDS = 0.05  # seconds between two looks at the leases
+# Bytes around the payload of a datagram: tag and authentication code, then name, runs and counter.
+DATAGRAM_HEADER_BYTES = 20 + 45
+CHECK_INTERVAL_SECONDS = 0.05  # between two checks of the leases
 
 
 @dataclass(eq=False)
 class Node:
+    """A member: its state machine, its disk and the state of its process."""
+
     name: str
     address: tuple[str, int]
     machine: ViewMachine
@@ -34,12 +37,14 @@
     sent: int = 0  # bytes
     assembler: MessageAssembler = field(default_factory=MessageAssembler)
     inbox: list[tuple[str, tuple[str, int], bytes]] = field(default_factory=list)
-    messages_sent: int = 0  # of its last message
-    next_wakeup: float = float("inf")  # when its timer goes off
-    incarnations: set[int] = field(default_factory=set)  # its incarnations
+    messages_sent: int = 0  # numbers the fragmented messages
+    next_wakeup: float = float("inf")  # when its machine is ticked next
+    incarnations: set[int] = field(default_factory=set)  # of this process so far
 
 
 class ViewNet(PausableNetwork):
+    """Members with their state machines of agreed views on a simulated network."""
+
     def __init__(
         self,
         seed: int,
@@ -59,12 +64,11 @@
         self.founders = tuple(f"m{i:04d}" for i in range(min(founders, members)))
         self.digests: dict[int, bytes] = {}
         self.views_by_number: dict[int, View] = {}
-        self.violations: list[str] = []  # what must never be
-        self.false_removals: list[tuple[float, str]] = []  # well ones that a view left out
-        self.exempt: set[str] = set()  # whose being taken out is no fault of the views
-        self.seconds_without_lease: dict[
-            str, float
-        ] = {}  # seconds in which a well member had no lease
+        self.violations: list[str] = []  # of the safety properties
+        # Time, and healthy member that a view removed.
+        self.false_removals: list[tuple[float, str]] = []
+        self.exempt: set[str] = set()  # members whose removal is expected
+        self.seconds_without_lease: dict[str, float] = {}  # of running members that are not exempt
         self._killed: dict[int, float] = {}
         names = [f"m{i:04d}" for i in range(members)]
         for i, name in enumerate(names):
@@ -77,9 +81,10 @@
         if check:
             self.at(self.now, self._check_leases)
 
-    # -- who is there
+    # -- processes
 
     def start(self, name: str, address: tuple[str, int], disk: PersistedView | None = None) -> Node:
+        """Starts a process with what it has persisted."""
         me = Entry(name, self.rng.getrandbits(47) + 1, address, "z0")
         machine = ViewMachine(
             me, self.founders, disk, random.Random(self.rng.getrandbits(64)), self.now, self.timing
@@ -93,22 +98,24 @@
 
     def _update_known_members(self) -> None:
         known = {name: node.address for name, node in self.nodes.items() if not node.dead}
-        if len(known) > 64:  # none needs all: a few to begin with
+        if len(known) > 64:  # a member needs only a few addresses to start with
             known = {name: known[name] for name in sorted(known)[:64]}
         for node in self.nodes.values():
             node.machine.set_known_members(known, self.now)
 
     def kill(self, *names: str) -> None:
+        """Stops members without an announcement."""
         for name in names:
             self.nodes[name].dead = True
 
     def restart(self, name: str) -> Node:
+        """Kills a member and starts it again with what it persisted."""
         old = self.nodes[name]
         old.dead = True
         return self.start(name, old.address, old.disk)
 
     def start_duplicate(self, name: str, address: tuple[str, int]) -> Node:
-        """Another process under the same name; `nodes` keeps the first."""
+        """Starts another process with the name of a member; `nodes` keeps the first one."""
         first = self.nodes[name]
         second = self.start(name, address)
         self.nodes[name] = first
@@ -116,6 +123,7 @@
         return second
 
     def leave(self, name: str, linger: float = 0.2) -> None:
+        """Lets a member leave its view, and stops it after `linger` seconds."""
         node = self.nodes[name]
         self._carry_out(node, node.machine.leave(self.now))
         self.at(self.now + linger, lambda: setattr(node, "dead", True))
@@ -123,14 +131,14 @@
     # -- the network
 
     def _arm(self, node: Node) -> None:
-        """See that its machine ticks when it is due; a timer set for later stands no more."""
-        when = max(node.machine.due, self.now + 1e-3)
-        if when >= node.next_wakeup or when == float("inf"):
+        """Schedules the next tick of a machine; replaces one that is scheduled for later."""
+        due = max(node.machine.due, self.now + 1e-3)
+        if due >= node.next_wakeup or due == float("inf"):
             return
-        node.next_wakeup = when
+        node.next_wakeup = due
 
         def tick() -> None:
-            if node.dead or node.next_wakeup != when:
+            if node.dead or node.next_wakeup != due:
                 return
             if self.now >= node.paused_until:
                 node.next_wakeup = float("inf")
@@ -139,7 +147,7 @@
             else:
                 self.at(node.paused_until + 1e-3, tick)
 
-        self.at(when, tick)
+        self.at(due, tick)
 
     def _tick(self, node: Node) -> None:
         if self.now >= node.machine.due:
@@ -179,7 +187,7 @@
         if message is not None:
             self._carry_out(node, node.machine.receive(self.now, message, sender, source))
 
-    # -- what must never be
+    # -- safety properties
 
     def _record_installs(self, node: Node) -> None:
         for _, view in node.machine.changes:
@@ -204,7 +212,7 @@
                     ):
                         self.false_removals.append((self.now, entry.name))
             if node.disk is None or node.disk.number < view.number:
-                self.violations.append(f"{self.now:.2f}: {node.name} did not keep {view.number}")
+                self.violations.append(f"{self.now:.2f}: {node.name} did not persist {view.number}")
         node.machine.changes.clear()
 
     def _check_leases(self) -> None:
@@ -224,16 +232,18 @@
             self.violations.append(f"{self.now:.2f}: leases in {min(numbers)} and {max(numbers)}")
         self.at(self.now + CHECK_INTERVAL_SECONDS, self._check_leases)
 
-    # -- what they think
+    # -- views of the members
 
     def living(self) -> list[Node]:
+        """Returns the members that run, including paused ones."""
         return [node for node in self.nodes.values() if not node.dead]
 
     def leased_view(self, name: str) -> View | None:
+        """Returns the view in which a member holds a lease, None without a lease."""
         return self.nodes[name].machine.view(self.now)
 
     def agreed(self, among: Iterable[str] | None = None) -> bool:
-        """Whether all that live (or these) hold leases in one view of just them."""
+        """Returns whether the running members, or those of `among`, hold leases in one view of just these."""
         names = {node.name for node in self.living()} if among is None else set(among)
         views = [self.leased_view(name) for name in names]
         return all(
@@ -242,32 +252,38 @@
         )
 
     def removed(self, names: Iterable[str], among: Iterable[str] | None = None) -> bool:
-        """Whether none of these processes (as they are) is in any view that one of the others holds."""
-        lost = {(name, self.nodes[name].machine.me.incarnation) for name in names}
-        left = [
+        """Returns whether these processes, by incarnation, are in no installed view of the other members.
+
+        `among`: the other members that count, by default all that run.
+        """
+        processes = {(name, self.nodes[name].machine.me.incarnation) for name in names}
+        others = [
             node
             for node in self.living()
-            if node.name not in {name for name, _ in lost} and (among is None or node.name in among)
+            if node.name not in {name for name, _ in processes}
+            and (among is None or node.name in among)
         ]
         return not any(
             node.machine.installed is not None and node.machine.installed.find(*process) is not None
-            for node in left
-            for process in lost
+            for node in others
+            for process in processes
         )
 
-    def pause_repeatedly(self, names: Iterable[str], run: float, stop: float, until: float) -> None:
-        """Let these pause again and again, each in its own time."""
+    def pause_repeatedly(
+        self, names: Iterable[str], running: float, pause: float, until: float
+    ) -> None:
+        """Pauses members again and again, each with its own phase, until the given time."""
         for name in names:
             self._pause_repeatedly(
-                name, run, stop, until, self.now + self.rng.random() * (run + stop)
+                name, running, pause, until, self.now + self.rng.random() * (running + pause)
             )
 
     def _pause_repeatedly(
-        self, name: str, run: float, stop: float, until: float, at: float
+        self, name: str, running: float, pause: float, until: float, at: float
     ) -> None:
         def again() -> None:
             if self.now < until:
-                self.pause(name, stop)
-                self._pause_repeatedly(name, run, stop, until, self.now + run + stop)
+                self.pause(name, pause)
+                self._pause_repeatedly(name, running, pause, until, self.now + running + pause)
 
         self.at(at, again)
