--- a/yewrill/views/agreement.py
+++ b/yewrill/views/agreement.py
@@ -17,7 +17,7 @@
 
 Ballot = tuple[int, int]  # number, and rank of the member that opened it
 NO_BALLOT: Ballot = (0, -1)
-# Higher numbers are rejected: a ballot near the limit of the wire format could not be outbid.
+# Ballots with higher numbers are rejected: after an arbitrarily high one, nobody could open a higher ballot.
 MAX_BALLOT_NUMBER = 1_000_000
 
 
--- a/yewrill/views/timing.py
+++ b/yewrill/views/timing.py
@@ -36,7 +36,9 @@
     join_interval: float = 0.3  # between two join requests of a process that knows of a view
     join_batch_delay: float = 1.2  # after the first joiner, so that others join with it
     proposer_delay: float = 0.3  # between the turns of two proposers
-    ballot_timeout: float = 1.0  # without progress, after which a new ballot may be opened
+    ballot_timeout: float = (
+        1.0  # without progress, after which a ballot is given up and another may follow
+    )
     unstable_timeout: float = (
         10.0  # for which unstable members, or joiners not admitted, hold up others
     )
