--- a/tests/fixture_traces.py
+++ b/tests/fixture_traces.py
@@ -60,7 +60,7 @@
 
     def attempt(self, trace: RequestTrace, ending: str, *, seconds: float = 0.05) -> None:
         number = len(trace.attempts)
-        attempt = trace.chosen(number, f"d{number}", 3, "no room", self.clock.now)
+        attempt = trace.begin_attempt(number, f"d{number}", 3, "no room", self.clock.now)
         self.headers.append(attempt.headers)
         attempt.begin = self.clock.now + 0.001
         if ending != "unreached":
@@ -107,7 +107,7 @@
     found.attempt(left, "called off")
     found.finish(left, "left")
     unseen = found.begin("unseen")
-    unseen.chosen(0, "d0", 1, "", found.clock.now)
+    unseen.begin_attempt(0, "d0", 1, "", found.clock.now)
     found.clock.now += 0.1
     found.tracer.finish(unseen)
     return found
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -231,7 +231,7 @@
         state=None,
         first_byte=99.0,
     )
-    attempt = trace.chosen(0, "d1", 3, "no room", 99.5)
+    attempt = trace.begin_attempt(0, "d1", 3, "no room", 99.5)
     attempt.end, attempt.outcome = 99.8, "served" if answer == "served" else "reset"
     trace.decide(99.9, answer, "out of tries")
     return t.finish(trace)
@@ -613,7 +613,7 @@
         first_byte=99.0,
     )
     for number, outcome in enumerate(("reset", "served")):
-        attempt = trace.chosen(number, f"d{number}", 2, "", 99.1 + number / 10)
+        attempt = trace.begin_attempt(number, f"d{number}", 2, "", 99.1 + number / 10)
         attempt.begin, attempt.end, attempt.outcome = attempt.chosen, attempt.chosen + 0.05, outcome
     trace.decide(99.9, "served")
     record = t.finish(trace)
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -361,7 +361,7 @@
         attempt = Attempt(request, request.attempt_count, action.worker, until)
         request.attempt_count += 1
         if request.trace is not None:
-            attempt.trace = request.trace.chosen(
+            attempt.trace = request.trace.begin_attempt(
                 attempt.number,
                 action.worker,
                 action.candidates,
--- a/yewrill/tracing/record.py
+++ b/yewrill/tracing/record.py
@@ -111,7 +111,9 @@
         self.attempts: list[AttemptTrace] = []
         self.events: list[tuple[float, str, str]] = []
 
-    def chosen(self, number: int, worker: str, among: int, held: str, at: float) -> AttemptTrace:
+    def begin_attempt(
+        self, number: int, worker: str, among: int, held: str, at: float
+    ) -> AttemptTrace:
         """Open the trace of an attempt that the policy has just decided on."""
         attempt = AttemptTrace(self._tracer.new_span(), number, worker, among, held, at)
         attempt.headers = self._tracer.headers(self.context, attempt.span)
