--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -321,7 +321,7 @@
         "line 8: end_time: 120 is before",
         "line 9: status: 'Asleep'",
         "line 10: plan_cpu",
-        "5 of 10 rows left out",
+        "5 of 10 rows skipped",
     ):
         assert line in done.output
     assert call("config", "check", path).exit_code == 0
@@ -350,8 +350,10 @@
     rows = (f"t,1,j,1,Terminated,{100 + i},{100 + i + i % 50},100,0.1\n" for i in range(3000))
     path.write_text("".join(rows))
     first, second = (traces.read_batch_task(path, pytest.fail) for _ in range(2))
-    assert first.classes["type-1"].runs == second.classes["type-1"].runs
-    assert len(first.classes["type-1"].runs) == 100 and first.classes["type-1"].arrivals == 3000
+    assert first.classes["type-1"].run_times == second.classes["type-1"].run_times
+    assert (
+        len(first.classes["type-1"].run_times) == 100 and first.classes["type-1"].arrivals == 3000
+    )
 
 
 def test_the_operators_file_for_the_progress_front_is_sound():
--- a/tests/test_extras.py
+++ b/tests/test_extras.py
@@ -1,4 +1,7 @@
-"""What the command line says of a module that is not installed: the extra that brings it, if one does."""
+"""The command line's error for a missing module names the extra that installs it, if there is one.
+
+An error without the extra, or with a wrong one, sends the operator to install the wrong package.
+"""
 
 import subprocess
 import sys
@@ -7,7 +10,7 @@
 
 import pytest
 
-from yewrill.extras import EXTRA_OF
+from yewrill.extras import EXTRA_BY_MODULE
 
 PROJECT = Path(__file__).parent.parent / "pyproject.toml"
 
@@ -20,12 +23,12 @@
 """
 
 
-def told_without(module, command):
-    """What a command says where a module is not installed."""
+def stderr_without(module, command):
+    """Runs a command in a process where `module` can't be imported. Returns its standard error."""
     arguments = [sys.executable, "-c", PROGRAM, module, command]
-    ended = subprocess.run(arguments, cwd=PROJECT.parent, capture_output=True, text=True)
-    assert ended.returncode == 2
-    return ended.stderr
+    completed = subprocess.run(arguments, cwd=PROJECT.parent, capture_output=True, text=True)
+    assert completed.returncode == 2
+    return completed.stderr
 
 
 @pytest.mark.parametrize(
@@ -37,9 +40,9 @@
         ("msgpack", "zones", "members"),
     ],
 )
-def test_the_extra_that_brings_a_missing_module_is_named(module, command, extra):
+def test_missing_module_of_an_extra_error_names_the_extra(module, command, extra):
     expected = f"yewrill: {module} is not installed: pip install 'yewrill[{extra}]'\n"
-    assert told_without(module, command) == expected
+    assert stderr_without(module, command) == expected
 
 
 @pytest.mark.parametrize(
@@ -51,16 +54,16 @@
         ("h11", "lab"),
     ],
 )
-def test_no_extra_is_blamed_for_a_module_that_none_brings(module, command):
-    told = told_without(module, command)
-    assert told.startswith(f"yewrill: {module}") and "not part of any extra" in told
-    assert "pip install 'yewrill[" not in told
+def test_missing_module_of_no_extra_error_names_no_extra(module, command):
+    stderr = stderr_without(module, command)
+    assert stderr.startswith(f"yewrill: {module}") and "not part of any extra" in stderr
+    assert "pip install 'yewrill[" not in stderr
 
 
-def test_every_named_extra_brings_its_module():
+def test_extra_by_module_each_extra_installs_its_module():
     extras = tomllib.loads(PROJECT.read_text())["project"]["optional-dependencies"]
     distributions = {"google": "protobuf", "opentelemetry": "opentelemetry-proto"}
     distributions |= {"google_crc32c": "google-crc32c", "dateutil": "python-dateutil"}
-    for module, extra in EXTRA_OF.items():
+    for module, extra in EXTRA_BY_MODULE.items():
         pins = [pin.partition("==")[0] for pin in extras[extra]]
         assert distributions.get(module, module) in pins
--- a/yewrill/__init__.py
+++ b/yewrill/__init__.py
@@ -1,4 +1,4 @@
-"""yewrill: decides, for a dispatcher, which job goes to which worker, when, and which job is refused."""
+"""yewrill: a dispatcher that decides which worker runs each request and when, and which are rejected."""
 
 from yewrill.policy import Dispatcher
 from yewrill.policy.interface import Settings
--- a/yewrill/__main__.py
+++ b/yewrill/__main__.py
@@ -1,17 +1,19 @@
-"""`python -m yewrill`: one real dispatcher, told where its configuration is by BALANCER_CONFIG.
+"""`python -m yewrill` runs a dispatcher with the configuration file named by BALANCER_CONFIG.
 
-With arguments it is the command line of `cli.py`.
+With arguments it runs the command line of `cli.py` instead.
 """
 
 from __future__ import annotations
 
 import gc
 
-gc.disable()  # nearly all that a start makes stays for good; `Service.run` looks at it once and turns it on
+# Nearly all objects created at startup live as long as the process, so collections would be wasted work.
+# `Service.run` collects once and enables the collector.
+gc.disable()
 
 from yewrill.service.early_signals import record_reload_signals  # noqa: E402
 
-record_reload_signals()  # before all that takes long to import: a reload may come at any moment
+record_reload_signals()  # before the slow imports, since a reload signal may arrive at any time
 
 import os  # noqa: E402
 import sys  # noqa: E402
@@ -22,6 +24,7 @@
 
 
 def main() -> int:
+    """Runs the dispatcher until SIGTERM. Returns the exit status: 2 for an invalid configuration."""
     if len(sys.argv) > 1:
         from yewrill.cli import main as command_line
 
--- a/yewrill/cli.py
+++ b/yewrill/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, version, config write, config check, store."""
+"""The command line: serve, version, config write, config check, and the groups of the subsystems."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 import ujson
 
 from yewrill import __version__
-from yewrill.config import writing as configwrite
+from yewrill.config import writing as config_writing
 from yewrill.config.cluster_trace import FORMATS, BadRow, TraceError, formats
 from yewrill.config.errors import ConfigError
 from yewrill.config.reading import ENV_CONFIG, load_config
 from yewrill.config.schema import FRONTS
 from yewrill.extras import not_installed
 
-MOST_BAD_ROWS = 20  # told one by one; the rest are counted
+MAX_BAD_ROWS_SHOWN = 20  # further bad rows are only counted
 
 
 @click.group()
 def main() -> None:
-    """Dispatch jobs to workers, for one application or on the platform."""
+    """Dispatch requests to workers, for one application or on the platform."""
 
 
 def _fail(error: Exception) -> None:
@@ -31,18 +31,18 @@
     sys.exit(2)
 
 
-_file = click.option(
+_config_option = click.option(
     "--config",
     "path",
     envvar=ENV_CONFIG,
     required=True,
     type=click.Path(dir_okay=False),
-    help=f"The configuration file; {ENV_CONFIG} if not given.",
+    help=f"The configuration file; ${ENV_CONFIG} if absent.",
 )
 
 
 @main.command()
-@_file
+@_config_option
 @click.option(
     "--log-level",
     envvar="YEWRILL_LOG",
@@ -116,23 +116,26 @@
 )
 @click.option("--tenant", "tenants", multiple=True, metavar="NAME:quota_per_s=N,share=N")
 @click.option(
-    "--zone", "zones", multiple=True, help="A zone, in discovery's words; the first one is ours."
+    "--zone",
+    "zones",
+    multiple=True,
+    help="A zone as discovery names it; the first one is the dispatcher's own.",
 )
 @click.option(
     "--report",
     "reports",
     multiple=True,
     metavar="FIELD",
-    help="A field of destinations' load reports, in their order: inflight, util, or others.",
+    help="A field of the workers' load reports, in their order: inflight, util, or others.",
 )
 @click.option("--free-slots", metavar="FIELD", help="The report field that counts free slots.")
 @click.option(
     "--cross-zone-fee",
     type=click.FloatRange(0.0, 1.0),
     default=0.0,
-    help="What a request that crosses zones costs, as a part of the worth asked for.",
+    help="Fee for sending a request to another zone, as a fraction of the classes' mean value.",
 )
-@click.option("--kind", "kinds", multiple=True, help="A kind of machine, in discovery's words.")
+@click.option("--kind", "kinds", multiple=True, help="A kind of machine as discovery names it.")
 @click.option("--dispatchers", default=1, show_default=True, type=click.IntRange(1))
 @click.option("--sockets", default=1024, show_default=True)
 @click.option("--memory-mb", default=192, show_default=True)
@@ -151,7 +154,7 @@
     default=1.0,
     show_default=True,
     type=click.FloatRange(0, min_open=True),
-    help="Multiplies the trace's times; 0.01 plays an hour in 36 s.",
+    help="Multiplies the trace's times; 0.01 turns an hour into 36 s.",
 )
 @click.option("--strict", is_flag=True, help="Fail if the trace has a bad row.")
 @click.option(
@@ -160,7 +163,7 @@
     help="The file to write; standard output if absent.",
 )
 def write(classes, tenants, from_trace, trace_format, time_scale, strict, output, **rest) -> None:
-    """Make a configuration file from options, or from a public cluster trace."""
+    """Write a configuration file from options, or from a public cluster trace."""
     try:
         derived, rate = None, 0.0
         if from_trace and classes:
@@ -168,15 +171,17 @@
         if from_trace:
             bad: list[BadRow] = []
             trace = FORMATS[trace_format](from_trace, bad.append)
-            _tell_bad(from_trace, bad, trace.rows)
+            _report_bad_rows(from_trace, bad, trace.rows)
             if strict and bad:
                 raise TraceError(f"{from_trace}: {len(bad)} bad rows")
-            parts, run_factors, derived = configwrite.classes_from_trace(trace, time_scale)
+            class_settings, run_factors, derived = config_writing.classes_from_trace(
+                trace, time_scale
+            )
             rate = sum(c["rate_per_s"] for c in derived.values())
         else:
-            parts, run_factors = configwrite.classes_from_options(classes)
-        raw = configwrite.build(
-            classes=parts,
+            class_settings, run_factors = config_writing.classes_from_options(classes)
+        raw = config_writing.build(
+            classes=class_settings,
             run_factors=run_factors,
             tenants=tenants,
             derived=derived,
@@ -194,17 +199,17 @@
         _fail(ConfigError(f"{output}: {error.strerror}"))
 
 
-def _tell_bad(path: str, bad: list[BadRow], rows: int) -> None:
-    for row in bad[:MOST_BAD_ROWS]:
+def _report_bad_rows(path: str, bad: list[BadRow], rows: int) -> None:
+    for row in bad[:MAX_BAD_ROWS_SHOWN]:
         click.echo(f"{path}: {row}", err=True)
-    if len(bad) > MOST_BAD_ROWS:
-        click.echo(f"{path}: and {len(bad) - MOST_BAD_ROWS} more bad rows", err=True)
+    if len(bad) > MAX_BAD_ROWS_SHOWN:
+        click.echo(f"{path}: and {len(bad) - MAX_BAD_ROWS_SHOWN} more bad rows", err=True)
     if bad:
-        click.echo(f"{path}: {len(bad)} of {rows} rows left out", err=True)
+        click.echo(f"{path}: {len(bad)} of {rows} rows skipped", err=True)
 
 
-class _Later(click.Group):
-    """A group whose commands are imported when one of them is asked for."""
+class _LazyGroup(click.Group):
+    """A command group whose module is imported only when one of its commands is used."""
 
     def __init__(self, module: str, name: str, **kwargs):
         super().__init__(name=name, **kwargs)
@@ -224,38 +229,38 @@
 
 
 main.add_command(
-    _Later(
+    _LazyGroup(
         "yewrill.store.commands",
         "store",
-        help="Look into, check and move an embedded store (a dispatcher's `state_dir`).",
+        help="Inspect, verify, back up and restore an embedded store (a dispatcher's `state_dir`).",
     )
 )
 main.add_command(
-    _Later(
+    _LazyGroup(
         "yewrill.tracing.commands",
         "trace",
-        help="Read traces: which jobs were late, refused, failed or tried again, and why.",
+        help="Read traces: which requests were late, rejected, failed or retried, and why.",
     )
 )
 main.add_command(
-    _Later(
+    _LazyGroup(
         "yewrill.zone_failover.commands",
         "zones",
-        help="See the fleet's plan of zones; order or forbid a leave.",
+        help="Show the zone failover plan; order a zone left, or kept whatever the plan says.",
     )
 )
 main.add_command(
-    _Later(
+    _LazyGroup(
         "yewrill.leases.commands",
         "owners",
-        help="See who owns the fleet's duties; have one given up.",
+        help="Show which dispatcher owns each of the fleet's duties; move a duty to another one.",
     )
 )
 main.add_command(
-    _Later(
+    _LazyGroup(
         "yewrill.lab.cluster.commands",
         "lab",
-        help="The laboratory: real dispatchers among stand-ins, with faults between them.",
+        help="Test real dispatchers with simulated workers and clients, under injected faults.",
     )
 )
 
--- a/yewrill/config/__init__.py
+++ b/yewrill/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: reading, checking, defaults, and the tool that writes it."""
+"""Configuration: reads and checks the configuration file, holds its defaults, and generates new files."""
--- a/yewrill/config/cluster_trace.py
+++ b/yewrill/config/cluster_trace.py
@@ -1,8 +1,8 @@
-"""Reads public cluster traces in CSV for request classes, rates and run times.
+"""Derives request classes, arrival rates and run times from public cluster traces in CSV.
 
 Alibaba's cluster-trace-v2018 `batch_task.csv` has no header and these columns: task_name, instance_num,
 job_name, task_type, status, start_time, end_time, plan_cpu (100 is one core), plan_mem (normalised).
-Times are whole seconds from the trace's start.
+Times are whole seconds since the start of the trace.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-MAX_RUN_TIMES_PER_CLASS = 50_000  # a uniform sample: the full trace has millions of rows
+# Run times are kept as a uniform sample of this size, since the full trace has millions of rows.
+MAX_RUN_TIMES_PER_CLASS = 50_000
 COLUMNS = (
     "task_name",
     "instance_num",
@@ -31,12 +32,12 @@
 
 
 class TraceError(Exception):
-    """A file from which no request class can be derived."""
+    """A trace file that cannot be read, or from which no request class can be derived."""
 
 
 @dataclass(frozen=True, slots=True)
 class BadRow:
-    """A row that was skipped, and why."""
+    """A skipped row: its line number and the reason."""
 
     line: int
     text: str
@@ -47,38 +48,38 @@
 
 @dataclass(slots=True)
 class TraceClass:
-    """What a trace says about one request class; times in milliseconds."""
+    """Statistics of one request class of a trace; times in milliseconds."""
 
     name: str
     arrivals: int = 0
     finished: int = 0
-    runs: list[float] = field(default_factory=list)  # a sample
-    slots: float = 0.0  # a sum over arrivals
+    run_times: list[float] = field(default_factory=list)  # a uniform sample
+    slots: float = 0.0  # sum over all arrivals
 
     def quantile(self, q: float) -> float:
-        """A quantile of the run times, `q` from 0 to 1, by nearest rank."""
-        ordered = sorted(self.runs)
+        """Returns a quantile of the run times by nearest rank. `q` is from 0 to 1."""
+        ordered = sorted(self.run_times)
         return ordered[min(len(ordered) - 1, math.ceil(q * len(ordered)) - 1 if q > 0 else 0)]
 
     @property
     def mean(self) -> float:
-        """The mean run time."""
-        return sum(self.runs) / len(self.runs)
+        """Mean run time."""
+        return sum(self.run_times) / len(self.run_times)
 
 
 @dataclass(slots=True)
 class Trace:
-    """The request classes of a trace, and counts of its rows."""
+    """Request classes of a trace, and counts of its rows."""
 
     classes: dict[str, TraceClass] = field(default_factory=dict)
-    first_start: float = math.inf  # start times, seconds
-    last_start: float = -math.inf
+    first_start: float = math.inf  # seconds since the start of the trace
+    last_start: float = -math.inf  # likewise
     rows: int = 0
     bad: int = 0
 
     @property
     def duration_s(self) -> float:
-        """Time from the first start to the last, at least 1 s, the resolution of the trace."""
+        """Seconds from the first start to the last; at least 1 s, the resolution of the trace."""
         return max(1.0, self.last_start - self.first_start + 1.0)
 
 
@@ -91,39 +92,40 @@
     except ValueError:
         raise ValueError(f"{column}: {text!r} is not a number") from None
     if not math.isfinite(value) or value < 0:
-        raise ValueError(f"{column}: {text} is not zero or above")
+        raise ValueError(f"{column}: {text} is negative or not finite")
     return value
 
 
-def _batch_task(row: list[str]) -> tuple[str, float, float | None, float, int]:
-    """Class, start, run time if it ran to its end, slots and instances of one row."""
+def _parse_batch_task(row: list[str]) -> tuple[str, float, float | None, float, int]:
+    """Returns class, start time, run time in ms (None unless terminated), slots and instances of a row."""
     if len(row) != len(COLUMNS):
-        raise ValueError(f"{len(row)} columns, {len(COLUMNS)} are needed")
-    kind = row[3].strip()
-    if not kind.isalnum():
-        raise ValueError(f"task_type: {kind!r} is not a type")
+        raise ValueError(f"{len(row)} columns, but {len(COLUMNS)} are expected")
+    task_type = row[3].strip()
+    if not task_type.isalnum():
+        raise ValueError(f"task_type: {task_type!r} is not alphanumeric")
     status = row[4].strip()
     if status not in TASK_STATES:
         raise ValueError(f"status: {status!r} is not one of {', '.join(TASK_STATES)}")
     start, end = _number(row, "start_time"), _number(row, "end_time", absent=0.0)
-    run = None
+    run_time = None
     if status == "Terminated":
         if end < start:
             raise ValueError(f"end_time: {end:g} is before start_time {start:g}")
-        run = (end - start) * 1000.0
+        run_time = (end - start) * 1000.0
     instances = _number(row, "instance_num", absent=1.0)
     return (
-        f"type-{kind}",
+        f"type-{task_type}",
         start,
-        run,
+        run_time,
         max(1.0, _number(row, "plan_cpu", absent=100.0) / 100.0),
         int(instances),
     )
 
 
-def _lines(path: Path) -> Iterator[tuple[int, list[str]]]:
-    opened = gzip.open if path.suffix == ".gz" else open
-    with opened(path, "rt", encoding="utf-8", errors="replace", newline="") as file:
+def _read_rows(path: Path) -> Iterator[tuple[int, list[str]]]:
+    """Yields line numbers and rows. A row that is not CSV is yielded as NUL and the parser's message."""
+    open_text = gzip.open if path.suffix == ".gz" else open
+    with open_text(path, "rt", encoding="utf-8", errors="replace", newline="") as file:
         reader = csv.reader(file)
         while True:
             try:
@@ -138,27 +140,27 @@
 
 
 def read_batch_task(path: str | Path, on_bad: Callable[[BadRow], None]) -> Trace:
-    """Read `batch_task.csv`, plain or as .gz.
+    """Reads `batch_task.csv`, plain or compressed as .gz.
 
-    Bad rows are passed to `on_bad` and skipped. Raises TraceError if no class is left, or on an I/O error.
+    Bad rows are passed to `on_bad` and skipped. Raises TraceError on an I/O error, or if no class remains.
     """
     trace = Trace()
-    rng = random.Random(0)  # the same file gives the same configuration
+    rng = random.Random(0)  # a fixed seed, so that the same file gives the same configuration
     try:
-        for line, row in _lines(Path(path)):
+        for line, row in _read_rows(Path(path)):
             if line == 1 and row[0].strip() == COLUMNS[0]:
                 continue
             trace.rows += 1
             try:
                 if row[0].startswith("\0"):
                     raise ValueError(row[0][1:])
-                _add_task(trace, rng, *_batch_task(row))
+                _add_task(trace, rng, *_parse_batch_task(row))
             except ValueError as error:
                 trace.bad += 1
                 on_bad(BadRow(line, str(error)))
     except (OSError, EOFError) as error:
         raise TraceError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
-    trace.classes = {name: c for name, c in sorted(trace.classes.items()) if c.runs}
+    trace.classes = {name: c for name, c in sorted(trace.classes.items()) if c.run_times}
     if not trace.classes:
         raise TraceError(
             f"{path}: no task that ran to its end, in {trace.rows} rows ({trace.bad} bad)"
@@ -171,29 +173,29 @@
     rng: random.Random,
     name: str,
     start: float,
-    run: float | None,
+    run_time: float | None,
     slots: float,
     instances: int,
 ) -> None:
-    if start <= 0 and run is None:
-        return  # it never started
-    found = trace.classes.setdefault(name, TraceClass(name))
+    if start <= 0 and run_time is None:
+        return  # the task never started
+    trace_class = trace.classes.setdefault(name, TraceClass(name))
     count = max(1, instances)
-    found.arrivals += count
-    found.slots += slots * count
+    trace_class.arrivals += count
+    trace_class.slots += slots * count
     trace.first_start, trace.last_start = (
         min(trace.first_start, start),
         max(trace.last_start, start),
     )
-    if run is None:
+    if run_time is None:
         return
-    found.finished += 1
-    if len(found.runs) < MAX_RUN_TIMES_PER_CLASS:
-        found.runs.append(run)
+    trace_class.finished += 1
+    if len(trace_class.run_times) < MAX_RUN_TIMES_PER_CLASS:
+        trace_class.run_times.append(run_time)
     else:
-        at = rng.randrange(found.finished)
-        if at < MAX_RUN_TIMES_PER_CLASS:
-            found.runs[at] = run
+        index = rng.randrange(trace_class.finished)  # reservoir sampling
+        if index < MAX_RUN_TIMES_PER_CLASS:
+            trace_class.run_times[index] = run_time
 
 
 FORMATS: dict[str, Callable[[str | Path, Callable[[BadRow], None]], Trace]] = {
@@ -202,5 +204,5 @@
 
 
 def formats() -> Iterable[str]:
-    """The names of the formats that can be read."""
+    """Returns the names of the supported trace formats."""
     return FORMATS
--- a/yewrill/config/endpoints.py
+++ b/yewrill/config/endpoints.py
@@ -1,4 +1,4 @@
-"""Reads endpoint lists: discovery's answers and the list last known."""
+"""Reads endpoint lists: responses of discovery and the last known list (`known`)."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 STATE_NAMES = {state: word for word, state in STATES.items()}
 
 
-def read_endpoints(answer: Any, key: str, topology: TopologyNames) -> list[Endpoint]:
-    """Read one of discovery's answers, or the list last known. Raises ConfigError."""
-    answer = read_object(answer, key)
-    read_integer(answer.get("version"), f"{key}.version")
-    found = []
-    for i, server in enumerate(read_list(answer.get("servers"), f"{key}.servers")):
+def read_endpoints(response: Any, key: str, topology: TopologyNames) -> list[Endpoint]:
+    """Reads a decoded endpoint list. `key` is its name in errors. Raises ConfigError."""
+    response = read_object(response, key)
+    read_integer(response.get("version"), f"{key}.version")
+    endpoints = []
+    for i, server in enumerate(read_list(response.get("servers"), f"{key}.servers")):
         at = f"{key}.servers[{i}]"
         entry = read_object(server, at)
         state = STATES.get(entry.get("state", "SERVING"))
@@ -40,7 +40,7 @@
                 f"{at}.state: {quoted(entry.get('state'))} is not one of {', '.join(STATES)}"
             )
         removed = state == api.WorkerState.REMOVED  # a removed endpoint needs no address
-        found.append(
+        endpoints.append(
             Endpoint(
                 read_text(entry.get("id"), f"{at}.id"),
                 ("", 0)
@@ -54,4 +54,4 @@
                 read_number(entry.get("started_ms", 0), f"{at}.started_ms"),
             )
         )
-    return found
+    return endpoints
--- a/yewrill/config/errors.py
+++ b/yewrill/config/errors.py
@@ -1,7 +1,7 @@
-"""The error that all readers of the configuration raise."""
+"""The error raised by all readers of the configuration."""
 
 from __future__ import annotations
 
 
 class ConfigError(Exception):
-    """Configuration or a list that can't be used; the text begins with the faulty key."""
+    """An invalid configuration or endpoint list. The message begins with the faulty key or file."""
--- a/yewrill/config/optional_sections.py
+++ b/yewrill/config/optional_sections.py
@@ -1,4 +1,4 @@
-"""Reads the sections of the operators' file that turn a subsystem on; None where a section is absent."""
+"""Reads the sections of the configuration file that enable a subsystem; None for an absent section."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 
 
 def read_described_section(
-    raw: Mapping[str, Any], key: str, where: str, needs: tuple[str, ...]
+    raw: Mapping[str, Any], key: str, struct_path: str, required_sections: tuple[str, ...]
 ) -> Any:
-    """A section whose schema its own package defines, imported only if the section is there."""
+    """Reads a section whose schema its own package defines; the package is imported only if it is present."""
     if raw.get(key) is None:
         return None
     from yewrill.config.sections import SectionError, read_section
 
     try:
-        return read_section(raw, key, where, needs)
+        return read_section(raw, key, struct_path, required_sections)
     except SectionError as error:
         raise ConfigError(str(error)) from None
 
 
 def read_state(raw: Mapping[str, Any]) -> StateConfig | None:
-    """The sections `state_dir` and `state`."""
+    """Reads the key `state_dir` and the section `state`."""
     state = read_object(raw.get("state", {}), "state")
     reject_unknown_keys(state, ("mode", "unsafe_window_ms", "patience_ms"), "state")
     if raw.get("state_dir") is None:
         if "state" in raw:
-            raise ConfigError("state_dir: missing, and state has no use without it")
+            raise ConfigError("state_dir: missing, but the section state requires it")
         return None
     default = StateConfig("")
     return StateConfig(
@@ -66,7 +66,7 @@
 
 
 def read_tracing(raw: Mapping[str, Any]) -> TracingConfig | None:
-    """The section `tracing`."""
+    """Reads the section `tracing`."""
     if raw.get("tracing") is None:
         return None
     given, default = read_object(raw["tracing"], "tracing"), TracingConfig()
@@ -102,7 +102,7 @@
 
 
 def read_members(raw: Mapping[str, Any]) -> MembersConfig | None:
-    """The section `members`."""
+    """Reads the section `members`."""
     if raw.get("members") is None:
         return None
     given = read_object(raw["members"], "members")
@@ -112,13 +112,13 @@
         for i, key in enumerate(read_list(given.get("keys"), "members.keys"))
     ]
     if not 1 <= len(keys) <= 2:
-        raise ConfigError("members.keys: one key, or two during a change")
+        raise ConfigError("members.keys: one key is needed, or two during a key rotation")
     for i, key in enumerate(keys):
         try:
-            found = len(bytes.fromhex(key))
+            key_bytes = len(bytes.fromhex(key))
         except ValueError:
-            found = 0
-        if not 16 <= found <= 64:
+            key_bytes = 0
+        if not 16 <= key_bytes <= 64:
             raise ConfigError(f"members.keys[{i}]: 32 to 128 hexadecimal digits are needed")
     peers = read_list(given.get("peers"), "members.peers")
     if not peers:
@@ -146,7 +146,7 @@
 
 
 def read_ownership(raw: Mapping[str, Any]) -> OwnershipConfig | None:
-    """The section `ownership`."""
+    """Reads the section `ownership`."""
     if raw.get("ownership") is None:
         return None
     given = read_object(raw["ownership"], "ownership")
@@ -159,11 +159,11 @@
     )
     if len(voters) not in (1, 3, 5, 7) or len(set(voters)) != len(voters):
         raise ConfigError(
-            "ownership.voters: 3, 5 or 7 different members are needed (1 alone to try it)"
+            "ownership.voters: 3, 5 or 7 different members are needed (1 only for a trial)"
         )
     trust = given.get("trust_disk", False)
     if not isinstance(trust, bool):
-        raise ConfigError("ownership.trust_disk: true or false")
+        raise ConfigError("ownership.trust_disk: true or false is needed")
     return OwnershipConfig(
         voters,
         read_text(given.get("dir"), "ownership.dir"),
@@ -173,7 +173,7 @@
 
 
 def read_zones(raw: Mapping[str, Any]) -> ZonesConfig | None:
-    """The section `zones`."""
+    """Reads the section `zones`."""
     if raw.get("zones") is None:
         return None
     given = read_object(raw["zones"], "zones")
@@ -181,7 +181,7 @@
     if raw.get("members") is None:
         raise ConfigError("zones: needs members")
     if not raw["members"].get("zone"):
-        raise ConfigError("members.zone: zones needs it, in the words of settings.areas")
+        raise ConfigError("members.zone: missing, zones needs it (a name of settings.areas)")
     default = ZonesConfig()
     return ZonesConfig(
         hold=read_number(given.get("hold", default.hold), "zones.hold", 0.1, 3600.0),
--- a/yewrill/config/reading.py
+++ b/yewrill/config/reading.py
@@ -1,4 +1,4 @@
-"""Reads and checks a configuration file. Every error names the faulty key."""
+"""Reads and checks a configuration file. Every error names the faulty key or file."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 from yewrill.policy.interface import Settings
 
 ENV_CONFIG = "BALANCER_CONFIG"
-# Environment variables that stand in for keys of the file.
+# Environment variables that supply keys absent from the file.
 ENV_KEYS = {
     "name": "BALANCER_NAME",
     "listen": "BALANCER_LISTEN",
     "discovery": "BALANCER_DISCOVERY",
     "mgmt": "BALANCER_MGMT",
 }
-ENV_INHERITED = "BALANCER_INHERITED_FD"  # the listening socket, where the platform holds it
-ENV_TEMPORARY = "TMPDIR"  # shared by the processes of one dispatcher
+ENV_INHERITED = "BALANCER_INHERITED_FD"  # descriptor of a listening socket opened by the platform
+ENV_TEMPORARY = "TMPDIR"  # a directory shared by the old and the new process of a hot restart
 REQUIRED_KEYS = ("listen", "discovery", "settings")
 KNOWN_KEYS = {
     *REQUIRED_KEYS,
@@ -62,7 +62,9 @@
     "views",
 }
 TIMING_KEYS = ("answer_margin_ms", "linger_ms", "grace_ms")
-MAX_GRACE_DEADLINE_MS = 3000.0  # the platform waits no longer for the longest deadline
+# After SIGTERM the platform waits for the longest deadline of a class, but no longer than
+# MAX_GRACE_DEADLINE_MS, and then GRACE_AFTER_DEADLINE_MS more.
+MAX_GRACE_DEADLINE_MS = 3000.0
 GRACE_AFTER_DEADLINE_MS = 700.0
 
 
@@ -75,9 +77,9 @@
 
 
 def read_config(raw: Any, environment: Mapping[str, str] | None = None) -> Config:
-    """Check a decoded configuration. Raises ConfigError.
+    """Checks a decoded configuration and returns it. Raises ConfigError.
 
-    Variables of `environment` (ENV_KEYS) stand in for keys that are absent.
+    Variables of `environment` (ENV_KEYS) supply keys that are absent.
     """
     environment = environment or {}
     raw = dict(read_object(raw, "configuration"))
@@ -132,13 +134,16 @@
 
 
 def _reject_misspelt_keys(raw: Mapping[str, Any]) -> None:
-    """The platform may add keys that mean nothing here; a misspelt one of ours is an error."""
+    """Rejects keys that differ from a known one by case or hyphens only.
+
+    Other unknown keys are ignored, since the platform may add keys of its own.
+    """
     for key in raw:
         if key in KNOWN_KEYS or key.startswith("x-"):
             continue
         close = [known for known in KNOWN_KEYS if known.lower() == key.lower().replace("-", "_")]
         if close:
-            raise ConfigError(f"{key}: no such key; {close[0]} is meant?")
+            raise ConfigError(f"{key}: no such key; did you mean {close[0]}?")
 
 
 def _read_topology(raw_settings: Mapping[str, Any]) -> TopologyNames:
@@ -164,7 +169,7 @@
 def _read_timing(raw: Mapping[str, Any], settings: Settings) -> _Timing:
     margin = read_number(raw.get("answer_margin_ms", 20.0), "timing.answer_margin_ms", 1.0, 1000.0)
     linger = read_number(raw.get("linger_ms", 700.0), "timing.linger_ms", 0.0, 60000.0)
-    longest_deadline = max(spec.deadline for spec in settings.classes)
+    longest_deadline = max(request_class.deadline for request_class in settings.classes)
     platform_grace = min(longest_deadline, MAX_GRACE_DEADLINE_MS) + GRACE_AFTER_DEADLINE_MS
     default_grace = max(platform_grace, linger)
     grace = read_number(raw.get("grace_ms", default_grace), "timing.grace_ms", linger, 600000.0)
@@ -172,7 +177,7 @@
 
 
 def _read_listeners(raw: Mapping[str, Any]) -> tuple[Address, Address | None]:
-    """The addresses of the client listener and of the management listener."""
+    """Returns the addresses of the client listener and of the management listener."""
     listen = read_address(raw["listen"], "listen", any_port=True)
     if raw.get("mgmt") is None:
         return listen, None
@@ -186,7 +191,7 @@
     if not value:
         return None
     if not (value.isascii() and value.isdigit() and len(value) < 6):
-        raise ConfigError(f"{ENV_INHERITED}: {quoted(value)} is not a descriptor's number")
+        raise ConfigError(f"{ENV_INHERITED}: {quoted(value)} is not a file descriptor")
     return int(value)
 
 
@@ -202,9 +207,9 @@
 def load_config(
     path: str | Path, environment: Mapping[str, str] | None = None, *, strict: bool = False
 ) -> Config:
-    """Read and check a configuration file. Raises ConfigError.
+    """Reads and checks a configuration file. Raises ConfigError.
 
-    `strict`: also reject settings that contradict themselves.
+    `strict` also rejects settings that contradict each other.
     """
     try:
         text = Path(path).read_bytes()
@@ -214,7 +219,7 @@
         raw = ujson.loads(text)
     except (ValueError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: not JSON: {error}") from None
-    found = read_config(raw, environment)
+    config = read_config(raw, environment)
     if strict:
         check_consistency(raw["settings"])
-    return found
+    return config
--- a/yewrill/config/reload.py
+++ b/yewrill/config/reload.py
@@ -1,4 +1,4 @@
-"""Compares the configuration in force with the one that a reload has read."""
+"""Compares the configuration in force with the one that a reload has read from the file."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from yewrill.config.errors import ConfigError
 from yewrill.config.schema import Config
 
-# Keys of the file for fields that have another name.
+# Keys of the file for those fields of Config that have another name.
 KEY_OF_FIELD = {
     "topology": "settings.areas or settings.kinds",
     "connect_timeout_ms": "settings.limits.connect_timeout",
@@ -23,7 +23,7 @@
 
 
 def key_paths(value: Any, path: str = "") -> Iterator[str]:
-    """The paths of a file's keys; for a list of objects, the keys that all of them have."""
+    """Yields the paths of all keys below `value`; for a list of objects, the keys common to all of them."""
     if isinstance(value, Mapping):
         for key, below in value.items():
             if path or (key not in START_ONLY_KEYS and not key.startswith("x-")):
@@ -35,24 +35,24 @@
             yield f"{path}[].{key}"
 
 
-def check_reload(before: Config, now: Config) -> None:
-    """Raise ConfigError if the configuration may not replace the one in force without a restart."""
-    # A key that has gone missing is taken for a truncated file, not for a request for the default.
-    for key in sorted(before.stated - now.stated):
-        raise ConfigError(f"{key}: missing, the file in service has it")
+def check_reload(before: Config, after: Config) -> None:
+    """Raises ConfigError if `after` may not replace `before` without a restart."""
+    # A removed key is more likely a truncated file than a request for the default.
+    for key in sorted(before.stated - after.stated):
+        raise ConfigError(f"{key}: missing, but set in the configuration in force")
     for part, old, new in (
-        ("areas", before.topology.zones, now.topology.zones),
-        ("kinds", before.topology.kinds, now.topology.kinds),
+        ("areas", before.topology.zones, after.topology.zones),
+        ("kinds", before.topology.kinds, after.topology.kinds),
     ):
         if new[: len(old)] != old:
-            raise ConfigError(f"settings.{part}: may only grow while the program serves")
+            raise ConfigError(f"settings.{part}: names can only be appended by a reload")
 
 
-def changed_keys(before: Config, now: Config) -> list[str]:
-    """The keys of the file in which two configurations differ, without those that only a start uses."""
+def changed_keys(before: Config, after: Config) -> list[str]:
+    """Returns the keys in which two configurations differ, without those used only at startup."""
     return [
         KEY_OF_FIELD.get(f.name, f.name)
         for f in fields(Config)
         if f.name not in ("known", "seed", "stated", "inherited_fd", "link_dir")
-        and getattr(before, f.name) != getattr(now, f.name)
+        and getattr(before, f.name) != getattr(after, f.name)
     ]
--- a/yewrill/config/schema.py
+++ b/yewrill/config/schema.py
@@ -1,4 +1,4 @@
-"""The configuration as the program uses it: one dataclass for each section of the operators' file.
+"""The checked configuration: one dataclass for each section of the configuration file.
 
 The fields of `StateConfig`, `TracingConfig`, `MembersConfig`, `OwnershipConfig` and `ZonesConfig` are the
 keys of their sections, so their names are part of the file's format.
@@ -20,14 +20,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TopologyNames:
-    """The names that endpoint lists use for zones and machine kinds; the policy knows their positions."""
+    """Names of zones and machine kinds in endpoint lists. The policy refers to them by position."""
 
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
 
     @staticmethod
     def position(value: Any, names: tuple[str, ...], key: str) -> int:
-        """The position of a name, or of an integer. A name that is not listed stands after the last."""
+        """Returns the position of a name; an integer is its own position.
+
+        All unlisted names share the position after the last. Raises ConfigError for other types.
+        """
         if isinstance(value, str):
             return names.index(value) if value in names else len(names)
         return read_integer(value, key)
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the process may use."""
+    """Resources that the process may use."""
 
     cores: float = 1.0
     memory_mb: int = 192
@@ -44,19 +47,22 @@
 
 @dataclass(frozen=True, slots=True)
 class StateConfig:
-    """Persistent state: directory, durability mode, and times."""
+    """Persistent state: directory, durability mode (one of STATE_MODES), and times."""
 
     path: str
     mode: str = "always"
-    unsafe_window_ms: float = 3_600_000.0  # how long attempts of non-idempotent requests are kept
-    patience_ms: float = 250.0  # how long an attempt or a management call waits for the disk
+    # How long the records of attempts of non-idempotent requests are kept.
+    unsafe_window_ms: float = 3_600_000.0
+    # How long an attempt or a management call waits for the disk.
+    patience_ms: float = 250.0
 
 
 @dataclass(frozen=True, slots=True)
 class TracingConfig:
-    """Tracing: sampling and destinations. Sizes in MiB.
+    """Tracing: sampling and export targets. Sizes in MiB.
 
-    `honoured`: records a second kept for the caller's sampled flag.
+    `share` is the fraction of ordinary records that are kept, `queue` the number of records that may wait
+    for export, `honoured` the records a second kept because the caller's sampled flag is set.
     """
 
     share: float = 0.01
@@ -71,7 +77,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersConfig:
-    """Membership. `keys` hexadecimal, the first one signs; `bytes_per_s` each way; `interval` in seconds."""
+    """Membership of the fleet.
+
+    `keys` are hexadecimal, and the first one signs; `bytes_per_s` bounds the traffic in each direction;
+    `interval` is the time between two probes, in seconds.
+    """
 
     listen: Address
     peers: tuple[Address, ...]
@@ -85,9 +95,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipConfig:
-    """Leases of roles: names of the voters, directory of log and fencing numbers.
+    """Leases of roles: names of the voters, and the directory of the log and the fencing numbers.
 
-    `span` is the lease duration in seconds; `trust_disk`: the disk never loses what it has synced.
+    `span` is the lease duration in seconds; `trust_disk` says that the disk never loses synced data.
     """
 
     voters: tuple[str, ...]
@@ -98,9 +108,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ZonesConfig:
-    """Zone failover. `hold`: hold-down time before the first trial of a zone that was left; `step`: minimum
-    time between steps of the recovery ramp; `stands`: how long a plan binds without contact; all in seconds.
-    `most_out`: maximum fraction of all capacity that may be left at once.
+    """Zone failover.
+
+    In seconds: `hold` is the hold-down time before traffic is tried again in a zone that was left, `step` the
+    minimum time between steps of the recovery ramp, `stands` how long a plan stays valid without contact.
+    `most_out` is the maximum fraction of all capacity that may be left at once.
     """
 
     hold: float = 2.0
@@ -111,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The whole configuration. Optional sections are None where the file does not have them."""
+    """The whole configuration. Optional sections are None if the file lacks them."""
 
     listen: Address
     discovery: Address
@@ -121,9 +133,9 @@
     limits: Limits = field(default_factory=Limits)
     topology: TopologyNames = field(default_factory=TopologyNames)
     known: Mapping[str, Any] | None = None
-    stated: frozenset[str] = frozenset()  # paths of the keys that the file has
+    stated: frozenset[str] = frozenset()  # paths of the keys present in the file
     inherited_fd: int | None = None  # listening socket for hot restarts
-    link_dir: str | None = None  # where the processes of a hot restart find each other
+    link_dir: str | None = None  # directory of the socket between the processes of a hot restart
     mgmt: Address | None = None  # management listener
     state: StateConfig | None = None
     tracing: TracingConfig | None = None
@@ -133,7 +145,7 @@
     views: Any = None  # yewrill.views.config.ViewsConfig, imported only where it is used
     front: str = "platform"
     answer_margin_ms: float = 20.0  # final answers are sent this long before the client's timeout
-    linger_ms: float = 700.0  # after SIGTERM, how long new connections are accepted
-    grace_ms: float = 3700.0  # after SIGTERM, when the process must have exited
+    linger_ms: float = 700.0  # how long new connections are accepted after SIGTERM
+    grace_ms: float = 3700.0  # how long after SIGTERM the process must have exited
     connect_timeout_ms: float = 150.0
     idle_close_ms: float = 10000.0
--- a/yewrill/config/sections.py
+++ b/yewrill/config/sections.py
@@ -1,4 +1,7 @@
-"""Reads sections whose schema is a msgspec struct of their package; imported only if one is present."""
+"""Reads configuration sections whose schema is a msgspec struct of the subsystem's own package.
+
+Imported only if such a section is present, since msgspec is an optional dependency.
+"""
 
 from __future__ import annotations
 
@@ -14,18 +17,21 @@
 
 
 class SectionError(Exception):
-    """An invalid section; the text begins with the faulty key."""
+    """An invalid section. The message begins with the faulty key."""
 
 
-def read_section(raw: Mapping[str, Any], key: str, where: str, needs: tuple[str, ...] = ()) -> Any:
-    """Convert a section to its struct, `where` as `module:Struct`. Raises SectionError.
+def read_section(
+    raw: Mapping[str, Any], key: str, struct_path: str, required_sections: tuple[str, ...] = ()
+) -> Any:
+    """Converts a section to the struct at `struct_path`, written as `module:Struct`. Raises SectionError.
 
-    The struct may check itself in `__post_init__` by a ValueError whose text begins with the key.
+    A struct that validates itself in `__post_init__` raises ValueError with a message that begins with the
+    key inside the section.
     """
-    for other in needs:
+    for other in required_sections:
         if raw.get(other) is None:
             raise SectionError(f"{key}: needs {other}")
-    module, _, name = where.partition(":")
+    module, _, name = struct_path.partition(":")
     try:
         return msgspec.convert(raw[key], getattr(importlib.import_module(module), name))
     except msgspec.ValidationError as error:
--- a/yewrill/config/settings.py
+++ b/yewrill/config/settings.py
@@ -1,4 +1,4 @@
-"""Reads and checks the settings of the decision module."""
+"""Reads and checks the settings of the policy (the section `settings`)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from yewrill.policy import interface as api
 from yewrill.policy.settings_codec import SettingsError, decode_settings
 
-# Numbers that are checked where they are given: path, minimum, whether the minimum itself is allowed.
+# Optional numbers: path, minimum, and whether the minimum itself is allowed.
 NUMERIC_SETTINGS = (
     ("limits.try_limit", 1.0, True),
     ("limits.connect_timeout", 0.0, False),
@@ -37,7 +37,7 @@
 
 
 def read_settings(raw: Any) -> api.Settings:
-    """Check the settings key by key and decode them. Raises ConfigError."""
+    """Checks the settings key by key and decodes them. Raises ConfigError."""
     raw = read_object(raw, "settings")
     for part in ("limits", "rules", "specifics", "load_report", "fees", "client_habits"):
         read_object(raw.get(part, {}), f"settings.{part}")
@@ -52,16 +52,16 @@
     except SettingsError as error:
         raise ConfigError(f"settings: {error}") from None
     except (TypeError, AttributeError) as error:
-        raise ConfigError(f"settings: of the wrong shape: {error}") from None
+        raise ConfigError(f"settings: a value has the wrong type: {error}") from None
 
 
 def _check_numbers(raw: Mapping[str, Any]) -> None:
-    for path, low, closed in NUMERIC_SETTINGS:
+    for path, low, inclusive in NUMERIC_SETTINGS:
         at: Any = raw
         for part in path.split("."):
             at = at.get(part) if isinstance(at, Mapping) else None
         if at is not None:
-            read_number(at, f"settings.{path}", low, open_low=not closed)
+            read_number(at, f"settings.{path}", low, open_low=not inclusive)
     for name, value in raw.get("fees", {}).items():
         read_number(value, f"settings.fees.{name}")
     read_integer(raw.get("instances", 1), "settings.instances", 1)
@@ -77,7 +77,7 @@
 
 
 def _check_class_specifics(raw: Mapping[str, Any]) -> None:
-    """Check the lists of `specifics` that have one value for each class."""
+    """Checks the lists of `specifics` that have one value for each request class."""
     specifics = raw.get("specifics", {})
     kinds = len(raw.get("kinds", []))
     at = "settings.specifics.class_kind"
@@ -122,10 +122,10 @@
 
 
 def check_consistency(settings: Mapping[str, Any]) -> None:
-    """Raise ConfigError if settings contradict themselves.
+    """Raises ConfigError if settings contradict each other.
 
-    The command-line tool checks this. A start does not: a dispatcher with contradictory settings is
-    better than none.
+    `yewrill config` checks this. Startup does not, since a dispatcher with contradictory settings is better
+    than none.
     """
     _check_load_report(settings)
     areas = settings.get("areas", [])
@@ -133,11 +133,13 @@
     if zone >= max(1, len(areas)):
         raise ConfigError(f"settings.zone: no zone {zone} in settings.areas")
     if settings.get("fees", {}).get("cross_zone", 0.0) > 0 and len(areas) < 2:
-        raise ConfigError("settings.fees.cross_zone: a fee for crossings, with one zone")
+        raise ConfigError(
+            "settings.fees.cross_zone: set, but settings.areas has fewer than two zones"
+        )
     for i, request_class in enumerate(settings["request_classes"]):
         if request_class.get("late_value", 0.0) > 1.0:
             raise ConfigError(
-                f"settings.request_classes[{i}].late_value: worth more late than in time"
+                f"settings.request_classes[{i}].late_value: above 1, the value of an answer in time"
             )
 
 
@@ -153,9 +155,9 @@
         if name in names[:i]:
             raise ConfigError(f"{at}.fields[{i}]: {quoted(name)} is there twice")
     if names and via == "off":
-        raise ConfigError(f"{at}.via: off, with fields named")
+        raise ConfigError(f"{at}.via: off, but fields are listed")
     if via != "off" and not names:
-        raise ConfigError(f"{at}.fields: none, with reports {via}")
+        raise ConfigError(f"{at}.fields: none listed, but via is {via}")
     specifics = settings.get("specifics", {})
     free = [
         key.removeprefix("report_")
@@ -164,8 +166,8 @@
     ]
     if names and not {"inflight", "util", *free} & set(names):
         raise ConfigError(
-            f"{at}.fields: none tells of room (inflight, util, or one that specifics.report_… "
-            "calls free slots)"
+            f"{at}.fields: none reports load or free capacity (inflight, util, or a field for which "
+            'settings.specifics.report_FIELD is "free slots")'
         )
     if via == "on_probe" and not settings.get("limits", {}).get("may_probe", False):
-        raise ConfigError("settings.limits.may_probe: false, with reports on probes")
+        raise ConfigError("settings.limits.may_probe: false, but load_report.via is on_probe")
--- a/yewrill/config/values.py
+++ b/yewrill/config/values.py
@@ -1,4 +1,4 @@
-"""Checked values. Each function returns the value, or raises ConfigError with key and expectation."""
+"""Checks single values. A reader returns the value, or raises ConfigError that names the faulty key."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def read_number(
     value: Any, key: str, low: float = 0.0, high: float = 1e18, *, open_low: bool = False
 ) -> float:
-    """A number from `low` to `high`; `open_low`: greater than `low`."""
+    """Reads a number from `low` to `high`; with `open_low` it must be greater than `low`."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise ConfigError(f"{key}: a number is needed, not {quoted(value)}")
     if not low <= value <= high or (open_low and value == low):
@@ -26,7 +26,7 @@
 
 
 def read_integer(value: Any, key: str, low: int = 0, high: int = 2**53) -> int:
-    """An integer from `low` to `high`, which JSON may write as 5.0."""
+    """Reads an integer from `low` to `high`, which JSON may write as 5.0."""
     number = read_number(value, key, low, high)
     if number != int(number):
         raise ConfigError(f"{key}: a whole number is needed, not {number}")
@@ -34,48 +34,48 @@
 
 
 def read_text(value: Any, key: str) -> str:
-    """A string that is not empty."""
+    """Reads a non-empty string."""
     if not isinstance(value, str) or not value:
         raise ConfigError(f"{key}: a text is needed, not {quoted(value)}")
     return value
 
 
 def read_object(value: Any, key: str) -> Mapping[str, Any]:
-    """A JSON object."""
+    """Reads a JSON object."""
     if not isinstance(value, Mapping):
         raise ConfigError(f"{key}: an object is needed, not {quoted(value)}")
     return value
 
 
 def read_list(value: Any, key: str) -> list:
-    """A JSON array."""
+    """Reads a JSON array."""
     if not isinstance(value, list):
         raise ConfigError(f"{key}: a list is needed, not {quoted(value)}")
     return value
 
 
 def quoted(value: Any) -> str:
-    """A value as an error message shows it, shortened."""
+    """Formats a value as JSON for an error message, shortened to 60 characters."""
     text = ujson.dumps(value) if value is not None else "nothing"
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-def read_choice(value: Any, key: str, words: tuple[str, ...]) -> str:
-    """One of `words`."""
-    if value not in words:
-        raise ConfigError(f"{key}: {quoted(value)} is not one of {', '.join(words)}")
+def read_choice(value: Any, key: str, choices: tuple[str, ...]) -> str:
+    """Reads one of `choices`."""
+    if value not in choices:
+        raise ConfigError(f"{key}: {quoted(value)} is not one of {', '.join(choices)}")
     return value
 
 
 def reject_unknown_keys(given: Mapping[str, Any], keys: Iterable[str], section: str) -> None:
-    """Raise ConfigError if a section has a key that is not among `keys`."""
+    """Raises ConfigError if a section has a key that is not among `keys`."""
     for key in given:
         if key not in keys:
             raise ConfigError(f"{section}.{key}: no such key")
 
 
 def read_address(value: Any, key: str, *, any_port: bool = False) -> tuple[str, int]:
-    """`ADDRESS:PORT` with an IPv4 address: host names are not resolved."""
+    """Reads `ADDRESS:PORT` with an IPv4 address; host names are not resolved. `any_port` allows port 0."""
     host, _, port = read_text(value, key).rpartition(":")
     try:
         ipaddress.IPv4Address(host)
--- a/yewrill/config/writing.py
+++ b/yewrill/config/writing.py
@@ -1,4 +1,4 @@
-"""Writes a configuration file for one application, from options or from a public cluster trace."""
+"""Builds a configuration for one application, from command-line options or a public cluster trace."""
 
 from __future__ import annotations
 
@@ -41,28 +41,35 @@
 }
 _TENANT_KEYS = {"quota_per_s": float, "share": float}
 
-MIN_DEADLINE_MS = 100.0  # a shorter one leaves no time for a retry
+MIN_DEADLINE_MS = 100.0  # a shorter deadline leaves no time for a retry
 
 
-def parse_item(text: str, key: str, keys: Mapping[str, type]) -> tuple[str, dict[str, Any]]:
-    """Parse `name:key=value,key=value` of the command line. Raises ConfigError."""
+def parse_item(text: str, option: str, keys: Mapping[str, type]) -> tuple[str, dict[str, Any]]:
+    """Parses `name:key=value,key=value` of the command line. Raises ConfigError.
+
+    `option` is the name of the option for errors; `keys` maps each allowed key to its type.
+    """
     name, _, rest = text.partition(":")
     values: dict[str, Any] = {}
     for part in filter(None, rest.split(",")):
-        word, equals, value = part.partition("=")
-        if word not in keys or not equals:
+        key, equals, value = part.partition("=")
+        if key not in keys or not equals:
             raise ConfigError(
-                f"{key} {name}: {part!r} is not one of {', '.join(keys)}, as KEY=VALUE"
+                f"{option} {name}: {part!r} is not KEY=VALUE with {', '.join(keys)} as the key"
             )
         try:
-            values[word] = keys[word](value)
+            values[key] = keys[key](value)
         except ValueError:
-            raise ConfigError(f"{key} {name}: {word}: {value!r} is not a number") from None
+            raise ConfigError(f"{option} {name}: {key}: {value!r} is not a number") from None
     return name, values
 
 
 def classes_from_options(items: tuple[str, ...]) -> tuple[list[dict[str, Any]], list[float]]:
-    """Request classes, and the run factors of their latency objectives, which stand apart in the settings."""
+    """Parses the values of `--class`. Raises ConfigError.
+
+    Returns the request classes, and the run factors of their latency objectives, which are a separate list
+    in the settings (`specifics.class_stretch`).
+    """
     classes, run_factors = [], []
     for item in items:
         name, values = parse_item(item, "--class", _CLASS_KEYS)
@@ -74,10 +81,11 @@
 def classes_from_trace(
     trace: Trace, scale: float
 ) -> tuple[list[dict[str, Any]], list[float], dict[str, Any]]:
-    """Request classes by task type, with the statistics that they are derived from.
+    """Derives one request class from each task type of a trace. `scale` multiplies all times.
 
-    The latency objective is twice the run time plus the distance from median to 95th percentile, the
-    deadline twice the 99th percentile. `scale` multiplies all times.
+    The latency objective is twice the run time plus the distance from the median to the 95th percentile, the
+    deadline twice the 99th percentile. Returns the classes, the run factors of their latency objectives, and
+    the statistics by class that both are derived from.
     """
     classes, run_factors, derived = [], [], {}
     for name, found in trace.classes.items():
@@ -131,7 +139,7 @@
     free_slots: str | None = None,
     cross_zone_fee: float = 0.0,
 ) -> dict[str, Any]:
-    """The whole configuration, checked by the code that reads it. Raises ConfigError."""
+    """Builds the whole configuration and checks it with the code that reads it. Raises ConfigError."""
     parties = []
     for item in tenants:
         tenant, values = parse_item(item, "--tenant", _TENANT_KEYS)
--- a/yewrill/extras.py
+++ b/yewrill/extras.py
@@ -1,8 +1,8 @@
-"""What to tell when a module is not installed: the extra that brings it, if one does."""
+"""Names the extra (optional dependencies of the package) that installs a missing module."""
 
 from __future__ import annotations
 
-EXTRA_OF = {
+EXTRA_BY_MODULE = {
     "google": "tracing",
     "opentelemetry": "tracing",
     "structlog": "log",
@@ -15,8 +15,8 @@
 
 
 def not_installed(error: ModuleNotFoundError) -> str:
-    """One line for the operator: the module, and how to get it."""
-    extra = EXTRA_OF.get((error.name or "").partition(".")[0])
+    """Returns an error message of one line: the missing module, and how to install it."""
+    extra = EXTRA_BY_MODULE.get((error.name or "").partition(".")[0])
     if extra is None:
-        return f"{error.name} is not installed, and not part of any extra: install yewrill anew"
+        return f"{error.name} is not installed, and not part of any extra: reinstall yewrill"
     return f"{error.name} is not installed: pip install 'yewrill[{extra}]'"
