--- a/tests/fixture_traces.py
+++ b/tests/fixture_traces.py
@@ -133,7 +133,7 @@
 def report_of(found: Sequence[reading.Record]) -> bytes:
     report = Report()
     for record in found:
-        report.take(record)
+        report.add(record)
     return report.html().encode()
 
 
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -194,7 +194,7 @@
 
 def test_what_follows_each_answer_of_a_collector():
     rules = retry.RetryPolicy(
-        initial_pause=1.0, max_pause=5.0, tries=4, jitter=0.5, max_retry_after=60.0
+        initial_pause=1.0, max_pause=5.0, max_tries=4, jitter=0.5, max_retry_after=60.0
     )
 
     def after(status, tries=1, asked=None, random=0.5):
@@ -237,7 +237,7 @@
     return t.finish(trace)
 
 
-RULES = retry.RetryPolicy(initial_pause=0.005, max_pause=0.01, tries=50)
+RULES = retry.RetryPolicy(initial_pause=0.005, max_pause=0.01, max_tries=50)
 
 
 async def drained(exporter, t, nursery, *, until):
--- a/yewrill/config/cluster_trace.py
+++ b/yewrill/config/cluster_trace.py
@@ -72,8 +72,8 @@
     """Request classes of a trace, and counts of its rows."""
 
     classes: dict[str, TraceClass] = field(default_factory=dict)
-    first_start: float = math.inf  # seconds since the start of the trace
-    last_start: float = -math.inf  # likewise
+    first_start: float = math.inf  # start times are in seconds since the start of the trace
+    last_start: float = -math.inf
     rows: int = 0
     bad: int = 0
 
--- a/yewrill/config/schema.py
+++ b/yewrill/config/schema.py
@@ -146,6 +146,6 @@
     front: str = "platform"
     answer_margin_ms: float = 20.0  # final answers are sent this long before the client's timeout
     linger_ms: float = 700.0  # how long new connections are accepted after SIGTERM
-    grace_ms: float = 3700.0  # how long after SIGTERM the process must have exited
+    grace_ms: float = 3700.0  # how long after SIGTERM the process may take to exit
     connect_timeout_ms: float = 150.0
     idle_close_ms: float = 10000.0
--- a/yewrill/tracing/breakdown.py
+++ b/yewrill/tracing/breakdown.py
@@ -1,7 +1,11 @@
-"""Breaks a request's time down into parts. Pure; all times in nanoseconds of one clock.
+"""Breaks a request's time down into parts. Pure functions; all times in nanoseconds of one clock.
 
 The time from start to end is divided at the record's timestamps into adjacent segments, so the parts always
-add up to the whole, also if timestamps are missing or out of order.
+add up to the whole, even if timestamps are missing or out of order.
+
+Parts: `receiving` the request from the client; `held` by the dispatcher before an attempt or final answer;
+`connecting` to the worker and writing the request; `queued` at the worker, if it reports the start;
+`running` at the worker; `lost` to attempts that were not served; `answering`, sending the response.
 """
 
 from __future__ import annotations
@@ -13,19 +17,19 @@
 
 
 def segments(record: Mapping[str, Any]) -> Iterator[tuple[str, int, int]]:
-    """The segments of a record: part, begin, end."""
-    at, last = record["start"], record["end"]
-    for part, mark in _marks(record):
-        until = min(last, max(at, mark))
-        if until > at:
-            yield part, at, until
-            at = until
-    if last > at:
-        yield "answering", at, last
-
-
-def _marks(record: Mapping[str, Any]) -> Iterator[tuple[str, int]]:
-    """Each part's end, in order."""
+    """Yields the segments of a record: part, begin, end."""
+    begin, record_end = record["start"], record["end"]
+    for part, part_end in _part_ends(record):
+        end = min(record_end, max(begin, part_end))
+        if end > begin:
+            yield part, begin, end
+            begin = end
+    if record_end > begin:
+        yield "answering", begin, record_end
+
+
+def _part_ends(record: Mapping[str, Any]) -> Iterator[tuple[str, int]]:
+    """Yields each part with the timestamp of its end, in the order in which a request passes them."""
     taken = record.get("taken") or record["start"]
     yield "receiving", taken
     attempts: Sequence[Mapping[str, Any]] = record["attempts"]
@@ -45,15 +49,15 @@
 
 
 def parts(record: Mapping[str, Any]) -> dict[str, int]:
-    """Nanoseconds by part, for every part; their sum is the record's duration."""
-    found = dict.fromkeys(PARTS, 0)
+    """Returns the nanoseconds of every part; their sum is the record's duration."""
+    totals = dict.fromkeys(PARTS, 0)
     for part, begin, end in segments(record):
-        found[part] += end - begin
-    return found
+        totals[part] += end - begin
+    return totals
 
 
 def percentiles(values: Iterable[float], at: Sequence[float]) -> list[float]:
-    """Percentiles by nearest rank; 0 for no values."""
+    """Returns the percentiles `at` of the values by nearest rank; zeros if there are no values."""
     ordered = sorted(values)
     if not ordered:
         return [0.0] * len(at)
--- a/yewrill/tracing/context.py
+++ b/yewrill/tracing/context.py
@@ -1,7 +1,7 @@
-"""Reads and writes W3C Trace Context (`traceparent`, `tracestate`). Nothing here raises on a client's input.
+"""Reads and writes W3C Trace Context (`traceparent`, `tracestate`). No input of a client raises an error.
 
-Source: https://www.w3.org/TR/trace-context-2/, sections 3.2 and 3.3; the `ot` entry of tracestate after
-OpenTelemetry's "TraceState: Probability Sampling". All names in ASCII.
+Sources: https://www.w3.org/TR/trace-context-2/, sections 3.2 and 3.3; for the member `ot` of tracestate,
+OpenTelemetry's "TraceState: Probability Sampling".
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 _HEX = re.compile(r"[0-9a-f]{1,14}")
 SAMPLED = 1
 MAX_MEMBERS = 32
-MAX_STATE_LENGTH = 512  # characters passed on
-_OURS = "ot"
+MAX_STATE_LENGTH = 512  # characters of `tracestate` that are propagated
+_OTEL_MEMBER = "ot"
 
 
 @dataclass(slots=True)
 class Context:
     """A request's position in a trace: the trace id and the parent span ("" if the trace begins here).
 
-    Not changed after creation; not frozen, since that would slow down its creation.
+    Never changed after creation. Not a frozen dataclass, since those are slower to create.
     """
 
     trace: str  # 32 hexadecimal digits
-    parent: str = ""  # 16
+    parent: str = ""  # 16 hexadecimal digits
     sampled: bool = False  # the caller's sampled flag
-    state: tuple[tuple[str, str], ...] = ()  # tracestate's members, without `ot`
-    threshold: str | None = None  # th of `ot`: what an earlier hop has thinned by
-    randomness: str | None = None  # rv of `ot`, in place of the trace id's own
+    state: tuple[tuple[str, str], ...] = ()  # members of tracestate other than `ot`
+    threshold: str | None = None  # `th` of `ot`: the sampling threshold of an earlier hop
+    randomness: str | None = None  # `rv` of `ot`, which replaces the random bits of the trace id
 
     @property
     def random(self) -> int:
-        """56 random bits, the same at every hop of the trace."""
+        """56 random bits for sampling, the same at every hop of the trace."""
         return int(self.randomness if self.randomness is not None else self.trace[-14:], 16)
 
 
 def read(parent: str | None, state: str | None) -> Context | None:
-    """Parse a request's headers; None if there is no valid `traceparent`."""
+    """Parses a request's headers. Returns None if there is no valid `traceparent`."""
     match = _PARENT.fullmatch(parent.strip(" \t")) if parent is not None else None
     if match is None:
         return None
@@ -52,7 +52,7 @@
 
 
 def _with_state(context: Context, text: str) -> Context:
-    """Add `tracestate`; a malformed one is dropped as a whole, as the standard requires."""
+    """Adds `tracestate`; a malformed one is dropped as a whole, as the standard requires."""
     members: list[tuple[str, str]] = []
     names = set()
     for item in text.split(","):
@@ -66,12 +66,12 @@
         members.append((name, value))
     if len(members) > MAX_MEMBERS:
         return context
-    kept = tuple((name, value) for name, value in members if name != _OURS)
+    kept = tuple((name, value) for name, value in members if name != _OTEL_MEMBER)
     context = replace(context, state=kept)
     for name, value in members:
-        if name == _OURS:
-            given = dict(item.partition(":")[::2] for item in value.split(";"))
-            threshold, randomness = given.get("th"), given.get("rv")
+        if name == _OTEL_MEMBER:
+            subkeys = dict(item.partition(":")[::2] for item in value.split(";"))
+            threshold, randomness = subkeys.get("th"), subkeys.get("rv")
             if threshold is not None and _HEX.fullmatch(threshold):
                 context = replace(context, threshold=threshold)
             if randomness is not None and len(randomness) == 14 and _HEX.fullmatch(randomness):
@@ -80,16 +80,20 @@
 
 
 def parent_header(trace: str, span: str, sampled: bool) -> str:
-    """The value of `traceparent`."""
+    """Returns the value of `traceparent`."""
     return f"00-{trace}-{span}-{'01' if sampled else '00'}"
 
 
 def state_header(context: Context, threshold: str | None) -> str:
-    """The value of `tracestate`, our member first, since we changed it last; "" if it would be empty."""
-    ours = [f"th:{threshold}"] if threshold is not None else []
+    """Returns the value of `tracestate`; "" if it would be empty.
+
+    The member `ot` comes first, since the standard puts the most recently changed member first. Members at
+    the end are dropped where the limits of count or length are exceeded.
+    """
+    entries = [f"th:{threshold}"] if threshold is not None else []
     if context.randomness is not None:
-        ours.append(f"rv:{context.randomness}")
-    members = [f"{_OURS}={';'.join(ours)}"] if ours else []
+        entries.append(f"rv:{context.randomness}")
+    members = [f"{_OTEL_MEMBER}={';'.join(entries)}"] if entries else []
     for name, value in context.state[: MAX_MEMBERS - 1]:
         if sum(map(len, members)) + len(members) + len(name) + len(value) + 1 > MAX_STATE_LENGTH:
             break
--- a/yewrill/tracing/export.py
+++ b/yewrill/tracing/export.py
@@ -2,7 +2,7 @@
 
 One task takes records from the tracer's queue. Files are written and batches encoded in a worker thread. A
 batch that the collector does not accept is retried as `retry.py` decides; meanwhile finished records wait in
-the bounded queue and, where there is a spool, in the store. Spooled batches are older and are sent first.
+the bounded queue and, if there is a spool, in the store. Spooled batches are older and are sent first.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 
 log = logging.getLogger("yewrill.tracing")
 
-BATCH_DELAY_SECONDS = 0.5  # finished records are collected this long before a batch is exported
-MAX_BATCH_RECORDS = 512  # records
-MAX_RESPONSE_BYTES = 64 * 1024  # of a collector's response
+BATCH_DELAY_SECONDS = 0.5  # how long finished records are collected before a batch is exported
+MAX_BATCH_RECORDS = 512
+MAX_RESPONSE_BYTES = 64 * 1024  # body of a collector's response
 FLUSH_TIMEOUT_SECONDS = 1.0  # for the last batches at shutdown
 
 
@@ -37,7 +37,7 @@
 class ExportTarget:
     """Where records go: a collector (`url`, http://IPV4-ADDRESS:PORT/v1/traces), a file, or both.
 
-    `file` is rotated at `file_mb` MiB, `files` old ones are kept.
+    `file` is rotated at `file_mb` MiB, and `files` rotated files are kept.
     """
 
     url: str = ""
@@ -50,20 +50,20 @@
 
 
 class Spool(Protocol):
-    """Batches that survive an outage of the collector and a restart, by name, in order."""
+    """A persistent FIFO of batches, which survives an outage of the collector and a restart."""
 
     async def put(self, batch: bytes) -> bool:
-        """Append a batch. Returns False if there is no room or it could not be written."""
+        """Appends a batch. Returns False if the spool is full or the write failed."""
 
     async def first(self) -> tuple[Any, bytes] | None:
-        """The oldest batch and its name, None if there is none."""
+        """Returns the oldest batch with its name, None if there is none."""
 
     async def drop(self, name: Any) -> None:
-        """Remove a batch."""
+        """Removes a batch."""
 
 
 class JsonLinesFiles:
-    """JSON lines, by the standard library's rotating handler. Called in a worker thread only."""
+    """Writes JSON lines with the standard library's rotating handler. For use in a worker thread only."""
 
     def __init__(self, target: ExportTarget):
         Path(target.file).parent.mkdir(parents=True, exist_ok=True)
@@ -74,14 +74,14 @@
             encoding="utf-8",
         )
         self._handler.setFormatter(logging.Formatter("%(message)s"))
-        self._handler.handleError = self._failed
+        self._handler.handleError = self._record_error
         self.error: BaseException | None = None
 
-    def _failed(self, record: logging.LogRecord) -> None:
+    def _record_error(self, record: logging.LogRecord) -> None:
         self.error = sys.exc_info()[1]
 
     def write(self, lines: Sequence[str]) -> None:
-        """Append lines. Raises OSError."""
+        """Appends lines. Raises OSError."""
         self.error = None
         for line in lines:
             self._handler.emit(logging.LogRecord("", 0, "", 0, line, None, None))
@@ -89,12 +89,12 @@
             raise OSError(str(self.error))
 
     def close(self) -> None:
-        """Close the file."""
+        """Closes the file."""
         self._handler.close()
 
 
 def json_lines(records: Sequence[Mapping[str, Any]]) -> list[str]:
-    """Encode records as JSON, one a line."""
+    """Encodes each record as one line of JSON."""
     return [ujson.dumps(record, escape_forward_slashes=False) for record in records]
 
 
@@ -110,21 +110,21 @@
         self._parser: h11.Connection | None = None
 
     async def post(self, body: bytes) -> tuple[int, float | None, bytes]:
-        """Send a batch. Returns status (0: no response), Retry-After in seconds, and the body."""
+        """Sends a batch. Returns status (or NO_RESPONSE), Retry-After in seconds, and the body."""
         with trio.move_on_after(self._target.timeout):
             try:
                 return await self._exchange(body)
             except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
                 pass
         await self.close()
-        return retry.LOST, None, b""
+        return retry.NO_RESPONSE, None, b""
 
     async def _exchange(self, body: bytes) -> tuple[int, float | None, bytes]:
         if self._stream is None:
             self._stream = await trio.open_tcp_stream(*self._address)
             self._parser = h11.Connection(h11.CLIENT)
         parser, stream = self._parser, self._stream
-        head = h11.Request(
+        request = h11.Request(
             method="POST",
             target=self._path,
             headers=[
@@ -136,19 +136,21 @@
             ],
         )
         await stream.send_all(
-            parser.send(head) + parser.send(h11.Data(data=body)) + parser.send(h11.EndOfMessage())
+            parser.send(request)
+            + parser.send(h11.Data(data=body))
+            + parser.send(h11.EndOfMessage())
         )
-        status, retry_after, answer = retry.LOST, None, b""
+        status, retry_after, response_body = retry.NO_RESPONSE, None, b""
         while True:
             event = parser.next_event()
             if event is h11.NEED_DATA:
                 parser.receive_data(await stream.receive_some())
             elif isinstance(event, h11.Response):
                 status = event.status_code
-                retry_after = _seconds(dict(event.headers).get(b"retry-after"))
+                retry_after = _parse_retry_after(dict(event.headers).get(b"retry-after"))
             elif isinstance(event, h11.Data):
-                answer += bytes(event.data)
-                if len(answer) > MAX_RESPONSE_BYTES:
+                response_body += bytes(event.data)
+                if len(response_body) > MAX_RESPONSE_BYTES:
                     raise trio.BrokenResourceError
             elif isinstance(event, h11.EndOfMessage):
                 break
@@ -158,17 +160,17 @@
             parser.start_next_cycle()
         else:
             await self.close()
-        return status, retry_after, answer
+        return status, retry_after, response_body
 
     async def close(self) -> None:
-        """Close the connection."""
+        """Closes the connection."""
         stream, self._stream = self._stream, None
         if stream is not None:
             await trio.aclose_forcefully(stream)
 
 
-def _seconds(text: bytes | None) -> float | None:
-    """Retry-After in seconds; None for a date, which is not supported, since clocks differ."""
+def _parse_retry_after(text: bytes | None) -> float | None:
+    """Returns Retry-After in seconds; None for a date, which is not supported, since clocks differ."""
     try:
         value = float(text) if text is not None else -1.0
     except ValueError:
@@ -179,7 +181,7 @@
 class Exporter:
     """Exports the records that the tracer queues.
 
-    `resource`: attributes of all records, named by OpenTelemetry's conventions.
+    `resource` are the attributes of all records, named by OpenTelemetry's semantic conventions.
     """
 
     def __init__(
@@ -201,10 +203,9 @@
         self._files: JsonLinesFiles | None = None
         self._collector = OtlpCollector(target) if target.url else None
         self._wake = trio.Event()
-        self._reported: set[str] = set()
-        self._undelivered: list[
-            Mapping[str, Any]
-        ] = []  # taken from the queue, not yet accepted by the collector
+        self._failing_targets: set[str] = set()
+        # Records taken from the queue but not yet accepted by the collector.
+        self._undelivered: list[Mapping[str, Any]] = []
         self.counts = dict.fromkeys(("exported", "rejected", "spooled", "retries"), 0)
         tracer.on_record_queued = self._wake_up
 
@@ -212,7 +213,7 @@
         self._wake.set()
 
     async def run(self) -> None:
-        """Export until cancelled; what is left then is for `flush`."""
+        """Exports records until cancelled; `flush` exports those left then."""
         while True:
             await self._wake.wait()
             self._wake = trio.Event()
@@ -221,16 +222,16 @@
                 pass
 
     async def _export_oldest(self) -> bool:
-        """Export the oldest batch. Returns whether there may be more."""
+        """Exports the oldest batch. Returns whether there may be more."""
         if (
             self._collector is not None
             and self.spool is not None
             and (spooled := await self.spool.first())
         ):
             name, batch = spooled
-            records = await trio.to_thread.run_sync(_records, batch)
-            if not await self._deliver(records, patient=False):
-                # The collector is still down: newer records are spooled too.
+            records = await trio.to_thread.run_sync(_decode_batch, batch)
+            if not await self._deliver(records, with_retries=False):
+                # The collector is still down, so newer records are spooled too.
                 return await self._spool_waiting()
             await self.spool.drop(name)
             return True
@@ -241,7 +242,7 @@
         await self._write(records)
         if (
             self._collector is not None
-            and not await self._deliver(records, patient=self.spool is None)
+            and not await self._deliver(records, with_retries=self.spool is None)
             and self.spool is not None
         ):
             await self._spool(records)
@@ -276,7 +277,7 @@
         if not self._target.file:
             return
         try:
-            await trio.to_thread.run_sync(self._write_now, records)
+            await trio.to_thread.run_sync(self._write_blocking, records)
             if self._collector is None:
                 self.counts["exported"] += len(records)
             self._report_recovery("file")
@@ -284,14 +285,17 @@
             self._tracer.queue.count("file_failed", len(records))
             self._report_failure("file", f"{self._target.file}: {error}")
 
-    def _write_now(self, records: Sequence[Mapping[str, Any]]) -> None:
+    def _write_blocking(self, records: Sequence[Mapping[str, Any]]) -> None:
         if self._files is None:
             self._files = JsonLinesFiles(self._target)
         self._files.write(json_lines(records))
 
-    async def _deliver(self, records: Sequence[Mapping[str, Any]], patient: bool) -> bool:
-        """Send a batch. Returns whether it is done with: accepted or dropped. Not `patient`: one try."""
-        from yewrill.tracing import otlp  # protobuf is imported with the first batch
+    async def _deliver(self, records: Sequence[Mapping[str, Any]], with_retries: bool) -> bool:
+        """Sends a batch. Returns whether it needs no further try, being accepted or dropped.
+
+        Without `with_retries` it tries only once.
+        """
+        from yewrill.tracing import otlp  # imports protobuf, which is needed only for a collector
 
         body = await trio.to_thread.run_sync(
             lambda: gzip.compress(otlp.request(records, self._resource, self._version), 1)
@@ -299,8 +303,8 @@
         tries = 0
         while True:
             tries += 1
-            status, retry_after, answer = await self._collector.post(body)
-            rejected = otlp.rejected(answer) if 200 <= status < 300 else 0
+            status, retry_after, response_body = await self._collector.post(body)
+            rejected = otlp.rejected(response_body) if 200 <= status < 300 else 0
             decision = retry.decide(
                 status, tries, retry_after, rejected, self._target.retry_policy, self._rng.random
             )
@@ -318,32 +322,38 @@
                 self._report_failure("collector", decision.cause)
                 return True
             self.counts["retries"] += 1
-            self._report_failure("collector", f"status {status}" if status else "no answer")
-            if not patient:
+            self._report_failure("collector", f"status {status}" if status else "no response")
+            if not with_retries:
                 return False
             await trio.sleep(decision.after)
 
     def _report_failure(self, target: str, text: str) -> None:
-        if target not in self._reported:
-            self._reported.add(target)
+        if target not in self._failing_targets:
+            self._failing_targets.add(target)
             log.warning("trace_export_failed target=%s: %s", target, text)
 
     def _report_recovery(self, target: str) -> None:
-        if target in self._reported:
-            self._reported.discard(target)
+        if target in self._failing_targets:
+            self._failing_targets.discard(target)
             log.info("trace_export_recovered target=%s", target)
 
     async def flush(self) -> None:
-        """Try once more to export what is left, within FLUSH_TIMEOUT_SECONDS; shielded from cancellation."""
+        """Exports the remaining records, with one try for each batch, and closes file and connection.
+
+        Takes at most FLUSH_TIMEOUT_SECONDS, shielded from cancellation; records still left are counted as
+        dropped.
+        """
         waiting, self._undelivered = list(self._undelivered), []
         with trio.move_on_after(FLUSH_TIMEOUT_SECONDS, shield=True):
             while waiting or len(self._tracer.queue):
-                fresh = not waiting
+                from_queue = not waiting
                 records, waiting = waiting or self._tracer.queue.take(MAX_BATCH_RECORDS), []
                 self._undelivered = records
-                if fresh:
+                if from_queue:
                     await self._write(records)
-                if self._collector is not None and not await self._deliver(records, patient=False):
+                if self._collector is not None and not await self._deliver(
+                    records, with_retries=False
+                ):
                     if self.spool is not None:
                         await self._spool(records)
                     else:
@@ -357,17 +367,17 @@
             self._files.close()
 
     def metrics(self) -> dict[str, int]:
-        """Counts by name, for the management listener."""
-        found = {
+        """Returns counts by name, for the management listener."""
+        counts = {
             f"trace_{name}": count for name, count in (self._tracer.counts | self.counts).items()
         }
-        found.update(
+        counts.update(
             {f"trace_dropped_{cause}": count for cause, count in self._tracer.queue.dropped.items()}
         )
-        return found
+        return counts
 
 
-def _records(batch: bytes) -> list[Mapping[str, Any]]:
+def _decode_batch(batch: bytes) -> list[Mapping[str, Any]]:
     try:
         return [ujson.loads(line) for line in gzip.decompress(batch).splitlines()]
     except (OSError, EOFError, ValueError):
@@ -375,7 +385,10 @@
 
 
 class StoreSpool:
-    """Batches under a prefix of a store, which is given as three functions; at most `max_bytes` in all."""
+    """A spool of at most `max_bytes` under a key prefix of a store, whose operations are passed as functions.
+
+    `used_bytes` and `number` are the size of the batches already there and the number in the last key.
+    """
 
     def __init__(
         self,
@@ -397,7 +410,7 @@
         )
 
     async def put(self, batch: bytes) -> bool:
-        """Append a batch. Returns False if there is no room or it could not be written."""
+        """Appends a batch. Returns False if the spool is full or the write failed."""
         if self._used_bytes + len(batch) > self._max_bytes:
             return False
         self._number += 1
@@ -407,12 +420,12 @@
         return True
 
     async def first(self) -> tuple[Any, bytes] | None:
-        """The oldest batch and its key."""
+        """Returns the oldest batch with its key, None if there is none."""
         return await trio.to_thread.run_sync(self._first, self._prefix)
 
     async def drop(self, name: Any) -> None:
-        """Remove a batch."""
-        found = await self.first()
-        if found is not None and found[0] == name:
-            self._used_bytes = max(0, self._used_bytes - len(found[1]))
+        """Removes a batch."""
+        oldest = await self.first()
+        if oldest is not None and oldest[0] == name:
+            self._used_bytes = max(0, self._used_bytes - len(oldest[1]))
         await self._drop(name)
--- a/yewrill/tracing/otlp.py
+++ b/yewrill/tracing/otlp.py
@@ -1,6 +1,7 @@
 """Encodes records as OTLP: an ExportTraceServiceRequest of opentelemetry-proto's trace/v1.
 
-Attributes follow the semantic conventions for HTTP and messaging; yewrill's own stand under `yewrill.*`."""
+Attributes follow the semantic conventions for HTTP and messaging; others are under `yewrill.*`.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +19,7 @@
 def request(
     records: Sequence[Mapping[str, Any]], resource: Mapping[str, Any], version: str
 ) -> bytes:
-    """The body of one POST to a collector's /v1/traces."""
+    """Returns the body of a POST of these records to a collector's /v1/traces."""
     message = service.ExportTraceServiceRequest()
     spans = message.resource_spans.add()
     _attributes(spans.resource.attributes, resource)
@@ -31,15 +32,14 @@
 
 
 def rejected(body: bytes) -> int:
-    """How many spans a collector's 2xx says that it has turned down (partial success)."""
-    answer = service.ExportTraceServiceResponse()
+    """Returns the number of spans that a collector's 2xx response rejects (partial success)."""
+    response = service.ExportTraceServiceResponse()
     try:
-        answer.ParseFromString(body)
-    except (
-        Exception
-    ):  # one that says 2xx and talks nonsense has taken them, as far as anyone can tell
+        response.ParseFromString(body)
+    except Exception:
+        # The status is 2xx, so spans count as accepted unless the body says otherwise.
         return 0
-    return answer.partial_success.rejected_spans
+    return response.partial_success.rejected_spans
 
 
 def _attributes(target: Any, values: Mapping[str, Any]) -> None:
@@ -47,22 +47,22 @@
         if value is None or value == "":
             continue
         if isinstance(value, bool):
-            said = common.AnyValue(bool_value=value)
+            any_value = common.AnyValue(bool_value=value)
         elif isinstance(value, int):
-            said = common.AnyValue(int_value=value)
+            any_value = common.AnyValue(int_value=value)
         elif isinstance(value, float):
-            said = common.AnyValue(double_value=value)
+            any_value = common.AnyValue(double_value=value)
         else:
-            said = common.AnyValue(string_value=str(value))
-        target.append(common.KeyValue(key=key, value=said))
+            any_value = common.AnyValue(string_value=str(value))
+        target.append(common.KeyValue(key=key, value=any_value))
 
 
 def _spans(record: Mapping[str, Any]) -> list[pb.Span]:
-    trace, root = bytes.fromhex(record["trace"]), bytes.fromhex(record["span"])
+    trace_id, root_id = bytes.fromhex(record["trace"]), bytes.fromhex(record["span"])
     state = record.get("state", "")
-    whole = _SPAN(
-        trace_id=trace,
-        span_id=root,
+    root_span = _SPAN(
+        trace_id=trace_id,
+        span_id=root_id,
         name=f"POST /{record['class']}",
         kind=_SPAN.SPAN_KIND_SERVER,
         start_time_unix_nano=record["start"],
@@ -70,10 +70,10 @@
         trace_state=state,
     )
     if record["parent"]:
-        whole.parent_span_id = bytes.fromhex(record["parent"])
+        root_span.parent_span_id = bytes.fromhex(record["parent"])
     answer = record["answer"]
     _attributes(
-        whole.attributes,
+        root_span.attributes,
         {
             "http.request.method": "POST",
             "http.route": f"/{record['class']}",
@@ -94,21 +94,21 @@
         },
     )
     if answer in ("failed", "refused"):
-        whole.status.code = pb.Status.STATUS_CODE_ERROR
-        whole.status.message = record["why"] or answer
+        root_span.status.code = pb.Status.STATUS_CODE_ERROR
+        root_span.status.message = record["why"] or answer
     for event in record["events"]:
-        said = whole.events.add(time_unix_nano=event["at"], name=event["name"])
-        _attributes(said.attributes, {"yewrill.text": event["text"]})
-    spans = [whole]
-    for before, attempt in zip([None, *record["attempts"]], record["attempts"], strict=False):
-        spans.append(_attempt(trace, root, state, before, attempt))
+        span_event = root_span.events.add(time_unix_nano=event["at"], name=event["name"])
+        _attributes(span_event.attributes, {"yewrill.text": event["text"]})
+    spans = [root_span]
+    for previous, attempt in zip([None, *record["attempts"]], record["attempts"], strict=False):
+        spans.append(_attempt_span(trace_id, root_id, state, previous, attempt))
     delayed_from = record["taken"]
     for attempt in record["attempts"]:
         if attempt["begin"] > delayed_from:
             spans.append(
                 _delay_span(
-                    trace,
-                    root,
+                    trace_id,
+                    root_id,
                     state,
                     delayed_from,
                     attempt["begin"],
@@ -120,23 +120,30 @@
     if answer != "served" and record["decided"] > delayed_from:
         spans.append(
             _delay_span(
-                trace, root, state, delayed_from, record["decided"], record["why"], record["span"]
+                trace_id,
+                root_id,
+                state,
+                delayed_from,
+                record["decided"],
+                record["why"],
+                record["span"],
             )
         )
     return spans
 
 
-def _attempt(
-    trace: bytes,
-    root: bytes,
+def _attempt_span(
+    trace_id: bytes,
+    root_id: bytes,
     state: str,
-    before: Mapping[str, Any] | None,
+    previous: Mapping[str, Any] | None,
     attempt: Mapping[str, Any],
 ) -> pb.Span:
+    """Returns the span of an attempt, linked to the attempt that it retries."""
     span = _SPAN(
-        trace_id=trace,
+        trace_id=trace_id,
         span_id=bytes.fromhex(attempt["span"]),
-        parent_span_id=root,
+        parent_span_id=root_id,
         name="attempt",
         kind=_SPAN.SPAN_KIND_CLIENT,
         start_time_unix_nano=attempt["begin"],
@@ -162,21 +169,22 @@
     if attempt["ending"] != "served":
         span.status.code = pb.Status.STATUS_CODE_ERROR
         span.status.message = attempt["ending"]
-    if before is not None:
-        link = span.links.add(trace_id=trace, span_id=bytes.fromhex(before["span"]))
-        _attributes(link.attributes, {"yewrill.retry.cause": before["ending"]})
+    if previous is not None:
+        link = span.links.add(trace_id=trace_id, span_id=bytes.fromhex(previous["span"]))
+        _attributes(link.attributes, {"yewrill.retry.cause": previous["ending"]})
     return span
 
 
 def _delay_span(
-    trace: bytes, root: bytes, state: str, begin: int, end: int, reason: str, next_span: str
+    trace_id: bytes, root_id: bytes, state: str, begin: int, end: int, reason: str, next_span: str
 ) -> pb.Span:
-    # The id is derived from the following attempt's by one bit, so that retries encode the same bytes.
-    id = (int(next_span, 16) ^ 1 << 63).to_bytes(8, "big")
+    """Returns the span of the time for which the dispatcher held a request before `next_span`."""
+    # The id is that of `next_span` with one bit flipped, so that a retried export encodes the same bytes.
+    span_id = (int(next_span, 16) ^ 1 << 63).to_bytes(8, "big")
     span = _SPAN(
-        trace_id=trace,
-        span_id=id,
-        parent_span_id=root,
+        trace_id=trace_id,
+        span_id=span_id,
+        parent_span_id=root_id,
         name="held",
         kind=_SPAN.SPAN_KIND_INTERNAL,
         start_time_unix_nano=begin,
--- a/yewrill/tracing/reading.py
+++ b/yewrill/tracing/reading.py
@@ -1,4 +1,4 @@
-"""Reads records from files, filters them, and prints them as lines, a waterfall or sentences."""
+"""Reads records from files, filters them, and formats them as lines, a waterfall chart or sentences."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
     "lost": "x",
     "answering": "a",
 }
-_SINCE = re.compile(r"(\d+)(s|m|h|d)")
-_SECONDS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
+_AGE = re.compile(r"(\d+)(s|m|h|d)")
+_SECONDS_BY_UNIT = {"s": 1, "m": 60, "h": 3600, "d": 86400}
 
 
 class BadLine(Exception):
-    """A line that is not a record; the message names file and line."""
+    """A line that is not a record, or a missing file; the message names the file and the line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Filter:
-    """A selection of records; "" and 0 select all. Times in nanoseconds."""
+    """A selection of records; "" and 0 select all. `since` and `until` are nanoseconds since the epoch."""
 
     request_class: str = ""
     tenant: str = ""
@@ -43,7 +43,7 @@
     until: int = 0
 
     def passes(self, record: Record) -> bool:
-        """Whether a record is selected."""
+        """Returns whether a record is selected."""
         return (
             (not self.request_class or record["class"] == self.request_class)
             and (not self.tenant or record["tenant"] == self.tenant)
@@ -54,15 +54,18 @@
         )
 
 
-def time_of(text: str, now: float) -> int:
-    """`30m` ago, or an ISO time, in nanoseconds. Raises ValueError."""
-    if match := _SINCE.fullmatch(text):
-        return int((now - int(match[1]) * _SECONDS[match[2]]) * 1e9)
+def parse_time(text: str, now: float) -> int:
+    """Parses an age such as `30m` or an ISO 8601 time to nanoseconds since the epoch. Raises ValueError.
+
+    `now` is in seconds since the epoch.
+    """
+    if match := _AGE.fullmatch(text):
+        return int((now - int(match[1]) * _SECONDS_BY_UNIT[match[2]]) * 1e9)
     return int(datetime.fromisoformat(text).timestamp() * 1e9)
 
 
-def files_of(path: str) -> list[Path]:
-    """A file and what was rotated from it, the oldest first."""
+def with_rotated_files(path: str) -> list[Path]:
+    """Returns a file and those rotated from it, the oldest first."""
     base = Path(path)
     rotated = [found for found in base.parent.glob(base.name + ".*") if found.suffix[1:].isdigit()]
     rotated.sort(key=lambda found: -int(found.suffix[1:]))
@@ -70,12 +73,13 @@
 
 
 def read(paths: Iterable[str], on_bad: Any = None) -> Iterator[Record]:
-    """Read every record of these files and of the ones rotated from them.
+    """Yields every record of these files and of those rotated from them.
 
-    Passes a BadLine to `on_bad` for each bad line; raises it if there is no `on_bad`, or no such file.
+    Passes a BadLine to `on_bad` for each bad line, or raises it without `on_bad`. Raises BadLine for a
+    missing file.
     """
     for path in paths:
-        found = files_of(path)
+        found = with_rotated_files(path)
         if not found:
             raise BadLine(f"{path}: no such file")
         for file in found:
@@ -91,7 +95,7 @@
                             record["parts"],
                         )
                     except (ValueError, KeyError, TypeError):
-                        error = BadLine(f"{file}:{number}: no record")
+                        error = BadLine(f"{file}:{number}: not a trace record")
                         if on_bad is None:
                             raise error from None
                         on_bad(error)
@@ -99,27 +103,27 @@
                     yield record
 
 
-def ms(ns: float) -> str:
-    """Nanoseconds as text in milliseconds."""
+def format_ms(ns: float) -> str:
+    """Formats nanoseconds as milliseconds."""
     return f"{ns / 1e6:.1f} ms"
 
 
-def moment(ns: int) -> str:
-    """Nanoseconds since the epoch as ISO 8601 in UTC."""
+def format_time(ns: int) -> str:
+    """Formats nanoseconds since the epoch as ISO 8601 in UTC."""
     return datetime.fromtimestamp(ns / 1e9, UTC).strftime("%Y-%m-%dT%H:%M:%S.%f")[:-3] + "Z"
 
 
 def line(record: Record) -> str:
-    """One line of a list."""
+    """Formats a record as one line of a list."""
     return (
-        f"{moment(record['start'])} {record['trace']} {record['class']:<12} {record['answer']:<8}"
-        f"{ms(record['end'] - record['start']):>12}  {len(record['attempts'])} attempts  "
+        f"{format_time(record['start'])} {record['trace']} {record['class']:<12} {record['answer']:<8}"
+        f"{format_ms(record['end'] - record['start']):>12}  {len(record['attempts'])} attempts  "
         f"{','.join(record['kept']):<16} {record['id']}"
     )
 
 
 def waterfall(record: Record, width: int = 72) -> list[str]:
-    """A request's time drawn to scale, one row for the whole and one for each attempt."""
+    """Draws a request's time to scale: a row for the whole request, and one for each attempt and event."""
     start, whole = record["start"], max(1, record["end"] - record["start"])
 
     def column(at: int) -> int:
@@ -132,11 +136,11 @@
                 row[at] = _GLYPHS[part]
         return "".join(row)
 
-    rows = [f"{'operation':<14}|{draw(breakdown.segments(record))}| {ms(whole)}"]
+    rows = [f"{'operation':<14}|{draw(breakdown.segments(record))}| {format_ms(whole)}"]
     for attempt in record["attempts"]:
         rows.append(
-            f"{attempt['number']}: {attempt['to'][:11]:<11}|{draw(_of(attempt))}| "
-            f"{ms(attempt['end'] - attempt['begin'])} {attempt['ending']}"
+            f"{attempt['number']}: {attempt['to'][:11]:<11}|{draw(_attempt_segments(attempt))}| "
+            f"{format_ms(attempt['end'] - attempt['begin'])} {attempt['ending']}"
         )
     for event in record["events"]:
         rows.append(
@@ -146,7 +150,7 @@
     return rows
 
 
-def _of(attempt: Mapping[str, Any]) -> Iterator[tuple[str, int, int]]:
+def _attempt_segments(attempt: Mapping[str, Any]) -> Iterator[tuple[str, int, int]]:
     if attempt["ending"] != "served":
         yield "lost", attempt["begin"], attempt["end"]
         return
@@ -180,58 +184,58 @@
 
 
 def why(record: Record) -> list[str]:
-    """Sentences that say how the request ended, where its time went, and why it was retried or rejected."""
+    """Returns sentences that explain how a request ended, where its time went, and why it was retried."""
     whole = record["end"] - record["start"]
-    said = [
+    sentences = [
         f"{record['class']} {record['id']} of {record['tenant'] or 'no tenant'} "
-        f"{_ANSWERS[record['answer']]} after {ms(whole)}."
+        f"{_ANSWERS[record['answer']]} after {format_ms(whole)}."
     ]
     if record["late"]:
-        said.append(
+        sentences.append(
             f"It was late: wanted within {record['aim_ms']:g} ms plus {record['stretch']:g} times "
             "its own running time."
         )
     if record["why"]:
-        said.append(f"The module's ground: {record['why']}.")
+        sentences.append(f"The module's ground: {record['why']}.")
     parts = sorted(record["parts"].items(), key=lambda item: -item[1])
-    said.append(
+    sentences.append(
         "Its time went to "
         + ", ".join(
-            f"{part} {ms(spent)} ({100 * spent / max(1, whole):.0f}%)"
+            f"{part} {format_ms(spent)} ({100 * spent / max(1, whole):.0f}%)"
             for part, spent in parts
             if spent > 0
         )
         + "."
     )
-    before = record["taken"]
+    held_since = record["taken"]
     for attempt in record["attempts"]:
-        wait = attempt["begin"] - before
+        wait = attempt["begin"] - held_since
         reason = f" ({attempt['held']})" if attempt["held"] else ""
-        said.append(
+        sentences.append(
             f"Attempt {attempt['number']} went to {attempt['to']}, one of {attempt['among']}, "
-            f"after being held for {ms(wait)}{reason}."
+            f"after being held for {format_ms(wait)}{reason}."
         )
         if attempt["ending"] == "served":
             if attempt["started"]:
-                said.append(
-                    f"  It waited there for {ms(attempt['started'] - attempt['written'])} and ran "
-                    f"for {ms(attempt['end'] - attempt['started'])}."
+                sentences.append(
+                    f"  It waited there for {format_ms(attempt['started'] - attempt['written'])} and ran "
+                    f"for {format_ms(attempt['end'] - attempt['started'])}."
                 )
         else:
-            began = (
+            start_report = (
                 "it had started there"
                 if attempt["started"]
                 else "it had not started, as far as was told"
             )
-            said.append(
-                f"  It came to nothing after {ms(attempt['end'] - attempt['begin'])}: "
-                f"{_OUTCOMES.get(attempt['ending'], attempt['ending'])}; {began}; "
+            sentences.append(
+                f"  It came to nothing after {format_ms(attempt['end'] - attempt['begin'])}: "
+                f"{_OUTCOMES.get(attempt['ending'], attempt['ending'])}; {start_report}; "
                 f"then: {attempt['then']}."
             )
-        before = attempt["end"]
+        held_since = attempt["end"]
     for event in record["events"]:
-        said.append(
-            f"{ms(event['at'] - record['start'])} in: {event['name']} {event['text']}".rstrip()
+        sentences.append(
+            f"{format_ms(event['at'] - record['start'])} in: {event['name']} {event['text']}".rstrip()
             + "."
         )
-    return said
+    return sentences
--- a/yewrill/tracing/record.py
+++ b/yewrill/tracing/record.py
@@ -16,12 +16,12 @@
 MAX_EVENTS = 32
 
 
-def _cut(text: str) -> str:
+def _truncate(text: str) -> str:
     return text if len(text) <= MAX_TEXT_LENGTH else text[: MAX_TEXT_LENGTH - 1] + "…"
 
 
 class AttemptTrace:
-    """Timestamps of one attempt; one that was not reached stays 0."""
+    """Timestamps of one attempt; 0 for a stage that it has not reached."""
 
     __slots__ = (
         "span",
@@ -45,7 +45,7 @@
         self.span = span
         self.number = number
         self.worker = worker
-        self.among = among  # number of workers considered
+        self.among = among  # number of workers that were considered
         self.held = held  # why the attempt was not sent earlier
         self.chosen = chosen
         self.begin = self.connected = self.written = self.started = self.progressed = self.end = 0.0
@@ -54,7 +54,7 @@
         self.headers: list[tuple[str, str]] = []  # trace context for the worker
 
     def note_progress(self, at: float, share: float) -> None:
-        """Record the latest progress report, a fraction from 0 to 1."""
+        """Records the latest progress report; `share` is a fraction from 0 to 1."""
         self.progressed, self.share = at, share
 
 
@@ -99,11 +99,12 @@
         self.context = context
         self.span = span
         self.id, self.request_class, self.tenant = id, request_class, tenant
+        # `latency_objective` and `deadline` are in ms from the start; the factor has no unit.
         self.latency_objective, self.objective_run_factor, self.deadline = (
             latency_objective,
             objective_run_factor,
             deadline,
-        )  # ms, none, ms from the start
+        )
         self.start, self.taken = start, taken
         self.decided = 0.0
         self.answer = self.reason = ""
@@ -114,19 +115,19 @@
     def begin_attempt(
         self, number: int, worker: str, among: int, held: str, at: float
     ) -> AttemptTrace:
-        """Open the trace of an attempt that the policy has just decided on."""
+        """Opens the trace of an attempt that the policy has just decided on."""
         attempt = AttemptTrace(self._tracer.new_span(), number, worker, among, held, at)
         attempt.headers = self._tracer.headers(self.context, attempt.span)
         self.attempts.append(attempt)
         return attempt
 
     def event(self, at: float, name: str, text: str = "") -> None:
-        """Add an event; events beyond MAX_EVENTS are dropped."""
+        """Adds an event; events beyond MAX_EVENTS are dropped."""
         if len(self.events) < MAX_EVENTS:
             self.events.append((at, name, text))
 
     def decide(self, at: float, answer: str, reason: str = "", retry_after: float = 0.0) -> None:
-        """Set the final answer and its reason. Only the first call has an effect."""
+        """Sets the final answer and its reason. Only the first call has an effect."""
         if not self.answer:
             self.decided, self.answer, self.reason, self.retry_after = (
                 at,
@@ -136,7 +137,7 @@
             )
 
     def as_dict(self, end: float, offset: float) -> dict[str, Any]:
-        """The record in the file format. `offset`: seconds from the loop's clock to the epoch."""
+        """Returns the record in the file format. `offset`: seconds from the loop's clock to the epoch."""
 
         def ns(at: float) -> int:
             return int((at + offset) * 1e9) if at else 0
@@ -154,7 +155,7 @@
                 {
                     "span": attempt.span,
                     "number": attempt.number,
-                    "to": _cut(attempt.worker),
+                    "to": _truncate(attempt.worker),
                     "among": attempt.among,
                     "held": attempt.held,
                     "chosen": ns(attempt.chosen),
@@ -174,9 +175,9 @@
             "trace": self.context.trace,
             "span": self.span,
             "parent": self.context.parent,
-            "id": _cut(self.id),
-            "class": _cut(self.request_class),
-            "tenant": _cut(self.tenant),
+            "id": _truncate(self.id),
+            "class": _truncate(self.request_class),
+            "tenant": _truncate(self.tenant),
             "start": ns(self.start),
             "taken": ns(self.taken),
             "decided": ns(self.decided),
@@ -189,6 +190,7 @@
             "retry_after_ms": self.retry_after,
             "attempts": attempts,
             "events": [
-                {"at": ns(at), "name": name, "text": _cut(text)} for at, name, text in self.events
+                {"at": ns(at), "name": name, "text": _truncate(text)}
+                for at, name, text in self.events
             ],
         }
--- a/yewrill/tracing/report.py
+++ b/yewrill/tracing/report.py
@@ -1,5 +1,5 @@
-"""One self-contained HTML page of many records: bad requests by class and cause, the breakdown by
-percentile, the slowest."""
+"""Builds a self-contained HTML page from many records: bad requests by class and cause, the breakdown of
+their time by percentile, and the slowest ones."""
 
 from __future__ import annotations
 
@@ -11,9 +11,11 @@
 
 from yewrill.tracing import breakdown, reading, sampling
 
-AT = (50.0, 90.0, 99.0)
-WORST = 20
-MAX_VALUES = 100_000  # of a class and part; beyond that every second one is dropped
+PERCENTILES = (50.0, 90.0, 99.0)
+MAX_WORST = 20
+MAX_VALUES = (
+    100_000  # durations kept for each class and part; at this number every second one is dropped
+)
 _COLOURS = {
     "receiving": "#9aa5b1",
     "held": "#e0b64a",
@@ -42,8 +44,8 @@
         self.values: dict[str, dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
         self.worst: list[tuple[int, int, Any]] = []
 
-    def take(self, record: reading.Record) -> None:
-        """Add a record."""
+    def add(self, record: reading.Record) -> None:
+        """Adds a record."""
         self.count += 1
         request_class, bad = record["class"], [c for c in record["kept"] if c in sampling.BAD]
         self.causes[request_class].update(bad or ["ordinary"])
@@ -59,15 +61,15 @@
             values[part].append(spent)
         if bad:
             entry = (record["end"] - record["start"], self.count, record)
-            if len(self.worst) < WORST:
+            if len(self.worst) < MAX_WORST:
                 heapq.heappush(self.worst, entry)
             else:
                 heapq.heappushpop(self.worst, entry)
 
     def html(self) -> str:
-        """The page."""
+        """Returns the page."""
         causes = (*sampling.BAD, "ordinary")
-        key = "".join(
+        legend = "".join(
             f'<i style="background:{colour}"></i>{part}' for part, colour in _COLOURS.items()
         )
         sections = [
@@ -89,13 +91,13 @@
             "<h2>Attempts that came to nothing</h2>",
             _table(
                 ["destination", "ending", "attempts"],
-                ([*what, count] for what, count in self.outcomes.most_common(30)),
+                ([*outcome, count] for outcome, count in self.outcomes.most_common(30)),
             ),
             "<h2>Breakdown by percentile, ms</h2>",
             self._breakdown(),
             f"<h2>The worst {len(self.worst)}</h2>",
-            f'<p class="key">{key}</p>',
-            *(_worst(record) for _, _, record in sorted(self.worst, reverse=True)),
+            f'<p class="key">{legend}</p>',
+            *(_worst_record(record) for _, _, record in sorted(self.worst, reverse=True)),
         ]
         return (
             "<!doctype html><html lang=en><meta charset=utf-8><title>yewrill trace report</title>"
@@ -106,12 +108,12 @@
         rows = []
         for name, values in sorted(self.values.items()):
             for part in breakdown.PARTS:
-                found = breakdown.percentiles(values[part], AT)
+                found = breakdown.percentiles(values[part], PERCENTILES)
                 rows.append([name, part, *(f"{value / 1e6:.1f}" for value in found)])
-        return _table(["class", "part", *(f"p{at:g}" for at in AT)], rows)
+        return _table(["class", "part", *(f"p{at:g}" for at in PERCENTILES)], rows)
 
 
-def _table(heads: Iterable[str], rows: Iterable[Iterable[Any]]) -> str:
+def _table(headers: Iterable[str], rows: Iterable[Iterable[Any]]) -> str:
     body = "".join(
         "<tr>" + "".join(f"<td>{escape(str(cell))}</td>" for cell in row) + "</tr>" for row in rows
     )
@@ -119,21 +121,21 @@
         return "<p>None.</p>"
     return (
         "<table><tr>"
-        + "".join(f"<th>{escape(head)}</th>" for head in heads)
+        + "".join(f"<th>{escape(head)}</th>" for head in headers)
         + f"</tr>{body}</table>"
     )
 
 
-def _worst(record: reading.Record) -> str:
+def _worst_record(record: reading.Record) -> str:
     whole = max(1, record["end"] - record["start"])
     bar = "".join(
-        f'<i title="{part} {reading.ms(end - begin)}" style="background:{_COLOURS[part]};'
+        f'<i title="{part} {reading.format_ms(end - begin)}" style="background:{_COLOURS[part]};'
         f'width:{100 * (end - begin) / whole:.2f}%"></i>'
         for part, begin, end in breakdown.segments(record)
     )
     text = escape("\n".join(reading.why(record)))
     return (
-        f"<details><summary>{escape(record['class'])} {escape(record['id'])}: {reading.ms(whole)}, "
+        f"<details><summary>{escape(record['class'])} {escape(record['id'])}: {reading.format_ms(whole)}, "
         f"{escape(','.join(record['kept']))}</summary>"
         f"<div class=bar>{bar}</div><pre>{text}</pre></details>"
     )
--- a/yewrill/tracing/retry.py
+++ b/yewrill/tracing/retry.py
@@ -1,8 +1,8 @@
-"""Decides what an exporter does after each response of a collector. Pure.
+"""Decides what the exporter does after each response of a collector. Pure functions.
 
-After OTLP's specification, "OTLP/HTTP response" and "retryable response codes": 429, 502, 503 and 504 are
-retried, with `Retry-After` where it is given; every other status from 400 on is final. A failure to
-connect, or an incomplete response, is retried too; the collector may recognise duplicates by span id.
+Follows OTLP's specification, "OTLP/HTTP response" and "retryable response codes": 429, 502, 503 and 504 are
+retried, honouring `Retry-After`; every other status that is not 2xx is final. A failed connection or an
+incomplete response is retried too; the collector can recognise duplicates by span id.
 """
 
 from __future__ import annotations
@@ -10,39 +10,39 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-RETRIED = frozenset({429, 502, 503, 504})
-LOST = 0  # in place of a status: no response
+RETRYABLE_STATUSES = frozenset({429, 502, 503, 504})
+NO_RESPONSE = 0  # in place of a status
 
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """Exponential backoff with jitter; pauses in seconds. `tries`: for one batch before it is dropped."""
+    """Exponential backoff with jitter; pauses in seconds."""
 
     initial_pause: float = 0.5
     max_pause: float = 30.0
     factor: float = 2.0
-    jitter: float = 0.5  # of the pause, up and down
-    tries: int = 8
-    max_retry_after: float = 120.0  # of Retry-After that is honoured
+    jitter: float = 0.5  # maximum change of a pause in either direction, as a fraction of it
+    max_tries: int = 8  # a batch is dropped after so many
+    max_retry_after: float = 120.0  # a longer Retry-After is cut to this
 
 
 @dataclass(frozen=True, slots=True)
 class Delivered:
-    """The collector has accepted the batch, but for `rejected` spans."""
+    """The collector has accepted the batch, except for `rejected` spans."""
 
     rejected: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class RetryLater:
-    """Send the batch again `after` seconds."""
+    """The batch is to be sent again after `after` seconds."""
 
     after: float
 
 
 @dataclass(frozen=True, slots=True)
 class Dropped:
-    """The batch will never be accepted."""
+    """The batch is given up: the collector has refused it, or all tries have failed."""
 
     cause: str
 
@@ -55,15 +55,16 @@
     policy: RetryPolicy,
     random: Callable[[], float],
 ) -> Delivered | RetryLater | Dropped:
-    """Decide after the `tries`-th try of a batch, counted from 1.
+    """Decides what follows the `tries`-th try of a batch, counted from 1.
 
-    `status` is LOST without a response, `retry_after` in seconds, `random` returns values from 0 to 1.
+    `status` is an HTTP status or NO_RESPONSE, `retry_after` the value of Retry-After in seconds, `rejected`
+    the number of spans that a 2xx response rejects; `random` returns values from 0 to 1.
     """
     if 200 <= status < 300:
         return Delivered(rejected)
-    if status != LOST and status not in RETRIED:
+    if status != NO_RESPONSE and status not in RETRYABLE_STATUSES:
         return Dropped(f"status_{status}")
-    if tries >= policy.tries:
+    if tries >= policy.max_tries:
         return Dropped("tries")
     pause = min(policy.max_pause, policy.initial_pause * policy.factor ** (tries - 1))
     pause *= 1.0 + policy.jitter * (2.0 * random() - 1.0)
--- a/yewrill/tracing/sampling.py
+++ b/yewrill/tracing/sampling.py
@@ -1,4 +1,4 @@
-"""Decides which records are kept and which are dropped. Pure: time and random bits are arguments.
+"""Decides which records are kept and which are dropped. Time and random bits are passed as arguments.
 
 The threshold is OpenTelemetry's: with a sampling ratio p, a record is kept if its 56 random bits are at
 least T = (1 - p) * 2^56. All hops compare the same bits, so a record kept at 1% is also kept at 10%.
@@ -12,30 +12,31 @@
 from typing import Any
 
 BITS = 56
+# Causes for which a record is kept; their values are written to the trace files.
 LATE, REFUSED, FAILED, RETRIED, LEFT = "late", "refused", "failed", "retried", "left"
 BAD = (LATE, REFUSED, FAILED, RETRIED, LEFT)
-ASKED, SAMPLED = "asked", "sampled"  # kept for the caller's flag, or sampled
+ASKED, SAMPLED = "asked", "sampled"  # kept for the caller's sampled flag, or by the sampling ratio
 
 
 def threshold(ratio: float) -> int:
-    """The threshold T for a ratio from 0 to 1; 2^56 keeps nothing."""
+    """Returns the threshold T for a ratio from 0 to 1; 2^56 keeps nothing."""
     return round((1.0 - min(1.0, max(0.0, ratio))) * (1 << BITS))
 
 
 def threshold_text(value: int) -> str | None:
-    """The value of `th`: hexadecimal without trailing zeros; None if nothing is kept."""
+    """Returns the value of `th`: hexadecimal without trailing zeros; None if nothing is kept."""
     if value >= 1 << BITS:
         return None
     return f"{value:014x}".rstrip("0") or "0"
 
 
 def ratio_of(text: str) -> float:
-    """The ratio of a `th` value; a kept record stands for 1 / ratio records."""
+    """Returns the ratio of a `th` value. A kept record represents 1 / ratio records."""
     return 1.0 - int(text.ljust(14, "0"), 16) / (1 << BITS)
 
 
-def causes(record: Mapping[str, Any]) -> list[str]:
-    """The causes for which a finished record is always kept; empty for an ordinary one."""
+def bad_causes(record: Mapping[str, Any]) -> list[str]:
+    """Returns the causes for which a finished record is always kept; empty for an ordinary record."""
     found = []
     answer = record["answer"]
     if answer in (REFUSED, FAILED, LEFT):
@@ -50,9 +51,10 @@
 def late(
     answered: float, run: float | None, latency_objective: float, objective_run_factor: float
 ) -> bool:
-    """Whether an answer missed its latency objective. `answered` and `run`, the run time, in ms.
+    """Returns whether an answer missed its latency objective.
 
-    Where the run time is not known, the whole time is taken for it, so only certain cases count as late.
+    `answered` is the time to the answer and `run` the run time, in ms. An unknown run time is replaced by
+    the whole time to the answer, so that only requests that are certainly late count as late.
     """
     return answered > latency_objective + objective_run_factor * (
         run if run is not None else answered
@@ -61,14 +63,14 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A token bucket: `rate` tokens a second, at most a second's worth (at least one) saved up."""
+    """A token bucket: `rate` tokens a second, with a burst of one second's tokens, at least one."""
 
     rate: float
     tokens: float = 0.0
     at: float = 0.0
 
     def take(self, now: float) -> bool:
-        """Take a token at `now`, in seconds of a monotonic clock. Returns whether there was one."""
+        """Takes a token at `now`, in seconds of a monotonic clock. Returns whether there was one."""
         self.tokens = min(max(1.0, self.rate), self.tokens + max(0.0, now - self.at) * self.rate)
         self.at = now
         if self.rate <= 0 or self.tokens < 1.0:
@@ -77,20 +79,26 @@
         return True
 
 
-def keep(record: Mapping[str, Any], random: int, limit: int, asked: bool) -> list[str]:
-    """The causes for which a record is kept; empty if it is dropped."""
-    if bad := causes(record):
+def kept_causes(
+    record: Mapping[str, Any], random: int, sampling_threshold: int, caller_sampled: bool
+) -> list[str]:
+    """Returns the causes for which a record is kept; empty if it is dropped.
+
+    `random` are the trace's 56 random bits. `caller_sampled` says that the caller's sampled flag is set and
+    within its rate limit.
+    """
+    if bad := bad_causes(record):
         return bad
-    if random >= limit:
+    if random >= sampling_threshold:
         return [SAMPLED]
-    return [ASKED] if asked else []
+    return [ASKED] if caller_sampled else []
 
 
 @dataclass(slots=True)
 class Queue:
-    """Finished records that wait for export, at most `capacity`.
+    """Finished records that wait for export, at most `capacity` of them.
 
-    When it is full, ordinary records are dropped before bad ones, the oldest first, and counted by cause.
+    A full queue drops ordinary records before bad ones, the oldest first, and counts them by cause.
     """
 
     capacity: int
@@ -102,7 +110,7 @@
         return len(self.bad) + len(self.ordinary)
 
     def put(self, record: Any, is_bad: bool) -> None:
-        """Append a record, dropping others if the queue is full."""
+        """Appends a record, dropping others if the queue is full."""
         (self.bad if is_bad else self.ordinary).append(record)
         while len(self) > self.capacity:
             if self.ordinary:
@@ -113,7 +121,7 @@
                 self.count("bad_full")
 
     def take(self, count: int) -> list[Any]:
-        """Remove and return up to `count` records, bad ones first."""
+        """Removes and returns up to `count` records, bad ones first."""
         taken = []
         for source in (self.bad, self.ordinary):
             while source and len(taken) < count:
@@ -121,5 +129,5 @@
         return taken
 
     def count(self, cause: str, number: int = 1) -> None:
-        """Count dropped records."""
+        """Counts `number` records as dropped for `cause`."""
         self.dropped[cause] = self.dropped.get(cause, 0) + number
--- a/yewrill/tracing/tracer.py
+++ b/yewrill/tracing/tracer.py
@@ -1,4 +1,4 @@
-"""The package's interface to the dispatcher: begin a trace, finish it, queue the record if it is kept."""
+"""The package's interface to the dispatcher: begins and finishes traces, and queues the kept records."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SamplingConfig:
-    """How many records are kept."""
+    """Limits on the number of kept records."""
 
-    ratio: float = 0.01  # of ordinary records
+    ratio: float = 0.01  # fraction of ordinary records that are kept
     queue: int = 10_000  # finished records that may wait for export
-    caller_sampled_per_second: float = 10.0  # records kept for the caller's sampled flag
+    caller_sampled_per_second: float = 10.0  # records a second kept for the caller's sampled flag
 
 
 class Tracer:
     """Creates traces and samples finished ones.
 
-    `clock` returns the event loop's time, `wall` the epoch's, both in seconds; `wall` is read once, so that
-    steps of the wall clock do not change durations.
+    `clock` returns the event loop's time and `wall` the time since the epoch, both in seconds; `wall` is read
+    only once, so that steps of the wall clock do not change durations.
     """
 
     def __init__(
@@ -46,15 +46,15 @@
         self.on_record_queued: Callable[[], None] = lambda: None
 
     def reconfigure(self, sampling_config: SamplingConfig) -> None:
-        """Apply other limits to requests that finish from now on."""
+        """Applies new limits to requests that finish from now on."""
         self.sampling_config = sampling_config
         self.queue.capacity = sampling_config.queue
-        self._limit = sampling.threshold(sampling_config.ratio)
-        self._threshold = sampling.threshold_text(self._limit)
+        self._sampling_threshold = sampling.threshold(sampling_config.ratio)
+        self._threshold_text = sampling.threshold_text(self._sampling_threshold)
         self._caller_sampled = sampling.TokenBucket(sampling_config.caller_sampled_per_second)
 
     def new_span(self) -> str:
-        """A random span id, 16 hexadecimal digits."""
+        """Returns a random span id of 16 hexadecimal digits."""
         return f"{self._rng.getrandbits(64) or 1:016x}"
 
     def begin(
@@ -70,17 +70,17 @@
         state: str | None,
         first_byte: float,
     ) -> RequestTrace:
-        """Open the trace of an accepted request.
+        """Opens the trace of an accepted request.
 
         `latency_objective` and `deadline` are in ms, `first_byte` in seconds of the loop's clock. `parent`
-        and `state` are the headers `traceparent` and `tracestate`, None where absent.
+        and `state` are the headers `traceparent` and `tracestate`, None if absent.
         """
-        found = context.read(parent, state)
-        if found is None:
-            found = Context(f"{self._rng.getrandbits(128) or 1:032x}")
+        request_context = context.read(parent, state)
+        if request_context is None:
+            request_context = Context(f"{self._rng.getrandbits(128) or 1:032x}")
         trace = RequestTrace(
             self,
-            found,
+            request_context,
             self.new_span(),
             id,
             request_class,
@@ -94,39 +94,46 @@
         self._open.add(trace)
         return trace
 
-    def headers(self, found: Context, span: str) -> list[tuple[str, str]]:
-        """Trace context headers for an attempt: its span is the parent of the worker's spans."""
-        sampled = found.sampled or found.random >= self._limit
-        headers = [("traceparent", context.parent_header(found.trace, span, sampled))]
-        if not found.parent:
-            return headers  # the trace begins here: no tracestate to pass on
-        state = context.state_header(found, found.threshold)
+    def headers(self, request_context: Context, span: str) -> list[tuple[str, str]]:
+        """Returns the trace context headers of an attempt, whose span is the parent of the worker's spans."""
+        sampled = request_context.sampled or request_context.random >= self._sampling_threshold
+        headers = [("traceparent", context.parent_header(request_context.trace, span, sampled))]
+        if not request_context.parent:
+            return headers  # the trace begins here: no tracestate to propagate
+        state = context.state_header(request_context, request_context.threshold)
         return [*headers, ("tracestate", state)] if state else headers
 
     def finish(self, trace: RequestTrace) -> dict[str, Any] | None:
-        """Close the trace of a finished request. Returns the record if it is kept and queued, else None."""
+        """Closes the trace of a finished request. Returns the record if it is kept and queued, else None."""
         if trace not in self._open:
             return None
         self._open.discard(trace)
         self.counts["finished"] += 1
-        found = trace.context
+        request_context = trace.context
         late = self._is_late(trace)
         ordinary = trace.answer == "served" and len(trace.attempts) <= 1 and not late
-        if ordinary and found.random < self._limit and not found.sampled:
-            self.counts["thinned"] += 1  # the common case, before the record is built
+        if (
+            ordinary
+            and request_context.random < self._sampling_threshold
+            and not request_context.sampled
+        ):
+            # The common case is decided early, to save the cost of building the record.
+            self.counts["thinned"] += 1
             return None
         record = trace.as_dict(self._clock(), self._offset)
         record["late"] = late
-        asked = found.sampled and self._caller_sampled.take(self._clock())
-        kept = sampling.keep(record, found.random, self._limit, asked)
+        caller_sampled = request_context.sampled and self._caller_sampled.take(self._clock())
+        kept = sampling.kept_causes(
+            record, request_context.random, self._sampling_threshold, caller_sampled
+        )
         if not kept:
             self.counts["thinned"] += 1
             return None
         bad = any(cause in sampling.BAD for cause in kept)
         record["kept"] = kept
-        # A bad record counts once; a sampled one stands for 1 / ratio records.
+        # A record kept for another cause represents itself only; a sampled one represents 1 / ratio records.
         record["state"] = context.state_header(
-            found, self._threshold if kept == [sampling.SAMPLED] else "0"
+            request_context, self._threshold_text if kept == [sampling.SAMPLED] else "0"
         )
         record["parts"] = breakdown.parts(record)
         self.counts["kept_bad" if bad else "kept_ordinary"] += 1
@@ -147,12 +154,12 @@
         )
 
     def event(self, name: str, text: str = "") -> None:
-        """Add an event to every open trace."""
+        """Adds an event to every open trace."""
         at = self._clock()
         for trace in self._open:
             trace.event(at, name, text)
 
     @property
     def open(self) -> int:
-        """The number of open traces."""
+        """Number of open traces."""
         return len(self._open)
