--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -1,4 +1,8 @@
-"""Traces: every bad operation whole and with the right cause; collectors that fail; headers of every kind."""
+"""Tracing: sampling, breakdown, trace headers, export to failing collectors, and the records of a service.
+
+The tests guard against bad requests without a record or with a wrong cause, against spans that a failing
+collector loses or gets twice, and against trace headers of a client that raise an error.
+"""
 
 from __future__ import annotations
 
@@ -28,17 +32,17 @@
 
 
 class OtlpCollector:
-    """A stand-in: keeps the spans that it says yes to, and behaves as the script says, once each."""
+    """A collector that keeps the spans it accepts. Each item of the script decides one POST's response."""
 
     def __init__(self, *script):
         self.script, self.spans, self.posts, self.tries = list(script), [], 0, trio.Event()
 
     async def serve(self, nursery) -> str:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        nursery.start_soon(trio.serve_listeners, self._talk, listeners)
+        nursery.start_soon(trio.serve_listeners, self._serve_connection, listeners)
         return f"http://127.0.0.1:{listeners[0].socket.getsockname()[1]}/v1/traces"
 
-    async def _talk(self, stream) -> None:
+    async def _serve_connection(self, stream) -> None:
         with suppress(trio.BrokenResourceError, h11.RemoteProtocolError):
             parser = h11.Connection(h11.SERVER)
             body = b""
@@ -51,37 +55,37 @@
                 elif isinstance(event, h11.Data):
                     body += event.data
                 elif isinstance(event, h11.EndOfMessage):
-                    if not await self._answer(stream, body):
+                    if not await self._respond(stream, body):
                         break
                     parser.start_next_cycle() if parser.our_state is h11.DONE else None
                     parser, body = h11.Connection(h11.SERVER), b""
         await trio.aclose_forcefully(stream)
 
-    async def _answer(self, stream, body) -> bool:
+    async def _respond(self, stream, body) -> bool:
         self.posts += 1
-        act = self.script.pop(0) if self.script else 200
+        step = self.script.pop(0) if self.script else 200
         self.tries.set()
-        if act in ("reset", "silent"):
-            await (trio.sleep(0) if act == "reset" else trio.sleep(30))
+        if step in ("reset", "silent"):
+            await (trio.sleep(0) if step == "reset" else trio.sleep(30))
             return False
         message = b""
-        if act == 200:
+        if step == 200:
             sent = service.ExportTraceServiceRequest.FromString(gzip.decompress(body))
             self.spans += [s for r in sent.resource_spans for c in r.scope_spans for s in c.spans]
-        elif act == "partial":
-            act, answer = 200, service.ExportTraceServiceResponse()
-            answer.partial_success.rejected_spans = 3
-            message = answer.SerializeToString()
-        elif act == "nonsense":
-            act, message = 200, b"\xff\xff<html>"
-        cut, status = (act == "cut"), (200 if act == "cut" else act)
+        elif step == "partial":
+            step, response = 200, service.ExportTraceServiceResponse()
+            response.partial_success.rejected_spans = 3
+            message = response.SerializeToString()
+        elif step == "nonsense":
+            step, message = 200, b"\xff\xff<html>"
+        cut, status = (step == "cut"), (200 if step == "cut" else step)
         head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(message) + 10 * cut}\r\n"
         head += "Retry-After: 0.01\r\n" if status in (429, 503) else ""
         await stream.send_all(head.encode() + b"\r\n" + message)
         return not cut
 
 
-# -- pure parts
+# -- pure functions
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
@@ -103,7 +107,7 @@
         assert len(context.state_header(found, "c")) <= 512
 
 
-def test_the_standards_own_examples():
+def test_examples_of_the_trace_context_standard():
     parent = f"00-{TRACE}-{SPAN}-01"
     found = context.read(
         parent, "rojo=00f067aa0ba902b7,ot=th:c;rv:12345678901234,congo=t61rcWkgMzE"
@@ -130,7 +134,7 @@
         assert context.read(parent, bad).state == ()
 
 
-def test_sampling_is_consistent_and_the_queue_lets_ordinary_ones_go_first():
+def test_sampling_is_consistent_and_full_queue_drops_ordinary_records_first():
     rng = random.Random(2)
     bits = [rng.getrandbits(56) for _ in range(20_000)]
     for share in (0.0, 0.01, 0.25, 1.0):
@@ -145,8 +149,8 @@
     for i, bad in enumerate((False, True, False, True, True, True)):
         queue.put(i, bad)
     assert queue.dropped == {"ordinary_full": 2, "bad_full": 1} and queue.take(9) == [3, 4, 5]
-    allowance = sampling.TokenBucket(2.0)
-    assert [allowance.take(t) for t in (1.0, 1.0, 1.0, 1.5, 1.6)] == [
+    bucket = sampling.TokenBucket(2.0)
+    assert [bucket.take(t) for t in (1.0, 1.0, 1.0, 1.5, 1.6)] == [
         True,
         True,
         False,
@@ -158,7 +162,7 @@
     assert not sampling.late(900, None, 100, 2.5) and sampling.late(900, None, 100, 0.5)
 
 
-MARK = st.integers(0, 10**12)
+MARK = st.integers(0, 10**12)  # a timestamp in nanoseconds
 ATTEMPT = st.fixed_dictionaries(
     {
         "begin": MARK,
@@ -192,25 +196,25 @@
         at = end
 
 
-def test_what_follows_each_answer_of_a_collector():
-    rules = retry.RetryPolicy(
+def test_retry_decision_for_each_status():
+    policy = retry.RetryPolicy(
         initial_pause=1.0, max_pause=5.0, max_tries=4, jitter=0.5, max_retry_after=60.0
     )
 
-    def after(status, tries=1, asked=None, random=0.5):
-        return retry.decide(status, tries, asked, 0, rules, lambda: random)
+    def after(status, tries=1, retry_after=None, random=0.5):
+        return retry.decide(status, tries, retry_after, 0, policy, lambda: random)
 
     assert after(200) == retry.Delivered() and after(400) == retry.Dropped("status_400")
     assert [after(503, n).after for n in (1, 2, 3)] == [1.0, 2.0, 4.0]
     assert after(0, 4) == retry.Dropped("tries")
-    assert after(429, asked=30.0).after == 30.0 and after(429, asked=1e9).after == 60.0
+    assert after(429, retry_after=30.0).after == 30.0 and after(429, retry_after=1e9).after == 60.0
     assert after(503, random=0.0).after == 0.5 and after(503, random=1.0).after == 1.5
 
 
 # -- the exporter
 
 
-def tracer(clock=lambda: 100.0, wall=lambda: 1_700_000_000.0, **sampling_config) -> Tracer:
+def make_tracer(clock=lambda: 100.0, wall=lambda: 1_700_000_000.0, **sampling_config) -> Tracer:
     return Tracer(
         SamplingConfig(**{"ratio": 0.0, **sampling_config}),
         clock=clock,
@@ -219,7 +223,7 @@
     )
 
 
-def finished(t: Tracer, id: str, answer: str = "failed", parent=None):
+def finish_request(t: Tracer, id: str, answer: str = "failed", parent=None):
     trace = t.begin(
         id,
         "tour",
@@ -237,10 +241,10 @@
     return t.finish(trace)
 
 
-RULES = retry.RetryPolicy(initial_pause=0.005, max_pause=0.01, max_tries=50)
+RETRY_POLICY = retry.RetryPolicy(initial_pause=0.005, max_pause=0.01, max_tries=50)
 
 
-async def drained(exporter, t, nursery, *, until):
+async def run_until(exporter, t, nursery, *, until):
     nursery.start_soon(exporter.run)
     while not until():
         await trio.sleep(0.002)
@@ -250,16 +254,18 @@
     "script", [(), (429, 503, 502, 504), ("reset", "cut", "silent"), ("reset", 503, "reset")]
 )
 @story
-async def test_a_collector_in_trouble_gets_each_span_once_in_the_end(script, monkeypatch):
+async def test_exporter_with_failing_collector_delivers_each_span_once(script, monkeypatch):
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
-    t = tracer()
+    t = make_tracer()
     async with trio.open_nursery() as nursery:
         collector = OtlpCollector(*script)
-        target = ExportTarget(url=await collector.serve(nursery), timeout=0.2, retry_policy=RULES)
+        target = ExportTarget(
+            url=await collector.serve(nursery), timeout=0.2, retry_policy=RETRY_POLICY
+        )
         exporter = Exporter(t, target, {"service.name": "y"}, "0", rng=random.Random(1))
         for i in range(700):  # more than a batch
-            assert finished(t, f"r{i}")["kept"] == ["failed"]
-        await drained(exporter, t, nursery, until=lambda: exporter.counts["exported"] == 700)
+            assert finish_request(t, f"r{i}")["kept"] == ["failed"]
+        await run_until(exporter, t, nursery, until=lambda: exporter.counts["exported"] == 700)
         nursery.cancel_scope.cancel()
     roots = [s for s in collector.spans if s.kind == s.SPAN_KIND_SERVER]
     assert len(roots) == len({s.span_id for s in roots}) == 700
@@ -268,17 +274,17 @@
 
 
 @story
-async def test_what_a_collector_turns_down_is_counted_and_lies_are_believed_once(monkeypatch):
+async def test_exporter_counts_rejected_spans_and_never_resends_an_accepted_batch(monkeypatch):
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
-    t = tracer()
+    t = make_tracer()
     async with trio.open_nursery() as nursery:
         collector = OtlpCollector("partial", 400, "nonsense")
         exporter = Exporter(
-            t, ExportTarget(url=await collector.serve(nursery), retry_policy=RULES), {}, "0"
+            t, ExportTarget(url=await collector.serve(nursery), retry_policy=RETRY_POLICY), {}, "0"
         )
         nursery.start_soon(exporter.run)
         for i in range(3):
-            finished(t, f"r{i}")
+            finish_request(t, f"r{i}")
             while collector.posts <= i:
                 await trio.sleep(0.002)
         while exporter.counts["exported"] < 2:
@@ -289,21 +295,21 @@
 
 
 @story
-async def test_an_outage_longer_than_the_queue_drops_ordinary_ones_first_and_says_how_many(
+async def test_full_queue_drops_ordinary_records_first_and_counts_them(
     tmp_path,
 ):
-    t = tracer(ratio=1.0, queue=10)
+    t = make_tracer(ratio=1.0, queue=10)
     exporter = Exporter(t, ExportTarget(file=str(tmp_path / "no" / "t.jsonl")), {}, "0")
     (tmp_path / "no").write_text("a file where a directory should be")
     for i in range(30):
-        finished(t, f"r{i}", "served" if i % 2 else "failed")
+        finish_request(t, f"r{i}", "served" if i % 2 else "failed")
     assert len(t.queue) == 10 and t.queue.dropped == {"ordinary_full": 15, "bad_full": 5}
     await exporter.flush()
     assert exporter.metrics()["trace_dropped_file_failed"] == 10
 
 
 @story
-async def test_what_a_collector_did_not_take_outlives_the_process_in_the_spool(monkeypatch):
+async def test_spooled_batches_are_delivered_after_a_restart(monkeypatch):
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     kept: dict[bytes, bytes] = {}
 
@@ -322,35 +328,35 @@
             **{"max_bytes": 10**6, **more},
         )
 
-    t = tracer()
+    t = make_tracer()
     async with trio.open_nursery() as nursery:
         gone = Exporter(
             t,
-            ExportTarget(url="http://127.0.0.1:9/v1/traces", retry_policy=RULES),
+            ExportTarget(url="http://127.0.0.1:9/v1/traces", retry_policy=RETRY_POLICY),
             {},
             "0",
             spool=spool(),
         )
         for i in range(5):
-            finished(t, f"first{i}")
-        await drained(gone, t, nursery, until=lambda: gone.counts["spooled"] == 5)
+            finish_request(t, f"first{i}")
+        await run_until(gone, t, nursery, until=lambda: gone.counts["spooled"] == 5)
         for i in range(5):
-            finished(t, f"second{i}")
-        nursery.cancel_scope.cancel()  # killed: the second ones were not spooled yet, or were
+            finish_request(t, f"second{i}")
+        nursery.cancel_scope.cancel()  # as if killed: the second five may have been spooled or not
     before = sum(len(gzip.decompress(v).splitlines()) for v in kept.values())
     assert before >= 5
-    t = tracer()
+    t = make_tracer()
     async with trio.open_nursery() as nursery:
         collector = OtlpCollector(503)
         exporter = Exporter(
             t,
-            ExportTarget(url=await collector.serve(nursery), retry_policy=RULES),
+            ExportTarget(url=await collector.serve(nursery), retry_policy=RETRY_POLICY),
             {},
             "0",
             spool=spool(number=len(kept)),
         )
-        finished(t, "third")
-        await drained(
+        finish_request(t, "third")
+        await run_until(
             exporter, t, nursery, until=lambda: not kept and exporter.counts["exported"] > before
         )
         nursery.cancel_scope.cancel()
@@ -365,13 +371,13 @@
         and ids[-1] == "third"
         and len(ids) == len(set(ids)) == before + 1
     )
-    assert not await spool(max_bytes=10).put(b"x" * 11)  # its bound
+    assert not await spool(max_bytes=10).put(b"x" * 11)  # larger than the spool
 
 
-# -- the whole program
+# -- a whole service
 
 
-def reads(path) -> dict[str, dict]:
+def read_records(path) -> dict[str, dict]:
     return (
         {r["id"]: r for r in map(ujson.loads, path.read_text().splitlines())}
         if path.exists()
@@ -380,7 +386,7 @@
 
 
 @story
-async def test_at_one_percent_every_bad_operation_is_there_whole_and_with_its_cause(
+async def test_service_sampling_one_percent_keeps_every_bad_request_with_its_causes(
     tmp_path, monkeypatch
 ):
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
@@ -441,7 +447,7 @@
         for kind in ("late", "retry", "fail", "quit", "gone", "reset"):
             for i in range(5):
                 await ask(f"{kind}{i}")
-        # No time left that could do: refused at once, with the module's ground.
+        # The deadline is too close for an attempt: rejected at once, with the policy's reason.
         for i in range(4):
             await ask(f"busy{i}", X_Timeout_Ms="2")
         for i in range(30):
@@ -450,17 +456,17 @@
         await ask("odd2", traceparent=f"00-{TRACE}-{SPAN}-00", tracestate="x=1,,bad==")
         bad = {id for id in statuses if expected(id)}
         assert len(bad) >= 20 and {c for id in bad for c in expected(id)} == set(sampling.BAD)
-        await w.until(lambda: bad <= reads(path).keys())
+        await w.until(lambda: bad <= read_records(path).keys())
         counts = (await w.call("GET /_vars")).body.decode()
         assert f"app.trace_finished:{len(statuses)}|c" in counts
         assert f"app.trace_kept_bad:{len(bad)}|c" in counts
-    found = reads(path)
+    found = read_records(path)
     for id, record in found.items():
         kind = id.rstrip("0123456789")
         assert sum(record["parts"].values()) == record["end"] - record["start"]
         assert len(record["attempts"]) >= len(seen.get(id, ()))
         if id in bad:
-            # A second attempt may have been chosen and, its client gone, never sent.
+            # A second attempt may have been chosen but never sent, since its client had left.
             tried = {"retried"} if len(record["attempts"]) > 1 else set()
             assert expected(id) <= set(record["kept"]) == expected(id) | tried, id
         else:
@@ -478,12 +484,12 @@
     assert found["busy0"]["why"] and not found["busy0"]["attempts"]
     gone = next(r for k, r in found.items() if k.startswith("gone") and r["attempts"])
     assert gone["answer"] == "left" and "client-left" in [event["name"] for event in gone["events"]]
-    # An attempt outlives its answer: it ends where it is seen to end, not where the client went.
+    # The attempt ends when its end is observed, later than the moment at which the client left.
     assert (
         gone["attempts"][0]["end"] > gone["decided"] and gone["attempts"][0]["ending"] != "served"
     )
     run = CliRunner()
-    # Its profiler vanished without a word: the span ends when it is given up, with what is known.
+    # The worker never responded: the attempt ends when the dispatcher gives it up.
     vanished = [r for k, r in found.items() if k.startswith("vanish") and r["attempts"]]
     assert vanished
     for last in (r["attempts"][-1] for r in vanished):
@@ -492,7 +498,7 @@
             and last["end"] - last["written"] > 100e6
             and not last["started"]
         )
-    # Its client gave up in the middle of a retry, pending or under way.
+    # The client left while a retry was pending or running.
     assert any(
         r["answer"] == "left" and r["attempts"][0]["ending"] == "turned away"
         for k, r in found.items()
@@ -511,7 +517,7 @@
 
 
 @story
-async def test_an_upgrade_and_a_reload_are_seen_in_the_lives_they_fall_into(tmp_path, monkeypatch):
+async def test_reload_and_hot_restart_are_events_of_the_open_traces(tmp_path, monkeypatch):
     from test_operators import shared_world, start_new_process
 
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
@@ -534,8 +540,8 @@
         assert (await w.ask(X_Request_ID="next", traceparent=f"00-{TRACE}-{SPAN}-01")).status == 200
         gate.set()
         assert (await slow.reply()).status == 200
-        await w.until(lambda: "slow" in reads(paths[0]) and "next" in reads(paths[1]))
-    old_process, new_process = reads(paths[0])["slow"], reads(paths[1])["next"]
+        await w.until(lambda: "slow" in read_records(paths[0]) and "next" in read_records(paths[1]))
+    old_process, new_process = read_records(paths[0])["slow"], read_records(paths[1])["next"]
     assert (
         old_process["trace"] == new_process["trace"] == TRACE
         and old_process["span"] != new_process["span"]
@@ -547,7 +553,7 @@
 
 
 @story
-async def test_a_wall_clock_set_back_bends_no_duration_and_a_reload_changes_the_share(
+async def test_wall_clock_set_back_keeps_durations_and_reload_changes_the_share(
     tmp_path, monkeypatch
 ):
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
@@ -560,20 +566,20 @@
 
     async with world(Peer("d1", slow), tracing={"file": str(path), "share": 1.0}) as w:
         assert (await w.ask(X_Request_ID="a")).status == 200
-        await w.until(lambda: "a" in reads(path))
+        await w.until(lambda: "a" in read_records(path))
         w.raw["tracing"]["share"] = 0.0
         w.service.reload()
         assert (await w.ask(X_Request_ID="b")).status == 200
         await w.until(lambda: w.service.tracing_hooks.tracer.counts["thinned"] == 1)
-    record = reads(path)["a"]
+    record = read_records(path)["a"]
     assert 50e6 <= record["parts"]["running"] <= record["end"] - record["start"] < 3e9
 
 
-def test_a_flood_of_trace_ids_or_one_for_all_is_held_within_bounds():
-    t = tracer(ratio=0.0, queue=100, caller_sampled_per_second=5.0)
+def test_flood_of_sampled_flags_is_rate_limited():
+    t = make_tracer(ratio=0.0, queue=100, caller_sampled_per_second=5.0)
     for i in range(10_000):
-        finished(t, f"r{i}", "served", parent=f"00-{i + 1:032x}-{SPAN}-01")
-        finished(t, f"s{i}", "served", parent=f"00-{TRACE}-{SPAN}-01")
+        finish_request(t, f"r{i}", "served", parent=f"00-{i + 1:032x}-{SPAN}-01")
+        finish_request(t, f"s{i}", "served", parent=f"00-{TRACE}-{SPAN}-01")
     assert t.counts["kept_ordinary"] == 5 and t.open == 0 and len(t.queue) == 5
 
 
@@ -587,7 +593,7 @@
         ({"file": "x", "odd": 1}, "tracing.odd"),
     ],
 )
-def test_faulty_tracing_keys_are_named(given, key):
+def test_faulty_tracing_section_names_the_key(given, key):
     with pytest.raises(ConfigError, match=f"^{key}: "):
         read_config(
             {
@@ -599,8 +605,8 @@
         )
 
 
-def test_spans_link_each_try_to_the_one_before():
-    t = tracer()
+def test_span_of_a_retry_links_to_the_previous_attempt():
+    t = make_tracer()
     trace = t.begin(
         "r",
         "tour",
