--- a/yewrill/cli.py
+++ b/yewrill/cli.py
@@ -89,14 +89,14 @@
 def check(path: str) -> None:
     """Check a configuration file and name the faulty key, if there is one."""
     try:
-        found = load_config(path, os.environ, strict=True)
+        loaded = load_config(path, os.environ, strict=True)
     except ConfigError as error:
         _fail(error)
     click.echo(
-        f"ok: {found.name} on {found.listen[0]}:{found.listen[1]}, front {found.front}, "
-        + (f"management {found.mgmt[0]}:{found.mgmt[1]}, " if found.mgmt else "")
-        + f"classes {', '.join(c.name for c in found.settings.classes)}, "
-        f"tenants {', '.join(t.name for t in found.settings.tenants) or 'none'}"
+        f"ok: {loaded.name} on {loaded.listen[0]}:{loaded.listen[1]}, front {loaded.front}, "
+        + (f"management {loaded.mgmt[0]}:{loaded.mgmt[1]}, " if loaded.mgmt else "")
+        + f"classes {', '.join(c.name for c in loaded.settings.classes)}, "
+        f"tenants {', '.join(t.name for t in loaded.settings.tenants) or 'none'}"
     )
 
 
--- a/yewrill/config/endpoints.py
+++ b/yewrill/config/endpoints.py
@@ -32,26 +32,26 @@
     read_integer(response.get("version"), f"{key}.version")
     endpoints = []
     for i, server in enumerate(read_list(response.get("servers"), f"{key}.servers")):
-        at = f"{key}.servers[{i}]"
-        entry = read_object(server, at)
+        entry_key = f"{key}.servers[{i}]"
+        entry = read_object(server, entry_key)
         state = STATES.get(entry.get("state", "SERVING"))
         if state is None:
             raise ConfigError(
-                f"{at}.state: {quoted(entry.get('state'))} is not one of {', '.join(STATES)}"
+                f"{entry_key}.state: {quoted(entry.get('state'))} is not one of {', '.join(STATES)}"
             )
         removed = state == api.WorkerState.REMOVED  # a removed endpoint needs no address
         endpoints.append(
             Endpoint(
-                read_text(entry.get("id"), f"{at}.id"),
+                read_text(entry.get("id"), f"{entry_key}.id"),
                 ("", 0)
                 if removed and not entry.get("addr")
-                else read_address(entry.get("addr"), f"{at}.addr"),
-                TopologyNames.position(entry.get("zone", 0), topology.zones, f"{at}.zone"),
-                TopologyNames.position(entry.get("kind", 0), topology.kinds, f"{at}.kind"),
-                read_integer(entry.get("cell", 0), f"{at}.cell"),
+                else read_address(entry.get("addr"), f"{entry_key}.addr"),
+                TopologyNames.position(entry.get("zone", 0), topology.zones, f"{entry_key}.zone"),
+                TopologyNames.position(entry.get("kind", 0), topology.kinds, f"{entry_key}.kind"),
+                read_integer(entry.get("cell", 0), f"{entry_key}.cell"),
                 state,
-                read_number(entry.get("weight", 1.0), f"{at}.weight"),
-                read_number(entry.get("started_ms", 0), f"{at}.started_ms"),
+                read_number(entry.get("weight", 1.0), f"{entry_key}.weight"),
+                read_number(entry.get("started_ms", 0), f"{entry_key}.started_ms"),
             )
         )
     return endpoints
--- a/yewrill/config/optional_sections.py
+++ b/yewrill/config/optional_sections.py
@@ -69,47 +69,47 @@
     """Reads the section `tracing`."""
     if raw.get("tracing") is None:
         return None
-    given, default = read_object(raw["tracing"], "tracing"), TracingConfig()
-    reject_unknown_keys(given, TracingConfig.__slots__, "tracing")
+    section, default = read_object(raw["tracing"], "tracing"), TracingConfig()
+    reject_unknown_keys(section, TracingConfig.__slots__, "tracing")
 
     def number(key: str, low: float, high: float) -> float:
-        return read_number(given.get(key, getattr(default, key)), f"tracing.{key}", low, high)
+        return read_number(section.get(key, getattr(default, key)), f"tracing.{key}", low, high)
 
-    found = TracingConfig(
+    config = TracingConfig(
         share=number("share", 0.0, 1.0),
-        queue=read_integer(given.get("queue", default.queue), "tracing.queue", 1, 10**6),
+        queue=read_integer(section.get("queue", default.queue), "tracing.queue", 1, 10**6),
         honoured=number("honoured", 0.0, 1e6),
         file_mb=number("file_mb", 0.001, 1e6),
-        files=read_integer(given.get("files", default.files), "tracing.files", 1, 1000),
+        files=read_integer(section.get("files", default.files), "tracing.files", 1, 1000),
         spool_mb=number("spool_mb", 0.0, 1e5),
-        collector=read_text(given["collector"], "tracing.collector")
-        if "collector" in given
+        collector=read_text(section["collector"], "tracing.collector")
+        if "collector" in section
         else "",
-        file=read_text(given["file"], "tracing.file") if "file" in given else "",
+        file=read_text(section["file"], "tracing.file") if "file" in section else "",
     )
-    if not found.collector and not found.file:
+    if not config.collector and not config.file:
         raise ConfigError("tracing: a collector or a file is needed")
-    if found.collector:
-        address, slash, path = found.collector.removeprefix("http://").partition("/")
-        if not found.collector.startswith("http://"):
+    if config.collector:
+        address, slash, path = config.collector.removeprefix("http://").partition("/")
+        if not config.collector.startswith("http://"):
             raise ConfigError(
-                f"tracing.collector: {quoted(found.collector)} is not http://IPv4-ADDRESS:PORT/PATH"
+                f"tracing.collector: {quoted(config.collector)} is not http://IPv4-ADDRESS:PORT/PATH"
             )
         read_address(address, "tracing.collector")
-    if found.spool_mb and raw.get("state_dir") is None:
+    if config.spool_mb and raw.get("state_dir") is None:
         raise ConfigError("tracing.spool_mb: needs state_dir")
-    return found
+    return config
 
 
 def read_members(raw: Mapping[str, Any]) -> MembersConfig | None:
     """Reads the section `members`."""
     if raw.get("members") is None:
         return None
-    given = read_object(raw["members"], "members")
-    reject_unknown_keys(given, MembersConfig.__slots__, "members")
+    section = read_object(raw["members"], "members")
+    reject_unknown_keys(section, MembersConfig.__slots__, "members")
     keys = [
         read_text(key, f"members.keys[{i}]")
-        for i, key in enumerate(read_list(given.get("keys"), "members.keys"))
+        for i, key in enumerate(read_list(section.get("keys"), "members.keys"))
     ]
     if not 1 <= len(keys) <= 2:
         raise ConfigError("members.keys: one key is needed, or two during a key rotation")
@@ -120,14 +120,14 @@
             key_bytes = 0
         if not 16 <= key_bytes <= 64:
             raise ConfigError(f"members.keys[{i}]: 32 to 128 hexadecimal digits are needed")
-    peers = read_list(given.get("peers"), "members.peers")
+    peers = read_list(section.get("peers"), "members.peers")
     if not peers:
         raise ConfigError("members.peers: at least one address is needed")
-    listen = read_address(given.get("listen"), "members.listen", any_port=True)
+    listen = read_address(section.get("listen"), "members.listen", any_port=True)
     if listen[0] == "0.0.0.0":
         raise ConfigError("members.listen: an address that peers can reach is needed, not 0.0.0.0")
     names = {
-        key: given.get(key, raw.get("name", "yewrill") if key == "name" else "")
+        key: section.get(key, raw.get("name", "yewrill") if key == "name" else "")
         for key in ("name", "zone", "region")
     }
     for key, value in names.items():
@@ -138,9 +138,9 @@
         tuple(read_address(peer, f"members.peers[{i}]") for i, peer in enumerate(peers)),
         tuple(keys),
         bytes_per_s=read_number(
-            given.get("bytes_per_s", 20_000.0), "members.bytes_per_s", 2_000.0, 1e9
+            section.get("bytes_per_s", 20_000.0), "members.bytes_per_s", 2_000.0, 1e9
         ),
-        interval=read_number(given.get("interval", 0.5), "members.interval", 0.05, 60.0),
+        interval=read_number(section.get("interval", 0.5), "members.interval", 0.05, 60.0),
         **names,
     )
 
@@ -149,25 +149,25 @@
     """Reads the section `ownership`."""
     if raw.get("ownership") is None:
         return None
-    given = read_object(raw["ownership"], "ownership")
-    reject_unknown_keys(given, OwnershipConfig.__slots__, "ownership")
+    section = read_object(raw["ownership"], "ownership")
+    reject_unknown_keys(section, OwnershipConfig.__slots__, "ownership")
     if raw.get("members") is None:
         raise ConfigError("ownership: needs members")
     voters = tuple(
         read_text(name, f"ownership.voters[{i}]")
-        for i, name in enumerate(read_list(given.get("voters"), "ownership.voters"))
+        for i, name in enumerate(read_list(section.get("voters"), "ownership.voters"))
     )
     if len(voters) not in (1, 3, 5, 7) or len(set(voters)) != len(voters):
         raise ConfigError(
             "ownership.voters: 3, 5 or 7 different members are needed (1 only for a trial)"
         )
-    trust = given.get("trust_disk", False)
+    trust = section.get("trust_disk", False)
     if not isinstance(trust, bool):
         raise ConfigError("ownership.trust_disk: true or false is needed")
     return OwnershipConfig(
         voters,
-        read_text(given.get("dir"), "ownership.dir"),
-        read_number(given.get("span", 2.0), "ownership.span", 0.5, 3600.0),
+        read_text(section.get("dir"), "ownership.dir"),
+        read_number(section.get("span", 2.0), "ownership.span", 0.5, 3600.0),
         trust,
     )
 
@@ -176,16 +176,16 @@
     """Reads the section `zones`."""
     if raw.get("zones") is None:
         return None
-    given = read_object(raw["zones"], "zones")
-    reject_unknown_keys(given, ZonesConfig.__slots__, "zones")
+    section = read_object(raw["zones"], "zones")
+    reject_unknown_keys(section, ZonesConfig.__slots__, "zones")
     if raw.get("members") is None:
         raise ConfigError("zones: needs members")
     if not raw["members"].get("zone"):
         raise ConfigError("members.zone: missing, zones needs it (a name of settings.areas)")
     default = ZonesConfig()
     return ZonesConfig(
-        hold=read_number(given.get("hold", default.hold), "zones.hold", 0.1, 3600.0),
-        step=read_number(given.get("step", default.step), "zones.step", 0.1, 3600.0),
-        most_out=read_number(given.get("most_out", default.most_out), "zones.most_out", 0.0, 1.0),
-        stands=read_number(given.get("stands", default.stands), "zones.stands", 1.0, 3600.0),
+        hold=read_number(section.get("hold", default.hold), "zones.hold", 0.1, 3600.0),
+        step=read_number(section.get("step", default.step), "zones.step", 0.1, 3600.0),
+        most_out=read_number(section.get("most_out", default.most_out), "zones.most_out", 0.0, 1.0),
+        stands=read_number(section.get("stands", default.stands), "zones.stands", 1.0, 3600.0),
     )
--- a/yewrill/config/reload.py
+++ b/yewrill/config/reload.py
@@ -25,11 +25,11 @@
 def key_paths(value: Any, path: str = "") -> Iterator[str]:
     """Yields the paths of all keys below `value`; for a list of objects, the keys common to all of them."""
     if isinstance(value, Mapping):
-        for key, below in value.items():
+        for key, child in value.items():
             if path or (key not in START_ONLY_KEYS and not key.startswith("x-")):
-                at = f"{path}.{key}" if path else key
-                yield at
-                yield from key_paths(below, at)
+                key_path = f"{path}.{key}" if path else key
+                yield key_path
+                yield from key_paths(child, key_path)
     elif isinstance(value, list) and value and all(isinstance(item, Mapping) for item in value):
         for key in sorted(set.intersection(*(set(item) for item in value))):
             yield f"{path}[].{key}"
--- a/yewrill/config/sections.py
+++ b/yewrill/config/sections.py
@@ -36,13 +36,13 @@
         return msgspec.convert(raw[key], getattr(importlib.import_module(module), name))
     except msgspec.ValidationError as error:
         message, _, path = str(error).partition(" - at `$")
-        at = key + path.rstrip("`")
-        if (found := _UNKNOWN.search(message)) is not None:
-            raise SectionError(f"{at}.{found[1]}: no such key") from None
-        if (found := _MISSING.search(message)) is not None:
-            raise SectionError(f"{at}.{found[1]}: missing") from None
+        faulty_key = key + path.rstrip("`")
+        if (match := _UNKNOWN.search(message)) is not None:
+            raise SectionError(f"{faulty_key}.{match[1]}: no such key") from None
+        if (match := _MISSING.search(message)) is not None:
+            raise SectionError(f"{faulty_key}.{match[1]}: missing") from None
         if path:
             raise SectionError(
-                f"{at}: {message[0].lower()}{message[1:].replace('`', '')}"
+                f"{faulty_key}: {message[0].lower()}{message[1:].replace('`', '')}"
             ) from None
         raise SectionError(f"{key}.{message}" if ":" in message else f"{key}: {message}") from None
--- a/yewrill/config/settings.py
+++ b/yewrill/config/settings.py
@@ -57,11 +57,11 @@
 
 def _check_numbers(raw: Mapping[str, Any]) -> None:
     for path, low, inclusive in NUMERIC_SETTINGS:
-        at: Any = raw
+        number: Any = raw
         for part in path.split("."):
-            at = at.get(part) if isinstance(at, Mapping) else None
-        if at is not None:
-            read_number(at, f"settings.{path}", low, open_low=not inclusive)
+            number = number.get(part) if isinstance(number, Mapping) else None
+        if number is not None:
+            read_number(number, f"settings.{path}", low, open_low=not inclusive)
     for name, value in raw.get("fees", {}).items():
         read_number(value, f"settings.fees.{name}")
     read_integer(raw.get("instances", 1), "settings.instances", 1)
@@ -80,45 +80,49 @@
     """Checks the lists of `specifics` that have one value for each request class."""
     specifics = raw.get("specifics", {})
     kinds = len(raw.get("kinds", []))
-    at = "settings.specifics.class_kind"
-    for i, kind in enumerate(read_list(specifics.get("class_kind", []), at)):
-        if read_integer(kind, f"{at}[{i}]", -1) >= max(1, kinds):
-            raise ConfigError(f"{at}[{i}]: no machine kind {kind} in settings.kinds")
-    at = "settings.specifics.class_stretch"
-    for i, value in enumerate(read_list(specifics.get("class_stretch", []), at)):
-        read_number(value, f"{at}[{i}]")
+    key_prefix = "settings.specifics.class_kind"
+    for i, kind in enumerate(read_list(specifics.get("class_kind", []), key_prefix)):
+        if read_integer(kind, f"{key_prefix}[{i}]", -1) >= max(1, kinds):
+            raise ConfigError(f"{key_prefix}[{i}]: no machine kind {kind} in settings.kinds")
+    key_prefix = "settings.specifics.class_stretch"
+    for i, value in enumerate(read_list(specifics.get("class_stretch", []), key_prefix)):
+        read_number(value, f"{key_prefix}[{i}]")
 
 
 def _check_tenants(tenants: list[Any]) -> None:
     names: set[str] = set()
     for i, tenant in enumerate(tenants):
-        at = f"settings.parties[{i}]"
-        name = read_text(read_object(tenant, at).get("name"), f"{at}.name")
+        key_prefix = f"settings.parties[{i}]"
+        name = read_text(read_object(tenant, key_prefix).get("name"), f"{key_prefix}.name")
         if name in names:
-            raise ConfigError(f"{at}.name: {quoted(name)} is there twice")
+            raise ConfigError(f"{key_prefix}.name: {quoted(name)} is there twice")
         names.add(name)
-        read_number(tenant.get("quota_per_s", 0.0), f"{at}.quota_per_s")
-        read_number(tenant.get("share", 1.0), f"{at}.share", 0.0, 1.0)
+        read_number(tenant.get("quota_per_s", 0.0), f"{key_prefix}.quota_per_s")
+        read_number(tenant.get("share", 1.0), f"{key_prefix}.share", 0.0, 1.0)
 
 
 def _check_class(request_class: Mapping[str, Any], i: int, names: set[str]) -> None:
-    at = f"settings.request_classes[{i}]"
-    name = read_text(request_class.get("name"), f"{at}.name")
+    key_prefix = f"settings.request_classes[{i}]"
+    name = read_text(request_class.get("name"), f"{key_prefix}.name")
     if name in names:
-        raise ConfigError(f"{at}.name: {quoted(name)} is there twice")
+        raise ConfigError(f"{key_prefix}.name: {quoted(name)} is there twice")
     if "/" in name or not name.isascii() or not name.isprintable() or " " in name:
-        raise ConfigError(f"{at}.name: {quoted(name)} can't be the first part of a path")
+        raise ConfigError(f"{key_prefix}.name: {quoted(name)} can't be the first part of a path")
     names.add(name)
-    deadline = read_number(request_class.get("deadline"), f"{at}.deadline", open_low=True)
-    read_number(request_class.get("aim", deadline), f"{at}.aim", 0.0, deadline)
+    deadline = read_number(request_class.get("deadline"), f"{key_prefix}.deadline", open_low=True)
+    read_number(request_class.get("aim", deadline), f"{key_prefix}.aim", 0.0, deadline)
     for key in ("window", "value", "late_value", "aim_stretch"):
-        read_number(request_class.get(key, 0.0), f"{at}.{key}")
+        read_number(request_class.get(key, 0.0), f"{key_prefix}.{key}")
     read_choice(
-        request_class.get("repeat", "pure"), f"{at}.repeat", ("pure", "token", "side_effect")
+        request_class.get("repeat", "pure"),
+        f"{key_prefix}.repeat",
+        ("pure", "token", "side_effect"),
     )
     if request_class.get("repeat") == "token":
-        read_choice(request_class.get("group", "all"), f"{at}.group", ("all", "zone", "cell"))
-        read_number(request_class.get("window"), f"{at}.window", open_low=True)
+        read_choice(
+            request_class.get("group", "all"), f"{key_prefix}.group", ("all", "zone", "cell")
+        )
+        read_number(request_class.get("window"), f"{key_prefix}.window", open_low=True)
 
 
 def check_consistency(settings: Mapping[str, Any]) -> None:
@@ -145,19 +149,19 @@
 
 def _check_load_report(settings: Mapping[str, Any]) -> None:
     report = settings.get("load_report", {})
-    at = "settings.load_report"
-    via = read_choice(report.get("via", "off"), f"{at}.via", ("inline", "on_probe", "off"))
+    key_prefix = "settings.load_report"
+    via = read_choice(report.get("via", "off"), f"{key_prefix}.via", ("inline", "on_probe", "off"))
     names = [
-        read_text(name, f"{at}.fields[{i}]")
-        for i, name in enumerate(read_list(report.get("fields", []), f"{at}.fields"))
+        read_text(name, f"{key_prefix}.fields[{i}]")
+        for i, name in enumerate(read_list(report.get("fields", []), f"{key_prefix}.fields"))
     ]
     for i, name in enumerate(names):
         if name in names[:i]:
-            raise ConfigError(f"{at}.fields[{i}]: {quoted(name)} is there twice")
+            raise ConfigError(f"{key_prefix}.fields[{i}]: {quoted(name)} is there twice")
     if names and via == "off":
-        raise ConfigError(f"{at}.via: off, but fields are listed")
+        raise ConfigError(f"{key_prefix}.via: off, but fields are listed")
     if via != "off" and not names:
-        raise ConfigError(f"{at}.fields: none listed, but via is {via}")
+        raise ConfigError(f"{key_prefix}.fields: none listed, but via is {via}")
     specifics = settings.get("specifics", {})
     free = [
         key.removeprefix("report_")
@@ -166,7 +170,7 @@
     ]
     if names and not {"inflight", "util", *free} & set(names):
         raise ConfigError(
-            f"{at}.fields: none reports load or free capacity (inflight, util, or a field for which "
+            f"{key_prefix}.fields: none reports load or free capacity (inflight, util, or a field for which "
             'settings.specifics.report_FIELD is "free slots")'
         )
     if via == "on_probe" and not settings.get("limits", {}).get("may_probe", False):
--- a/yewrill/config/values.py
+++ b/yewrill/config/values.py
@@ -67,9 +67,9 @@
     return value
 
 
-def reject_unknown_keys(given: Mapping[str, Any], keys: Iterable[str], section: str) -> None:
+def reject_unknown_keys(values: Mapping[str, Any], keys: Iterable[str], section: str) -> None:
     """Raises ConfigError if a section has a key that is not among `keys`."""
-    for key in given:
+    for key in values:
         if key not in keys:
             raise ConfigError(f"{section}.{key}: no such key")
 
--- a/yewrill/config/writing.py
+++ b/yewrill/config/writing.py
@@ -88,8 +88,8 @@
     the statistics by class that both are derived from.
     """
     classes, run_factors, derived = [], [], {}
-    for name, found in trace.classes.items():
-        p50, p95, p99 = (found.quantile(q) * scale for q in (0.5, 0.95, 0.99))
+    for name, trace_class in trace.classes.items():
+        p50, p95, p99 = (trace_class.quantile(q) * scale for q in (0.5, 0.95, 0.99))
         deadline = max(MIN_DEADLINE_MS, 2.0 * p99)
         objective = min(deadline, max(MIN_DEADLINE_MS / 2, p95 - p50))
         classes.append(
@@ -103,16 +103,16 @@
         )
         run_factors.append(2.0)
         derived[name] = {
-            "rate_per_s": round(found.arrivals / (trace.duration_s * scale), 6),
+            "rate_per_s": round(trace_class.arrivals / (trace.duration_s * scale), 6),
             "run_ms": {
-                "mean": round(found.mean * scale, 3),
+                "mean": round(trace_class.mean * scale, 3),
                 "p50": round(p50, 3),
                 "p95": round(p95, 3),
                 "p99": round(p99, 3),
             },
-            "slots_mean": round(found.slots / found.arrivals, 3),
-            "arrivals": found.arrivals,
-            "finished_rows": found.finished,
+            "slots_mean": round(trace_class.slots / trace_class.arrivals, 3),
+            "arrivals": trace_class.arrivals,
+            "finished_rows": trace_class.finished,
         }
     return classes, run_factors, derived
 
--- a/yewrill/tracing/commands.py
+++ b/yewrill/tracing/commands.py
@@ -79,10 +79,10 @@
 @_filter_options
 @click.option("--json", "as_json", is_flag=True, help="Print the records as JSON, one a line.")
 @click.option("--limit", default=0, type=click.IntRange(0), help="At most this many; 0 for all.")
-def list_(as_json: bool, limit: int, **given: Any) -> None:
+def list_(as_json: bool, limit: int, **filters: Any) -> None:
     """List the records, one line each."""
     count = 0
-    for record in _records(**given):
+    for record in _records(**filters):
         click.echo(
             ujson.dumps(record, escape_forward_slashes=False) if as_json else reading.line(record)
         )
@@ -97,15 +97,15 @@
 
     A prefix of a trace id must have at least six characters. Exits with 1 if there is no such record.
     """
-    found = [
+    records = [
         record
         for record in _records(files)
         if record["id"] == wanted or (len(wanted) >= 6 and record["trace"].startswith(wanted))
     ]
-    if not found:
+    if not records:
         click.echo(f"yewrill trace: {wanted}: not found; it may not have been sampled", err=True)
         sys.exit(1)
-    return found
+    return records
 
 
 _id_argument = click.argument("wanted", metavar="ID")
@@ -136,10 +136,10 @@
 @click.option(
     "--output", default="trace-report.html", show_default=True, type=click.Path(dir_okay=False)
 )
-def report(output: str, **given: Any) -> None:
+def report(output: str, **filters: Any) -> None:
     """Write an HTML page: bad requests by class and cause, the breakdown by percentile, the worst twenty."""
     page = Report()
-    for record in _records(**given):
+    for record in _records(**filters):
         page.add(record)
     try:
         Path(output).write_text(page.html())
--- a/yewrill/tracing/reading.py
+++ b/yewrill/tracing/reading.py
@@ -67,8 +67,8 @@
 def with_rotated_files(path: str) -> list[Path]:
     """Returns a file and those rotated from it, the oldest first."""
     base = Path(path)
-    rotated = [found for found in base.parent.glob(base.name + ".*") if found.suffix[1:].isdigit()]
-    rotated.sort(key=lambda found: -int(found.suffix[1:]))
+    rotated = [file for file in base.parent.glob(base.name + ".*") if file.suffix[1:].isdigit()]
+    rotated.sort(key=lambda file: -int(file.suffix[1:]))
     return [*rotated, *([base] if base.exists() else [])]
 
 
@@ -79,10 +79,10 @@
     missing file.
     """
     for path in paths:
-        found = with_rotated_files(path)
-        if not found:
+        files = with_rotated_files(path)
+        if not files:
             raise BadLine(f"{path}: no such file")
-        for file in found:
+        for file in files:
             with open(file, "rb") as lines:
                 for number, line in enumerate(lines, 1):
                     try:
@@ -124,10 +124,10 @@
 
 def waterfall(record: Record, width: int = 72) -> list[str]:
     """Draws a request's time to scale: a row for the whole request, and one for each attempt and event."""
-    start, whole = record["start"], max(1, record["end"] - record["start"])
+    start, duration = record["start"], max(1, record["end"] - record["start"])
 
     def column(at: int) -> int:
-        return min(width, max(0, round((at - start) * width / whole)))
+        return min(width, max(0, round((at - start) * width / duration)))
 
     def draw(parts: Iterable[tuple[str, int, int]]) -> str:
         row = [" "] * width
@@ -136,7 +136,7 @@
                 row[at] = _GLYPHS[part]
         return "".join(row)
 
-    rows = [f"{'operation':<14}|{draw(breakdown.segments(record))}| {format_ms(whole)}"]
+    rows = [f"{'operation':<14}|{draw(breakdown.segments(record))}| {format_ms(duration)}"]
     for attempt in record["attempts"]:
         rows.append(
             f"{attempt['number']}: {attempt['to'][:11]:<11}|{draw(_attempt_segments(attempt))}| "
@@ -185,10 +185,10 @@
 
 def why(record: Record) -> list[str]:
     """Returns sentences that explain how a request ended, where its time went, and why it was retried."""
-    whole = record["end"] - record["start"]
+    duration = record["end"] - record["start"]
     sentences = [
         f"{record['class']} {record['id']} of {record['tenant'] or 'no tenant'} "
-        f"{_ANSWERS[record['answer']]} after {format_ms(whole)}."
+        f"{_ANSWERS[record['answer']]} after {format_ms(duration)}."
     ]
     if record["late"]:
         sentences.append(
@@ -201,7 +201,7 @@
     sentences.append(
         "Its time went to "
         + ", ".join(
-            f"{part} {format_ms(spent)} ({100 * spent / max(1, whole):.0f}%)"
+            f"{part} {format_ms(spent)} ({100 * spent / max(1, duration):.0f}%)"
             for part, spent in parts
             if spent > 0
         )
--- a/yewrill/tracing/record.py
+++ b/yewrill/tracing/record.py
@@ -21,7 +21,12 @@
 
 
 class AttemptTrace:
-    """Timestamps of one attempt; 0 for a stage that it has not reached."""
+    """Timestamps of one attempt; 0 for a stage that it has not reached.
+
+    The policy decides on the attempt (`chosen`); the dispatcher begins it (`begin`), has a connection
+    (`connected`) and has written the request (`written`); the worker reports the start (`started`) and its
+    progress (`progressed`); the attempt ends (`end`).
+    """
 
     __slots__ = (
         "span",
@@ -59,7 +64,11 @@
 
 
 class RequestTrace:
-    """The trace of an open request."""
+    """The trace of an open request.
+
+    Timestamps: `start` is the arrival of the request's first byte, `taken` the time at which the dispatcher
+    accepted it, `decided` the time of its final answer.
+    """
 
     __slots__ = (
         "context",
--- a/yewrill/tracing/report.py
+++ b/yewrill/tracing/report.py
@@ -13,9 +13,8 @@
 
 PERCENTILES = (50.0, 90.0, 99.0)
 MAX_WORST = 20
-MAX_VALUES = (
-    100_000  # durations kept for each class and part; at this number every second one is dropped
-)
+# Durations kept for each class and part. When the number is reached, every second one is dropped.
+MAX_VALUES = 100_000
 _COLOURS = {
     "receiving": "#9aa5b1",
     "held": "#e0b64a",
@@ -79,8 +78,8 @@
             _table(
                 ["class", *causes],
                 (
-                    [name, *(found[cause] for cause in causes)]
-                    for name, found in sorted(self.causes.items())
+                    [name, *(counter[cause] for cause in causes)]
+                    for name, counter in sorted(self.causes.items())
                 ),
             ),
             "<h2>Grounds of refusals and failures</h2>",
@@ -108,8 +107,8 @@
         rows = []
         for name, values in sorted(self.values.items()):
             for part in breakdown.PARTS:
-                found = breakdown.percentiles(values[part], PERCENTILES)
-                rows.append([name, part, *(f"{value / 1e6:.1f}" for value in found)])
+                durations = breakdown.percentiles(values[part], PERCENTILES)
+                rows.append([name, part, *(f"{value / 1e6:.1f}" for value in durations)])
         return _table(["class", "part", *(f"p{at:g}" for at in PERCENTILES)], rows)
 
 
@@ -127,15 +126,15 @@
 
 
 def _worst_record(record: reading.Record) -> str:
-    whole = max(1, record["end"] - record["start"])
+    duration = max(1, record["end"] - record["start"])
     bar = "".join(
         f'<i title="{part} {reading.format_ms(end - begin)}" style="background:{_COLOURS[part]};'
-        f'width:{100 * (end - begin) / whole:.2f}%"></i>'
+        f'width:{100 * (end - begin) / duration:.2f}%"></i>'
         for part, begin, end in breakdown.segments(record)
     )
     text = escape("\n".join(reading.why(record)))
     return (
-        f"<details><summary>{escape(record['class'])} {escape(record['id'])}: {reading.format_ms(whole)}, "
+        f"<details><summary>{escape(record['class'])} {escape(record['id'])}: {reading.format_ms(duration)}, "
         f"{escape(','.join(record['kept']))}</summary>"
         f"<div class=bar>{bar}</div><pre>{text}</pre></details>"
     )
--- a/yewrill/tracing/sampling.py
+++ b/yewrill/tracing/sampling.py
@@ -37,15 +37,15 @@
 
 def bad_causes(record: Mapping[str, Any]) -> list[str]:
     """Returns the causes for which a finished record is always kept; empty for an ordinary record."""
-    found = []
+    causes = []
     answer = record["answer"]
     if answer in (REFUSED, FAILED, LEFT):
-        found.append(answer)
+        causes.append(answer)
     if record["late"]:
-        found.append(LATE)
+        causes.append(LATE)
     if len(record["attempts"]) > 1:
-        found.append(RETRIED)
-    return found
+        causes.append(RETRIED)
+    return causes
 
 
 def late(
@@ -67,12 +67,14 @@
 
     rate: float
     tokens: float = 0.0
-    at: float = 0.0
+    refilled_at: float = 0.0
 
     def take(self, now: float) -> bool:
         """Takes a token at `now`, in seconds of a monotonic clock. Returns whether there was one."""
-        self.tokens = min(max(1.0, self.rate), self.tokens + max(0.0, now - self.at) * self.rate)
-        self.at = now
+        self.tokens = min(
+            max(1.0, self.rate), self.tokens + max(0.0, now - self.refilled_at) * self.rate
+        )
+        self.refilled_at = now
         if self.rate <= 0 or self.tokens < 1.0:
             return False
         self.tokens -= 1.0
