--- a/yewrill/tracing/record.py
+++ b/yewrill/tracing/record.py
@@ -16,12 +16,17 @@
 MAX_EVENTS = 32
 
 
-def _cut(text: str) -> str:
+def _truncate(text: str) -> str:
     return text if len(text) <= MAX_TEXT_LENGTH else text[: MAX_TEXT_LENGTH - 1] + "…"
 
 
 class AttemptTrace:
-    """Timestamps of one attempt; one that was not reached stays 0."""
+    """Timestamps of one attempt; 0 for a stage that it has not reached.
+
+    The policy decides on the attempt (`chosen`); the dispatcher begins it (`begin`), has a connection
+    (`connected`) and has written the request (`written`); the worker reports the start (`started`) and its
+    progress (`progressed`); the attempt ends (`end`).
+    """
 
     __slots__ = (
         "span",
@@ -45,7 +50,7 @@
         self.span = span
         self.number = number
         self.worker = worker
-        self.among = among  # number of workers considered
+        self.among = among  # number of workers that were considered
         self.held = held  # why the attempt was not sent earlier
         self.chosen = chosen
         self.begin = self.connected = self.written = self.started = self.progressed = self.end = 0.0
@@ -54,12 +59,16 @@
         self.headers: list[tuple[str, str]] = []  # trace context for the worker
 
     def note_progress(self, at: float, share: float) -> None:
-        """Record the latest progress report, a fraction from 0 to 1."""
+        """Records the latest progress report; `share` is a fraction from 0 to 1."""
         self.progressed, self.share = at, share
 
 
 class RequestTrace:
-    """The trace of an open request."""
+    """The trace of an open request.
+
+    Timestamps: `start` is the arrival of the request's first byte, `taken` the time at which the dispatcher
+    accepted it, `decided` the time of its final answer.
+    """
 
     __slots__ = (
         "context",
@@ -99,11 +108,12 @@
         self.context = context
         self.span = span
         self.id, self.request_class, self.tenant = id, request_class, tenant
+        # `latency_objective` and `deadline` are in ms from the start; the factor has no unit.
         self.latency_objective, self.objective_run_factor, self.deadline = (
             latency_objective,
             objective_run_factor,
             deadline,
-        )  # ms, none, ms from the start
+        )
         self.start, self.taken = start, taken
         self.decided = 0.0
         self.answer = self.reason = ""
@@ -111,20 +121,22 @@
         self.attempts: list[AttemptTrace] = []
         self.events: list[tuple[float, str, str]] = []
 
-    def chosen(self, number: int, worker: str, among: int, held: str, at: float) -> AttemptTrace:
-        """Open the trace of an attempt that the policy has just decided on."""
+    def begin_attempt(
+        self, number: int, worker: str, among: int, held: str, at: float
+    ) -> AttemptTrace:
+        """Opens the trace of an attempt that the policy has just decided on."""
         attempt = AttemptTrace(self._tracer.new_span(), number, worker, among, held, at)
         attempt.headers = self._tracer.headers(self.context, attempt.span)
         self.attempts.append(attempt)
         return attempt
 
     def event(self, at: float, name: str, text: str = "") -> None:
-        """Add an event; events beyond MAX_EVENTS are dropped."""
+        """Adds an event; events beyond MAX_EVENTS are dropped."""
         if len(self.events) < MAX_EVENTS:
             self.events.append((at, name, text))
 
     def decide(self, at: float, answer: str, reason: str = "", retry_after: float = 0.0) -> None:
-        """Set the final answer and its reason. Only the first call has an effect."""
+        """Sets the final answer and its reason. Only the first call has an effect."""
         if not self.answer:
             self.decided, self.answer, self.reason, self.retry_after = (
                 at,
@@ -134,7 +146,7 @@
             )
 
     def as_dict(self, end: float, offset: float) -> dict[str, Any]:
-        """The record in the file format. `offset`: seconds from the loop's clock to the epoch."""
+        """Returns the record in the file format. `offset`: seconds from the loop's clock to the epoch."""
 
         def ns(at: float) -> int:
             return int((at + offset) * 1e9) if at else 0
@@ -152,7 +164,7 @@
                 {
                     "span": attempt.span,
                     "number": attempt.number,
-                    "to": _cut(attempt.worker),
+                    "to": _truncate(attempt.worker),
                     "among": attempt.among,
                     "held": attempt.held,
                     "chosen": ns(attempt.chosen),
@@ -172,9 +184,9 @@
             "trace": self.context.trace,
             "span": self.span,
             "parent": self.context.parent,
-            "id": _cut(self.id),
-            "class": _cut(self.request_class),
-            "tenant": _cut(self.tenant),
+            "id": _truncate(self.id),
+            "class": _truncate(self.request_class),
+            "tenant": _truncate(self.tenant),
             "start": ns(self.start),
             "taken": ns(self.taken),
             "decided": ns(self.decided),
@@ -187,6 +199,7 @@
             "retry_after_ms": self.retry_after,
             "attempts": attempts,
             "events": [
-                {"at": ns(at), "name": name, "text": _cut(text)} for at, name, text in self.events
+                {"at": ns(at), "name": name, "text": _truncate(text)}
+                for at, name, text in self.events
             ],
         }
