--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -137,7 +137,7 @@
         request = _request(number, request_class, key)
         persistent_state.attempts.begin_request(request, classes[request_class], "acme")
         assert await persistent_state.attempts.record_attempt(Attempt(request, 0, worker, 1e9))
-    assert await persistent_state.attempts.record_for_other_run(
+    assert await persistent_state.attempts.write_forwarded_record(
         OTHER_RUN_KEY, ujson.dumps(OTHER_RUN.encode())
     )
     spool = StoreSpool(
@@ -297,13 +297,13 @@
         size = file.with_suffix(".seg").stat().st_size
         entries = list(store_format.decode_hint(data, size))
         writer = store_format.HintWriter(size)
-        body = writer.add(store_format.hint_entries(entries), len(entries))
+        body = writer.add(store_format.encode_hint_entries(entries), len(entries))
         return writer.head + body + writer.end()
-    replaced, at = store_format.decode_header(data, name)
-    found = store_format.encode_header(name, replaced)
+    replaced, at = store_format.decode_segment_header(data, name)
+    found = store_format.encode_segment_header(name, replaced)
     while at < len(data):
-        head = store_format.decode_head(data, at, name.salt)
-        start = at + store_format.FRAME_HEAD
+        head = store_format.decode_frame_header(data, at, name.salt)
+        start = at + store_format.FRAME_HEADER_BYTES
         body = data[start : start + head.length]
         operations = store_format.decode_body(body, head, name.salt, start)
         found += store_format.encode_frame(operations, name.salt, head.time)
