--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -23,9 +23,9 @@
 
 import here  # noqa: F401
 
-from yewrill.lab.cluster.commands import Unfinished, play_once
-from yewrill.lab.cluster.history import Line, read
-from yewrill.lab.cluster.scenarios import ALL
+from yewrill.lab.cluster.commands import Unfinished, run_scenario
+from yewrill.lab.cluster.history import Line, read_history
+from yewrill.lab.cluster.scenarios import SCENARIOS
 
 QUICK = ("zone-dies", "lossy-network", "operators-order", "cold-return")
 
@@ -54,7 +54,7 @@
     options.add_argument("--seeds", type=int, default=0)
     options.add_argument("--at-once", type=int, default=4)
     given = options.parse_args()
-    names = QUICK if given.quick else tuple(ALL)
+    names = QUICK if given.quick else tuple(SCENARIOS)
     seeds = range(1, 1 + (given.seeds or (2 if given.quick else 7)))
     began, breaches, unfinished = time.perf_counter(), Counter[str](), 0
     counts, seconds = Counter[str](), list[float]()
@@ -66,7 +66,7 @@
             for seed in seeds:
                 directory = base / f"{name}-{seed}"
                 directory.mkdir()
-                runs[pool.submit(play_once, name, directory, seed)] = name, seed, directory
+                runs[pool.submit(run_scenario, name, directory, seed)] = name, seed, directory
         for run in as_completed(runs):
             name, seed, directory = runs[run]
             try:
@@ -78,7 +78,7 @@
             breaches.update(breach.kind for breach in found)
             for breach in found[:2]:
                 print(f"  {name} seed {seed}: {breach.kind}: {breach.text}")
-            history = read(directory / "history.jsonl")
+            history = read_history(directory / "history.jsonl")
             counts.update(line["what"] for line in history)
             if (after := left_after(history)) is not None:
                 seconds.append(after)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 import known_red
 import pytest
 
-from yewrill.lab.cluster.commands import play_once
+from yewrill.lab.cluster.commands import run_scenario
 
 RIG = "test_cluster.py"
 
@@ -57,7 +57,8 @@
     try:
         played = {how: pool.submit(broken, how, tmp_path_factory.mktemp(how)) for how in BROKEN}
         yield played | {
-            name: pool.submit(play_once, name, tmp_path_factory.mktemp(name), 1) for name in PLAYED
+            name: pool.submit(run_scenario, name, tmp_path_factory.mktemp(name), 1)
+            for name in PLAYED
         }
     finally:
         pool.shutdown(cancel_futures=True)
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -16,7 +16,7 @@
 from trio.testing import MockClock
 
 from yewrill.config.reading import read_config
-from yewrill.lab.cluster.pace import Slow, measured
+from yewrill.lab.cluster.pace import ScaledClock, measured_slowdown
 from yewrill.service.service import Service
 
 SETTINGS = {
@@ -80,10 +80,10 @@
 ] = []  # monotonic time of the last measurement, and the machine's pace then
 
 
-def _slow_clock() -> Slow:
+def _slow_clock() -> ScaledClock:
     if not _pace_sample or time.monotonic() - _pace_sample[0] > 10.0:
-        _pace_sample[:] = time.monotonic(), measured()
-    return Slow(_pace_sample[1])
+        _pace_sample[:] = time.monotonic(), measured_slowdown()
+    return ScaledClock(_pace_sample[1])
 
 
 # Runs an async test under trio with a time limit; its clock is slowed down as far as the machine is slow now.
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -14,9 +14,9 @@
 from yewrill.lab.cluster.audit import Terms, audit
 from yewrill.lab.cluster.commands import LIMIT
 from yewrill.lab.cluster.links import Links
-from yewrill.lab.cluster.pace import Slow, measured, patiently
+from yewrill.lab.cluster.pace import ScaledClock, measured_slowdown, patiently
 from yewrill.lab.cluster.rig import Plan, Refused, installation
-from yewrill.lab.cluster.scenarios import ALL, play
+from yewrill.lab.cluster.scenarios import SCENARIOS, play
 from yewrill.lab.cluster.standins import Http, listening
 
 TERMS = Terms(once=frozenset({"once"}))
@@ -152,7 +152,7 @@
                 while (await rig.ask("d0", "/_members"))["members"][1]["state"] != "alive":
                     await trio.sleep(0.05)
 
-    trio.run(run, clock=Slow(measured()))
+    trio.run(run, clock=ScaledClock(measured_slowdown()))
 
 
 def late(at, seconds, by="d"):
@@ -185,7 +185,7 @@
     well, late_by, paces, monkeypatch, capsys
 ):
     monkeypatch.setattr(pace, "_learned", 1.0)
-    monkeypatch.setattr(pace, "measured", lambda: 2.0)
+    monkeypatch.setattr(pace, "measured_slowdown", lambda: 2.0)
     played = []
 
     def play(slow):
@@ -199,7 +199,7 @@
 
 
 def test_all_clocks_of_a_slow_machine_have_seconds_of_one_length_and_a_late_loop_says_so():
-    told, clock = [], pace.Slow(50.0, since=0.0)
+    told, clock = [], pace.ScaledClock(50.0, since=0.0)
 
     async def run():
         before, wall = trio.current_time(), clock.wall()
@@ -290,11 +290,11 @@
 
         async def story(rig):
             with suppress(trio.TooSlowError):
-                await play(ALL[name], rig)
+                await play(SCENARIOS[name], rig)
 
         async def run():
             with trio.move_on_after(LIMIT):
-                async with installation(directory, ALL[name].plan, 1, options) as rig:
+                async with installation(directory, SCENARIOS[name].plan, 1, options) as rig:
                     rigs.append(rig)
                     async with trio.open_nursery() as nursery:
                         nursery.start_soon(look, rig, nursery.cancel_scope)
--- a/yewrill/lab/cluster/commands.py
+++ b/yewrill/lab/cluster/commands.py
@@ -11,10 +11,10 @@
 import trio
 
 from yewrill.lab.cluster.audit import Breach, Terms, audit
-from yewrill.lab.cluster.history import Line, read
-from yewrill.lab.cluster.pace import Slow, Starved, patiently
+from yewrill.lab.cluster.history import Line, read_history
+from yewrill.lab.cluster.pace import ScaledClock, Starved, patiently
 from yewrill.lab.cluster.rig import Plan, Rig, installation
-from yewrill.lab.cluster.scenarios import ALL, play
+from yewrill.lab.cluster.scenarios import SCENARIOS, play
 from yewrill.lab.soak.commands import soak
 
 LIMIT = 150.0  # seconds for a scenario: far more than it takes
@@ -36,7 +36,7 @@
 @cluster.command(name="list")
 def names() -> None:
     """The scenarios."""
-    for name, one in ALL.items():
+    for name, one in SCENARIOS.items():
         click.echo(f"{name:<30} {(one.story.__doc__ or '').splitlines()[0]}")
 
 
@@ -44,13 +44,13 @@
     """A scenario that did not come to its end."""
 
 
-def play_once(name: str, directory: Path, seed: int) -> list[Breach]:
+def run_scenario(name: str, directory: Path, seed: int) -> list[Breach]:
     """Play a scenario, once more if it does not come to its end; what the auditor found. Raises Unfinished.
     One of these to a process: all that the parties say to each other goes through it, and two installations
     would make each other's networks slow."""
-    one = ALL[name]
+    one = SCENARIOS[name]
 
-    def at_pace(slow: Slow) -> tuple[bool, list[Breach] | Unfinished, list[Line]]:
+    def at_pace(slow: ScaledClock) -> tuple[bool, list[Breach] | Unfinished, list[Line]]:
         rigs: list[Rig] = []
 
         async def story() -> None:
@@ -95,7 +95,7 @@
 
 
 @cluster.command()
-@click.argument("scenario", type=click.Choice([*ALL, "all"]))
+@click.argument("scenario", type=click.Choice([*SCENARIOS, "all"]))
 @click.option("--seed", default=1, show_default=True)
 @click.option("--seeds", default=1, show_default=True, help="So many seeds, from --seed on.")
 @click.option(
@@ -105,12 +105,12 @@
     """Play a scenario, or all, and audit what happened."""
     base = Path(keep or tempfile.mkdtemp(prefix="yewrill-lab-"))
     worst = 0
-    for name in ALL if scenario == "all" else [scenario]:
+    for name in SCENARIOS if scenario == "all" else [scenario]:
         for number in range(seed, seed + seeds):
             directory = base / f"{name}-{number}"
             directory.mkdir(parents=True, exist_ok=True)
             try:
-                found = play_once(name, directory, number)
+                found = run_scenario(name, directory, number)
             except Unfinished as error:
                 click.echo(f"not played to its end: {error} ({directory})")
                 worst = 2
@@ -124,7 +124,7 @@
 @click.argument("directory", type=click.Path(exists=True, file_okay=False))
 def read_again(directory: str) -> None:
     """Audit a kept history."""
-    lines = read(Path(directory) / "history.jsonl")
+    lines = read_history(Path(directory) / "history.jsonl")
     told = next(
         (line for line in lines if line["what"] == "terms"),
         {"once": ["once"], "cold_multiple": 3.0},
--- a/yewrill/lab/cluster/entry.py
+++ b/yewrill/lab/cluster/entry.py
@@ -18,7 +18,7 @@
 import trio
 
 from yewrill.lab.cluster.links import HEAD, Address, pack, unpack
-from yewrill.lab.cluster.pace import WORD, Lateness, Slow
+from yewrill.lab.cluster.pace import WORD, Lateness, ScaledClock
 
 
 def through_hub(port: int) -> None:
@@ -51,7 +51,7 @@
 
 def slow_down(pace: float, since: float) -> None:
     """All clocks of this process, the event loop's too, and a word to the rig when the loop is late."""
-    slow, run = Slow(pace, since), trio.run
+    slow, run = ScaledClock(pace, since), trio.run
     time.monotonic, time.time = slow.current_time, slow.wall
     trio.run = partial(
         run,
--- a/yewrill/lab/cluster/history.py
+++ b/yewrill/lab/cluster/history.py
@@ -38,5 +38,5 @@
         path.write_text("".join(ujson.dumps(line) + "\n" for line in self.lines))
 
 
-def read(path: Path) -> list[Line]:
+def read_history(path: Path) -> list[Line]:
     return [ujson.loads(line) for line in path.read_text().splitlines()]
--- a/yewrill/lab/cluster/pace.py
+++ b/yewrill/lab/cluster/pace.py
@@ -18,7 +18,9 @@
 
 from yewrill.lab.cluster.history import Line
 
-ALONE = 0.13  # seconds of the wall that `measured` takes on a machine with nothing else to do
+ALONE = (
+    0.13  # seconds of the wall that `measured_slowdown` takes on a machine with nothing else to do
+)
 MOST = 64.0  # the slowest pace
 FIRMLY = 1.3  # times ALONE, up to which a machine counts as one with nothing else to do
 TOLD = 0.1  # seconds by which a loop is late before it says so
@@ -33,7 +35,7 @@
 WORD = "rig-late "  # before the seconds, on a dispatcher's standard error
 
 
-class Slow(trio.abc.Clock):
+class ScaledClock(trio.abc.Clock):
     """A clock whose seconds are `pace` of the wall's, the same in all processes of this machine.
     `since`: the wall's time at which its own wall clock shows the same."""
 
@@ -54,16 +56,16 @@
         return self.since + (self._wall() - self.since) / self.pace
 
 
-def clock() -> Slow:
+def clock() -> ScaledClock:
     """The one that this installation goes by."""
     found = trio.lowlevel.current_clock()
-    return found if isinstance(found, Slow) else Slow()
+    return found if isinstance(found, ScaledClock) else ScaledClock()
 
 
 class Lateness(trio.abc.Instrument):
     """Tells by how much a loop woke later than it should have, or worked without looking up. Seconds."""
 
-    def __init__(self, slow: Slow, tell: Callable[[float], object]):
+    def __init__(self, slow: ScaledClock, tell: Callable[[float], object]):
         self._slow, self._tell = slow, tell
         self._due = float("inf")
         self._woke: float | None = None
@@ -109,7 +111,7 @@
     return sum(late) if late and (max(late) >= LATE or sum(late) >= OFTEN) else 0.0
 
 
-def measured() -> float:
+def measured_slowdown() -> float:
     """How many times slower than one with nothing else to do this machine is for work like the rig's: small
     pieces, with a sleep between."""
     began = time.monotonic()
@@ -130,13 +132,13 @@
 _learned = 1.0  # what an installation of this process was found to need
 
 
-def patiently(name: str, play: Callable[[Slow], tuple[bool, Any, list[Line]]]) -> Any:
+def patiently(name: str, play: Callable[[ScaledClock], tuple[bool, Any, list[Line]]]) -> Any:
     """What came of `play`, which returns whether all was well, what came of it and its history. Where it was
     not and the installation was starved, it is played again, slower, and that is said. Raises Starved where
     no pace was slow enough."""
     global _learned
     for tries in range(1, TRIES + 1):
-        slow = Slow(max(measured(), _learned))
+        slow = ScaledClock(max(measured_slowdown(), _learned))
         well, outcome, history = play(slow)
         late = starved(history)
         if well or not late:
--- a/yewrill/lab/cluster/scenarios.py
+++ b/yewrill/lab/cluster/scenarios.py
@@ -24,13 +24,13 @@
 
 # Three dispatchers outside a zone have to see it fail, and at a few jobs a second each does so for a moment:
 # where some are dead or asleep, there are nine, not six.
-ALL: dict[str, Scenario] = {}
+SCENARIOS: dict[str, Scenario] = {}
 
 
 def scenario(plan: Plan | None = None, **options: tuple[str, ...]):
     def told(story: Callable[[Rig], Awaitable[None]]) -> Callable[[Rig], Awaitable[None]]:
         one = Scenario(story, plan or Plan(), options)
-        ALL[one.name] = one
+        SCENARIOS[one.name] = one
         return story
 
     return told
