--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""The test rig of real processes: the auditor reports each breach, and dispatchers run scenarios without one."""
+"""The test rig: its auditor reports each breach, and real dispatchers run scenarios without a breach."""
 
 import json
 import time
--- a/tests/test_soak_oracle.py
+++ b/tests/test_soak_oracle.py
@@ -1,4 +1,4 @@
-"""The soak's oracle: a clean history breaks no rule, and each planted breach is found as just that one."""
+"""The oracle of the soak test: a clean history breaks no rule, and each kind of breach just its own rule."""
 
 import copy
 
@@ -32,43 +32,46 @@
 
 
 def request(id, kind="tour", at=10.0, **more) -> Request:
-    given = {
+    fields = {
         "sent": at,
         "end": RequestEnd.ANSWERED,
         "finished": at + 0.1,
         "status": 200,
         "answers": 1,
     }
-    return Request(id, f"k-{id}", kind, "d0", 2.0, at, **{**given, **more})
+    return Request(id, f"k-{id}", kind, "d0", 2.0, at, **{**fields, **more})
 
 
 def attempt(id, kind="tour", at=10.02, **more) -> Attempt:
-    given = {"whole": at, "finished": at + 0.05, "end": AttemptEnd.ANSWERED}
-    return Attempt(id, f"k-{id}", kind, "w0", 1.9, at, **{**given, **more})
+    fields = {"received_at": at, "finished": at + 0.05, "end": AttemptEnd.ANSWERED}
+    return Attempt(id, f"k-{id}", kind, "w0", 1.9, at, **{**fields, **more})
 
 
-def state(what, at, pid=1, code=0) -> ProcessEvent:
+def process_event(what, at, pid=1, code=0) -> ProcessEvent:
     return ProcessEvent("d0", pid, what, at, code)
 
 
-def clean() -> History:
+def clean_history() -> History:
     history = History()
     history.requests = [request("a"), request("b", "save"), request("c", "once")]
     history.attempts = [attempt("a"), attempt("b", "save"), attempt("c", "once")]
-    history.process_events = [state(ProcessState.STARTED, 0.0), state(ProcessState.READY, 1.0)]
+    history.process_events = [
+        process_event(ProcessState.STARTED, 0.0),
+        process_event(ProcessState.READY, 1.0),
+    ]
     history.process_events += [
-        state(ProcessState.TERMINATED, 20.0),
-        state(ProcessState.EXITED, 23.0),
+        process_event(ProcessState.TERMINATED, 20.0),
+        process_event(ProcessState.EXITED, 23.0),
     ]
-    history.calm = [(9.0, 12.0)]
+    history.calm_spans = [(9.0, 12.0)]
     return history
 
 
 def test_a_clean_history_breaks_no_rule():
-    assert judge(clean(), TERMS) == []
+    assert judge(clean_history(), TERMS) == []
 
 
-def closed(history):
+def closed_without_answer(history):
     history.requests[0].end, history.requests[0].status = RequestEnd.CLOSED, 0
 
 
@@ -90,11 +93,11 @@
     history.attempts[0].finished = 10.5
 
 
-def unsafe_twice(history):
+def non_idempotent_twice(history):
     history.requests.append(request("c2", "once", at=11.0))
-    again = attempt("c2", "once", at=11.02)
-    again.key = "k-c"
-    history.attempts.append(again)
+    second = attempt("c2", "once", at=11.02)
+    second.key = "k-c"
+    history.attempts.append(second)
 
 
 def keyed_after_its_window(history):
@@ -102,47 +105,47 @@
     history.attempts.append(attempt("b", "save", at=13.5))
 
 
-def refused_but_ran(history):
+def rejected_but_ran(history):
     history.requests[2].status = 503
-    history.calm = []
+    history.calm_spans = []
 
 
-def told_too_much(history):
-    history.attempts[0].notified = 2.3
+def timeout_too_long(history):
+    history.attempts[0].announced_timeout = 2.3
 
 
 def over_the_cold_budget(history):
-    history.cold.append(SlowStart("w0", 9.9))
-    many = int(allowed_when_cold(TERMS, 1.0)) + 3
-    for number in range(many):
+    history.slow_starts.append(SlowStart("w0", 9.9))
+    count = int(allowed_when_cold(TERMS, 1.0)) + 3
+    for number in range(count):
         id = f"m{number}"
         history.requests.append(request(id))
         history.attempts.append(attempt(id, at=10.0 + 0.001 * number))
 
 
 def unclean_exit(history):
-    history.process_events[3] = state(ProcessState.EXITED, 23.0, code=1)
+    history.process_events[3] = process_event(ProcessState.EXITED, 23.0, code=1)
 
 
 def late_exit(history):
-    history.process_events[3] = state(ProcessState.EXITED, 24.0)
+    history.process_events[3] = process_event(ProcessState.EXITED, 24.0)
 
 
 def crash(history):
-    history.process_events[2:] = [state(ProcessState.EXITED, 15.0, code=-11)]
+    history.process_events[2:] = [process_event(ProcessState.EXITED, 15.0, code=-11)]
 
 
 def never_ready(history):
     history.process_events.pop(1)
 
 
-def refused_by_a_well_fleet(history):
+def rejected_by_a_healthy_fleet(history):
     history.requests[0].status = 503
     history.attempts.pop(0)
 
 
-def stopped_and_stays(history):
-    history.requests[0].stops, history.requests[0].in_order = True, False
+def stalled_client_not_closed(history):
+    history.requests[0].stalls, history.requests[0].well_formed = True, False
     history.requests[0].sent, history.requests[0].finished = None, 13.4
     history.attempts.pop(0)
 
@@ -151,75 +154,77 @@
     history.violations.append("rule_violation rule=overlap request=a")
 
 
-PLANTED = {
-    closed: Rule.NOT_CLOSED,
+EXPECTED_RULES = {
+    closed_without_answer: Rule.NOT_CLOSED,
     late_answer: Rule.ANSWER,
     two_answers: Rule.ONE_ANSWER,
     begun_after_leaving: Rule.LEFT,
     overlapping_attempts: Rule.OVERLAP,
-    unsafe_twice: Rule.UNSAFE_ONCE,
+    non_idempotent_twice: Rule.UNSAFE_ONCE,
     keyed_after_its_window: Rule.KEYED_WINDOW,
-    refused_but_ran: Rule.REFUSED_RAN,
-    told_too_much: Rule.TOLD_TIME,
+    rejected_but_ran: Rule.REFUSED_RAN,
+    timeout_too_long: Rule.TOLD_TIME,
     over_the_cold_budget: Rule.COLD_BUDGET,
     unclean_exit: Rule.CLEAN_EXIT,
     late_exit: Rule.CLEAN_EXIT,
     crash: Rule.CRASH,
     never_ready: Rule.READY,
-    refused_by_a_well_fleet: Rule.WELL_FLEET,
-    stopped_and_stays: Rule.STOPPED,
+    rejected_by_a_healthy_fleet: Rule.WELL_FLEET,
+    stalled_client_not_closed: Rule.STOPPED,
     own_check: Rule.OWN_CHECK,
 }
 
 
-@pytest.mark.parametrize("plant", PLANTED, ids=lambda plant: plant.__name__)
-def test_a_planted_breach_is_found(plant):
-    history = copy.deepcopy(clean())
-    plant(history)
-    assert {breach.rule for breach in judge(history, TERMS)} == {PLANTED[plant]}
+@pytest.mark.parametrize("break_rule", EXPECTED_RULES, ids=lambda break_rule: break_rule.__name__)
+def test_each_kind_of_breach_is_reported_as_its_rule_only(break_rule):
+    history = copy.deepcopy(clean_history())
+    break_rule(history)
+    assert {breach.rule for breach in judge(history, TERMS)} == {EXPECTED_RULES[break_rule]}
 
 
-def test_every_rule_has_a_planted_breach():
-    assert set(PLANTED.values()) == set(Rule)
+def test_every_rule_is_covered_by_a_breach():
+    assert set(EXPECTED_RULES.values()) == set(Rule)
 
 
-def test_only_the_protocols_own_excuses_count():
-    history = clean()
-    closed(history)
-    history.process_events.insert(2, state(ProcessState.KILLED, 10.05, pid=2))
-    history.process_events.insert(2, state(ProcessState.STARTED, 0.0, pid=2))
-    history.process_events.insert(3, state(ProcessState.READY, 0.5, pid=2))
-    assert judge(history, TERMS) == []  # its process was killed under it
-    history.requests[0].begun = history.requests[0].sent = 10.2
+def test_a_close_is_excused_only_by_a_kill_or_an_unread_request_on_a_reused_connection():
+    history = clean_history()
+    closed_without_answer(history)
+    history.process_events.insert(2, process_event(ProcessState.KILLED, 10.05, pid=2))
+    history.process_events.insert(2, process_event(ProcessState.STARTED, 0.0, pid=2))
+    history.process_events.insert(3, process_event(ProcessState.READY, 0.5, pid=2))
+    assert judge(history, TERMS) == []  # its process was killed meanwhile
+    history.requests[0].begun_at = history.requests[0].sent = 10.2
     history.requests[0].finished = 10.3
     assert [breach.rule for breach in judge(history, TERMS)] == [Rule.NOT_CLOSED]
-    history.requests[0].kept = True
+    history.requests[0].reused_connection = True
     history.attempts.pop(0)
-    assert judge(history, TERMS) == []  # unread on a kept connection: its client sends it again
+    assert judge(history, TERMS) == []  # unread on a reused connection: its client sends it again
 
 
-def test_two_sendings_of_a_request_are_told_apart_by_what_the_worker_was_told():
-    # Guards against the resend's attempt being counted for a kept connection that was closed unread.
-    history = clean()
-    closed(history)
-    history.requests[0].kept = True
-    history.attempts[0] = attempt("a", at=10.102, sending=2)
-    history.requests.append(request("a", at=10.101, sending=2))
+def test_two_sends_of_a_request_are_told_apart_by_the_send_number_that_the_worker_got():
+    # Guards against counting the attempt of the second send for the first, which was closed unread.
+    history = clean_history()
+    closed_without_answer(history)
+    history.requests[0].reused_connection = True
+    history.attempts[0] = attempt("a", at=10.102, send_number=2)
+    history.requests.append(request("a", at=10.101, send_number=2))
     assert judge(history, TERMS) == []
-    history.attempts.append(
-        attempt("a", at=10.01, finished=10.05, sending=1)
-    )  # read, forwarded, closed
+    # The first send was read and forwarded before the close.
+    history.attempts.append(attempt("a", at=10.01, finished=10.05, send_number=1))
     assert [breach.rule for breach in judge(history, TERMS)] == [Rule.NOT_CLOSED]
-    history.attempts[-1].sending, history.attempts[-1].whole = 0, None  # half of it was forwarded
+    # Half of it was forwarded.
+    history.attempts[-1].send_number, history.attempts[-1].received_at = 0, None
     assert [breach.rule for breach in judge(history, TERMS)] == [Rule.NOT_CLOSED]
 
 
-def test_a_seed_draws_the_same_play_and_troubles_overlap():
+def test_a_seed_draws_the_same_plan_and_faults_overlap():
     assert draw(7) == draw(7)
     assert draw(7) != draw(8)
-    plays = [draw(seed) for seed in range(60)]
-    assert {fault.kind for play in plays for fault in play.faults} == set(Kind)
-    assert sum(bool(overlapping(play.faults)) for play in plays) > 50
+    plans = [draw(seed) for seed in range(60)]
+    assert {fault.kind for run_plan in plans for fault in run_plan.faults} == set(Kind)
+    assert sum(bool(overlapping(run_plan.faults)) for run_plan in plans) > 50
     first = draw(3)
-    left = draw(3, leave_out=(0,))
-    assert [t.number for t in left.faults] == [t.number for t in first.faults if t.number]
+    without_first = draw(3, leave_out=(0,))
+    assert [fault.number for fault in without_first.faults] == [
+        fault.number for fault in first.faults if fault.number
+    ]
--- a/yewrill/lab/soak/__init__.py
+++ b/yewrill/lab/soak/__init__.py
@@ -1,11 +1,12 @@
-"""A randomized soak: real dispatcher processes on loopback, overlapping troubles, a strict oracle.
+"""A randomized soak test: real dispatcher processes on loopback, overlapping faults, and a strict oracle.
 
-A play is drawn whole from its seed (`plan.py`): dispatchers, settings, and troubles that overlap in time.
-Dispatchers run as they ship, each under a small preloaded library (`shim.c`, `shim.py`) that makes system
-calls fail, disks err and the wall clock step. Around them are stand-ins for workers, discovery and clients
-that misbehave (`workers.py`, `discovery.py`, `clients.py`). All that the parties saw goes into one history
-(`events.py`) by the monotonic clock, and `oracle.py`, which is pure, judges it by the terms that the
-dispatcher owes. `python -m yewrill lab soak --seed N` plays one; see `commands.py`.
+A seed determines a whole run (`plan.py`): the dispatchers, their settings, and faults that overlap in time.
+The dispatchers are the unmodified program, each with a small preloaded library (`shim.c`, `shim.py`) that
+makes system calls fail, delays or fails disk writes and steps the wall clock. Around them are simulated
+workers, discovery and clients that misbehave (`workers.py`, `discovery.py`, `clients.py`). All that they see
+goes into one history (`events.py`), timed by the monotonic clock. The oracle (`oracle.py`), which does
+no I/O, checks it against the guarantees of a dispatcher. `python -m yewrill lab soak --seed N` runs one seed;
+see `commands.py`.
 
-Never imported by the dispatcher; the library is built at need and is no part of the product.
+The dispatcher never imports this package. The library is built on demand and is no part of the product.
 """
--- a/yewrill/lab/soak/clients.py
+++ b/yewrill/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: kept connections, waits of all lengths, and ways to misbehave."""
+"""Simulated clients with reused connections, timeouts of all lengths and faulty behaviour."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 from yewrill.lab.soak.events import Effect, History, Request, RequestEnd
 from yewrill.lab.soak.http import DISCONNECTED, next_event, reset
-from yewrill.lab.soak.oracle import ANSWER_SLACK, SLACK, STOP_TIME
+from yewrill.lab.soak.oracle import ANSWER_SLACK_SECONDS, CLOCK_SLACK_SECONDS, STALL_LIMIT_SECONDS
 from yewrill.lab.soak.plan import Plan
 
-CLIENT_TIMEOUT = (0.05, 0.15, 0.4, 1.0, 2.0, 2.5, 10.0, 60.0)
+CLIENT_TIMEOUTS_SECONDS = (0.05, 0.15, 0.4, 1.0, 2.0, 2.5, 10.0, 60.0)
 CLIENT_TIMEOUT_WEIGHTS = (1, 1, 3, 6, 10, 10, 2, 1)
 KINDS = ("tour", "save", "once")
 KIND_WEIGHTS = (5, 2, 3)
-MAX_IDLE = 12  # connections kept for a dispatcher
+MAX_IDLE_CONNECTIONS = 12  # to one dispatcher
 
 
 class Style(Enum):
@@ -30,28 +30,28 @@
 
     WHOLE = "whole"
     PIECES = "in pieces"
-    LEAVE = "leaves at any byte or while it waits"
-    HALF_CLOSE = "ends its sending while it waits"
+    LEAVE = "disconnects at any byte or while it waits"
+    HALF_CLOSE = "half-closes the connection while it waits"
     PIPELINE = "sends two at once"
-    STOP = "stops in the middle and stays"
+    STOP = "stops sending in the middle and keeps the connection"
 
 
 STYLES = tuple(Style)
-CALM_WEIGHTS = (12, 2, 1, 0, 0, 0)
-USUAL_WEIGHTS = (12, 2, 2, 1, 1, 1)
-DISCONNECT_WEIGHTS = (4, 1, 8, 2, 0, 0)
+CALM_STYLE_WEIGHTS = (12, 2, 1, 0, 0, 0)
+USUAL_STYLE_WEIGHTS = (12, 2, 2, 1, 1, 1)
+LEAVING_STYLE_WEIGHTS = (4, 1, 8, 2, 0, 0)
 
 
 class Connection:
-    """One connection of a client."""
+    """A connection of a client."""
 
     def __init__(self, stream: trio.SocketStream):
         self.stream = stream
         self.parser = h11.Connection(h11.CLIENT)
-        self.used = False
+        self.reused = False
 
     async def answer(self) -> tuple[int, bool]:
-        """The status of the next answer, and whether the connection may carry another request."""
+        """Returns the status of the next answer, and whether the connection may carry another request."""
         status, close = 0, False
         while not isinstance(event := await next_event(self.stream, self.parser), h11.EndOfMessage):
             if isinstance(event, h11.Response):
@@ -62,13 +62,13 @@
         return status, not close
 
     def next_cycle(self) -> None:
-        """Make ready for another request."""
+        """Prepares the connection for another request."""
         self.parser = h11.Connection(h11.CLIENT)
-        self.used = True
+        self.reused = True
 
 
-class Traffic:
-    """Open-loop requests for one dispatcher."""
+class ClientTraffic:
+    """Open-loop requests to one dispatcher."""
 
     def __init__(
         self,
@@ -76,74 +76,76 @@
         address: tuple[str, int],
         plan: Plan,
         history: History,
-        ready_again: Callable[[str], trio.Event],
+        ready_event_of: Callable[[str], trio.Event],
     ):
         self.name, self._address, self._plan, self._history = name, address, plan, history
         self._rng = random.Random(f"{plan.seed}/{name}")
         self._idle: list[Connection] = []
         self._count = itertools.count()
-        self._ready_again = ready_again
-        self.style_weights = CALM_WEIGHTS
+        self._ready_event_of = ready_event_of
+        self.style_weights = CALM_STYLE_WEIGHTS
         self.burst = 1.0
-        self.under_way = 0
-        # By the play's clock; the balancer in front sends on open connections alone from then on.
+        self.in_flight = 0
+        # In seconds of the run; afterwards the load balancer in front uses open connections only.
         self.new_connections_until = math.inf
 
     async def run(self, nursery: trio.Nursery) -> None:
-        """Send requests until cancelled; each goes on in the nursery."""
+        """Sends requests until cancelled; each continues in the nursery."""
         while True:
             await trio.sleep(self._rng.expovariate(self._plan.rate * self.burst))
             kind = self._rng.choices(KINDS, KIND_WEIGHTS)[0]
             id = f"{self.name}-{next(self._count)}"
-            nursery.start_soon(self._job, id, kind, f"k-{id}")
+            nursery.start_soon(self._run_request, id, kind, f"k-{id}")
 
-    async def _job(self, id: str, kind: str, key: str) -> None:
-        self.under_way += 1
+    async def _run_request(self, id: str, kind: str, key: str) -> None:
+        self.in_flight += 1
         try:
-            await self._ask(id, kind, key)
+            await self._send_with_repeats(id, kind, key)
         finally:
-            self.under_way -= 1
+            self.in_flight -= 1
 
-    async def _ask(self, id: str, kind: str, key: str) -> None:
+    async def _send_with_repeats(self, id: str, kind: str, key: str) -> None:
         style = self._rng.choices(STYLES, self.style_weights)[0]
-        client_timeout = self._rng.choices(CLIENT_TIMEOUT, CLIENT_TIMEOUT_WEIGHTS)[0]
-        request = first = await self._once(id, kind, key, client_timeout, style, fresh=False)
-        if request.end is RequestEnd.CLOSED and request.kept and request.in_order:
-            # The close has crossed a request that was not read: its client sends it once more.
-            request = await self._once(
-                id, kind, key, client_timeout, Style.WHOLE, fresh=True, sending=2
+        client_timeout = self._rng.choices(CLIENT_TIMEOUTS_SECONDS, CLIENT_TIMEOUT_WEIGHTS)[0]
+        request = first = await self._send_once(
+            id, kind, key, client_timeout, style, on_new_connection=False
+        )
+        if request.end is RequestEnd.CLOSED and request.reused_connection and request.well_formed:
+            # The dispatcher closed the idle connection as the request was under way, unread: send it again.
+            request = await self._send_once(
+                id, kind, key, client_timeout, Style.WHOLE, on_new_connection=True, send_number=2
             )
         if self._plan.terms.effects[kind] is Effect.IDEMPOTENT:
             return
-        again = f"{id}-again"
+        repeat_id = f"{id}-again"
         if request.status in (429, 503) and self._rng.random() < 0.5:
             await trio.sleep(self._rng.uniform(0.0, 0.3))
-            await self._once(again, kind, key, 2.0, Style.WHOLE, fresh=True)
+            await self._send_once(repeat_id, kind, key, 2.0, Style.WHOLE, on_new_connection=True)
         elif (
             first.end is RequestEnd.CLOSED
             and request.end in (RequestEnd.CLOSED, RequestEnd.NOT_TAKEN)
-            and self._plan.terms.state_kept
+            and self._plan.terms.persistent_state
         ):
-            # Its process was killed: the next run knows what was out, so a repeat does no harm.
-            await self._ready_again(self.name).wait()
-            await self._once(again, kind, key, 2.0, Style.WHOLE, fresh=True)
+            # The process was killed. The restarted one knows the attempts in flight, so a repeat is safe.
+            await self._ready_event_of(self.name).wait()
+            await self._send_once(repeat_id, kind, key, 2.0, Style.WHOLE, on_new_connection=True)
 
-    async def _once(
+    async def _send_once(
         self,
         id: str,
         kind: str,
         key: str,
         client_timeout: float,
         style: Style,
-        fresh: bool,
-        sending: int = 1,
+        on_new_connection: bool,
+        send_number: int = 1,
     ) -> Request:
         request = Request(id, key, kind, self.name, client_timeout, self._history.now())
-        request.sending = sending
+        request.send_number = send_number
         self._history.requests.append(request)
         connection: Connection | None = None
         try:
-            connection = self._idle.pop() if self._idle and not fresh else None
+            connection = self._idle.pop() if self._idle and not on_new_connection else None
             if connection is None and self._history.now() >= self.new_connections_until:
                 request.end, request.finished = RequestEnd.NOT_TAKEN, self._history.now()
                 return request
@@ -152,17 +154,26 @@
         except DISCONNECTED:
             request.end, request.finished = RequestEnd.NOT_TAKEN, self._history.now()
             return request
-        request.kept = connection.used
-        limit = min(client_timeout, self._plan.seconds) + ANSWER_SLACK + SLACK + 0.2
+        request.reused_connection = connection.reused
+        limit = (
+            min(client_timeout, self._plan.seconds)
+            + ANSWER_SLACK_SECONDS
+            + CLOCK_SLACK_SECONDS
+            + 0.2
+        )
         try:
-            with trio.fail_after(max(limit, STOP_TIME + 0.5) + 4.0):
+            with trio.fail_after(max(limit, STALL_LIMIT_SECONDS + 0.5) + 4.0):
                 await self._exchange(connection, request, style)
         except trio.TooSlowError:
             request.end = RequestEnd.TIMED_OUT
         except DISCONNECTED:
             request.end = RequestEnd.CLOSED
         request.finished = request.finished or self._history.now()
-        if request.end is RequestEnd.ANSWERED and connection.used and len(self._idle) < MAX_IDLE:
+        if (
+            request.end is RequestEnd.ANSWERED
+            and connection.reused
+            and len(self._idle) < MAX_IDLE_CONNECTIONS
+        ):
             self._idle.append(connection)
         else:
             reset(connection.stream)
@@ -170,15 +181,15 @@
 
     async def _exchange(self, connection: Connection, request: Request, style: Style) -> None:
         data = self._encode(request)
-        request.in_order = style not in (Style.PIPELINE, Style.STOP)
+        request.well_formed = style not in (Style.PIPELINE, Style.STOP)
         stream = connection.stream
         if style is Style.LEAVE and self._rng.random() < 0.4:
             await stream.send_all(data[: self._rng.randrange(1, len(data))])
-            await self._leave(stream, request)
+            await self._disconnect(stream, request)
             return
         if style is Style.STOP:
             await stream.send_all(data[: self._rng.randrange(1, len(data) - 1)])
-            request.stops = True
+            request.stalls = True
         elif style is Style.PIECES:
             await self._send_pieces(stream, data)
             request.sent = self._history.now()
@@ -187,7 +198,7 @@
             request.sent = self._history.now()
         if style is Style.LEAVE:
             await trio.sleep(self._rng.choice((0.0, 0.01, 0.1)) * self._rng.random())
-            await self._leave(stream, request)
+            await self._disconnect(stream, request)
             return
         if style is Style.HALF_CLOSE:
             await trio.sleep(0.05 * self._rng.random())
@@ -196,15 +207,15 @@
             with trio.move_on_after(0.5), suppress(*DISCONNECTED):
                 await connection.answer()
             return
-        request.status, more = await connection.answer()
+        request.status, may_be_reused = await connection.answer()
         request.end, request.finished = RequestEnd.ANSWERED, self._history.now()
         request.answers = 1
         if connection.parser.trailing_data[0]:
             request.answers = 2
-        if more and request.in_order:
+        if may_be_reused and request.well_formed:
             connection.next_cycle()
         else:
-            connection.used = False
+            connection.reused = False
 
     async def _send_pieces(self, stream: trio.SocketStream, data: bytes) -> None:
         cuts = sorted(self._rng.sample(range(1, len(data)), 3))
@@ -212,7 +223,7 @@
             await stream.send_all(data[begin:end])
             await trio.sleep(self._rng.uniform(0.0, 0.02))
 
-    async def _leave(self, stream: trio.SocketStream, request: Request) -> None:
+    async def _disconnect(self, stream: trio.SocketStream, request: Request) -> None:
         request.end, request.finished = RequestEnd.LEFT, self._history.now()
         if self._rng.random() < 0.5:
             reset(stream)
@@ -220,7 +231,7 @@
             stream.socket.close()
 
     def _encode(self, request: Request) -> bytes:
-        body = ujson.dumps({"sending": request.sending})
+        body = ujson.dumps({"sending": request.send_number})
         lines = [
             f"POST /{request.kind} HTTP/1.1",
             "Host: app",
--- a/yewrill/lab/soak/commands.py
+++ b/yewrill/lab/soak/commands.py
@@ -1,4 +1,4 @@
-"""`yewrill lab soak`: plays of real processes with overlapping troubles, many seeds side by side."""
+"""`yewrill lab soak`: runs of real processes with overlapping faults, many seeds in parallel."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 import click
 
 from yewrill.lab.soak.plan import draw, overlapping
-from yewrill.lab.soak.play import Outcome, play
+from yewrill.lab.soak.play import Outcome, run_plan
 
 MAX_PROCESSES = 200
-MAX_LINES = 12  # of a log, for each breach
+MAX_LOG_LINES = 12  # for each breach in a report
 
 
 @dataclass(frozen=True)
-class Seed:
-    """One play to be played."""
+class SeedRun:
+    """The parameters of one run."""
 
     seed: int
     dispatchers: int
@@ -33,21 +33,21 @@
     program: str = ""
 
     def command(self) -> str:
-        """Plays just this one."""
-        left = "".join(f" --leave-out {number}" for number in self.leave_out)
+        """Returns the command line that repeats this run."""
+        left_out = "".join(f" --leave-out {number}" for number in self.leave_out)
         return (
             f"python -m yewrill lab soak --seed {self.seed} --seconds {self.seconds:g} "
-            f"--dispatchers {self.dispatchers}{left}"
+            f"--dispatchers {self.dispatchers}{left_out}"
         )
 
 
 @dataclass
 class Summary:
-    """What a play came to, as it goes from one process to another."""
+    """The result of a run, as it is sent from one process to another."""
 
-    seed: Seed
+    seed: SeedRun
     starved: bool = False
-    late: float = 0.0
+    max_lateness: float = 0.0
     requests: int = 0
     attempts: int = 0
     statuses: Counter = field(default_factory=Counter)
@@ -57,25 +57,25 @@
     report: str = ""
 
 
-def play_seed(seed: Seed) -> Summary:
-    """Play one, in a directory of its own."""
+def run_seed(seed: SeedRun) -> Summary:
+    """Runs one seed in a directory of its own."""
     plan = draw(seed.seed, seed.dispatchers, seed.seconds, seed.leave_out)
     plan = replace(plan, program=seed.program)
     if seed.keep:
         directory = Path(seed.keep) / str(seed.seed)
         directory.mkdir(parents=True, exist_ok=True)
-        return summed_up(seed, play(plan, directory))
+        return summarize(seed, run_plan(plan, directory))
     with tempfile.TemporaryDirectory() as temporary:
-        return summed_up(seed, play(plan, Path(temporary)))
+        return summarize(seed, run_plan(plan, Path(temporary)))
 
 
-def summed_up(seed: Seed, outcome: Outcome) -> Summary:
-    """A play's figures and, if a rule was broken, its report."""
+def summarize(seed: SeedRun, outcome: Outcome) -> Summary:
+    """Returns the figures of a run and, if a rule was broken, its report."""
     history, faults = outcome.history, outcome.plan.faults
     return Summary(
         seed,
         outcome.starved,
-        history.late,
+        history.max_lateness,
         len(history.requests),
         len(history.attempts),
         Counter(
@@ -88,18 +88,18 @@
     )
 
 
-def _report(seed: Seed, outcome: Outcome) -> Iterator[str]:
+def _report(seed: SeedRun, outcome: Outcome) -> Iterator[str]:
     if not outcome.breaches:
         return
     yield f"seed {seed.seed}: {len(outcome.breaches)} breaches; {seed.command()}"
     for fault in outcome.plan.faults:
-        whom = ",".join(f"d{n}" for n in fault.dispatchers)
+        targets = ",".join(f"d{n}" for n in fault.dispatchers)
         rules = " ".join(
-            f"{r.call.name}/{r.origin.name}/{r.error}/{r.max_count}" for r in fault.rules
+            f"{r.call.name}/{r.origin.name}/{r.error}/{r.max_bytes}" for r in fault.rules
         )
         yield (
             f"  trouble {fault.number}: {fault.kind.name} {fault.at:.2f} to {fault.until:.2f} "
-            f"{whom} w{list(fault.workers)} {rules} {fault.step or ''}"
+            f"{targets} w{list(fault.workers)} {rules} {fault.step or ''}"
         )
     for state in outcome.history.process_events:
         yield f"  {state.at:.3f} {state.dispatcher} {state.pid} {state.state.value} {state.code or ''}"
@@ -107,42 +107,42 @@
         yield f"{breach.rule.name}: {breach.rule.value}"
         yield f"  {breach.first}"
         yield f"  {breach.second}"
-        for line in outcome.logs.get(breach.subject, [])[:MAX_LINES]:
+        for line in outcome.logs.get(breach.subject, [])[:MAX_LOG_LINES]:
             yield f"    {line}"
 
 
-def play_all(seeds: Iterable[Seed], side_by_side: int) -> Iterator[Summary]:
-    """Play many, some at once, each in a process of its own."""
+def run_seeds(seeds: Iterable[SeedRun], side_by_side: int) -> Iterator[Summary]:
+    """Runs many seeds, some in parallel, each in a process of its own."""
     if side_by_side == 1:
-        yield from map(play_seed, seeds)
+        yield from map(run_seed, seeds)
         return
     with ProcessPoolExecutor(side_by_side, get_context("spawn"), max_tasks_per_child=1) as pool:
-        yield from pool.map(play_seed, seeds)
+        yield from pool.map(run_seed, seeds)
 
 
-def shrink(seed: Seed) -> Seed:
-    """Leave out troubles as long as a rule is still broken."""
-    kept = seed
+def minimize(seed: SeedRun) -> SeedRun:
+    """Leaves out faults as long as a rule is still broken."""
+    minimal = seed
     for number in range(len(draw(seed.seed, seed.dispatchers, seed.seconds).faults)):
-        tried = replace(kept, leave_out=(*kept.leave_out, number))
-        if play_seed(tried).breaches:
-            kept = tried
+        candidate = replace(minimal, leave_out=(*minimal.leave_out, number))
+        if run_seed(candidate).breaches:
+            minimal = candidate
             click.echo(f"not needed: trouble {number}", err=True)
-    return kept
+    return minimal
 
 
 @click.command()
 @click.option("--seed", type=int, default=1, help="The first seed.")
-@click.option("--seeds", type=int, default=1, help="How many, one after another from the first.")
-@click.option("--seconds", type=float, default=15.0, help="Of a play.")
+@click.option("--seeds", type=int, default=1, help="Number of seeds, from the first on.")
+@click.option("--seconds", type=float, default=15.0, help="Length of a run.")
 @click.option("--dispatchers", type=click.IntRange(1, 40), default=3)
-@click.option("--side-by-side", type=click.IntRange(1, 8), default=1, help="Plays at once.")
-@click.option("--leave-out", type=int, multiple=True, help="Numbers of troubles that do not come.")
+@click.option("--side-by-side", type=click.IntRange(1, 8), default=1, help="Runs in parallel.")
+@click.option("--leave-out", type=int, multiple=True, help="Numbers of faults to leave out.")
 @click.option(
-    "--shrink", "shrinks", is_flag=True, help="Find troubles that a breach does not need."
+    "--shrink", "shrinks", is_flag=True, help="Find the faults that a breach does not need."
 )
-@click.option("--keep", default="", help="A directory for logs and state.")
-@click.option("--program", default="", help="The root of another checkout whose dispatchers play.")
+@click.option("--keep", default="", help="Directory for logs and state; temporary by default.")
+@click.option("--program", default="", help="Root of another checkout whose dispatchers to run.")
 def soak(
     seed: int,
     seeds: int,
@@ -154,31 +154,32 @@
     keep: str,
     program: str,
 ) -> None:
-    """Real dispatchers, overlapping troubles drawn by a seed, and an oracle. Exit status 1 on a breach."""
+    """Runs real dispatchers with overlapping faults drawn from a seed. Exit status 1 on a breach."""
     if dispatchers * side_by_side > MAX_PROCESSES // 2:
         raise click.UsageError(f"at most {MAX_PROCESSES // 2} dispatchers at once")
-    plays = [
-        Seed(seed + i, dispatchers, seconds, tuple(leave_out), keep, program) for i in range(seeds)
+    runs = [
+        SeedRun(seed + i, dispatchers, seconds, tuple(leave_out), keep, program)
+        for i in range(seeds)
     ]
-    total = Summary(plays[0])
+    total = Summary(runs[0])
     played = starved = 0
-    for found in play_all(plays, side_by_side):
-        note = "not played: starved" if found.starved else dict(found.breaches) or "kept"
+    for summary in run_seeds(runs, side_by_side):
+        note = "not played: starved" if summary.starved else dict(summary.breaches) or "kept"
         click.echo(
-            f"seed {found.seed.seed}: requests {found.requests} late {found.late:.2f} {note}"
+            f"seed {summary.seed.seed}: requests {summary.requests} late {summary.max_lateness:.2f} {note}"
         )
-        if found.starved:
+        if summary.starved:
             starved += 1
             continue
         played += 1
-        if found.report:
-            click.echo(found.report)
+        if summary.report:
+            click.echo(summary.report)
             if shrinks:
-                click.echo(shrink(found.seed).command())
-        total.requests += found.requests
-        total.attempts += found.attempts
+                click.echo(minimize(summary.seed).command())
+        total.requests += summary.requests
+        total.attempts += summary.attempts
         for name in ("statuses", "faults", "pairs", "breaches"):
-            getattr(total, name).update(getattr(found, name))
+            getattr(total, name).update(getattr(summary, name))
     figures = {
         "played": played,
         "starved": starved,
--- a/yewrill/lab/soak/events.py
+++ b/yewrill/lab/soak/events.py
@@ -1,4 +1,4 @@
-"""What the parties of a play saw, each by the monotonic clock, in seconds from the play's beginning."""
+"""Records of what the parties of a run saw, timed by the monotonic clock in seconds since the run began."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Effect(Enum):
-    """How often a class's job may have its effect, in the settings' words."""
+    """The idempotency of a class, with the values that the settings use."""
 
     IDEMPOTENT = "pure"
     IDEMPOTENT_BY_KEY = "token"
@@ -19,7 +19,7 @@
     """How an attempt ended, as its worker saw it."""
 
     ANSWERED = "answered"
-    REJECTED = "turned away"  # with the promise that it never ran
+    REJECTED = "turned away"  # by a response that says that the job has not run
     CLOSED = "closed by the dispatcher"
     BROKEN = "broken by the worker"
 
@@ -28,7 +28,7 @@
     """How a request ended, as its client saw it."""
 
     ANSWERED = "answered"
-    CLOSED = "closed without an answer"  # by the dispatcher, or because its process ended
+    CLOSED = "closed without an answer"  # by the dispatcher, or by the end of its process
     TIMED_OUT = "no answer in time"
     LEFT = "its client left"
     NOT_TAKEN = "no connection came up"
@@ -36,49 +36,53 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request as its client saw it. `sent` is its last byte; `kept`: not the first on its connection.
+    """One request as its client saw it.
 
-    `sending`: the number of this sending among those under the same id, which the worker is told too."""
+    `sent` is the time of its last byte. `reused_connection`: it is not the first on its connection. A request
+    may be sent several times under one id; `send_number` counts them and is in the body that the worker gets.
+    """
 
     id: str
     key: str
     kind: str
     dispatcher: str
     client_timeout: float
-    begun: float
-    kept: bool = False
+    begun_at: float
+    reused_connection: bool = False
     sent: float | None = None
-    in_order: bool = True  # a whole request of the protocol; else an error or a close is owed
-    stops: bool = False  # its client stopped in the middle and stays
+    well_formed: bool = True  # else the dispatcher owes it an error or a close
+    stalls: bool = False  # its client stops sending in the middle and keeps the connection
     end: RequestEnd | None = None
     finished: float = 0.0
     status: int = 0
     answers: int = 0
-    sending: int = 1
+    send_number: int = 1
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt as its worker saw it: `begun` at its first byte, `whole` at its last.
+    """One attempt as its worker saw it.
 
-    `sending` is that of its request; 0: it never came whole."""
+    `begun_at` is the time of its first byte, `received_at` of its last. `send_number` is that of its request,
+    0 if the attempt was never received in full.
+    """
 
     id: str
     key: str
     kind: str
     worker: str
-    notified: float  # seconds that the dispatcher said it would wait
-    begun: float
-    whole: float | None = None
+    announced_timeout: float  # in seconds, as the dispatcher sent it
+    begun_at: float
+    received_at: float | None = None
     finished: float | None = None
     end: AttemptEnd | None = None
-    sending: int = 0
-    stale: bool = False  # its connection had been closed when the worker came to read it
+    send_number: int = 0
+    stale: bool = False  # the dispatcher had closed its connection before the worker read it
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """A worker began anew, cold."""
+    """A restart of a worker, which is cold from then on."""
 
     worker: str
     at: float
@@ -99,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessEvent:
-    """A process of a dispatcher: `code` where it exited."""
+    """An event of a dispatcher's process; `code` is the exit status of EXITED."""
 
     dispatcher: str
     pid: int
@@ -110,28 +114,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Discovery told a dispatcher that a worker drains or is gone (`until`: that it serves again)."""
+    """Discovery announced to a dispatcher that a worker drains or is gone."""
 
     dispatcher: str
     worker: str
-    notified: float
+    announced_timeout: float
 
 
 @dataclass
 class History:
-    """Everything of one play."""
+    """All records of one run."""
 
     requests: list[Request] = field(default_factory=list)
     attempts: list[Attempt] = field(default_factory=list)
-    cold: list[SlowStart] = field(default_factory=list)
+    slow_starts: list[SlowStart] = field(default_factory=list)
     process_events: list[ProcessEvent] = field(default_factory=list)
-    calm: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # spans without any trouble of late
-    violations: list[str] = field(default_factory=list)  # the dispatchers' own, from their logs
-    late: float = 0.0  # seconds by which the soak's own loop was late at worst
+    # Spans (begin, end) without a fault, long enough after the last one.
+    calm_spans: list[tuple[float, float]] = field(default_factory=list)
+    # Violations that the dispatchers logged themselves.
+    violations: list[str] = field(default_factory=list)
+    # Seconds by which the test's own event loop, or a dispatcher waiting for a CPU, was late at most.
+    max_lateness: float = 0.0
     began: float = field(default_factory=time.monotonic)
 
     def now(self) -> float:
-        """Seconds since the play began."""
+        """Returns the seconds since the run began."""
         return time.monotonic() - self.began
--- a/yewrill/lab/soak/nodes.py
+++ b/yewrill/lab/soak/nodes.py
@@ -1,4 +1,4 @@
-"""The dispatchers of a play: real processes under the shim, their configuration, signals and logs."""
+"""The dispatchers of a run: real processes under the shim, their configuration, signals and logs."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from yewrill.lab.soak.plan import Plan
 from yewrill.lab.soak.shim import Shim
 
-READY = b" ready name="
-VIOLATION = b" rule_violation "
-KEY = "7a" * 16
-RUN = "trap '' HUP; exec \"$0\" -m yewrill"  # as the platform starts it
-SEVERAL = 3  # reloads in a row
-SERIES_PAUSE = 0.25  # seconds at most between two signals of a series
+READY_MARK = b" ready name="
+VIOLATION_MARK = b" rule_violation "
+MEMBERSHIP_KEY = "7a" * 16
+START_COMMAND = "trap '' HUP; exec \"$0\" -m yewrill"  # as the platform starts a dispatcher
+RELOADS_IN_A_ROW = 3
+MAX_SERIES_INTERVAL_SECONDS = 0.25  # between two signals of a series
 
 
 class Node:
@@ -39,18 +39,18 @@
         self._config_path = directory / f"{self.name}.json"
         self.log_path = directory / f"{self.name}.log"
         self.shim = Shim(directory / f"{self.name}.shim")
-        self._inherited: socket.socket | None = None
-        if plan.inherited:
-            self._inherited = socket.create_server(("127.0.0.1", 0), backlog=256)
-            self.address = self._inherited.getsockname()
+        self._listening_socket: socket.socket | None = None
+        if plan.inherited_sockets:
+            self._listening_socket = socket.create_server(("127.0.0.1", 0), backlog=256)
+            self.address = self._listening_socket.getsockname()
         else:
             self.address = ("127.0.0.1", free_port())
         self.members = ("127.0.0.1", free_port())
         self.process: subprocess.Popen | None = None
         self.ready = trio.Event()
-        self.restarting = trio.Lock()
+        self.restart_lock = trio.Lock()
         self._reloads = 0
-        self._paused = 0.0  # seconds for which it was stopped so far
+        self._paused_seconds = 0.0  # in total so far
         self._rng = random.Random(f"{plan.seed}/{self.name}/signals")
 
     # -- configuration
@@ -58,15 +58,17 @@
     def configure(
         self, discovery: tuple[str, int], known: dict, peers: list[tuple[str, int]]
     ) -> None:
-        """Write the configuration, with another margin each time."""
+        """Writes the configuration; the answer margin differs each time, so that a reload has a change."""
         self._reloads += 1
-        raw = self._raw(discovery, known, peers)
+        raw = self._raw_config(discovery, known, peers)
         raw["timing"]["answer_margin_ms"] = 20.0 + self._reloads % 3
-        aside = self._config_path.with_suffix(".new")
-        aside.write_text(ujson.dumps(raw))
-        aside.rename(self._config_path)
+        temporary_path = self._config_path.with_suffix(".new")
+        temporary_path.write_text(ujson.dumps(raw))
+        temporary_path.rename(self._config_path)
 
-    def _raw(self, discovery: tuple[str, int], known: dict, peers: list[tuple[str, int]]) -> dict:
+    def _raw_config(
+        self, discovery: tuple[str, int], known: dict, peers: list[tuple[str, int]]
+    ) -> dict:
         plan, terms = self._plan, self._plan.terms
         factor = plan.classes.objective_run_factor
         stretch = {} if factor is None else {"aim_stretch": factor}
@@ -89,7 +91,7 @@
             "discovery": f"{discovery[0]}:{discovery[1]}",
             "seed": f"{plan.seed + self._index:x}",
             "known": known,
-            "timing": {},  # the grace is the program's own
+            "timing": {},  # with the default grace period
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": plan.sockets},
             "settings": {
                 "areas": ["room"],
@@ -120,13 +122,13 @@
                 "parties": [{"name": "acme", "quota_per_s": plan.classes.quota, "share": 1.0}],
             },
         }
-        if terms.state_kept:
+        if terms.persistent_state:
             raw["state_dir"] = str(self._directory / f"{self.name}.state")
-        if plan.control:
+        if plan.membership:
             raw["members"] = {
                 "listen": f"{self.members[0]}:{self.members[1]}",
                 "peers": [f"{host}:{port}" for host, port in peers],
-                "keys": [KEY],
+                "keys": [MEMBERSHIP_KEY],
                 "zone": "room",
             }
             raw["views"] = {
@@ -138,7 +140,7 @@
     # -- processes
 
     async def start(self) -> None:
-        """Start a process and wait until it is ready, or has ended."""
+        """Starts a process and waits until it is ready or has ended."""
         environment = {
             **os.environ,
             **self.shim.environment(),
@@ -146,20 +148,20 @@
             "YEWRILL_LOG": "DEBUG",
             "TMPDIR": str(self._directory),
         }
-        passed: tuple[int, ...] = ()
-        if self._inherited is not None:
-            passed = (self._inherited.fileno(),)
-            environment["BALANCER_INHERITED_FD"] = str(passed[0])
+        inherited_fds: tuple[int, ...] = ()
+        if self._listening_socket is not None:
+            inherited_fds = (self._listening_socket.fileno(),)
+            environment["BALANCER_INHERITED_FD"] = str(inherited_fds[0])
         if self.ready.is_set():
             self.ready = trio.Event()
-        begin = self.log_path.stat().st_size if self.log_path.exists() else 0
+        log_offset = self.log_path.stat().st_size if self.log_path.exists() else 0
         with self.log_path.open("ab") as log:
             process = subprocess.Popen(
-                ["/bin/sh", "-c", RUN, sys.executable],
+                ["/bin/sh", "-c", START_COMMAND, sys.executable],
                 env=environment,
                 stderr=log,
                 stdout=log,
-                pass_fds=passed,
+                pass_fds=inherited_fds,
                 cwd=self._plan.program or None,
             )
         self.process = process
@@ -167,7 +169,7 @@
         ready = self.ready
         with trio.CancelScope() as scope:
             self._nursery.start_soon(self._wait, process, scope)
-            while READY not in self._log_from(begin):
+            while READY_MARK not in self._log_from(log_offset):
                 await trio.sleep(0.02)
             self._note(process, ProcessState.READY)
             ready.set()
@@ -178,9 +180,9 @@
         self._note(process, ProcessState.EXITED, code)
         scope.cancel()
 
-    def _log_from(self, begin: int) -> bytes:
+    def _log_from(self, log_offset: int) -> bytes:
         with self.log_path.open("rb") as log:
-            log.seek(begin)
+            log.seek(log_offset)
             return log.read()
 
     def _note(self, process: subprocess.Popen, state: ProcessState, code: int = 0) -> None:
@@ -190,88 +192,91 @@
     def send(
         self, number: int, state: ProcessState, process: subprocess.Popen | None = None
     ) -> None:
-        """Send a signal to the process that serves, or to the given one."""
+        """Sends a signal to the process that serves, or to the given one."""
         process = process or self.process
         if process is not None and process.poll() is None:
             if state is ProcessState.KILLED and self.ready.is_set():
-                self.ready = trio.Event()  # who waits for it from now on waits for the next process
+                self.ready = trio.Event()  # later waits are for the next process
             self._note(process, state)
             process.send_signal(number)
 
-    async def end(self, process: subprocess.Popen | None = None, series: bool = False) -> None:
-        """SIGTERM, and SIGKILL at the earliest that the platform allows; a pause adds its own time.
+    async def terminate(
+        self, process: subprocess.Popen | None = None, series: bool = False
+    ) -> None:
+        """Sends SIGTERM, and SIGKILL if the process has not ended by the end of the grace period.
 
-        `series`: SIGHUPs and more SIGTERMs follow up to the process's end."""
+        Pauses meanwhile extend the period. `series`: SIGHUPs and more SIGTERMs follow until the process ends.
+        """
         process = process or self.process
         if process is None or process.poll() is not None:
             return
         self.send(signal.SIGTERM, ProcessState.TERMINATED, process)
-        paused_before = self._paused
+        paused_before = self._paused_seconds
         due = trio.current_time() + self._plan.terms.grace
         next_signal = trio.current_time()
         while process.poll() is None:
             now = trio.current_time()
-            if now >= due + self._paused - paused_before:
+            if now >= due + self._paused_seconds - paused_before:
                 self.send(signal.SIGKILL, ProcessState.KILLED, process)
                 return
             if series and now >= next_signal:
-                self._send_any(process)
-                next_signal = now + SERIES_PAUSE * self._rng.random()
+                self._send_random_signal(process)
+                next_signal = now + MAX_SERIES_INTERVAL_SECONDS * self._rng.random()
             await trio.sleep(0.005)
 
-    def _send_any(self, process: subprocess.Popen) -> None:
-        """One more signal to a process that drains already."""
+    def _send_random_signal(self, process: subprocess.Popen) -> None:
+        """Sends SIGHUP or SIGTERM to a process that drains already."""
         if self._rng.random() < 0.5:
             self.send(signal.SIGHUP, ProcessState.RELOADED, process)
         else:
             self.send(signal.SIGTERM, ProcessState.TERMINATED, process)
 
     async def pause(self, duration: float) -> None:
-        """SIGSTOP for so many seconds."""
+        """Stops the process with SIGSTOP for some seconds."""
         process = self.process
         self.send(signal.SIGSTOP, ProcessState.PAUSED, process)
         await trio.sleep(duration)
         self.send(signal.SIGCONT, ProcessState.RESUMED, process)
-        self._paused += duration
+        self._paused_seconds += duration
 
     async def reload(self) -> None:
-        """SIGHUP, several in a row."""
-        for _ in range(SEVERAL):
+        """Sends several SIGHUPs in a row."""
+        for _ in range(RELOADS_IN_A_ROW):
             self.send(signal.SIGHUP, ProcessState.RELOADED)
             await trio.sleep(0.02)
 
     async def upgrade(self) -> None:
-        """Start a new process beside the old one; end the old one once the new one is ready."""
+        """Starts a new process beside the old one, and ends the old one once the new one is ready."""
         old = self.process
         await self.start()
-        await self.end(old)
+        await self.terminate(old)
 
-    def waited_for_processor(self) -> tuple[int, float] | None:
-        """Its process, and for how many seconds in all that was ready to run and was not let."""
+    def cpu_wait(self) -> tuple[int, float] | None:
+        """Returns the process id and for how many seconds in total the process waited for a CPU."""
         if self.process is None:
             return None
         try:
-            notified = Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
-            return self.process.pid, int(notified[1]) / 1e9
+            fields = Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
+            return self.process.pid, int(fields[1]) / 1e9
         except (OSError, IndexError, ValueError):
             return None
 
     def close(self) -> None:
-        """Let go of what the play holds; whatever still runs is killed."""
+        """Kills the process if it still runs, and closes the listening socket."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
-        if self._inherited is not None:
-            self._inherited.close()
+        if self._listening_socket is not None:
+            self._listening_socket.close()
 
-    def lines_about(self, id: str) -> list[str]:
-        """What the dispatcher's log says of a request, or its last lines."""
+    def log_lines_about(self, id: str) -> list[str]:
+        """Returns the log lines about a request, or the last lines of the log if there are none."""
         with suppress(OSError):
             lines = self.log_path.read_text(errors="replace").splitlines()
             return [line for line in lines if id in line] or lines[-15:]
         return []
 
     def violations(self) -> list[str]:
-        """Lines in which the dispatcher says that it found a rule broken."""
+        """Returns the log lines in which the dispatcher reports a violation of its own rules."""
         lines = self._log_from(0).splitlines() if self.log_path.exists() else []
-        return [line.decode(errors="replace") for line in lines if VIOLATION in line]
+        return [line.decode(errors="replace") for line in lines if VIOLATION_MARK in line]
--- a/yewrill/lab/soak/plan.py
+++ b/yewrill/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draws a play from its seed: what stands there, and which troubles come when. Pure."""
+"""Draws the plan of a run from its seed: the installation, and which faults occur when. Does no I/O."""
 
 from __future__ import annotations
 
@@ -14,20 +14,23 @@
 from yewrill.lab.soak.oracle import Terms
 from yewrill.lab.soak.shim import Call, Origin, Rule
 
-OPENING = 3.0  # seconds of traffic before the first trouble; the last two of them count as calm
-RECOVERY = 5.0  # seconds after the last trouble: gates lift a class in two objectives of 0.4 s
-RECOVERY_OBJECTIVE = 0.4
-CLOSING = 2.0  # seconds of calm at the end
-KEYED_WINDOW = 3.0
-# The earliest SIGKILL after SIGTERM: after the longest deadline, up to a bound, and some more.
-MAX_GRACE_DEADLINE = 3.0
-GRACE_AFTER_DEADLINE = 0.7
-SOCKETS, CROWDED_SOCKETS = 512, 160  # descriptors of a dispatcher
-CROWD = 200  # idle clients that fill them
+INITIAL_CALM_SECONDS = 3.0  # of traffic before the first fault; the last two of them count as calm
+# After the last fault, for an objective of 0.4 s: call gapping admits a class again within two objectives.
+RECOVERY_SECONDS = 5.0
+RECOVERY_OBJECTIVE_SECONDS = 0.4
+FINAL_CALM_SECONDS = 2.0
+KEYED_WINDOW = 3.0  # seconds
+# The grace period from SIGTERM to SIGKILL: the longest deadline, up to a bound, and a margin.
+MAX_GRACE_DEADLINE_SECONDS = 3.0
+GRACE_AFTER_DEADLINE_SECONDS = 0.7
+# Limits on the sockets of a dispatcher; the lower one for runs in which idle clients exhaust it.
+SOCKETS = 512
+CROWDED_SOCKETS = 160
+IDLE_CLIENTS = 200  # exhaust CROWDED_SOCKETS
 
 
 class Kind(Enum):
-    """What a trouble is."""
+    """The kinds of faults."""
 
     TERMINATE = "SIGTERM, then a restart"
     SIGNALS_IN_SERIES = "SIGHUPs and SIGTERMs in a row, up to the exit and right after readiness"
@@ -37,33 +40,33 @@
     RELOAD_INTO_DRAIN = "SIGHUP, then SIGTERM"
     UPGRADE = "a new process takes the listening socket over"
     CALLS_FAIL = "system calls fail"
-    SHORT_CALLS = "reads and writes are short"
+    SHORT_CALLS = "reads and writes transfer few bytes"
     DISK_ERRS = "writes or syncs fail"
     DISK_SLOW = "syncs are slow"
     CLOCK_STEP = "the wall clock is set"
     WORKER_HANGS = "workers hang"
     WORKER_RESETS = "workers reset connections under requests"
-    WORKER_BUSY = "workers turn requests away"
+    WORKER_BUSY = "workers reject requests"
     WORKER_ERRS = "workers answer with errors"
-    WORKER_HALF = "workers answer half and close"
+    WORKER_HALF = "workers send half an answer and close"
     WORKER_TWICE = "workers answer twice"
     WORKER_PIECES = "workers answer byte by byte"
     WORKER_CLOSES_IDLE = "workers close idle connections"
-    WORKER_UNREAD = "workers read nothing"
-    WORKER_SLOW = "workers take a multiple of their time"
+    WORKER_UNREAD = "workers stop reading"
+    WORKER_SLOW = "workers take a multiple of their run time"
     WORKER_COLD = "workers restart cold"
     WORKER_DRAINS = "workers drain and return"
-    DISCOVERY_SILENT = "discovery is silent"
+    DISCOVERY_SILENT = "discovery does not answer"
     DISCOVERY_GONE = "discovery resets every call"
     DISCOVERY_SLOW = "discovery is slow"
-    CLIENTS_LEAVE = "many clients leave at any byte"
+    CLIENTS_LEAVE = "many clients disconnect at any byte"
     CLIENTS_BURST = "clients send a burst"
-    CLIENTS_CROWD = "idle clients fill the descriptors"
+    CLIENTS_CROWD = "idle clients exhaust the sockets"
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A trouble: from when for how long (seconds), and whom it befalls."""
+    """A fault: its time and duration in seconds, and the parties that it affects."""
 
     number: int
     kind: Kind
@@ -77,13 +80,13 @@
 
     @property
     def until(self) -> float:
-        """When it is over."""
+        """The time at which it ends."""
         return self.at + self.duration
 
 
 @dataclass(frozen=True, slots=True)
 class ClassTerms:
-    """What the settings say of each class. Seconds; the quota in requests a second."""
+    """The settings of every class: times in seconds, the quota in requests per second."""
 
     objective: float
     objective_run_factor: float | None  # None: the settings do not name it
@@ -93,31 +96,31 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """A whole play."""
+    """The plan of a run."""
 
     seed: int
     dispatchers: int
     workers: int
     seconds: float
-    rate: float  # requests a second and dispatcher
+    rate: float  # requests per second for each dispatcher
     terms: Terms
     classes: ClassTerms
     first_run_factor: float  # of each worker's first run
     sockets: int
-    inherited: bool  # the rig holds the listening sockets
-    control: bool  # members and views are on
+    inherited_sockets: bool  # the test holds the listening sockets and passes them on
+    membership: bool  # members and views are configured
     faults: tuple[Fault, ...] = field(default=())
-    program: str = ""  # the root of the checkout whose dispatchers play, this one by default
+    program: str = ""  # root of the checkout whose dispatchers run, this one by default
 
     @property
     def recovery(self) -> float:
-        """Seconds from the last trouble until the fleet counts as well."""
-        return _recovery(self.classes)
+        """Seconds from the end of the last fault until the fleet counts as healthy."""
+        return _recovery_seconds(self.classes)
 
     @property
     def faults_end(self) -> float:
-        """From when on no trouble is there."""
-        return max((fault.until for fault in self.faults), default=OPENING)
+        """The time at which the last fault ends."""
+        return max((fault.until for fault in self.faults), default=INITIAL_CALM_SECONDS)
 
 
 _CALL_ERRORS = (
@@ -131,12 +134,15 @@
     (Call.CONNECT, Origin.ANY, (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN)),
     (Call.SOCKET, Origin.ANY, (errno.ENFILE, errno.ENOBUFS)),
 )
-_MAX_CALL_FAULT = 1.0
-_BRIEF = (Call.RECV, Call.SEND)  # a connection may fail for 0.1 s and more of these in a row
+_MAX_CALL_FAULT_SECONDS = 1.0
+_BRIEF_CALLS = (
+    Call.RECV,
+    Call.SEND,
+)  # a connection may fail if these fail in a row for more than 0.1 s
 
 
-# Troubles that meet where rules are decided, one soon after the other, at one dispatcher.
-CROSSINGS = (
+# Faults in quick succession at one dispatcher that meet in code on which a rule depends.
+FAULT_COMBINATIONS = (
     (Kind.DISK_ERRS, Kind.KILL),
     (Kind.WORKER_HANGS, Kind.DISK_ERRS, Kind.KILL),
     (Kind.WORKER_HANGS, Kind.KILL, Kind.CLOCK_STEP),
@@ -158,17 +164,17 @@
     (Kind.CLIENTS_CROWD, Kind.SIGNALS_IN_SERIES),
     (Kind.CLIENTS_CROWD, Kind.TERMINATE),
 )
-CROSSING_FRACTION = 0.4
+COMBINATION_FRACTION = 0.4
 
 
 def draw(
     seed: int, dispatchers: int = 3, seconds: float = 15.0, leave_out: Sequence[int] = ()
 ) -> Plan:
-    """The play of a seed; troubles of the numbers in `leave_out` do not come."""
+    """Returns the plan of a seed, without the faults whose numbers are in `leave_out`."""
     rng = random.Random(seed)
-    inherited = rng.random() < 0.25
-    state_kept = rng.random() < 0.6
-    control = rng.random() < 0.25
+    inherited_sockets = rng.random() < 0.25
+    persistent_state = rng.random() < 0.6
+    membership = rng.random() < 0.25
     effects = {
         "tour": Effect.IDEMPOTENT,
         "save": Effect.IDEMPOTENT_BY_KEY,
@@ -178,33 +184,37 @@
     terms = Terms(
         effects,
         keyed_window=KEYED_WINDOW,
-        grace=min(classes.deadline, MAX_GRACE_DEADLINE) + GRACE_AFTER_DEADLINE,
+        grace=min(classes.deadline, MAX_GRACE_DEADLINE_SECONDS) + GRACE_AFTER_DEADLINE_SECONDS,
         slots=4,
         run=rng.choice((0.03, 0.06)) if classes.objective >= 0.2 else 0.03,
         start_capacity=0.25,
         warm_after=3.0,
         cold_multiple=rng.choice((1.0, 1.5)),
         cold_window=1.0,
-        state_kept=state_kept,
+        persistent_state=persistent_state,
     )
     workers = max(5, 5 * dispatchers // 3)
-    until = OPENING + max(1.0, seconds - OPENING - RECOVERY - CLOSING)
+    until = INITIAL_CALM_SECONDS + max(
+        1.0, seconds - INITIAL_CALM_SECONDS - RECOVERY_SECONDS - FINAL_CALM_SECONDS
+    )
     crowded = rng.random() < 0.3
-    kinds = [kind for kind in Kind if _fits(kind, inherited, state_kept, crowded)]
+    kinds = [
+        kind for kind in Kind if _is_applicable(kind, inherited_sockets, persistent_state, crowded)
+    ]
     faults = []
-    at = OPENING
+    at = INITIAL_CALM_SECONDS
     while at < until:
-        together = [rng.choice(kinds) for _ in range(rng.choice((1, 2, 2, 3)))]
-        if rng.random() < CROSSING_FRACTION:
-            together = [kind for kind in rng.choice(CROSSINGS) if kind in kinds]
-        befallen = rng.randrange(dispatchers)
-        for place, kind in enumerate(together):
-            fault = _inject(
-                rng, len(faults), kind, at + 0.3 * place, dispatchers, workers, terms.grace
+        kinds_at_once = [rng.choice(kinds) for _ in range(rng.choice((1, 2, 2, 3)))]
+        if rng.random() < COMBINATION_FRACTION:
+            kinds_at_once = [kind for kind in rng.choice(FAULT_COMBINATIONS) if kind in kinds]
+        main_dispatcher = rng.randrange(dispatchers)
+        for position, kind in enumerate(kinds_at_once):
+            fault = _draw_fault(
+                rng, len(faults), kind, at + 0.3 * position, dispatchers, workers, terms.grace
             )
             if fault.dispatchers:
-                fault = replace(fault, dispatchers=(befallen, *fault.dispatchers[1:]))
-            if fault.at < until:  # the play waits for its end
+                fault = replace(fault, dispatchers=(main_dispatcher, *fault.dispatchers[1:]))
+            if fault.at < until:  # the run waits for the end of each fault
                 faults.append(fault)
         at += rng.uniform(0.5, 1.2)
     return Plan(
@@ -217,9 +227,9 @@
         classes=classes,
         first_run_factor=rng.choice((1.0, 1.0, 4.0, 8.0)),
         sockets=CROWDED_SOCKETS if crowded else SOCKETS,
-        inherited=inherited,
-        control=control,
-        faults=tuple(t for t in faults if t.number not in leave_out),
+        inherited_sockets=inherited_sockets,
+        membership=membership,
+        faults=tuple(fault for fault in faults if fault.number not in leave_out),
     )
 
 
@@ -232,21 +242,25 @@
     )
 
 
-def _recovery(classes: ClassTerms) -> float:
-    return RECOVERY * max(1.0, classes.objective / RECOVERY_OBJECTIVE)
+def _recovery_seconds(classes: ClassTerms) -> float:
+    return RECOVERY_SECONDS * max(1.0, classes.objective / RECOVERY_OBJECTIVE_SECONDS)
 
 
-def _fits(kind: Kind, inherited: bool, state_kept: bool, crowded: bool) -> bool:
+def _is_applicable(
+    kind: Kind, inherited_sockets: bool, persistent_state: bool, crowded: bool
+) -> bool:
     if kind is Kind.UPGRADE:
-        return inherited
+        return inherited_sockets
     if kind is Kind.CLIENTS_CROWD:
         return crowded
     if kind in (Kind.TERMINATE, Kind.KILL, Kind.RELOAD_INTO_DRAIN, Kind.SIGNALS_IN_SERIES):
-        return not inherited  # who connects while nobody accepts there has no dispatcher
-    return state_kept or kind not in (Kind.DISK_ERRS, Kind.DISK_SLOW)
+        return (
+            not inherited_sockets
+        )  # connections would wait in the backlog while no process accepts them
+    return persistent_state or kind not in (Kind.DISK_ERRS, Kind.DISK_SLOW)
 
 
-def _inject(
+def _draw_fault(
     rng: random.Random,
     number: int,
     kind: Kind,
@@ -257,57 +271,70 @@
 ) -> Fault:
     at += rng.uniform(0.0, 0.5)
     duration = rng.uniform(0.3, 2.0)
-    some = tuple(sorted(rng.sample(range(dispatchers), rng.choice((1, 1, min(2, dispatchers))))))
-    min_count = tuple(sorted(rng.sample(range(workers), rng.choice((1, 1, 2)))))
+    affected_dispatchers = tuple(
+        sorted(rng.sample(range(dispatchers), rng.choice((1, 1, min(2, dispatchers)))))
+    )
+    affected_workers = tuple(sorted(rng.sample(range(workers), rng.choice((1, 1, 2)))))
     if kind is Kind.PAUSE:
-        return Fault(number, kind, at, 0.15, some[:1])
+        return Fault(number, kind, at, 0.15, affected_dispatchers[:1])
     if kind in (
         Kind.TERMINATE,
         Kind.RELOAD_INTO_DRAIN,
         Kind.UPGRADE,
         Kind.SIGNALS_IN_SERIES,
     ):
-        return Fault(number, kind, at, grace + 1.0, some[:1])
+        return Fault(number, kind, at, grace + 1.0, affected_dispatchers[:1])
     if kind in (Kind.KILL, Kind.RELOAD):
-        return Fault(number, kind, at, 1.0, some[:1])
+        return Fault(number, kind, at, 1.0, affected_dispatchers[:1])
     if kind is Kind.CLOCK_STEP:
         step = rng.choice((-3600.0, 3600.0, -5.0, 5.0, -0.7))
         return Fault(number, kind, at, 0.1, step=step)
     if kind is Kind.CALLS_FAIL:
-        rule = _failing_call(rng)
-        max_duration = 0.1 if rule.call in _BRIEF else _MAX_CALL_FAULT
-        return Fault(number, kind, at, rng.uniform(0.05, max_duration), some, rules=(rule,))
+        rule = _draw_failing_call(rng)
+        max_duration = 0.1 if rule.call in _BRIEF_CALLS else _MAX_CALL_FAULT_SECONDS
+        return Fault(
+            number, kind, at, rng.uniform(0.05, max_duration), affected_dispatchers, rules=(rule,)
+        )
     slow_factor = 1.0
     if kind is Kind.WORKER_SLOW:
         slow_factor, duration = rng.uniform(1.0, 10.0), duration + 1.0
-        min_count = rng.choice((min_count, tuple(range(workers))))
-    rules = _rules(rng, kind)
-    return Fault(number, kind, at, duration, some, min_count, rules, slow_factor=slow_factor)
+        affected_workers = rng.choice((affected_workers, tuple(range(workers))))
+    rules = _draw_call_rules(rng, kind)
+    return Fault(
+        number,
+        kind,
+        at,
+        duration,
+        affected_dispatchers,
+        affected_workers,
+        rules,
+        slow_factor=slow_factor,
+    )
 
 
-def _failing_call(rng: random.Random) -> Rule:
+def _draw_failing_call(rng: random.Random) -> Rule:
     call, origin, errors = rng.choice(_CALL_ERRORS)
     return Rule(call, origin, rng.choice(errors), chance=rng.choice((0.3, 1.0, 1.0)))
 
 
-def _rules(rng: random.Random, kind: Kind) -> tuple[Rule, ...]:
-    """What befalls system calls in troubles of some kinds."""
+def _draw_call_rules(rng: random.Random, kind: Kind) -> tuple[Rule, ...]:
+    """Returns the rules for system calls of the kinds of faults that have some."""
     if kind is Kind.SHORT_CALLS:
-        return tuple(Rule(call, max_count=rng.choice((1, 3, 50))) for call in _BRIEF)
+        return tuple(Rule(call, max_bytes=rng.choice((1, 3, 50))) for call in _BRIEF_CALLS)
     if kind is Kind.DISK_SLOW:
         return (Rule(Call.SYNC, slow_ms=80),)
     if kind is Kind.DISK_ERRS:
         all_rules = (
             Rule(Call.SYNC, error=errno.EIO, chance=rng.choice((0.3, 1.0))),
             Rule(Call.PWRITE, error=rng.choice((errno.EIO, errno.ENOSPC)), chance=0.7),
-            Rule(Call.PWRITE, max_count=7),
+            Rule(Call.PWRITE, max_bytes=7),
         )
         return tuple(rng.sample(all_rules, rng.choice((1, 2))))
     return ()
 
 
 def overlapping(faults: Sequence[Fault]) -> Counter[tuple[str, str]]:
-    """Pairs of kinds of troubles that were there at once, and how often."""
+    """Returns how often each pair of kinds of faults overlapped."""
     return Counter(
         tuple(sorted((one.kind.name, other.kind.name)))
         for one, other in combinations(faults, 2)
--- a/yewrill/lab/soak/play.py
+++ b/yewrill/lab/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays a plan: processes, stand-ins, traffic and troubles, until the last dispatcher has ended."""
+"""Executes a plan: processes, simulated parties, traffic and faults, until the last dispatcher has ended."""
 
 from __future__ import annotations
 
@@ -13,47 +13,49 @@
 
 import trio
 
-from yewrill.lab.soak.clients import DISCONNECT_WEIGHTS, USUAL_WEIGHTS, Traffic
+from yewrill.lab.soak.clients import LEAVING_STYLE_WEIGHTS, USUAL_STYLE_WEIGHTS, ClientTraffic
 from yewrill.lab.soak.discovery import Discovery
 from yewrill.lab.soak.events import History, ProcessState
 from yewrill.lab.soak.nodes import Node
 from yewrill.lab.soak.oracle import Breach, judge
 from yewrill.lab.soak.plan import (
-    CLOSING,
-    CROWD,
-    OPENING,
+    FINAL_CALM_SECONDS,
+    IDLE_CLIENTS,
+    INITIAL_CALM_SECONDS,
     Fault,
     Kind,
     Plan,
 )
 from yewrill.lab.soak.workers import Worker
 
-STARVED = 0.08  # seconds at once for which the soak, or a dispatcher, may wait for a processor
-WATCH = 0.02  # seconds between looks at the soak's own lateness
-WATCH_NODES = 0.2  # seconds between looks at the dispatchers' waits
-CALM_FROM = 1.0  # seconds after the beginning of traffic
-DRAIN_TIME = 1.5  # seconds for which a worker drains
-BURST = 3.0  # times the usual rate
-PAUSE = 0.15  # seconds of a SIGSTOP
-# After SIGTERM the balancer in front lets new connections through for so long, in seconds.
-NEW_CONNECTIONS = (0.2, 0.4)
-LIST_LAG = 0.05  # seconds from a change to discovery's word of it
-FIRST_VERSIONS = (100, 700)  # of the two discoveries
+STARVED_SECONDS = (
+    0.08  # a run is void if the test or a dispatcher waited this long for a CPU at once
+)
+WATCH_INTERVAL_SECONDS = 0.02  # between checks of the test's own lateness
+NODE_WATCH_INTERVAL_SECONDS = 0.2  # between checks of the dispatchers' waits for a CPU
+CALM_START_SECONDS = 1.0  # after the start of traffic
+WORKER_DRAIN_SECONDS = 1.5
+BURST_FACTOR = 3.0
+PAUSE_SECONDS = 0.15
+# After SIGTERM the load balancer in front still opens new connections for a time in this range.
+NEW_CONNECTIONS_SECONDS = (0.2, 0.4)
+LIST_DELAY_SECONDS = 0.05  # from a change until discovery publishes it
+FIRST_VERSIONS = (100, 700)  # one for each discovery
 
 
 @dataclass
 class Outcome:
-    """What a play came to. `starved`: the machine had no time for it, so nothing is said."""
+    """The outcome of a run. `starved`: the machine was too busy, so the history was not checked."""
 
     plan: Plan
     history: History
     breaches: list[Breach] = field(default_factory=list)
     starved: bool = False
-    logs: dict[str, list[str]] = field(default_factory=dict)  # by a breach's subject
+    logs: dict[str, list[str]] = field(default_factory=dict)  # log lines by the subject of a breach
 
 
-class Stage:
-    """Everything that takes part in one play."""
+class SoakRun:
+    """One run with all its parties."""
 
     def __init__(self, plan: Plan, directory: Path, nursery: trio.Nursery):
         self.plan, self.history, self.nursery = plan, History(), nursery
@@ -64,27 +66,27 @@
             for i in range(plan.workers)
         ]
         self.discoveries = [Discovery(self.workers, first) for first in FIRST_VERSIONS]
-        self._discovery = 0  # which of them the dispatchers are told to ask
+        self._discovery = 0  # index of the one that the dispatchers are configured with
         self.nodes = [
             Node(i, plan, directory, self.history, nursery) for i in range(plan.dispatchers)
         ]
         self.traffic = [
-            Traffic(node.name, node.address, plan, self.history, self._ready_again)
+            ClientTraffic(node.name, node.address, plan, self.history, self._ready_event_of)
             for node in self.nodes
         ]
 
-    def _ready_again(self, name: str) -> trio.Event:
+    def _ready_event_of(self, name: str) -> trio.Event:
         return next(node for node in self.nodes if node.name == name).ready
 
-    # -- beginning and end
+    # -- start and end
 
     async def open(self, stack: AsyncExitStack) -> None:
-        """Listeners of the stand-ins, configurations and processes."""
-        for one in (*self.workers, *self.discoveries):
+        """Opens the listeners of the simulated parties, writes configurations and starts the processes."""
+        for server in (*self.workers, *self.discoveries):
             listeners = await self.nursery.start(
-                partial(trio.serve_tcp, one.handle, 0, host="127.0.0.1")
+                partial(trio.serve_tcp, server.handle, 0, host="127.0.0.1")
             )
-            one.address = listeners[0].socket.getsockname()[:2]
+            server.address = listeners[0].socket.getsockname()[:2]
         self.configure()
         for node in self.nodes:
             stack.callback(node.close)
@@ -93,22 +95,22 @@
                 starting.start_soon(node.start)
 
     def configure(self) -> None:
-        """Write every dispatcher's configuration anew."""
+        """Writes the configuration of every dispatcher anew."""
         peers = [node.members for node in self.nodes]
         discovery = self.discoveries[self._discovery]
         for node in self.nodes:
             others = [peer for peer in peers if peer != node.members]
-            node.configure(discovery.address, discovery.whole(), others)
+            node.configure(discovery.address, discovery.full_list(), others)
 
-    def tell(self) -> None:
-        """The list of workers has changed."""
+    def publish(self) -> None:
+        """Publishes a new version of the list of workers."""
         for discovery in self.discoveries:
-            discovery.tell()
+            discovery.publish()
 
     async def run(self) -> None:
-        """Traffic and troubles, then the end of all dispatchers, under traffic up to their exit."""
+        """Runs traffic and faults, then terminates all dispatchers, under traffic until they exit."""
         self.nursery.start_soon(self._watch_own_lateness)
-        self.nursery.start_soon(self._watch_the_nodes)
+        self.nursery.start_soon(self._watch_nodes)
         async with trio.open_nursery() as requests:
             async with trio.open_nursery() as sources:
                 for traffic in self.traffic:
@@ -116,88 +118,94 @@
                 await self._inject_faults()
                 async with trio.open_nursery() as ending:
                     for node in self.nodes:
-                        ending.start_soon(self._end, node, self._rng.random() < 0.5)
+                        ending.start_soon(self._terminate_node, node, self._rng.random() < 0.5)
                 sources.cancel_scope.cancel()
             with trio.move_on_after(self.plan.terms.grace):
-                while any(traffic.under_way for traffic in self.traffic):
-                    await trio.sleep(WATCH)
+                while any(traffic.in_flight for traffic in self.traffic):
+                    await trio.sleep(WATCH_INTERVAL_SECONDS)
             requests.cancel_scope.cancel()
-        await trio.sleep(WATCH)
+        await trio.sleep(WATCH_INTERVAL_SECONDS)
 
-    async def _end(self, node: Node, series: bool) -> None:
-        """SIGTERM and more to a dispatcher; clients go on with the connections that they have."""
+    async def _terminate_node(self, node: Node, series: bool) -> None:
+        """Terminates a dispatcher; its clients soon use their open connections only."""
         traffic = next(each for each in self.traffic if each.name == node.name)
-        traffic.new_connections_until = self.history.now() + self._rng.uniform(*NEW_CONNECTIONS)
-        await node.end(series=series)
+        traffic.new_connections_until = self.history.now() + self._rng.uniform(
+            *NEW_CONNECTIONS_SECONDS
+        )
+        await node.terminate(series=series)
 
-    async def _start_again(self, node: Node) -> None:
+    async def _restart_node(self, node: Node) -> None:
         await node.start()
         traffic = next(each for each in self.traffic if each.name == node.name)
         traffic.new_connections_until = math.inf
 
     async def _inject_faults(self) -> None:
-        """Calm, troubles, and calm again."""
-        began = self.history.now()
-        self.history.calm.append((began + CALM_FROM, began + OPENING))
+        """Runs a calm span, the faults, and another calm span."""
+        started_at = self.history.now()
+        self.history.calm_spans.append(
+            (started_at + CALM_START_SECONDS, started_at + INITIAL_CALM_SECONDS)
+        )
         async with trio.open_nursery() as faults:
             for fault in self.plan.faults:
-                faults.start_soon(self._inject, fault, began)
-            faults.start_soon(self._unquiet, began)
+                faults.start_soon(self._inject, fault, started_at)
+            faults.start_soon(self._run_client_misbehavior, started_at)
         await trio.sleep(self.plan.recovery)
-        well = self.history.now()
-        await trio.sleep(CLOSING)
-        self.history.calm.append((well, self.history.now()))
+        recovered_at = self.history.now()
+        await trio.sleep(FINAL_CALM_SECONDS)
+        self.history.calm_spans.append((recovered_at, self.history.now()))
 
     async def _watch_own_lateness(self) -> None:
         while True:
-            due = time.monotonic() + WATCH
-            await trio.sleep(WATCH)
-            self.history.late = max(self.history.late, time.monotonic() - due)
+            due = time.monotonic() + WATCH_INTERVAL_SECONDS
+            await trio.sleep(WATCH_INTERVAL_SECONDS)
+            self.history.max_lateness = max(self.history.max_lateness, time.monotonic() - due)
 
-    async def _watch_the_nodes(self) -> None:
-        """What a dispatcher that the machine gives no time does late says nothing of it."""
+    async def _watch_nodes(self) -> None:
+        """Records how long dispatchers wait for a CPU: lateness for that reason is no fault of theirs."""
         before: dict[int, float] = {}
         while True:
-            await trio.sleep(WATCH_NODES)
-            now = dict(filter(None, (node.waited_for_processor() for node in self.nodes)))
+            await trio.sleep(NODE_WATCH_INTERVAL_SECONDS)
+            now = dict(filter(None, (node.cpu_wait() for node in self.nodes)))
             for pid, waited in now.items():
-                self.history.late = max(self.history.late, waited - before.get(pid, waited))
+                self.history.max_lateness = max(
+                    self.history.max_lateness, waited - before.get(pid, waited)
+                )
             before = now
 
-    async def _unquiet(self, began: float) -> None:
-        """Clients misbehave from the first trouble to the last."""
-        await trio.sleep(OPENING)
+    async def _run_client_misbehavior(self, started_at: float) -> None:
+        """Lets clients misbehave from the first fault to the last."""
+        await trio.sleep(INITIAL_CALM_SECONDS)
         for traffic in self.traffic:
-            traffic.style_weights = USUAL_WEIGHTS
-        await trio.sleep(max(0.0, began + self.plan.faults_end - self.history.now()))
+            traffic.style_weights = USUAL_STYLE_WEIGHTS
+        await trio.sleep(max(0.0, started_at + self.plan.faults_end - self.history.now()))
         for traffic in self.traffic:
             traffic.style_weights = (1, 0, 0, 0, 0, 0)
 
-    # -- troubles
+    # -- faults
 
-    async def _inject(self, fault: Fault, began: float) -> None:
-        await trio.sleep(max(0.0, began + fault.at - self.history.now()))
+    async def _inject(self, fault: Fault, started_at: float) -> None:
+        await trio.sleep(max(0.0, started_at + fault.at - self.history.now()))
         kind = fault.kind
-        if kind in _ON_NODES:
+        if kind in _NODE_FAULTS:
             async with trio.open_nursery() as nursery:
                 for number in fault.dispatchers:
-                    nursery.start_soon(self._on_node, kind, self.nodes[number])
+                    nursery.start_soon(self._run_on_node, kind, self.nodes[number])
         elif fault.rules:
-            await self._strike(fault)
+            await self._apply_call_rules(fault)
         elif kind is Kind.CLOCK_STEP:
-            self._run_step(fault.step)
+            self._step_wall_clock(fault.step)
         elif kind is Kind.WORKER_COLD:
             await self._restart_workers(fault)
         elif kind is Kind.WORKER_DRAINS:
             await self._drain_workers(fault)
         elif kind is Kind.CLIENTS_CROWD:
-            await self._crowd(fault)
+            await self._open_idle_clients(fault)
         elif kind in (Kind.CLIENTS_LEAVE, Kind.CLIENTS_BURST):
-            await self._clients(fault)
+            await self._change_client_traffic(fault)
         else:
-            await self._mode(fault)
+            await self._set_mode(fault)
 
-    async def _strike(self, fault: Fault) -> None:
+    async def _apply_call_rules(self, fault: Fault) -> None:
         shims = [self.nodes[number].shim for number in fault.dispatchers]
         for shim in shims:
             shim.add(fault.rules)
@@ -205,84 +213,84 @@
         for shim in shims:
             shim.remove(fault.rules)
 
-    def _run_step(self, step: float) -> None:
+    def _step_wall_clock(self, step: float) -> None:
         self.wall_offset += step
         for node in self.nodes:
-            node.shim.set_wall(self.wall_offset)
+            node.shim.set_wall_clock_offset(self.wall_offset)
 
     async def _restart_workers(self, fault: Fault) -> None:
         for number in fault.workers:
             self.workers[number].restart((time.time() + self.wall_offset) * 1000.0)
-        await trio.sleep(LIST_LAG)
-        self.tell()
+        await trio.sleep(LIST_DELAY_SECONDS)
+        self.publish()
 
     async def _drain_workers(self, fault: Fault) -> None:
         for state in ("DRAINING", "SERVING"):
             for number in fault.workers:
                 self.workers[number].state = state
-            self.tell()
-            await trio.sleep(DRAIN_TIME)
+            self.publish()
+            await trio.sleep(WORKER_DRAIN_SECONDS)
 
-    async def _crowd(self, fault: Fault) -> None:
-        """Clients that connect, say nothing, and stay as long as they may."""
+    async def _open_idle_clients(self, fault: Fault) -> None:
+        """Opens many connections that send nothing, and keeps them until the fault ends."""
         for number in fault.dispatchers[:1]:
             async with AsyncExitStack() as stack:
                 with suppress(OSError):
-                    for _ in range(CROWD):
+                    for _ in range(IDLE_CLIENTS):
                         stream = await trio.open_tcp_stream(*self.nodes[number].address)
                         stack.callback(stream.socket.close)
                 await trio.sleep(fault.duration)
 
-    async def _clients(self, fault: Fault) -> None:
-        some = [self.traffic[number] for number in fault.dispatchers]
+    async def _change_client_traffic(self, fault: Fault) -> None:
+        affected = [self.traffic[number] for number in fault.dispatchers]
         if fault.kind is Kind.CLIENTS_BURST:
-            some = self.traffic
-        for traffic in some:
+            affected = self.traffic
+        for traffic in affected:
             if fault.kind is Kind.CLIENTS_BURST:
-                traffic.burst = BURST
+                traffic.burst = BURST_FACTOR
             else:
-                traffic.style_weights = DISCONNECT_WEIGHTS
+                traffic.style_weights = LEAVING_STYLE_WEIGHTS
         await trio.sleep(fault.duration)
-        for traffic in some:
+        for traffic in affected:
             traffic.burst = 1.0
             if fault.kind is Kind.CLIENTS_LEAVE:
-                traffic.style_weights = USUAL_WEIGHTS
+                traffic.style_weights = USUAL_STYLE_WEIGHTS
 
-    async def _mode(self, fault: Fault) -> None:
-        """Workers or discoveries misbehave for a while."""
+    async def _set_mode(self, fault: Fault) -> None:
+        """Lets workers or discoveries misbehave for the duration of the fault."""
         kind = fault.kind
         if kind.name.startswith("WORKER"):
-            some = [self.workers[number] for number in fault.workers]
-            for worker in some:
+            affected = [self.workers[number] for number in fault.workers]
+            for worker in affected:
                 worker.slow_factor = fault.slow_factor
-                worker.begin(kind)
+                worker.begin_fault(kind)
             await trio.sleep(fault.duration)
-            for worker in some:
-                worker.end(kind)
+            for worker in affected:
+                worker.end_fault(kind)
             return
         for discovery in self.discoveries:
-            discovery.modes.append(kind)
+            discovery.active_faults.append(kind)
         await trio.sleep(fault.duration)
         for discovery in self.discoveries:
-            discovery.modes.remove(kind)
+            discovery.active_faults.remove(kind)
 
-    async def _on_node(self, kind: Kind, node: Node) -> None:
-        """One restart of a dispatcher at a time: it has one name and one address."""
+    async def _run_on_node(self, kind: Kind, node: Node) -> None:
+        """Runs a fault of a dispatcher; restarts one at a time, because they share its name and address."""
         if kind in (Kind.PAUSE, Kind.RELOAD):
-            await _ON_NODES[kind](self, node)
+            await _NODE_FAULTS[kind](self, node)
             return
-        async with node.restarting:
-            await _ON_NODES[kind](self, node)
+        async with node.restart_lock:
+            await _NODE_FAULTS[kind](self, node)
 
     async def _terminate(self, node: Node) -> None:
-        await self._end(node, series=False)
-        await self._start_again(node)
+        await self._terminate_node(node, series=False)
+        await self._restart_node(node)
 
     async def _signals_in_series(self, node: Node) -> None:
-        """SIGHUPs before and into the drain, SIGTERM again and again; SIGHUP right after readiness."""
+        """Sends SIGHUPs before and during the drain, repeated SIGTERMs, and SIGHUPs right after readiness."""
         await self._reload(node)
-        await self._end(node, series=True)
-        await self._start_again(node)
+        await self._terminate_node(node, series=True)
+        await self._restart_node(node)
         await self._reload(node)
 
     async def _kill(self, node: Node) -> None:
@@ -293,7 +301,7 @@
         await node.start()
 
     async def _pause(self, node: Node) -> None:
-        await node.pause(PAUSE)
+        await node.pause(PAUSE_SECONDS)
 
     async def _reload(self, node: Node) -> None:
         self._discovery = 1 - self._discovery
@@ -308,40 +316,42 @@
         await node.upgrade()
 
 
-_ON_NODES = {
-    Kind.TERMINATE: Stage._terminate,
-    Kind.SIGNALS_IN_SERIES: Stage._signals_in_series,
-    Kind.KILL: Stage._kill,
-    Kind.PAUSE: Stage._pause,
-    Kind.RELOAD: Stage._reload,
-    Kind.RELOAD_INTO_DRAIN: Stage._reload_into_drain,
-    Kind.UPGRADE: Stage._upgrade,
+_NODE_FAULTS = {
+    Kind.TERMINATE: SoakRun._terminate,
+    Kind.SIGNALS_IN_SERIES: SoakRun._signals_in_series,
+    Kind.KILL: SoakRun._kill,
+    Kind.PAUSE: SoakRun._pause,
+    Kind.RELOAD: SoakRun._reload,
+    Kind.RELOAD_INTO_DRAIN: SoakRun._reload_into_drain,
+    Kind.UPGRADE: SoakRun._upgrade,
 }
 
 
-def play(plan: Plan, directory: Path) -> Outcome:
-    """Play a plan in a directory and judge it."""
-    found: list[Stage] = []
+def run_plan(plan: Plan, directory: Path) -> Outcome:
+    """Executes a plan in a directory and checks its history."""
+    started_runs: list[SoakRun] = []
 
     async def main() -> None:
         async with AsyncExitStack() as stack, trio.open_nursery() as nursery:
-            stage = Stage(plan, directory, nursery)
-            found.append(stage)
-            await stage.open(stack)
-            await stage.run()
+            soak_run = SoakRun(plan, directory, nursery)
+            started_runs.append(soak_run)
+            await soak_run.open(stack)
+            await soak_run.run()
             nursery.cancel_scope.cancel()
 
     trio.run(main)
-    stage = found[0]
-    for node in stage.nodes:
-        stage.history.violations += node.violations()
-    outcome = Outcome(plan, stage.history, starved=stage.history.late > STARVED)
+    soak_run = started_runs[0]
+    for node in soak_run.nodes:
+        soak_run.history.violations += node.violations()
+    outcome = Outcome(
+        plan, soak_run.history, starved=soak_run.history.max_lateness > STARVED_SECONDS
+    )
     if not outcome.starved:
-        outcome.breaches = judge(stage.history, plan.terms)
+        outcome.breaches = judge(soak_run.history, plan.terms)
         for breach in outcome.breaches:
             name = breach.subject.partition("-")[0]
-            nodes = [node for node in stage.nodes if node.name == name]
+            nodes = [node for node in soak_run.nodes if node.name == name]
             outcome.logs[breach.subject] = [
-                line for node in nodes for line in node.lines_about(breach.subject)
+                line for node in nodes for line in node.log_lines_about(breach.subject)
             ]
     return outcome
--- a/yewrill/lab/soak/shim.c
+++ b/yewrill/lab/soak/shim.c
@@ -1,7 +1,7 @@
-/* Preloaded into a dispatcher: makes system calls fail and the wall clock step, as a shared page says.
+/* Preloaded into a dispatcher: makes system calls fail and steps the wall clock, as a shared page says.
  *
- * The page (struct control) is mapped from the file named by YEWRILL_SHIM and written by the soak while the
- * process runs. Rules apply to one call each; sockets are told apart by how they came: accepted or connected.
+ * The page (struct control) is mapped from the file that YEWRILL_SHIM names; the soak test writes it while the
+ * process runs. A rule applies to one system call, and may be limited to accepted or to connected sockets.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -19,57 +19,57 @@
 enum call { ACCEPT = 1, RECV, SEND, CONNECT, SOCKET, PWRITE, SYNC };
 enum origin { ANY = 0, ACCEPTED = 1, CONNECTED = 2 };
 
-#define MOST_RULES 8
-#define MOST_DESCRIPTORS 65536
+#define MAX_RULES 8
+#define MAX_DESCRIPTORS 65536
 
 struct rule {
     int32_t call, origin;
     int32_t error;      /* errno, 0: none */
-    int32_t at_most;    /* bytes that the call takes or gives, 0: as asked */
-    int32_t slow_ms;    /* before the call */
-    uint32_t chance;    /* of 2^32 */
+    int32_t max_bytes;  /* that the call transfers, 0: no limit */
+    int32_t slow_ms;    /* delay before the call */
+    uint32_t chance;    /* probability times 2^32 */
     uint64_t hits;
 };
 
 struct control {
     int64_t wall_offset_ns;
-    int32_t rules_in_force, unused;
-    struct rule rules[MOST_RULES];
+    int32_t rule_count, unused;
+    struct rule rules[MAX_RULES];
 };
 
 static struct control *control;
-static unsigned char origins[MOST_DESCRIPTORS];
-static uint64_t state = 88172645463325252ULL;
+static unsigned char origins[MAX_DESCRIPTORS];
+static uint64_t random_state = 88172645463325252ULL;
 
 #define REAL(name) ((__typeof__(&name))real(#name))
 
 static void *real(const char *name) { return dlsym(RTLD_NEXT, name); }
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void map_control_page(void) {
     const char *path = getenv("YEWRILL_SHIM");
     int fd = path ? open(path, O_RDWR | O_CLOEXEC) : -1;
     if (fd < 0) return;
     void *page = mmap(NULL, sizeof *control, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     if (page != MAP_FAILED) control = page;
     close(fd);
-    state ^= (uint64_t)getpid() << 17;
+    random_state ^= (uint64_t)getpid() << 17;
 }
 
-static uint32_t chance(void) {
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    return (uint32_t)(state >> 16);
+static uint32_t next_random(void) {
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    return (uint32_t)(random_state >> 16);
 }
 
-/* The rule that strikes this call, or NULL. */
-static struct rule *struck(enum call call, int fd) {
+/* Returns the rule that applies to this call, after its delay, or NULL. */
+static struct rule *matching_rule(enum call call, int fd) {
     if (!control) return NULL;
-    int origin = fd >= 0 && fd < MOST_DESCRIPTORS ? origins[fd] : ANY;
-    for (int i = 0; i < control->rules_in_force && i < MOST_RULES; i++) {
+    int origin = fd >= 0 && fd < MAX_DESCRIPTORS ? origins[fd] : ANY;
+    for (int i = 0; i < control->rule_count && i < MAX_RULES; i++) {
         struct rule *rule = &control->rules[i];
         if (rule->call != (int32_t)call || (rule->origin != ANY && rule->origin != origin)) continue;
-        if (chance() > rule->chance) continue;
+        if (next_random() > rule->chance) continue;
         rule->hits++;
         if (rule->slow_ms > 0) {
             struct timespec span = {rule->slow_ms / 1000, rule->slow_ms % 1000 * 1000000L};
@@ -80,71 +80,71 @@
     return NULL;
 }
 
-static size_t shortened(const struct rule *rule, size_t size) {
-    return rule && rule->at_most > 0 && size > (size_t)rule->at_most ? (size_t)rule->at_most : size;
+static size_t limited(const struct rule *rule, size_t size) {
+    return rule && rule->max_bytes > 0 && size > (size_t)rule->max_bytes ? (size_t)rule->max_bytes : size;
 }
 
-#define FAIL_IF_STRUCK(call, fd) \
-    struct rule *rule = struck(call, fd); \
+#define APPLY_RULE(call, fd) \
+    struct rule *rule = matching_rule(call, fd); \
     if (rule && rule->error) { errno = rule->error; return -1; }
 
-static void came(int fd, enum origin origin) {
-    if (fd >= 0 && fd < MOST_DESCRIPTORS) origins[fd] = origin;
+static void record_origin(int fd, enum origin origin) {
+    if (fd >= 0 && fd < MAX_DESCRIPTORS) origins[fd] = origin;
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *size, int flags) {
-    FAIL_IF_STRUCK(ACCEPT, -1)
+    APPLY_RULE(ACCEPT, -1)
     int found = REAL(accept4)(fd, address, size, flags);
-    came(found, ACCEPTED);
+    record_origin(found, ACCEPTED);
     return found;
 }
 
 int socket(int domain, int type, int protocol) {
     if (domain == AF_INET && (type & 0xf) == SOCK_STREAM) {
-        FAIL_IF_STRUCK(SOCKET, -1)
+        APPLY_RULE(SOCKET, -1)
     }
     int found = REAL(socket)(domain, type, protocol);
-    came(found, ANY);
+    record_origin(found, ANY);
     return found;
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t size) {
     if (address->sa_family == AF_INET) {
-        FAIL_IF_STRUCK(CONNECT, -1)
+        APPLY_RULE(CONNECT, -1)
     }
-    came(fd, address->sa_family == AF_INET ? CONNECTED : ANY);
+    record_origin(fd, address->sa_family == AF_INET ? CONNECTED : ANY);
     return REAL(connect)(fd, address, size);
 }
 
 ssize_t recv(int fd, void *buffer, size_t size, int flags) {
-    if (origins[fd & (MOST_DESCRIPTORS - 1)] == ANY) return REAL(recv)(fd, buffer, size, flags);
-    FAIL_IF_STRUCK(RECV, fd)
-    return REAL(recv)(fd, buffer, shortened(rule, size), flags);
+    if (origins[fd & (MAX_DESCRIPTORS - 1)] == ANY) return REAL(recv)(fd, buffer, size, flags);
+    APPLY_RULE(RECV, fd)
+    return REAL(recv)(fd, buffer, limited(rule, size), flags);
 }
 
 ssize_t send(int fd, const void *buffer, size_t size, int flags) {
-    if (origins[fd & (MOST_DESCRIPTORS - 1)] == ANY) return REAL(send)(fd, buffer, size, flags);
-    FAIL_IF_STRUCK(SEND, fd)
-    return REAL(send)(fd, buffer, shortened(rule, size), flags);
+    if (origins[fd & (MAX_DESCRIPTORS - 1)] == ANY) return REAL(send)(fd, buffer, size, flags);
+    APPLY_RULE(SEND, fd)
+    return REAL(send)(fd, buffer, limited(rule, size), flags);
 }
 
 ssize_t pwrite64(int fd, const void *buffer, size_t size, off_t offset) {
-    FAIL_IF_STRUCK(PWRITE, -1)
-    return REAL(pwrite64)(fd, buffer, shortened(rule, size), offset);
+    APPLY_RULE(PWRITE, -1)
+    return REAL(pwrite64)(fd, buffer, limited(rule, size), offset);
 }
 
 ssize_t pwrite(int fd, const void *buffer, size_t size, off_t offset) {
-    FAIL_IF_STRUCK(PWRITE, -1)
-    return REAL(pwrite)(fd, buffer, shortened(rule, size), offset);
+    APPLY_RULE(PWRITE, -1)
+    return REAL(pwrite)(fd, buffer, limited(rule, size), offset);
 }
 
 int fdatasync(int fd) {
-    FAIL_IF_STRUCK(SYNC, -1)
+    APPLY_RULE(SYNC, -1)
     return REAL(fdatasync)(fd);
 }
 
 int fsync(int fd) {
-    FAIL_IF_STRUCK(SYNC, -1)
+    APPLY_RULE(SYNC, -1)
     return REAL(fsync)(fd);
 }
 
--- a/yewrill/lab/soak/shim.py
+++ b/yewrill/lab/soak/shim.py
@@ -1,4 +1,4 @@
-"""Builds the preloaded library and writes the page by which it is told what to do."""
+"""Builds the preloaded library, and writes the shared page that controls it."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("shim.c")
-_HEAD = struct.Struct("=qii")
-_RULE = struct.Struct("=iiiiiIQ")
+_PAGE_HEADER = struct.Struct("=qii")
+_RULE_LAYOUT = struct.Struct("=iiiiiIQ")
 MAX_RULES = 8
-PAGE_BYTES = _HEAD.size + MAX_RULES * _RULE.size
-CERTAIN = 2**32 - 1
+PAGE_BYTES = _PAGE_HEADER.size + MAX_RULES * _RULE_LAYOUT.size
+CERTAIN_CHANCE = 2**32 - 1
 
 
 class Call(IntEnum):
-    """The system calls that can be struck."""
+    """The system calls that rules can apply to."""
 
     ACCEPT = 1
     RECV = 2
@@ -35,7 +35,7 @@
 
 
 class Origin(IntEnum):
-    """How a socket came to be: by a client's connection or by one to a worker or discovery."""
+    """How a socket was created: accepted from a client, or connected to a worker or to discovery."""
 
     ANY = 0
     ACCEPTED = 1
@@ -44,12 +44,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """What befalls a call. `at_most` in bytes, `slow_ms` before the call, `chance` from 0 to 1."""
+    """How calls fail: with an error, after a delay, or after at most `max_bytes` bytes.
+
+    Zero means no error, no delay and no limit. `chance` is the probability that the rule applies.
+    """
 
     call: Call
     origin: Origin = Origin.ANY
     error: int = 0
-    max_count: int = 0
+    max_bytes: int = 0
     slow_ms: int = 0
     chance: float = 1.0
 
@@ -58,8 +61,8 @@
     """There is no C compiler on this machine."""
 
 
-def library() -> Path:
-    """The library, built if it is not there yet. Raises NoCompiler."""
+def build_library() -> Path:
+    """Returns the path of the library, which is built if there is none yet. Raises NoCompiler."""
     source = SOURCE.read_bytes()
     directory = Path(tempfile.gettempdir()) / f"yewrill-soak-{os.getuid()}"
     built = directory / f"shim-{hashlib.sha256(source).hexdigest()[:16]}.so"
@@ -69,15 +72,15 @@
     if compiler is None:
         raise NoCompiler("the soak needs a C compiler for its library of failing system calls")
     directory.mkdir(mode=0o700, exist_ok=True)
-    aside = built.with_suffix(f".{os.getpid()}")
-    command = [compiler, "-shared", "-fPIC", "-O2", "-o", str(aside), str(SOURCE), "-ldl"]
+    temporary_path = built.with_suffix(f".{os.getpid()}")
+    command = [compiler, "-shared", "-fPIC", "-O2", "-o", str(temporary_path), str(SOURCE), "-ldl"]
     subprocess.run(command, check=True)
-    aside.rename(built)
+    temporary_path.rename(built)
     return built
 
 
 class Shim:
-    """The page of one dispatcher; it outlives restarts of the process."""
+    """The control page of one dispatcher; it stays when the process restarts."""
 
     def __init__(self, path: Path):
         self.path = path
@@ -87,37 +90,37 @@
         self._rules: list[Rule] = []
 
     def environment(self) -> dict[str, str]:
-        """Variables for the process that is to be under the shim."""
-        return {"LD_PRELOAD": str(library()), "YEWRILL_SHIM": str(self.path)}
+        """Returns the environment variables of a process that is to load the library."""
+        return {"LD_PRELOAD": str(build_library()), "YEWRILL_SHIM": str(self.path)}
 
-    def set_wall(self, offset: float) -> None:
-        """Have its wall clock run so many seconds ahead."""
+    def set_wall_clock_offset(self, offset: float) -> None:
+        """Sets how many seconds the wall clock of the process is ahead."""
         struct.pack_into("=q", self._page, 0, int(offset * 1e9))
 
     def add(self, rules: Sequence[Rule]) -> None:
-        """Put rules in force beside those that are; what does not fit is left out."""
+        """Adds rules; those beyond MAX_RULES are dropped."""
         self._rules = [*self._rules, *rules][:MAX_RULES]
         self._write()
 
     def remove(self, rules: Sequence[Rule]) -> None:
-        """End rules."""
+        """Removes rules."""
         for rule in rules:
             if rule in self._rules:
                 self._rules.remove(rule)
         self._write()
 
     def _write(self) -> None:
-        struct.pack_into("=i", self._page, 8, 0)  # none while they are being written
+        struct.pack_into("=i", self._page, 8, 0)  # no rule applies during the update
         for number, rule in enumerate(self._rules):
-            _RULE.pack_into(
+            _RULE_LAYOUT.pack_into(
                 self._page,
-                _HEAD.size + number * _RULE.size,
+                _PAGE_HEADER.size + number * _RULE_LAYOUT.size,
                 rule.call,
                 rule.origin,
                 rule.error,
-                rule.max_count,
+                rule.max_bytes,
                 rule.slow_ms,
-                int(rule.chance * CERTAIN),
+                int(rule.chance * CERTAIN_CHANCE),
                 0,
             )
         struct.pack_into("=i", self._page, 8, len(self._rules))
