--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -144,7 +144,7 @@
     async def run():
         with trio.fail_after(SCENARIO_LIMIT_SECONDS):
             async with installation(tmp_path, InstallationSpec(dispatchers=2, zones=2)) as rig:
-                await rig.started()
+                await rig.start_and_wait()
                 rig.links.set_faults(["d0"], ["d1"], cut=True)
                 while (await rig.call_management("d0", "/_members"))["members"][1][
                     "state"
--- a/yewrill/lab/cluster/commands.py
+++ b/yewrill/lab/cluster/commands.py
@@ -69,8 +69,8 @@
                 Unfinished(f"{name} seed {seed}: {error!r}"),
                 rigs[0].history.lines if rigs else [],
             )
-        found = audit(rigs[0].history.lines, rigs[0].terms)
-        return not found, found, rigs[0].history.lines
+        breaches = audit(rigs[0].history.lines, rigs[0].terms)
+        return not breaches, breaches, rigs[0].history.lines
 
     result: list[Breach] | Unfinished = []
     for may_repeat in (True, False):
@@ -88,9 +88,9 @@
     raise result
 
 
-def _print_result(name: str, found: list[Breach], directory: Path) -> None:
-    click.echo(f"{name}: {'clean' if not found else f'{len(found)} breaches'}  ({directory})")
-    for breach in found[:3]:
+def _print_result(name: str, breaches: list[Breach], directory: Path) -> None:
+    click.echo(f"{name}: {'clean' if not breaches else f'{len(breaches)} breaches'}  ({directory})")
+    for breach in breaches[:3]:
         click.echo(f"  {breach.kind}: {breach.text}")
         for line in breach.lines:
             click.echo(f"    {line}")
@@ -114,13 +114,13 @@
             directory = base / f"{name}-{number}"
             directory.mkdir(parents=True, exist_ok=True)
             try:
-                found = run_scenario(name, directory, number)
+                breaches = run_scenario(name, directory, number)
             except Unfinished as error:
                 click.echo(f"not played to its end: {error} ({directory})")
                 exit_status = 2
                 continue
-            _print_result(f"{name} seed {number}", found, directory)
-            exit_status = max(exit_status, bool(found))
+            _print_result(f"{name} seed {number}", breaches, directory)
+            exit_status = max(exit_status, bool(breaches))
     sys.exit(exit_status)
 
 
@@ -133,15 +133,15 @@
         (line for line in lines if line["what"] == "terms"),
         {"once": ["once"], "cold_multiple": 3.0},
     )
-    found = audit(
+    breaches = audit(
         lines,
         Terms(
             run_once_kinds=frozenset(recorded["once"]),
             cold_multiple=recorded["cold_multiple"],
         ),
     )
-    _print_result(directory, found, Path(directory))
-    sys.exit(bool(found))
+    _print_result(directory, breaches, Path(directory))
+    sys.exit(bool(breaches))
 
 
 @cluster.command()
@@ -159,7 +159,7 @@
     async def serve_until_cancelled() -> None:
         spec = InstallationSpec(dispatchers=dispatchers, zones=zones, rate=rate)
         async with installation(Path(tempfile.mkdtemp(prefix="yewrill-lab-")), spec) as rig:
-            await rig.started()
+            await rig.start_and_wait()
             for dispatcher in rig.ready_dispatchers():
                 click.echo(
                     f"{dispatcher.name} {dispatcher.zone}: clients "
--- a/yewrill/lab/cluster/links.py
+++ b/yewrill/lab/cluster/links.py
@@ -65,7 +65,7 @@
         self._faults: dict[tuple[str, str], LinkFaults] = {}
         self._changed = trio.Event()
         self._open_streams: dict[tuple[str, str], set[trio.SocketStream]] = {}
-        self._party_at: dict[Address, str] = {}  # of datagrams
+        self._party_at: dict[Address, str] = {}  # for datagrams
         self._hub: trio.socket.SocketType | None = None
 
     # -- faults
@@ -82,7 +82,7 @@
         both_directions: bool = True,
         **faults: float | bool,
     ) -> None:
-        """Sets the given faults on the links from some parties to others, and back unless told otherwise."""
+        """Sets the given faults on the links from some parties to others, by default in both directions."""
         targets = list(targets)
         for a in sources:
             for b in targets:
--- a/yewrill/lab/cluster/pace.py
+++ b/yewrill/lab/cluster/pace.py
@@ -43,7 +43,7 @@
 class ScaledClock(trio.abc.Clock):
     """A clock that runs `pace` times slower than real time, in step in all processes of this machine.
 
-    `since` is the system time at which `wall` shows the system time.
+    `since` is the system time at which `wall` agrees with it.
     """
 
     def __init__(self, pace: float = 1.0, since: float | None = None):
--- a/yewrill/lab/cluster/rig.py
+++ b/yewrill/lab/cluster/rig.py
@@ -357,7 +357,7 @@
         self.history.note(name, "resume")
         self.dispatchers[name].process.send_signal(signal.SIGCONT)
 
-    async def started(self, names: Iterable[str] | None = None) -> None:
+    async def start_and_wait(self, names: Iterable[str] | None = None) -> None:
         """Starts dispatchers, all by default, and waits until they serve and see each other alive."""
         names = list(self.dispatchers if names is None else names)
         for name in names:
--- a/yewrill/lab/cluster/scenarios.py
+++ b/yewrill/lab/cluster/scenarios.py
@@ -176,7 +176,7 @@
         rig.kill(name)
     rig.fail_zone("z1")
     await rig.wait_until_zone_left("z1")
-    await rig.started(["d4", "d5"])
+    await rig.start_and_wait(["d4", "d5"])
     await rig.wait_until_zone_left("z1")
     rig.recover_zone("z1")
     await rig.wait_until_zone_restored("z1")
@@ -212,7 +212,7 @@
     await rig.detach_worker("p-z1-0", *rig.dispatchers)
     for name in ("d1", "d2"):
         rig.kill(name)
-    await rig.started(["d1", "d2"])
+    await rig.start_and_wait(["d1", "d2"])
     await rig.wait_until_served(200)
 
 
@@ -273,7 +273,7 @@
     rig.fail_zone("z0")
     await rig.wait_until_zone_left("z0")
     await rig.wait_until(lambda: bool(rig.plan_owner(excluding=owner)))
-    await rig.started([owner])
+    await rig.start_and_wait([owner])
     rig.recover_zone("z0")
     await rig.wait_until_zone_restored("z0")
 
@@ -321,7 +321,7 @@
     """One dispatcher is killed and removed from the view; it restarts and joins as a new member."""
     rig.kill("d4")
     await rig.wait_for_view(["d0", "d1", "d2", "d3"])
-    await rig.started(["d4"])
+    await rig.start_and_wait(["d4"])
     await rig.wait_for_view()
 
 
@@ -332,7 +332,7 @@
     for name in gone:
         rig.kill(name)
     await rig.wait_for_view(set(rig.dispatchers) - set(gone))
-    await rig.started(gone)
+    await rig.start_and_wait(gone)
     await rig.wait_for_view()
 
 
@@ -410,7 +410,7 @@
     """All are killed at once and restarted: the next view has a higher number than any before."""
     for name in rig.dispatchers:
         rig.kill(name)
-    await rig.started()
+    await rig.start_and_wait()
     await rig.wait_for_view()
 
 
@@ -438,7 +438,7 @@
     rig.fail_zone("z0")
     await rig.wait_for_view(set(rig.dispatchers) - {owner, other})
     await rig.wait_until_zone_left("z0")
-    await rig.started([owner, other])
+    await rig.start_and_wait([owner, other])
     await rig.wait_for_view()
     rig.recover_zone("z0")
     await rig.wait_until_zone_restored("z0")
@@ -446,7 +446,7 @@
 
 async def run_in_rig(selected: Scenario, rig: Rig) -> None:
     """Starts all dispatchers, runs a scenario under traffic, and waits until all plans agree."""
-    await rig.started()
+    await rig.start_and_wait()
     if rig.spec.views:
         await rig.wait_for_view()
     rig.start_traffic()
--- a/yewrill/lab/soak/oracle.py
+++ b/yewrill/lab/soak/oracle.py
@@ -216,10 +216,10 @@
 def _check_left(indexed: _IndexedHistory) -> Iterator[Breach]:
     for id, attempts in indexed.attempts.items():
         requests = indexed.by_id.get(id, [])
-        gone = [r for r in requests if r.end is RequestEnd.LEFT]
-        if not gone or len(gone) < len(requests):
+        disconnected = [r for r in requests if r.end is RequestEnd.LEFT]
+        if not disconnected or len(disconnected) < len(requests):
             continue
-        left = max(gone, key=lambda request: request.finished)
+        left = max(disconnected, key=lambda request: request.finished)
         for attempt in attempts:
             allowed = LEFT_SLACK_SECONDS + CLOCK_SLACK_SECONDS
             allowed += indexed.paused(left.dispatcher, left.finished, attempt.begun_at)
--- a/yewrill/lab/soak/play.py
+++ b/yewrill/lab/soak/play.py
@@ -95,7 +95,7 @@
                 starting.start_soon(node.start)
 
     def configure(self) -> None:
-        """Writes the configuration of every dispatcher anew."""
+        """Writes the current configuration of every dispatcher."""
         peers = [node.members for node in self.nodes]
         discovery = self.discoveries[self._discovery]
         for node in self.nodes:
