--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -139,7 +139,7 @@
         assert await persistent_state.attempts.record_attempt(
             Attempt(operation, 0, destination, 1e9)
         )
-    assert await persistent_state.attempts.record_for_other_run(
+    assert await persistent_state.attempts.write_forwarded_record(
         OTHER_RUN_KEY, ujson.dumps(OTHER_RUN.encode())
     )
     spool = StoreSpool(
--- a/yewrill/persistence/attempt_journal.py
+++ b/yewrill/persistence/attempt_journal.py
@@ -87,7 +87,7 @@
         self._finished_keys: list[bytes] = []
         self.recovered = False  # all records of earlier runs have been read
         # While another run of this dispatcher has the store: asks it to write a record (key, value).
-        self.record_elsewhere: Callable[[str, str], Awaitable[bool]] | None = None
+        self.forward_record: Callable[[str, str], Awaitable[bool]] | None = None
 
     # -- attempts of earlier runs
 
@@ -184,8 +184,8 @@
             tracked.key = self._new_key(tracked.identity)
         tracked.value = ujson.dumps(record.encode()).encode()
         tracked.expires = _expiry(record, tracked.window_ms)
-        if self._disk.store is None and self.record_elsewhere is not None:
-            return await self.record_elsewhere(tracked.key.decode(), tracked.value.decode())
+        if self._disk.store is None and self.forward_record is not None:
+            return await self.forward_record(tracked.key.decode(), tracked.value.decode())
         if not tracked.earlier_runs_known:
             return False  # an earlier run may have sent it; its records could not be read yet
         return await self.write_with_finished(
@@ -197,7 +197,7 @@
         digest = hashlib.blake2b("\0".join(identity).encode(), digest_size=16).hexdigest()
         return ATTEMPT_PREFIX + f"{digest}/{self._run_id}/{self._key_count}".encode()
 
-    async def record_for_other_run(self, key: str, value: str) -> bool:
+    async def write_forwarded_record(self, key: str, value: str) -> bool:
         """Write an attempt's record for another run of this dispatcher, which waits for the store.
 
         False if it can't be written, or if an earlier run may have sent that request.
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -92,7 +92,7 @@
         self.persistent_state = self._create_persistent_state(config)
         self.hot_restart = _create_hot_restart(config, self.persistent_state)
         if self.persistent_state is not None and self.hot_restart is not None:
-            self.persistent_state.attempts.record_elsewhere = self.hot_restart.store_in_old_process
+            self.persistent_state.attempts.forward_record = self.hot_restart.store_in_old_process
         self.open_requests = OpenRequests(self.hot_restart)
         self.worker_connections = WorkerConnectionPool(
             self.endpoints,
@@ -385,7 +385,7 @@
 
     return HotRestart(
         link_path(config.link_dir, config.name, config.listen),
-        None if persistent_state is None else persistent_state.attempts.record_for_other_run,
+        None if persistent_state is None else persistent_state.attempts.write_forwarded_record,
     )
 
 
