--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -299,13 +299,13 @@
         size = file.with_suffix(".seg").stat().st_size
         entries = list(store_format.decode_hint(data, size))
         writer = store_format.HintWriter(size)
-        body = writer.add(store_format.hint_entries(entries), len(entries))
+        body = writer.add(store_format.encode_hint_entries(entries), len(entries))
         return writer.head + body + writer.end()
-    replaced, at = store_format.decode_header(data, name)
-    found = store_format.encode_header(name, replaced)
+    replaced, at = store_format.decode_segment_header(data, name)
+    found = store_format.encode_segment_header(name, replaced)
     while at < len(data):
-        head = store_format.decode_head(data, at, name.salt)
-        start = at + store_format.FRAME_HEAD
+        head = store_format.decode_frame_header(data, at, name.salt)
+        start = at + store_format.FRAME_HEADER_BYTES
         body = data[start : start + head.length]
         operations = store_format.decode_body(body, head, name.salt, start)
         found += store_format.encode_frame(operations, name.salt, head.time)
--- a/tests/store_world.py
+++ b/tests/store_world.py
@@ -87,13 +87,19 @@
 def frames(name: str, data: bytes) -> list[tuple[int, int, list[format.Op]]]:
     """The frames of a sound segment, from begin to end."""
     parsed = format.segment_name(name)
-    _, at = format.decode_header(data, parsed)
+    _, at = format.decode_segment_header(data, parsed)
     found = []
     while at < len(data):
-        head = format.decode_head(data, at, parsed.salt)
-        end = at + format.FRAME_HEAD + head.length
+        head = format.decode_frame_header(data, at, parsed.salt)
+        end = at + format.FRAME_HEADER_BYTES + head.length
         found.append(
-            (at, end, format.decode_body(data[at + format.FRAME_HEAD : end], head, parsed.salt, 0))
+            (
+                at,
+                end,
+                format.decode_body(
+                    data[at + format.FRAME_HEADER_BYTES : end], head, parsed.salt, 0
+                ),
+            )
         )
         at = end
     return found
--- a/tests/test_store_crash.py
+++ b/tests/test_store_crash.py
@@ -344,7 +344,7 @@
 def test_a_later_format_is_left_alone_and_a_lost_manifest_made_up():
     files, now = MOMENTS[2]
     later = format.SegmentName(77, 5)
-    head = bytearray(format.encode_header(later)[:-4])
+    head = bytearray(format.encode_segment_header(later)[:-4])
     head[8] = 9
     head += format.crc32c(bytes(head)).to_bytes(4, "little")
     foreign = bytes(head) + b"whatever the later format has"
--- a/yewrill/store/compaction.py
+++ b/yewrill/store/compaction.py
@@ -51,11 +51,11 @@
         segment = self.segment
         frame = fmt.encode_frame(self.gathered, segment.salt, self.time)
         reserve.write(lambda: write_all(segment.handle, frame, segment.size))
-        offset, rows = segment.size + fmt.FRAME_HEAD, []
+        offset, rows = segment.size + fmt.FRAME_HEADER_BYTES, []
         for op in self.gathered:
             rows.append((op.kind, op.key, len(op.value), offset, op.seq, op.expires))
             offset += fmt.op_size(op.key, len(op.value))
-        self.hint_parts.append((fmt.hint_entries(rows), len(rows)))
+        self.hint_parts.append((fmt.encode_hint_entries(rows), len(rows)))
         segment.size += len(frame)
         self.gathered.clear()
         self.gathered_bytes = 0
@@ -138,7 +138,7 @@
         handle = self._files.open(name.file + NEW, write=True, create=True)
         segment = Segment(name, handle, self._directory.take_slot())
         segment.output = True
-        header = fmt.encode_header(name, tuple(s.name.number for s in inputs))
+        header = fmt.encode_segment_header(name, tuple(s.name.number for s in inputs))
         self._reserve.write(lambda: write_all(handle, header, 0))
         segment.size = segment.start = len(header)
         return _Output(segment, now)
@@ -242,7 +242,7 @@
             rows = [
                 (op.kind, op.key, len(op.value), op.offset, op.seq, op.expires) for op in found.ops
             ]
-            parts.append(writer.add(fmt.hint_entries(rows), len(rows)))
+            parts.append(writer.add(fmt.encode_hint_entries(rows), len(rows)))
             yield found.end - found.offset
         parts.append(writer.end())
         with self._directory.lock:
--- a/yewrill/store/engine.py
+++ b/yewrill/store/engine.py
@@ -214,7 +214,7 @@
         with self.directory.lock:
             at = segment.size
             for frame, (first, ops) in zip(encoded, frames, strict=True):
-                offset = at + fmt.FRAME_HEAD
+                offset = at + fmt.FRAME_HEADER_BYTES
                 for seq, op in enumerate(ops, first):
                     self.directory.apply(segment, op, seq, offset)
                     offset += fmt.op_size(op.key, len(op.value))
@@ -262,7 +262,7 @@
     def _writable_segment(self) -> Segment:
         if self._active is None:
             name = self._catalog.new_name()
-            header = fmt.encode_header(name)
+            header = fmt.encode_segment_header(name)
             write_file(self.files, name.file, header)
             # The name must be on disk before any record in the file counts as written.
             self._catalog.sync_names()
--- a/yewrill/store/format.py
+++ b/yewrill/store/format.py
@@ -35,11 +35,11 @@
 # Magic, length of the body, time written (ms), checksum of the body; then a checksum of these.
 _FRAME = struct.Struct("<4sIqI")
 _CRC = struct.Struct("<I")
-FRAME_HEAD = _FRAME.size + _CRC.size
+FRAME_HEADER_BYTES = _FRAME.size + _CRC.size
 # Kind, (unused), length of key, length of value, sequence number, expiry (ms, 0: none), checksum of key and
 # value.
 _OP = struct.Struct("<BBHIQqI")
-OP_HEAD = _OP.size
+OP_HEADER_BYTES = _OP.size
 PUT, DELETE = 1, 2
 # Magic, format, (unused), (unused), size of the segment; entries follow, then their number and a checksum
 # of all.
@@ -121,7 +121,7 @@
 
 def op_size(key: bytes, value_size: int) -> int:
     """Return the bytes that an operation takes in a frame's body."""
-    return OP_HEAD + len(key) + value_size
+    return OP_HEADER_BYTES + len(key) + value_size
 
 
 # ------------------------------------------------------------------------------------------------ file names
@@ -153,24 +153,24 @@
 # -------------------------------------------------------------------------------------------------- segments
 
 
-def encode_header(name: SegmentName, replaces: tuple[int, ...] = ()) -> bytes:
+def encode_segment_header(name: SegmentName, replaces: tuple[int, ...] = ()) -> bytes:
     """Return a segment's header; `replaces` are the numbers of a compaction's inputs."""
     head = _SEGMENT.pack(SEGMENT_MAGIC, FORMAT, 0, name.salt, name.number, len(replaces))
     head += b"".join(struct.pack("<Q", number) for number in replaces)
     return head + _CRC.pack(crc32c(head))
 
 
-def header_size(replaced: int) -> int:
+def segment_header_size(replaced: int) -> int:
     """Return the bytes of a header that names this many replaced segments."""
     return _SEGMENT.size + 8 * replaced + _CRC.size
 
 
-def decode_header(data: bytes, name: SegmentName) -> tuple[tuple[int, ...], int]:
+def decode_segment_header(data: bytes, name: SegmentName) -> tuple[tuple[int, ...], int]:
     """The numbers of the segments that this one replaces, and where its frames begin."""
     if len(data) < _SEGMENT.size:
         raise Malformed("header cut short")
     magic, form, _, salt, number, count = _SEGMENT.unpack_from(data)
-    end = header_size(count) - _CRC.size
+    end = segment_header_size(count) - _CRC.size
     whole = len(data) >= end + _CRC.size and _CRC.unpack_from(data, end)[0] == crc32c(data[:end])
     if (
         magic == SEGMENT_MAGIC and form > FORMAT and whole
@@ -196,7 +196,7 @@
     return head + _CRC.pack(extend(salt, head)) + body
 
 
-class Head(NamedTuple):
+class FrameHeader(NamedTuple):
     """A frame's head: length and checksum of its body, and when it was written (ms)."""
 
     length: int
@@ -204,18 +204,18 @@
     crc: int
 
 
-def decode_head(data: bytes, at: int, salt: int) -> Head | None:
+def decode_frame_header(data: bytes, at: int, salt: int) -> FrameHeader | None:
     """A frame's head, if it can be believed."""
-    if at + FRAME_HEAD > len(data) or data[at : at + 4] != FRAME_MAGIC:
+    if at + FRAME_HEADER_BYTES > len(data) or data[at : at + 4] != FRAME_MAGIC:
         return None
     end = at + _FRAME.size
     if _CRC.unpack_from(data, end)[0] != extend(salt, data[at:end]):
         return None
     _, length, time, crc = _FRAME.unpack_from(data, at)
-    return Head(length, time, crc) if length <= MAX_BODY_BYTES else None
+    return FrameHeader(length, time, crc) if length <= MAX_BODY_BYTES else None
 
 
-def decode_body(body: bytes, head: Head, salt: int, base: int) -> list[Op]:
+def decode_body(body: bytes, head: FrameHeader, salt: int, base: int) -> list[Op]:
     """The operations of a frame's body, which begins at `base` in its segment. Raises Malformed."""
     if len(body) != head.length or extend(salt, body) != head.crc:
         raise Malformed("body damaged")
@@ -223,12 +223,19 @@
     try:
         while at < len(body):
             kind, _, key_size, value_size, seq, expires, _ = _OP.unpack_from(body, at)
-            value_at = at + OP_HEAD + key_size
+            value_at = at + OP_HEADER_BYTES + key_size
             end = value_at + value_size
             if end > len(body) or kind not in (PUT, DELETE) or not key_size:
                 raise Malformed("operation out of bounds")
             ops.append(
-                Op(kind, body[at + OP_HEAD : value_at], body[value_at:end], seq, expires, base + at)
+                Op(
+                    kind,
+                    body[at + OP_HEADER_BYTES : value_at],
+                    body[value_at:end],
+                    seq,
+                    expires,
+                    base + at,
+                )
             )
             at = end
     except struct.error:
@@ -238,23 +245,23 @@
 
 def read_value(data: bytes, key: bytes, salt: int) -> bytes | None:
     """The value in one put's bytes, read for this key; None if they are not what was written."""
-    if len(data) < OP_HEAD:
+    if len(data) < OP_HEADER_BYTES:
         return None
     kind, _, key_size, value_size, _, _, crc = _OP.unpack_from(data)
     if (
         kind != PUT
-        or len(data) != OP_HEAD + key_size + value_size
+        or len(data) != OP_HEADER_BYTES + key_size + value_size
         or key_size != len(key)
-        or extend(salt, data[OP_HEAD:]) != crc
-        or not data.startswith(key, OP_HEAD)
+        or extend(salt, data[OP_HEADER_BYTES:]) != crc
+        or not data.startswith(key, OP_HEADER_BYTES)
     ):
         return None
-    return data[OP_HEAD + key_size :]
+    return data[OP_HEADER_BYTES + key_size :]
 
 
-def op_crc(data: bytes, at: int) -> int:
+def stored_op_crc(data: bytes, at: int) -> int:
     """The checksum that an operation's head names, for its key and value."""
-    return _CRC.unpack_from(data, at + OP_HEAD - _CRC.size)[0]
+    return _CRC.unpack_from(data, at + OP_HEADER_BYTES - _CRC.size)[0]
 
 
 # ----------------------------------------------------------------------------------------------------- hints
@@ -273,7 +280,7 @@
         self._crc = crc32c(self.head)
 
     def add(self, entries: bytes, count: int) -> bytes:
-        """Count in what `hint_entries` made."""
+        """Count in what `encode_hint_entries` made."""
         self._count += count
         self._crc = extend(self._crc, entries)
         return entries
@@ -284,7 +291,7 @@
         return count + _CRC.pack(extend(self._crc, count))
 
 
-def hint_entries(ops: Iterable[HintEntry]) -> bytes:
+def encode_hint_entries(ops: Iterable[HintEntry]) -> bytes:
     """Return entries as they stand in a hint file."""
     pack = _HINT_ENTRY.pack
     parts = []
@@ -305,10 +312,10 @@
     magic, form, _, _, size = _HINT.unpack_from(data)
     if magic != HINT_MAGIC or form != FORMAT or size != segment_size:
         raise Malformed("hint of another segment or format")
-    return _hint_entries(data, end)
+    return _decode_hint_entries(data, end)
 
 
-def _hint_entries(data: bytes, end: int) -> Iterator[HintEntry]:
+def _decode_hint_entries(data: bytes, end: int) -> Iterator[HintEntry]:
     at, size, unpack = _HINT.size, _HINT_ENTRY.size, _HINT_ENTRY.unpack_from
     while at < end:
         kind, _, key_size, value_size, offset, seq, expires = unpack(data, at)
--- a/yewrill/store/frames.py
+++ b/yewrill/store/frames.py
@@ -74,7 +74,7 @@
     end = size if incomplete else _next_frame(take, at + 1, size, salt)
     if end < size:
         return Gap(at, end)
-    cut_short = incomplete or size - at < fmt.FRAME_HEAD
+    cut_short = incomplete or size - at < fmt.FRAME_HEADER_BYTES
     explained = cut_short or not any(take(at, min(size - at, READ_CHUNK_BYTES)))
     return Gap(at, end, tail=True, explained=explained)
 
@@ -83,10 +83,10 @@
     take: Callable[[int, int], bytes], at: int, size: int, salt: int
 ) -> Frame | _DamagedBody | _Incomplete | None:
     """Return what begins there; None if it is no valid head."""
-    head = fmt.decode_head(take(at, min(fmt.FRAME_HEAD, size - at)), 0, salt)
+    head = fmt.decode_frame_header(take(at, min(fmt.FRAME_HEADER_BYTES, size - at)), 0, salt)
     if head is None:
         return None
-    begin = at + fmt.FRAME_HEAD
+    begin = at + fmt.FRAME_HEADER_BYTES
     if begin + head.length > size:
         return _Incomplete()
     try:
--- a/yewrill/store/reader.py
+++ b/yewrill/store/reader.py
@@ -56,7 +56,7 @@
 
     def read(self, segment: Segment, key: bytes, offset: int, size: int) -> bytes:
         """Read one value and check it. Raises DamagedValue."""
-        data = segment.handle.read(fmt.OP_HEAD + len(key) + size, offset)
+        data = segment.handle.read(fmt.OP_HEADER_BYTES + len(key) + size, offset)
         value = fmt.read_value(data, key, segment.name.salt)
         if value is None:
             end = offset + fmt.op_size(key, size)
@@ -89,7 +89,12 @@
 
     def read_chunk(self, entries: list[tuple[bytes, Segment, bytes]], now: int) -> Iterator[Row]:
         """Read the values of entries, with read-ahead while they are adjacent in their segment."""
-        unpack, head, extend, crc_of = ENTRY.unpack, fmt.OP_HEAD, fmt.extend, fmt.op_crc
+        unpack, head, extend, crc_of = (
+            ENTRY.unpack,
+            fmt.OP_HEADER_BYTES,
+            fmt.extend,
+            fmt.stored_op_crc,
+        )
         window, base, owner, after = b"", 0, None, -1
         for key, segment, entry in entries:
             _, offset, size, seq, expires = unpack(entry)
@@ -98,7 +103,7 @@
             whole = head + len(key) + size
             at = offset - base
             if segment is not owner or at < 0 or at + whole > len(window):
-                near = segment is owner and 0 <= offset - after <= 4 * fmt.FRAME_HEAD
+                near = segment is owner and 0 <= offset - after <= 4 * fmt.FRAME_HEADER_BYTES
                 window = segment.handle.read(
                     max(whole, READ_AHEAD_BYTES if near else whole), offset
                 )
--- a/yewrill/store/recovery.py
+++ b/yewrill/store/recovery.py
@@ -127,7 +127,7 @@
     for number, name in list(names.items()):
         handle = opening.files.open(name.file)
         try:
-            headers[number] = fmt.decode_header(
+            headers[number] = fmt.decode_segment_header(
                 handle.read(min(handle.size(), MAX_HEADER_READ_BYTES), 0), name
             )
         except fmt.LaterFormat as error:
@@ -135,9 +135,9 @@
             later_format.append(name.file)
             del names[number]
         except fmt.Malformed as error:
-            if handle.size() >= fmt.header_size(0):  # else it never held a record
+            if handle.size() >= fmt.segment_header_size(0):  # else it never held a record
                 opening.add_finding(
-                    FindingKind.HEADER, name.file, 0, fmt.header_size(0), 0, note=str(error)
+                    FindingKind.HEADER, name.file, 0, fmt.segment_header_size(0), 0, note=str(error)
                 )
     return headers, later_format
 
@@ -329,7 +329,7 @@
 
 def _index(table: dict[bytes, bytes], segments: dict[int, Segment]) -> SortedDict:
     """Return the ordered index, without tombstones, and count the live bytes of each segment."""
-    unpack, head = ENTRY.unpack, fmt.OP_HEAD
+    unpack, head = ENTRY.unpack, fmt.OP_HEADER_BYTES
     deleted_keys = []
     live = dict.fromkeys(segments, 0)
     for key, entry in table.items():
--- a/yewrill/store/verification.py
+++ b/yewrill/store/verification.py
@@ -55,7 +55,7 @@
         size = handle.size()
         try:
             header = handle.read(min(size, MAX_HEADER_READ_BYTES), 0)
-            _, start = fmt.decode_header(header, name)
+            _, start = fmt.decode_segment_header(header, name)
         except fmt.LaterFormat as error:
             self._add(FindingKind.LATER_FORMAT, file, note=str(error))
             return
