--- a/tests/store_world.py
+++ b/tests/store_world.py
@@ -6,10 +6,12 @@
 
 from yewrill.store import Batch, format
 from yewrill.store.engine import Engine
-from yewrill.store.policy import Rules
+from yewrill.store.policy import CompactionRules
 from yewrill.store.simdisk import SimulatedDisk
 
-RULES = Rules(min_garbage_bytes=256, min_tier_bytes=2048, fan_in=3, max_output_bytes=1 << 20)
+RULES = CompactionRules(
+    min_garbage_bytes=256, min_tier_bytes=2048, fan_in=3, max_output_bytes=1 << 20
+)
 
 
 def engine(disk, seed=0, **more) -> Engine:
@@ -36,7 +38,7 @@
     e: Engine, now: int, everything: bool = False, some: random.Random | None = None
 ) -> bool:
     """Compact what the policy chooses, or any segments at all: every choice must be right."""
-    numbers = e.choose(now, everything)
+    numbers = e.choose_segments(now, everything)
     if some is not None:
         numbers = [s.name.number for s in e.sealed() if some.random() < 0.4]
     for _ in e.compact(numbers, now):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -27,12 +27,12 @@
     policy,
 )
 from yewrill.store.policy import (
+    CompactionRules,
     Pacer,
-    Rules,
-    SegmentFacts,
+    SegmentStats,
     choose,
-    everything,
-    may_drop_deletion,
+    choose_everything,
+    may_drop_tombstone,
     sync_due,
 )
 from yewrill.store.simdisk import SimulatedDisk
@@ -158,41 +158,41 @@
 
 
 def test_what_is_compacted():
-    rules = Rules(
+    rules = CompactionRules(
         min_garbage_ratio=0.5,
         min_garbage_bytes=100,
         fan_in=3,
         min_tier_bytes=1000,
         max_output_bytes=5000,
     )
-    full = [SegmentFacts(n, 900, 900) for n in (1, 2)]
+    full = [SegmentStats(n, 900, 900) for n in (1, 2)]
     assert choose(full, rules) == []
-    assert choose([*full, SegmentFacts(3, 900, 900)], rules) == [1, 2, 3]
-    assert choose([*full, SegmentFacts(4, 1000, 480)], rules) == [4]
-    assert choose([full[0], SegmentFacts(4, 150, 60)], rules) == []  # not worth a file
-    assert choose([*full, SegmentFacts(5, 10**6, 400, damaged=True)], rules) == [5]
+    assert choose([*full, SegmentStats(3, 900, 900)], rules) == [1, 2, 3]
+    assert choose([*full, SegmentStats(4, 1000, 480)], rules) == [4]
+    assert choose([full[0], SegmentStats(4, 150, 60)], rules) == []  # not worth a file
+    assert choose([*full, SegmentStats(5, 10**6, 400, damaged=True)], rules) == [5]
     # Deletions that must stay are no garbage: else they would be rewritten for ever.
-    assert choose([SegmentFacts(1, 1000, 100, 850)], rules) == []
+    assert choose([SegmentStats(1, 1000, 100, 850)], rules) == []
     # Short of room: whatever gives most back, within what can be written.
-    assert choose([SegmentFacts(1, 1000, 900), SegmentFacts(2, 4000, 300)], rules, 350) == [2]
-    assert choose([SegmentFacts(1, 1000, 1000)], rules, 10**6) == []
-    assert everything([SegmentFacts(1, 1000, 1000)], rules) == []
-    assert everything([*full, SegmentFacts(3, 4500, 4500)], rules) == [1, 2]
-    assert may_drop_deletion(5, [6, 9]) and not may_drop_deletion(5, [6, 4])
+    assert choose([SegmentStats(1, 1000, 900), SegmentStats(2, 4000, 300)], rules, 350) == [2]
+    assert choose([SegmentStats(1, 1000, 1000)], rules, 10**6) == []
+    assert choose_everything([SegmentStats(1, 1000, 1000)], rules) == []
+    assert choose_everything([*full, SegmentStats(3, 4500, 4500)], rules) == [1, 2]
+    assert may_drop_tombstone(5, [6, 9]) and not may_drop_tombstone(5, [6, 4])
 
 
 def test_compacting_by_the_policy_comes_to_an_end_and_bounds_the_number_of_files():
     rng, segments, written, number = random.Random(3), {}, 0, 0
     for _ in range(3000):
         number += 1
-        segments[number] = SegmentFacts(number, 3000, 3000 - rng.randrange(400))
+        segments[number] = SegmentStats(number, 3000, 3000 - rng.randrange(400))
         for _ in range(20):
             if not (chosen := choose(list(segments.values()), RULES)):
                 break
             live = sum(segments.pop(n).live for n in chosen)
             written += live
             number += 1
-            segments[number] = SegmentFacts(number, live, live)
+            segments[number] = SegmentStats(number, live, live)
         else:
             raise AssertionError("no end")
     assert len(segments) < 40 and written < 8 * 3000 * 3000
@@ -210,7 +210,12 @@
     )
     assert sync_due("interval", True, 5.0, 5.4, 1.0) == pytest.approx(0.6)
     assert sync_due("interval", False, 5.0, 5.4, 1.0) is None
-    assert policy.Rules().tier(1) == 0 < policy.Rules().tier(10**6) < policy.Rules().tier(10**9)
+    assert (
+        policy.CompactionRules().tier(1)
+        == 0
+        < policy.CompactionRules().tier(10**6)
+        < policy.CompactionRules().tier(10**9)
+    )
 
 
 # -- the command line
@@ -250,7 +255,11 @@
     assert run("load", tmp_path / "l", input=dumped).stdout == "50 records loaded\n"
     assert run("dump", tmp_path / "l").stdout == dumped and len(dumped.splitlines()) == 50
     bad = run("load", tmp_path / "m", input=dumped[:100] + "\n")
-    assert bad.exit_code == 2 and "line 3: no record" in bad.stderr and bad.stderr.count("\n") == 1
+    assert (
+        bad.exit_code == 2
+        and "line 3: invalid record" in bad.stderr
+        and bad.stderr.count("\n") == 1
+    )
     with Store(path, reserve=0):
         refused = run("scan", path)
         assert refused.exit_code == 2 and "held by process" in refused.stderr
--- a/tests/test_store_crash.py
+++ b/tests/test_store_crash.py
@@ -192,7 +192,7 @@
 
 def test_without_syncing_names_a_crash_loses_whole_segments():
     disk = SimulatedDisk()
-    disk.synced_names = False
+    disk.name_syncs_enabled = False
     with pytest.raises(AssertionError, match="call"):
         crash_everywhere(disk=disk)
 
@@ -282,7 +282,7 @@
             model.data = model.after(Batch().put(b"s", b""))
         if full > 5:
             break
-    assert full and e.short and contents(e) == Model.seen(model.data, 0)
+    assert full and e.low_on_space and contents(e) == Model.seen(model.data, 0)
     victims = [key for key in model.data if key.startswith(b"l")]
     for key in victims:
         while not isinstance(e.commit([Batch().delete(key)], 0)[0], int):
@@ -292,7 +292,7 @@
     e.seal()
     while compacted(e, 0):
         pass
-    assert not e.short and "RESERVE" in disk.dump()
+    assert not e.low_on_space and "RESERVE" in disk.dump()
     assert isinstance(e.commit([Batch().put(b"new", b"z" * 3000)], 0)[0], int)
     model.data[b"new"] = b"z" * 3000, 0
     assert contents(e) == reopened(disk.after_crash(random.Random(4))) == Model.seen(model.data, 0)
@@ -311,7 +311,7 @@
             fault if number == at else None
         )
         try:
-            for _ in e.compact(e.choose(now, everything=True), now):
+            for _ in e.compact(e.choose_segments(now, everything=True), now):
                 pass
         except OSError:
             failed += 1
@@ -319,7 +319,7 @@
         disk.fail = None
         assert contents(e, now) == expected
         assert reopened(disk.after_crash(random.Random(at)), now) == expected
-        if e.poison is None and not done:
+        if e.poisoned_by is None and not done:
             while compacted(e, now, everything=True) and len(e.sealed()) > 1:
                 pass
             assert contents(e, now) == reopened(disk.after_kill(), now) == expected
--- a/yewrill/store/__init__.py
+++ b/yewrill/store/__init__.py
@@ -1,16 +1,17 @@
-"""An embedded key-value store for what must outlive a crash. It imports nothing else of yewrill.
+"""An embedded, append-only key-value store for crash-safe state. It imports nothing else of yewrill.
 
-Guarantees: in mode `always` an acknowledged write is on disk; a batch is whole or absent; an opening never
-fails for what lies in the directory, and reports what was damaged. Not guaranteed: more than one process,
-keys beyond memory, or an older version of a key once it is overwritten (but to a snapshot).
+Guarantees: in mode `always` an acknowledged write is on disk; a batch is written entirely or not at all;
+opening a store never fails because of damaged files, and reports the damage. Limits: one process at a time
+has a store open, all keys are in memory, and only snapshots can read a value after it was overwritten.
 
-How the parts work together: `Store` (store.py) joins a committing thread (group_commit.py) and one that
-compacts beside it (maintenance.py). Both call `Engine` (engine.py), which has no thread and no clock and
-writes frames (format.py) to segments through a small protocol of files (files.py; simdisk.py crashes). The
-engine joins `KeyDirectory` (index, segments, entries that snapshots see), `Reader`, `Catalog` (manifest,
-numbers, whether writes are accepted), `SpaceReserve` and `Compactor`, each in a module of its own.
-`recovery.py` turns a directory into an engine's state, `policy.py` chooses what to compact, `findings.py` has
-what was damaged. `docs/store-format.md` has the bytes, `docs/store.md` is for operators.
+Structure: `Store` (store.py) runs a thread that commits (group_commit.py) and one that compacts
+(maintenance.py). Both call `Engine` (engine.py), which has no threads and no clock. The engine writes frames
+(format.py) to segment files through the `Files` protocol (files.py; simdisk.py implements it on a simulated
+disk that can crash). The engine is made up of `KeyDirectory` (index, segments, entries that snapshots still
+need), `Reader`, `Catalog` (manifest, segment numbers, whether writes are accepted), `SpaceReserve` and
+`Compactor`, each in a module of its own. `recovery.py` rebuilds an engine's state from a directory,
+`policy.py` chooses what to compact and when to sync, and `findings.py` describes damage.
+`docs/store-format.md` specifies the file formats; `docs/store.md` is for operators.
 """
 
 from yewrill.store.errors import (
--- a/yewrill/store/catalog.py
+++ b/yewrill/store/catalog.py
@@ -1,7 +1,7 @@
-"""Which files are in force: the manifest, the numbers of segments, and whether the directory may be written.
+"""The catalog of a store: its manifest, the next segment number, and whether the directory may be written.
 
-`lock` is held over the manifest's sync. Whoever holds it may take the key directory's lock, never the other
-way round.
+`lock` is held while the manifest is synced. Lock order: the catalog's lock is taken before the key
+directory's, never after it.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from yewrill.store import format as fmt
 from yewrill.store.errors import StoreClosed, StoreError, StorePoisoned, StoreReadOnly
 from yewrill.store.files import Files, write_file
-from yewrill.store.recovery import MANIFEST, NEW
+from yewrill.store.recovery import MANIFEST, NEW_SUFFIX
 from yewrill.store.reserve import SpaceReserve
 
 SALT_MASK = 0xFFFFFFFF
 
 
 class Catalog:
-    """The names on disk of one store."""
+    """Writes the manifest of one store, assigns segment names, and knows why writes are rejected."""
 
     def __init__(
         self,
@@ -34,11 +34,10 @@
     ):
         self.lock = threading.RLock()
         self.files = files
-        self.later_format = later_format  # files of a later format, left alone
+        self.later_format = later_format  # names of files in a later format, which stay unchanged
         self.read_only = read_only
-        self.poison: Exception | None = (
-            None  # a sync failed with this: no further write is accepted
-        )
+        # The disk error, such as a failed sync, after which no write is accepted.
+        self.poisoned_by: Exception | None = None
         self.closed = False
         self.next_segment = next_segment
         self._reserve = reserve
@@ -49,46 +48,47 @@
 
     @property
     def writable(self) -> bool:
-        """Whether the directory can be written and no sync has failed."""
-        return not self.read_only and self.poison is None
+        """Whether the directory is writable and no disk error has ended writing."""
+        return not self.read_only and self.poisoned_by is None
 
     def rejection(self) -> StoreError | None:
-        """Return why no write is accepted, None if writes are."""
+        """Returns the error with which writes are rejected, None while they are accepted."""
         if self.closed:
             return StoreClosed("the store is closed")
-        if self.poison is not None:
-            return StorePoisoned(f"writing ended: {self.poison}")
+        if self.poisoned_by is not None:
+            return StorePoisoned(f"writes are rejected after a disk error: {self.poisoned_by}")
         if self.read_only:
-            return StoreReadOnly("the directory can't be written")
+            return StoreReadOnly("the directory is not writable")
         return None
 
     def new_name(self) -> fmt.SegmentName:
-        """Return a name for a new segment; its number is never given again."""
+        """Returns a name for a new segment. Segment numbers are never reused."""
         with self.lock:
             number = self.next_segment
             self.next_segment += 1
         return fmt.SegmentName(number, self._salt() & SALT_MASK)
 
     def write_manifest(self, names: Sequence[fmt.SegmentName], next_seq: int) -> None:
-        """Put these segments in force. Raises OSError."""
+        """Writes a manifest that lists these segments, which makes them the store. Raises OSError."""
         with self.lock:
             manifest = fmt.Manifest(
                 tuple(sorted([*names, *self._later_names])), self.next_segment, next_seq
             )
             data = fmt.encode_manifest(manifest)
             try:
-                write_file(self.files, MANIFEST + NEW, data)
+                write_file(self.files, MANIFEST + NEW_SUFFIX, data)
             except OSError as error:
                 if error.errno != errno.ENOSPC or not self._reserve.release():
                     raise
-                write_file(self.files, MANIFEST + NEW, data)
-            self.files.rename(MANIFEST + NEW, MANIFEST)
+                write_file(self.files, MANIFEST + NEW_SUFFIX, data)
+            self.files.rename(MANIFEST + NEW_SUFFIX, MANIFEST)
             self.sync_names()
 
     def sync_names(self) -> None:
-        """Bring names of files to disk. Raises OSError, after which no write is accepted any more."""
+        """Syncs the directory. Raises OSError, after which no write is accepted any more."""
         try:
             self.files.sync_names()
         except OSError as error:
-            self.poison = error  # it is unknown which names are on disk, as after any failed sync
+            # It is unknown which file names are on disk, as after any failed sync.
+            self.poisoned_by = error
             raise
--- a/yewrill/store/commands.py
+++ b/yewrill/store/commands.py
@@ -1,8 +1,8 @@
-"""`yewrill store ...`: look into a store, check it, compact, copy and move it.
+"""The sub-commands `yewrill store ...`, which inspect, verify, compact, back up and restore a store.
 
-Commands that only look take no lock where they can do without (`verify`) and change nothing; the others
-need the store to themselves, and name the process that has it. Exit status: 0 done, 1 damage found or key
-absent, 2 not done.
+`stat` and `verify` take no lock and change nothing, so they work while a program has the store open. The
+other commands lock the store and fail with the name of the process that has it open. Exit status: 0 success,
+1 damage found or key absent, 2 error.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from yewrill.store.recovery import open_directory
 from yewrill.store.verification import Verification
 
-LOAD_BATCH = 256  # lines written together by `load`
+LOAD_BATCH_RECORDS = 256  # records that `load` writes in one batch
 
 _directory = click.argument("directory", type=click.Path(exists=True, file_okay=False))
 _directory_new = click.argument("directory", type=click.Path(file_okay=False))
@@ -33,35 +33,35 @@
 
 @click.group()
 def store() -> None:
-    """Look into, check and move an embedded store (a dispatcher's `state_dir`)."""
+    """Inspect, verify, back up and restore an embedded store (a dispatcher's `state_dir`)."""
 
 
 class Progress:
-    """A line of progress on standard error, only on a terminal."""
+    """A progress line on standard error, shown only on a terminal."""
 
-    def __init__(self, what: str, whole: int = 0):
-        self._what, self._whole, self._done, self._at = what, whole, 0, 0.0
-        self._shown = sys.stderr.isatty()
+    def __init__(self, label: str, total: int = 0):
+        self._label, self._total, self._done, self._shown_at = label, total, 0, 0.0
+        self._on_terminal = sys.stderr.isatty()
 
     def __call__(self, size: int) -> None:
-        """Count bytes, and show the total from time to time."""
+        """Adds `size` bytes and updates the line, at most ten times per second."""
         self._done += size
-        if self._shown and time.monotonic() - self._at > 0.1:
-            self._at = time.monotonic()
-            percent = f" {100 * self._done // self._whole}%" if self._whole else ""
+        if self._on_terminal and time.monotonic() - self._shown_at > 0.1:
+            self._shown_at = time.monotonic()
+            percent = f" {100 * self._done // self._total}%" if self._total else ""
             click.echo(
-                f"\r{self._what}: {self._done / 2**20:.1f} MiB{percent} ", nl=False, err=True
+                f"\r{self._label}: {self._done / 2**20:.1f} MiB{percent} ", nl=False, err=True
             )
 
     def end(self) -> None:
-        """End the line that was shown."""
-        if self._shown and self._at:
+        """Ends the line, if one was shown."""
+        if self._on_terminal and self._shown_at:
             click.echo("", err=True)
 
 
 @contextmanager
 def _exit_on_error() -> Iterator[None]:
-    """One line on standard error, and status 2."""
+    """Prints a store error as one line on standard error and exits with status 2."""
     try:
         yield
     except (StoreError, OSError, ValueError) as error:
@@ -70,7 +70,7 @@
 
 
 class _ReadOnlyFiles:
-    """A directory seen without a lock and without a way to change it."""
+    """A directory that is read without a lock; operations that change it raise StoreReadOnly."""
 
     def __init__(self, path: str):
         self._files = RealFiles(path, make=False)
@@ -80,13 +80,13 @@
 
     def open(self, name: str, *, write: bool = False, create: bool = False) -> Handle:
         if write or create:
-            raise StoreReadOnly("only looked at")
+            raise StoreReadOnly("the directory is opened read-only")
         return self._files.open(name)
 
-    def _no(self, *args: Any) -> None:
-        raise StoreReadOnly("only looked at")
+    def _reject(self, *args: Any) -> None:
+        raise StoreReadOnly("the directory is opened read-only")
 
-    rename = remove = sync_names = reserve = _no
+    rename = remove = sync_names = reserve = _reject
 
     def lock(self) -> None:
         pass
@@ -95,17 +95,17 @@
 
 
 @contextmanager
-def _opened(path: str) -> Iterator[Store]:
-    with _exit_on_error(), Store(path, maintain=False, reserve=0) as opened:
-        yield opened
+def _open_store(path: str) -> Iterator[Store]:
+    with _exit_on_error(), Store(path, maintain=False, reserve=0) as opened_store:
+        yield opened_store
 
 
-def _bytes(text: str, hexadecimal: bool) -> bytes:
+def _parse_key(text: str, hexadecimal: bool) -> bytes:
     return bytes.fromhex(text) if hexadecimal else text.encode("utf-8", "surrogateescape")
 
 
-def _text(data: bytes) -> str:
-    """As text where it is text, else hexadecimal."""
+def _printable(data: bytes) -> str:
+    """Returns printable UTF-8 as text, anything else in hexadecimal."""
     try:
         text = data.decode()
     except UnicodeDecodeError:
@@ -126,15 +126,14 @@
 )
 
 
-# ---------------------------------------------------------------------------------------------------- looking
+# ------------------------------------------------------------------------------------------------ inspecting
 
 
 @store.command()
 @_directory
 @_json
 def stat(directory: str, as_json: bool) -> None:
-    """How a store stands: keys, sizes, findings, quarantine. Changes nothing; works beside a running
-    program."""
+    """Show keys, sizes, findings and quarantined files. Changes nothing; needs no lock."""
     with _exit_on_error():
         values = _stat_of(directory)
     if as_json:
@@ -161,15 +160,15 @@
     files = _ReadOnlyFiles(directory)
     state = open_directory(files, repair=False)
     now = int(time.time() * 1000)
-    facts = [segment.facts(now) for segment in state.segments.values()]
+    stats = [segment.stats(now) for segment in state.segments.values()]
     holder = read_file(files, LOCK).decode(errors="replace").strip() if LOCK in files.list() else ""
     return {
-        "format": fmt.FORMAT,
+        "format": fmt.FORMAT_VERSION,
         "keys": len(state.index),
-        "segments": len(facts),
-        "size": sum(f.size for f in facts),
-        "live": sum(f.live for f in facts),
-        "garbage": sum(f.garbage for f in facts),
+        "segments": len(stats),
+        "size": sum(f.size for f in stats),
+        "live": sum(f.live for f in stats),
+        "garbage": sum(f.garbage for f in stats),
         "last_version": state.next_seq - 1,
         "holder": holder,
         "later_format": state.later_format,
@@ -185,36 +184,42 @@
 @_json
 def get(directory: str, key: str, hexadecimal: bool, as_json: bool) -> None:
     """Print the value of a key; status 1 if it has none."""
-    with _opened(directory) as opened:
-        wanted = _bytes(key, hexadecimal)
-        found = opened.find(wanted)
-    if found is None:
+    with _open_store(directory) as opened_store:
+        wanted = _parse_key(key, hexadecimal)
+        result = opened_store.find(wanted)
+    if result is None:
         sys.exit(1)
     if as_json:
         click.echo(
-            ujson.dumps({**_record(wanted, found.value, found.expires), "version": found.version})
+            ujson.dumps(
+                {**_record(wanted, result.value, result.expires), "version": result.version}
+            )
         )
     else:
-        sys.stdout.buffer.write(found.value)
+        sys.stdout.buffer.write(result.value)
 
 
 @store.command()
 @_directory
-@click.option("--prefix", default="", help="Only keys that begin so.")
-@click.option("--limit", default=0, type=click.IntRange(0), help="So many at most; 0: all.")
-@click.option("--keys", is_flag=True, help="Keys alone.")
+@click.option("--prefix", default="", help="Only keys with this prefix.")
+@click.option("--limit", default=0, type=click.IntRange(0), help="Maximum number of keys; 0: all.")
+@click.option("--keys", is_flag=True, help="Print keys without values.")
 @_as_hex
 @_json
 def scan(
     directory: str, prefix: str, limit: int, keys: bool, hexadecimal: bool, as_json: bool
 ) -> None:
     """List keys and values in the order of the keys."""
-    with _opened(directory) as opened, opened.snapshot() as snapshot:
-        for number, (key, found) in enumerate(snapshot.scan(prefix=_bytes(prefix, hexadecimal)), 1):
+    with _open_store(directory) as opened_store, opened_store.snapshot() as snapshot:
+        for number, (key, result) in enumerate(
+            snapshot.scan(prefix=_parse_key(prefix, hexadecimal)), 1
+        ):
             if as_json:
-                click.echo(ujson.dumps(_record(key, found.value, found.expires)))
+                click.echo(ujson.dumps(_record(key, result.value, result.expires)))
             else:
-                click.echo(_text(key) if keys else f"{_text(key)}\t{_text(found.value)}")
+                click.echo(
+                    _printable(key) if keys else f"{_printable(key)}\t{_printable(result.value)}"
+                )
             if number == limit:
                 break
 
@@ -238,7 +243,7 @@
 def check_all(
     files: Files, progress: Callable[[int], None] = lambda size: None
 ) -> tuple[list[dict[str, Any]], int]:
-    """Return what is wrong with a directory, as `verify --json` prints it, and the bytes read."""
+    """Returns the findings of a directory, as `verify --json` prints them, and the bytes read."""
     verification = Verification(files, progress)
     verification.run()
     return [finding.as_dict() for finding in verification.findings], verification.bytes_read
@@ -251,13 +256,13 @@
 @_directory
 @_json
 def compact(directory: str, as_json: bool) -> None:
-    """Merge segments and give back the room of what is deleted, overwritten or expired."""
-    with _opened(directory) as opened:
-        before = opened.stat()["size"]
+    """Merge segments and free the space of deleted, overwritten and expired records."""
+    with _open_store(directory) as opened_store:
+        before = opened_store.stat()["size"]
         progress = Progress("compact")
-        merged = opened.compact(progress)
+        merged = opened_store.compact(progress)
         progress.end()
-        after = opened.stat()["size"]
+        after = opened_store.stat()["size"]
     if as_json:
         click.echo(ujson.dumps({"merged": merged, "before": before, "after": after}))
     else:
@@ -269,51 +274,51 @@
 @click.argument("target", type=click.Path(file_okay=False))
 def backup(directory: str, target: str) -> None:
     """Copy a store to a new, empty directory, and verify the copy."""
-    with _opened(directory) as opened:
-        progress = Progress("backup", opened.stat()["size"])
-        opened.backup(target, progress)
+    with _open_store(directory) as opened_store:
+        progress = Progress("backup", opened_store.stat()["size"])
+        opened_store.backup(target, progress)
         progress.end()
-    _verified(target)
+    _verify_or_exit(target)
 
 
 @store.command()
 @click.argument("source", type=click.Path(exists=True, file_okay=False))
 @_directory_new
 def restore(source: str, directory: str) -> None:
-    """Make a store anew from a backup: the directory must be absent or empty."""
+    """Create a store from a backup. The directory must not exist or must be empty."""
     with _exit_on_error():
         if os.path.isdir(directory) and os.listdir(directory):
-            raise StoreError(f"{directory}: not empty; move what is there away first")
-        _verified(source)
-    with _opened(source) as opened:
-        progress = Progress("restore", opened.stat()["size"])
-        opened.backup(directory, progress)
+            raise StoreError(f"{directory}: not empty; restore needs a new or empty directory")
+        _verify_or_exit(source)
+    with _open_store(source) as opened_store:
+        progress = Progress("restore", opened_store.stat()["size"])
+        opened_store.backup(directory, progress)
         progress.end()
-    _verified(directory)
+    _verify_or_exit(directory)
 
 
-def _verified(path: str) -> None:
+def _verify_or_exit(path: str) -> None:
     findings, read = check_all(_ReadOnlyFiles(path))
     if findings:
         click.echo(f"yewrill store: {path}: {_finding_line(findings[0])}", err=True)
         sys.exit(1)
-    click.echo(f"{path}: {read} bytes, all sound")
+    click.echo(f"{path}: {read} bytes, no damage found")
 
 
 @store.command()
 @_directory
 def dump(directory: str) -> None:
-    """Every record as a line of JSON (key and value in base64, expiry in ms), for `load`."""
+    """Print every record as a line of JSON (key and value in base64, expiry in ms), for `load`."""
     status = 0
-    with _opened(directory) as opened, opened.snapshot() as snapshot:
+    with _open_store(directory) as opened_store, opened_store.snapshot() as snapshot:
         last = b""
         while True:
             try:
-                for key, found in snapshot.scan(start=last):
+                for key, result in snapshot.scan(start=last):
                     last = key + b"\0"
-                    click.echo(ujson.dumps(_record(key, found.value, found.expires)))
+                    click.echo(ujson.dumps(_record(key, result.value, result.expires)))
                 break
-            except DamagedValue as error:  # told, and the rest goes out
+            except DamagedValue as error:  # reported, and the dump continues after this key
                 click.echo(f"yewrill store: {error}", err=True)
                 last, status = error.key + b"\0", 1
     sys.exit(status)
@@ -323,8 +328,8 @@
 @_directory_new
 @click.argument("lines", type=click.File("rb"), default="-")
 def load(directory: str, lines: Any) -> None:
-    """Put the records that `dump` printed; a bad line is named, and nothing after it is loaded."""
-    with _exit_on_error(), Store(directory, maintain=False, reserve=0) as opened:
+    """Write the records that `dump` printed. Stops at the first invalid line and prints its number."""
+    with _exit_on_error(), Store(directory, maintain=False, reserve=0) as opened_store:
         batch, count = Batch(), 0
         for number, line in enumerate(lines, 1):
             try:
@@ -336,12 +341,12 @@
                 )
             except (ValueError, KeyError, TypeError, AttributeError) as error:
                 raise StoreError(
-                    f"line {number}: no record: {error!r}; {count} records loaded"
+                    f"line {number}: invalid record: {error!r}; {count} records loaded"
                 ) from None
-            if len(batch.ops) >= LOAD_BATCH or batch.size > 2**23:
-                opened.write(batch)
+            if len(batch.ops) >= LOAD_BATCH_RECORDS or batch.size > 2**23:
+                opened_store.write(batch)
                 count += len(batch.ops)
                 batch = Batch()
-        opened.write(batch)
+        opened_store.write(batch)
         count += len(batch.ops)
     click.echo(f"{count} records loaded")
--- a/yewrill/store/compaction.py
+++ b/yewrill/store/compaction.py
@@ -1,7 +1,8 @@
-"""Compaction: the live records of some sealed segments are copied to one new segment; hint files.
+"""Compaction, which copies the live records of some sealed segments to one new segment, and hint files.
 
-Order: the output is written and synced as `.new`, renamed, names are synced, the manifest is switched, index
-entries are moved, inputs are removed. Before the manifest is switched the inputs count, after it the output.
+Steps: the output is written under a name ending in `.new` and synced, the file is renamed, the directory is
+synced, the manifest is replaced, index entries are moved to the output, and the inputs are removed. After a
+crash the inputs are in use if the manifest was not replaced yet, else the output.
 """
 
 from __future__ import annotations
@@ -18,58 +19,59 @@
 from yewrill.store.frames import Frame, Gap, read_frames
 from yewrill.store.key_directory import KeyDirectory
 from yewrill.store.reader import is_expired
-from yewrill.store.recovery import NEW, quarantine
+from yewrill.store.recovery import NEW_SUFFIX, quarantine
 from yewrill.store.reserve import SpaceReserve
 from yewrill.store.segment import ENTRY, Segment
 
-OUTPUT_FRAME_BYTES = 128 * 1024  # gathered into one frame of the output
+OUTPUT_FRAME_BYTES = 128 * 1024  # operations are collected up to this size for one frame
 
 
 @dataclass(slots=True)
 class _Output:
-    """A compaction's output while it is written."""
+    """The output segment of a compaction while it is written."""
 
     segment: Segment
-    time: int  # of the compaction, ms
-    hint_parts: list[tuple[bytes, int]] = field(default_factory=list)  # bytes, number of entries
-    gathered: list[fmt.Op] = field(default_factory=list)
-    gathered_bytes: int = 0
+    time: int  # of the compaction (ms), written in the frames' headers
+    # Encoded entries, and how many.
+    hint_parts: list[tuple[bytes, int]] = field(default_factory=list)
+    pending_ops: list[fmt.Op] = field(default_factory=list)
+    pending_bytes: int = 0
 
     def add(self, op: fmt.Op) -> None:
-        """Gather an operation for the next frame."""
+        """Adds an operation to the next frame."""
         size = fmt.op_size(op.key, len(op.value))
-        self.gathered.append(op)
-        self.gathered_bytes += size
-        self.segment.lowest = min(self.segment.lowest, op.seq)
+        self.pending_ops.append(op)
+        self.pending_bytes += size
+        self.segment.lowest_seq = min(self.segment.lowest_seq, op.seq)
         if op.kind == fmt.DELETE:
             self.segment.deletions += size
 
     def flush(self, reserve: SpaceReserve) -> int:
-        """Write what was gathered as a frame; return the frame's bytes. Raises OSError."""
-        if not self.gathered:
+        """Writes the pending operations as one frame; returns its size in bytes. Raises OSError."""
+        if not self.pending_ops:
             return 0
         segment = self.segment
-        frame = fmt.encode_frame(self.gathered, segment.salt, self.time)
+        frame = fmt.encode_frame(self.pending_ops, segment.salt, self.time)
         reserve.write(lambda: write_all(segment.handle, frame, segment.size))
         offset, rows = segment.size + fmt.FRAME_HEADER_BYTES, []
-        for op in self.gathered:
+        for op in self.pending_ops:
             rows.append((op.kind, op.key, len(op.value), offset, op.seq, op.expires))
             offset += fmt.op_size(op.key, len(op.value))
         self.hint_parts.append((fmt.encode_hint_entries(rows), len(rows)))
         segment.size += len(frame)
-        self.gathered.clear()
-        self.gathered_bytes = 0
+        self.pending_ops.clear()
+        self.pending_bytes = 0
         return len(frame)
 
     def hint(self) -> bytes:
-        """Return the hint file. Its head holds the segment's size, so the segment must be whole."""
+        """Returns the hint file's content. It states the segment's size, so all frames must be written."""
         writer = fmt.HintWriter(self.segment.size)
         entries = [writer.add(piece, count) for piece, count in self.hint_parts]
         return b"".join([writer.head, *entries, writer.end()])
 
 
 class Compactor:
-    """Compacts sealed segments and writes their hints; one call at a time, beside commits and readers."""
+    """Compacts sealed segments and writes their hints. One call at a time; commits and reads may go on."""
 
     def __init__(
         self,
@@ -83,13 +85,13 @@
         self._directory = directory
         self._reserve = reserve
         self._findings = findings
-        self.count = 0  # compactions that were finished
+        self.finished_count = 0  # finished compactions
 
     def compact(self, inputs: list[Segment], now: int) -> Iterator[int]:
-        """Compact some sealed segments into one, or none if nothing lives.
+        """Compacts sealed segments into one, or into none if no record of theirs is live.
 
-        Yields bytes read or written, piece by piece, so that the caller can pace it; a caller that stops
-        before the manifest is switched leaves all as it was. Raises OSError.
+        Yields the bytes read or written after each step, so that the caller can limit the rate. A caller that
+        closes the iterator before the manifest is replaced leaves the store unchanged. Raises OSError.
         """
         if not inputs or not self._catalog.writable:
             return
@@ -97,54 +99,57 @@
         output: Segment | None = None
         try:
             output = yield from self._write_output(name, inputs, now)
-            self._switch(inputs, output)
-        except BaseException:  # a stop in the middle is one too
-            if self._catalog.poison is None:  # else the manifest on disk may name the output
-                for file in (name.file + NEW, name.file, name.hint):
+            self._switch_manifest(inputs, output)
+        except BaseException:  # includes GeneratorExit, when the caller stops early
+            if self._catalog.poisoned_by is None:  # else the manifest on disk may list the output
+                for file in (name.file + NEW_SUFFIX, name.file, name.hint):
                     with suppress(OSError):
                         self._files.remove(file)
             raise
         if output is not None:
             yield from self._move_entries(output)
         self._remove_inputs(inputs)
-        self.count += 1
+        self.finished_count += 1
 
     def _write_output(
         self, name: fmt.SegmentName, inputs: list[Segment], now: int
     ) -> Generator[int, None, Segment | None]:
-        """Write and sync the output, its hint and their names; return it, None if nothing lives."""
+        """Writes and syncs the output, its hint file and their names.
+
+        Returns the output segment, None if no record is live.
+        """
         with self._directory.lock:
-            others = [s.lowest for s in self._directory.segments.values() if s not in inputs]
+            others = [s.lowest_seq for s in self._directory.segments.values() if s not in inputs]
         if self._catalog.later_format or self._findings.mentions(FindingKind.MISSING):
-            others.append(0)  # these may hold records of any number
+            others.append(0)  # those segments may hold records with any sequence number
         output = self._create_output(name, inputs, now)
         for source in inputs:
             yield from self._copy(source, output, others, now)
         yield output.flush(self._reserve)
         segment = output.segment
-        if segment.size == segment.start:
-            self._files.remove(name.file + NEW)
+        if segment.size == segment.frames_start:
+            self._files.remove(name.file + NEW_SUFFIX)
             return None
         segment.handle.sync()
         hint = output.hint()
         segment.hinted = True
         if not self._reserve.low:
             self._reserve.write(lambda: write_file(self._files, name.hint, hint))
-        self._files.rename(name.file + NEW, name.file)
+        self._files.rename(name.file + NEW_SUFFIX, name.file)
         self._catalog.sync_names()
         return segment
 
     def _create_output(self, name: fmt.SegmentName, inputs: list[Segment], now: int) -> _Output:
-        handle = self._files.open(name.file + NEW, write=True, create=True)
+        handle = self._files.open(name.file + NEW_SUFFIX, write=True, create=True)
         segment = Segment(name, handle, self._directory.take_slot())
-        segment.output = True
+        segment.from_compaction = True
         header = fmt.encode_segment_header(name, tuple(s.name.number for s in inputs))
         self._reserve.write(lambda: write_all(handle, header, 0))
-        segment.size = segment.start = len(header)
+        segment.size = segment.frames_start = len(header)
         return _Output(segment, now)
 
     def _copy(self, source: Segment, output: _Output, others: list[int], now: int) -> Iterator[int]:
-        for found in read_frames(source.handle, source.start, source.size, source.salt):
+        for found in read_frames(source.handle, source.frames_start, source.size, source.salt):
             if isinstance(found, Gap):
                 self._record_gap(source, found)
                 continue
@@ -153,14 +158,14 @@
                 if surviving is None:
                     continue
                 output.add(surviving)
-                if output.gathered_bytes >= OUTPUT_FRAME_BYTES:
+                if output.pending_bytes >= OUTPUT_FRAME_BYTES:
                     yield output.flush(self._reserve)
             yield found.end - found.offset
 
     def _surviving(
         self, source: Segment, op: fmt.Op, others: Sequence[int], now: int
     ) -> fmt.Op | None:
-        """Return what the output gets in place of an operation; None: nothing."""
+        """Returns the operation that the output gets in place of this one, None if it is dropped."""
         with self._directory.lock:
             entry = self._directory.index.get(op.key)
             if op.kind == fmt.PUT:
@@ -174,12 +179,12 @@
                 self._directory.remove_expired(op.key)
             elif entry is not None and ENTRY.unpack(entry)[3] > op.seq:
                 return None
-        # An expired value is as good as deleted: an older record of its key must not come back.
-        if policy.may_drop_deletion(op.seq, others):
+        # An expired value is replaced by a tombstone, so that no older record of its key becomes visible.
+        if policy.may_drop_tombstone(op.seq, others):
             return None
         return fmt.Op(fmt.DELETE, op.key, b"", op.seq)
 
-    def _switch(self, inputs: list[Segment], output: Segment | None) -> None:
+    def _switch_manifest(self, inputs: list[Segment], output: Segment | None) -> None:
         directory = self._directory
         with self._catalog.lock:
             with directory.lock:
@@ -192,8 +197,8 @@
                     directory.segments[output.slot] = output
 
     def _move_entries(self, output: Segment) -> Iterator[int]:
-        """Have index entries refer to the output, a frame at a time."""
-        for found in read_frames(output.handle, output.start, output.size, output.salt):
+        """Makes index entries refer to the output, one frame at a time."""
+        for found in read_frames(output.handle, output.frames_start, output.size, output.salt):
             if not isinstance(found, Frame):
                 continue
             with self._directory.lock:
@@ -204,13 +209,13 @@
     def _remove_inputs(self, inputs: list[Segment]) -> None:
         lost = self._directory.remove_segments(inputs)
         if lost:
-            note = "values that could not be read are gone from the index"
+            note = "unreadable values were removed from the index"
             self._findings.append(
                 Finding(FindingKind.DAMAGE, inputs[0].name.file, records=lost, note=note)
             )
         for segment in inputs:
             for file in (segment.name.file, segment.name.hint):
-                with suppress(OSError):  # what remains is removed by the next opening
+                with suppress(OSError):  # the next opening removes files that are left
                     self._files.remove(file)
 
     def _record_gap(self, segment: Segment, gap: Gap) -> None:
@@ -219,14 +224,18 @@
         self._findings.add_damage(
             segment,
             Finding(
-                FindingKind.DAMAGE, segment.name.file, gap.start, gap.end, note="met by compaction"
+                FindingKind.DAMAGE,
+                segment.name.file,
+                gap.start,
+                gap.end,
+                note="detected by compaction",
             ),
         )
 
     # -- hints
 
     def write_hints(self, segments: list[Segment]) -> Iterator[int]:
-        """Write the hint files that sealed segments lack. Yields bytes read. Raises OSError."""
+        """Writes the missing hint files of sealed segments. Yields bytes read. Raises OSError."""
         for segment in segments:
             if segment.hinted or segment.damaged or not self._catalog.writable:
                 continue
@@ -235,7 +244,7 @@
     def _write_hint(self, segment: Segment) -> Iterator[int]:
         writer = fmt.HintWriter(segment.size)
         parts = [writer.head]
-        for found in read_frames(segment.handle, segment.start, segment.size, segment.salt):
+        for found in read_frames(segment.handle, segment.frames_start, segment.size, segment.salt):
             if isinstance(found, Gap):
                 self._record_gap(segment, found)
                 return
--- a/yewrill/store/engine.py
+++ b/yewrill/store/engine.py
@@ -1,13 +1,14 @@
 """The store without threads and clocks: commits, reads, snapshots, compaction and backup on one directory.
 
-Who may call what at once: one committer (`commit`, `sync`, `close`), one maintainer (`compact`,
-`write_hints`, `restore_reserve`) beside it, and any number of readers. The key directory's lock guards the
-index and the table of segments and is held for short moments only; the catalog's lock guards the manifest
-and is held over its sync; whoever holds it may take the key directory's, never the other way round.
-
-Order of a commit: frames are appended to the newest segment, synced, and only then entered in the index:
-what a reader sees is on disk (in mode `always`). For the order of a compaction see compaction.py. What a
-crash leaves is told apart by recovery.py: by the manifest, and without one by the output's header.
+Concurrency: one thread at a time may commit (`commit`, `sync`, `close`); beside it one may do maintenance
+(`compact`, `write_hints`, `restore_reserve`) and any number may read. The key directory's lock guards the
+index and the table of segments and is held only briefly. The catalog's lock guards the manifest and is held
+while the manifest is synced. Lock order: the catalog's lock is taken before the key directory's.
+
+A commit appends frames to the active segment, syncs it, and only then adds the operations to the index, so
+in mode `always` a reader sees only data that is on disk. compaction.py describes the order of a compaction.
+After a crash, recovery.py decides by the manifest which segments belong to the store, and without a manifest
+by the segments' headers.
 """
 
 from __future__ import annotations
@@ -34,30 +35,34 @@
 from yewrill.store.key_directory import KeyDirectory
 from yewrill.store.reader import Found, Reader, Row, Snapshot, is_expired
 from yewrill.store.recovery import MANIFEST, open_directory
-from yewrill.store.reserve import DISK_FULL, SpaceReserve
+from yewrill.store.reserve import DISK_FULL_ERRNOS, SpaceReserve
 from yewrill.store.segment import ENTRY, Segment
 
 BACKUP_CHUNK_BYTES = 1 << 20
-NOT_WRITABLE = (errno.EROFS, errno.EACCES, errno.EPERM)
+NOT_WRITABLE_ERRNOS = (errno.EROFS, errno.EACCES, errno.EPERM)
 
-_NumberedOps = tuple[int, list[fmt.Op]]  # a batch's operations, and the number of the first one
+# The sequence number of the first operation, and the operations of one batch.
+_NumberedOps = tuple[int, list[fmt.Op]]
 
 
 class Engine:
-    """`salt` gives 32 random bits for each new segment; times are milliseconds of the caller's clock."""
+    """One open store. All times are milliseconds of the caller's clock."""
 
     def __init__(
         self,
         files: Files,
         *,
         salt: Callable[[], int],
-        rules: policy.Rules | None = None,
+        rules: policy.CompactionRules | None = None,
         segment_size: int = 32 * 1024 * 1024,
         reserve: int = 0,
     ):
-        """Open the directory. Sizes in bytes. Raises StoreLocked if it is open elsewhere, OSError."""
+        """Opens the directory. `salt` returns 32 random bits for each new segment; sizes are in bytes.
+
+        Raises StoreLocked if another process has the directory open, OSError.
+        """
         self.files = files
-        self.rules = rules or policy.Rules()
+        self.rules = rules or policy.CompactionRules()
         self.segment_size = segment_size
         files.lock()
         try:
@@ -78,14 +83,14 @@
         )
         self._reader = Reader(self.directory, self.findings)
         self._compactor = Compactor(self._catalog, self.directory, self._reserve, self.findings)
-        self.dirty = False  # written and not synced
-        self.syncs = self.written = 0
+        self.dirty = False  # something was written since the last sync
+        self.syncs = self.bytes_written = 0
         self._active: Segment | None = None  # the segment that commits append to
         self._commit_lock = threading.RLock()
         if not self.read_only and self.findings.mentions(
             FindingKind.MANIFEST, FindingKind.ADOPTED, FindingKind.MISSING
         ):
-            with suppress(OSError):  # if not now, then with the next write
+            with suppress(OSError):  # the next write tries again
                 self._write_manifest()
         self.restore_reserve()
 
@@ -93,42 +98,42 @@
 
     @property
     def last_seq(self) -> int:
-        """The number of the last operation that was written."""
+        """The sequence number of the last operation that was written."""
         return self.directory.next_seq - 1
 
     @property
-    def poison(self) -> Exception | None:
-        """The failure of a sync after which no write is accepted any more."""
-        return self._catalog.poison
+    def poisoned_by(self) -> Exception | None:
+        """The disk error after which no write is accepted any more, None if there was none."""
+        return self._catalog.poisoned_by
 
     @property
     def read_only(self) -> bool:
-        """Whether the directory can't be written."""
+        """Whether the directory is not writable."""
         return self._catalog.read_only
 
     @property
     def closed(self) -> bool:
-        """Whether the engine was closed."""
+        """Whether the engine is closed."""
         return self._catalog.closed
 
     @property
-    def short(self) -> bool:
-        """Whether the disk was full, so that the space reserve is in use or could not be had."""
+    def low_on_space(self) -> bool:
+        """Whether the disk was full: the space reserve is in use or could not be allocated."""
         return self._reserve.low
 
     @property
     def compactions(self) -> int:
         """The number of finished compactions."""
-        return self._compactor.count
+        return self._compactor.finished_count
 
     # -- commits
 
     def commit(
         self, batches: Sequence[fmt.Batch], now: int, sync: bool = True
     ) -> list[int | StoreError]:
-        """Write batches, each whole or not at all.
+        """Writes batches, each entirely or not at all.
 
-        Returns for each the version of its first operation, or why it was not written.
+        Returns for each batch the version of its first operation, or the error for which it was not written.
         """
         with self._commit_lock:
             return self._commit(batches, now, sync)
@@ -138,18 +143,18 @@
             return [rejection] * len(batches)
         results: list[int | StoreError] = []
         frames: list[_NumberedOps] = []
-        pending: dict[bytes, int] = {}  # versions as they will be, 0: deleted
+        pending: dict[bytes, int] = {}  # versions after the batches so far; 0: deleted
         seq = self.directory.next_seq
         for batch in batches:
-            if (conflict := self._conflict(batch, pending, now)) is not None:
+            if (conflict := self._find_conflict(batch, pending, now)) is not None:
                 results.append(conflict)
                 continue
             results.append(seq if batch.ops else seq - 1)
             if not batch.ops:
                 continue
             for at, op in enumerate(batch.ops, seq):
-                stands = op.kind == fmt.PUT and not is_expired(op.expires, now)
-                pending[op.key] = at if stands else 0
+                visible = op.kind == fmt.PUT and not is_expired(op.expires, now)
+                pending[op.key] = at if visible else 0
             frames.append((seq, batch.ops))
             seq += len(batch.ops)
         if not frames:
@@ -158,21 +163,23 @@
             self._append(frames, now, sync)
         except StoreError as error:
             if isinstance(error, StoreFull) and len(batches) > 1:
-                # One large batch must not have the small ones beside it rejected.
+                # Batches are retried one by one: a large one must not cause the rejection of smaller ones.
                 return [result for batch in batches for result in self._commit([batch], now, sync)]
             return [error if isinstance(result, int) else result for result in results]
         return results
 
-    def _conflict(self, batch: fmt.Batch, pending: dict[bytes, int], now: int) -> Conflict | None:
+    def _find_conflict(
+        self, batch: fmt.Batch, pending: dict[bytes, int], now: int
+    ) -> Conflict | None:
         for key, expected in batch.conditions:
             version = pending.get(key)
             if version is None:
-                version = self._version(key, now)
+                version = self._current_version(key, now)
             if version != expected:
                 return Conflict(key, expected, version)
         return None
 
-    def _version(self, key: bytes, now: int) -> int:
+    def _current_version(self, key: bytes, now: int) -> int:
         entry = self.directory.index.get(key)
         if entry is None:
             return 0
@@ -193,8 +200,8 @@
             raise self._write_error(error) from None
         if sync:
             self._sync(segment)
-        self._enter(segment, frames, encoded)
-        self.written += len(data)
+        self._index_frames(segment, frames, encoded)
+        self.bytes_written += len(data)
         self.dirty = not sync
         if segment.size >= self.segment_size:
             self._seal(segment)
@@ -203,14 +210,16 @@
         try:
             write_all(segment.handle, data, segment.size)
         except OSError as error:
-            # A full store must be possible to empty: deletions may use a part of the reserve.
+            # Deletions may use a part of the reserve, so that space can be freed on a full disk.
             deletions = all(op.kind == fmt.DELETE for _, ops in frames for op in ops)
             if error.errno != errno.ENOSPC or not deletions or not self._reserve.release_half():
                 raise
             write_all(segment.handle, data, segment.size)
 
-    def _enter(self, segment: Segment, frames: list[_NumberedOps], encoded: list[bytes]) -> None:
-        """Enter frames that were appended to a segment in the index."""
+    def _index_frames(
+        self, segment: Segment, frames: list[_NumberedOps], encoded: list[bytes]
+    ) -> None:
+        """Adds frames that were appended to a segment to the index."""
         with self.directory.lock:
             at = segment.size
             for frame, (first, ops) in zip(encoded, frames, strict=True):
@@ -223,23 +232,23 @@
             self.directory.next_seq = frames[-1][0] + len(frames[-1][1])
 
     def _write_error(self, error: OSError) -> StoreError:
-        if self.poison is not None:
-            return StorePoisoned(f"writing ended: {self.poison}")
-        if error.errno in DISK_FULL:
+        if self.poisoned_by is not None:
+            return StorePoisoned(f"writes are rejected after a disk error: {self.poisoned_by}")
+        if error.errno in DISK_FULL_ERRNOS:
             self._reserve.low = True
-            return StoreFull("no room left on the disk")
-        if error.errno in NOT_WRITABLE:
+            return StoreFull("the disk is full")
+        if error.errno in NOT_WRITABLE_ERRNOS:
             self._catalog.read_only = True
-            return StoreReadOnly(f"the directory can't be written: {error.strerror}")
-        return StoreError(f"not written: {error}")
+            return StoreReadOnly(f"the directory is not writable: {error.strerror}")
+        return StoreError(f"write failed: {error}")
 
     def _truncate_failed_write(self, segment: Segment) -> None:
-        """Take back a write that failed. If that is not certain, nothing may be written behind it."""
+        """Removes the partial data of a failed write. If that fails too, no further write is accepted."""
         try:
             segment.handle.truncate(segment.size)
             segment.handle.sync()
         except OSError as error:
-            self._catalog.poison = error
+            self._catalog.poisoned_by = error
 
     def _sync(self, segment: Segment) -> None:
         try:
@@ -247,14 +256,14 @@
             self.syncs += 1
             self.dirty = False
         except OSError as error:
-            # The kernel may have dropped the pages: a later sync would succeed without them on disk.
-            self._catalog.poison = error
-            raise StorePoisoned(f"a sync failed: {error}") from None
+            # The kernel may have dropped the dirty pages; a later sync would succeed without writing them.
+            self._catalog.poisoned_by = error
+            raise StorePoisoned(f"sync failed: {error}") from None
 
     def sync(self) -> None:
-        """Bring what was written to disk. Raises StorePoisoned."""
+        """Syncs all data written so far. Raises StorePoisoned."""
         with self._commit_lock:
-            if self.dirty and self._active is not None and self.poison is None:
+            if self.dirty and self._active is not None and self.poisoned_by is None:
                 self._sync(self._active)
 
     # -- segments
@@ -264,11 +273,11 @@
             name = self._catalog.new_name()
             header = fmt.encode_segment_header(name)
             write_file(self.files, name.file, header)
-            # The name must be on disk before any record in the file counts as written.
+            # The file name must be on disk before a record in the file is acknowledged.
             self._catalog.sync_names()
             handle = self.files.open(name.file, write=True)
             segment = Segment(name, handle, self.directory.take_slot())
-            segment.size = segment.start = len(header)
+            segment.size = segment.frames_start = len(header)
             self._add_segment(segment)
             self._active = segment
         return self._active
@@ -290,19 +299,19 @@
             self._catalog.write_manifest(names, self.directory.next_seq)
 
     def seal(self) -> None:
-        """Have the next write begin a new segment, so that the present one can be compacted."""
+        """Seals the active segment, so that it can be compacted. The next write starts a new one."""
         with self._commit_lock:
             if self._active is not None:
                 self._seal(self._active)
 
     def _seal(self, segment: Segment) -> None:
-        # A failure is reported by the next write; this one was acknowledged in its own mode.
+        # The next write reports a failure; the writes so far are acknowledged as their mode allows.
         with suppress(StorePoisoned):
             self.sync()
         self._active = None
 
     def sealed(self) -> list[Segment]:
-        """Return the segments that are no longer written to."""
+        """Returns the segments that are no longer written to."""
         with self.directory.lock:
             segments = self.directory.segments.values()
             return [segment for segment in segments if segment is not self._active]
@@ -315,7 +324,7 @@
     # -- reads
 
     def get(self, key: bytes, now: int) -> Found | None:
-        """Return the value of a key, None if it is absent or expired. Raises DamagedValue, StoreClosed."""
+        """Returns the value of a key, None if it is absent or expired. Raises DamagedValue, StoreClosed."""
         if self.closed:
             raise StoreClosed("the store is closed")
         return self._reader.get(key, now)
@@ -329,9 +338,9 @@
         stop: bytes | None = None,
         reverse: bool = False,
     ) -> Iterator[tuple[bytes, Found]]:
-        """Yield keys from `start` up to, and without, `stop` that have this prefix, in order, with values.
+        """Yields the keys with this prefix from `start` up to, and without, `stop`, in order, with values.
 
-        Without a snapshot, each part is as it is when the iteration gets there. Raises DamagedValue.
+        This is not a snapshot: each chunk of keys is read when the iteration reaches it. Raises DamagedValue.
         """
         for key, value, seq, expires in self.rows(now, prefix, start, stop, reverse):
             yield key, Found(value, seq, expires)
@@ -339,28 +348,31 @@
     def rows(
         self, now: int, prefix: bytes, start: bytes, stop: bytes | None, reverse: bool
     ) -> Iterator[Row]:
-        """As `scan`, with plain tuples."""
+        """Like `scan`, but yields plain tuples."""
         return self._reader.rows(now, prefix, start, stop, reverse)
 
     def snapshot(self, now: int) -> Snapshot:
-        """Return the store as it is at this moment, for as long as the snapshot is open."""
+        """Returns a consistent view of the store at this moment; the caller closes it."""
         if self.closed:
             raise StoreClosed("the store is closed")
         return Snapshot(self.directory, self._reader, now)
 
     # -- maintenance
 
-    def choose(self, now: int, everything: bool = False) -> list[int]:
-        """Return the numbers of the segments whose compaction is worth it now."""
-        facts = [segment.facts(now) for segment in self.sealed()]
+    def choose_segments(self, now: int, everything: bool = False) -> list[int]:
+        """Returns the numbers of the segments to compact next.
+
+        `everything` ignores the thresholds of the policy.
+        """
+        stats = [segment.stats(now) for segment in self.sealed()]
         if everything:
-            return policy.everything(facts, self.rules)
+            return policy.choose_everything(stats, self.rules)
         return policy.choose(
-            facts, self.rules, self._reserve.compaction_bytes if self.short else None
+            stats, self.rules, self._reserve.compaction_bytes if self.low_on_space else None
         )
 
     def compact(self, numbers: Sequence[int], now: int) -> Iterator[int]:
-        """Compact sealed segments of these numbers into one; see `Compactor.compact`."""
+        """Compacts the sealed segments with these numbers into one; see `Compactor.compact`."""
         inputs = [segment for segment in self.sealed() if segment.name.number in set(numbers)]
         finished = self.compactions
         yield from self._compactor.compact(inputs, now)
@@ -368,20 +380,23 @@
             self.restore_reserve()
 
     def write_hints(self) -> Iterator[int]:
-        """Write the hint files that sealed segments lack. Yields bytes read. Raises OSError."""
+        """Writes the missing hint files of sealed segments. Yields bytes read. Raises OSError."""
         return self._compactor.write_hints(self.sealed())
 
     def restore_reserve(self) -> None:
-        """Set the space reserve aside again, if the disk has the space."""
+        """Allocates the space reserve again if the disk has the space."""
         if not self.read_only and not self.closed:
             self._reserve.restore()
 
-    # -- backup, state, end
+    # -- backup, statistics, closing
 
     def backup(self, target: Files) -> Iterator[int]:
-        """Copy the store as it is now to an empty directory, beside writes. Yields bytes copied."""
+        """Copies the store as of now to an empty directory, while writes go on. Yields bytes copied.
+
+        Raises StoreError if the target is not empty, OSError.
+        """
         if target.list():
-            raise StoreError("backup: the target is not empty")
+            raise StoreError("backup: the target directory is not empty")
         with self._catalog.lock, self.directory.lock:
             parts = [(s.name, s.handle, s.size) for s in self.directory.segments.values()]
             manifest = fmt.Manifest(
@@ -400,12 +415,12 @@
         target.sync_names()
 
     def stat(self, now: int) -> dict:
-        """Return the store's state as `yewrill store stat` prints it; sizes in bytes."""
+        """Returns figures and findings under the names that `yewrill store stat` prints; sizes in bytes."""
         with self.directory.lock:
-            segments = [segment.facts(now) for segment in self.directory.segments.values()]
+            segments = [segment.stats(now) for segment in self.directory.segments.values()]
             keys = len(self.directory.index)
         return {
-            "format": fmt.FORMAT,
+            "format": fmt.FORMAT_VERSION,
             "keys": keys,
             "segments": len(segments),
             "size": sum(s.size for s in segments),
@@ -414,18 +429,18 @@
             "last_version": self.last_seq,
             "snapshots": self.directory.snapshot_count,
             "syncs": self.syncs,
-            "written": self.written,
+            "written": self.bytes_written,
             "compactions": self.compactions,
-            "short": self.short,
+            "short": self.low_on_space,
             "read_only": self.read_only,
-            "poisoned": str(self.poison) if self.poison is not None else "",
+            "poisoned": str(self.poisoned_by) if self.poisoned_by is not None else "",
             "later_format": list(self._catalog.later_format),
             "quarantine": [name for name in self.files.list() if name.startswith("quarantine/")],
             "findings": [finding.as_dict() for finding in self.findings],
         }
 
     def close(self) -> None:
-        """Sync, write hints for a quick opening, and unlock the directory."""
+        """Syncs, writes hint files so that the next opening is fast, and unlocks the directory."""
         if self.closed:
             return
         self.seal()
--- a/yewrill/store/errors.py
+++ b/yewrill/store/errors.py
@@ -1,4 +1,4 @@
-"""The errors of a store."""
+"""The errors that a store raises."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 
 
 class StoreLocked(StoreError):
-    """Another process has locked the directory; the text names it."""
+    """Another process has locked the directory; the message names it."""
 
 
 class StoreFull(StoreError):
-    """The disk is full. Nothing of the batch was written; later ones may succeed."""
+    """The disk is full. Nothing of the batch was written; later batches may succeed."""
 
 
 class StorePoisoned(StoreError):
-    """A sync failed, so it is unknown what is on disk: no further write is accepted. Reads work."""
+    """A sync failed, so it is unknown what is on disk: no further write is accepted. Reads still work."""
 
 
 class StoreReadOnly(StoreError):
-    """The directory can't be written. Reads work."""
+    """The directory is not writable. Reads still work."""
 
 
 class StoreQueueFull(StoreError):
-    """The queue of batches is full."""
+    """The queue of batches to be written is full."""
 
 
 class StoreClosed(StoreError):
-    """The store was closed."""
+    """The store is closed."""
 
 
 class Conflict(StoreError):
-    """A batch's condition does not hold; nothing of it was written."""
+    """A batch requires a version that its key does not have; nothing of the batch was written."""
 
     def __init__(self, key: bytes, expected: int, found: int):
         super().__init__(f"{key!r}: expected version {expected}, found {found}")
@@ -40,8 +40,8 @@
 
 
 class DamagedValue(StoreError):
-    """The bytes of this value are not what was written."""
+    """The stored bytes of this value fail their checksum."""
 
     def __init__(self, key: bytes, segment: str, offset: int):
-        super().__init__(f"{key!r}: damaged in {segment} at {offset}")
+        super().__init__(f"{key!r}: value damaged in {segment} at offset {offset}")
         self.key, self.segment, self.offset = key, segment, offset
--- a/yewrill/store/files.py
+++ b/yewrill/store/files.py
@@ -1,7 +1,7 @@
-"""The few calls that a store makes on a directory, and the real ones.
+"""The file operations of a store, as protocols, and their implementation by the operating system.
 
-A store's files are named flat, but for those under `quarantine/`. Errors are OSErrors. `simdisk.py` has the
-same calls on a disk that crashes.
+A store's files are all in one directory, except those under `quarantine/`. Operations raise OSError.
+`simdisk.py` implements the same protocols on a simulated disk.
 """
 
 from __future__ import annotations
@@ -22,26 +22,26 @@
 
 
 class Handle(Protocol):
-    """An open file. It closes when nobody refers to it any more, so a reader never sees it close."""
+    """An open file. It is closed once it is no longer referenced, so never during a read."""
 
     def read(self, size: int, offset: int) -> bytes:
-        """Return up to `size` bytes from an offset, fewer only at the end of the file."""
+        """Returns up to `size` bytes from an offset, fewer only at the end of the file."""
         ...
 
     def write(self, data: bytes, offset: int) -> int:
-        """The number of bytes written, which may be fewer than asked."""
+        """Writes at an offset; returns the number of bytes written, which may be fewer than given."""
         ...
 
     def truncate(self, size: int) -> None:
-        """Set the file's size."""
+        """Sets the file's size."""
         ...
 
     def sync(self) -> None:
-        """All that was written to the file is on disk, its size included; its name need not be."""
+        """Syncs the file's data and size to disk, not its name."""
         ...
 
     def size(self) -> int:
-        """Return the file's size in bytes."""
+        """Returns the file's size in bytes."""
         ...
 
 
@@ -49,57 +49,57 @@
     """One directory."""
 
     def list(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Returns the names of all files, sorted."""
         ...
 
     def open(self, name: str, *, write: bool = False, create: bool = False) -> Handle:
-        """Open a file; `create` makes it if it is absent. Raises OSError."""
+        """Opens a file; `create` creates it if it does not exist. Raises OSError."""
         ...
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, over any of the new name."""
+        """Renames a file and replaces any file with the new name."""
         ...
 
     def remove(self, name: str) -> None:
-        """Remove a file. Raises FileNotFoundError."""
+        """Removes a file. Raises FileNotFoundError."""
         ...
 
     def sync_names(self) -> None:
-        """Names made, changed and removed so far are on disk."""
+        """Syncs the directory: all creations, renames and removals so far are on disk."""
         ...
 
     def reserve(self, name: str, size: int) -> None:
-        """Make a file of this size whose room is really taken."""
+        """Creates a file of this size whose disk blocks are allocated. Raises OSError."""
         ...
 
     def lock(self) -> None:
-        """Take the directory for this process. Raises StoreLocked."""
+        """Locks the directory for this process. Raises StoreLocked."""
         ...
 
     def unlock(self) -> None:
-        """Release the directory."""
+        """Unlocks the directory."""
         ...
 
 
 def write_all(handle: Handle, data: bytes, offset: int) -> None:
-    """Write all of it, however short the single writes are. Raises OSError."""
+    """Writes all data, with several writes if some are short. Raises OSError."""
     view = memoryview(data)
     while view:
         count = handle.write(view, offset)
         if count <= 0:
-            raise OSError(errno.EIO, "a write that writes nothing")
+            raise OSError(errno.EIO, "write returned 0 bytes")
         view = view[count:]
         offset += count
 
 
 def read_file(files: Files, name: str) -> bytes:
-    """Return a whole file. Raises OSError."""
+    """Returns the content of a file. Raises OSError."""
     handle = files.open(name)
     return handle.read(handle.size(), 0)
 
 
 def write_file(files: Files, name: str, data: bytes) -> None:
-    """Write a file anew and bring it to disk; its name is not synced."""
+    """Creates or overwrites a file and syncs its data, but not its name. Raises OSError."""
     handle = files.open(name, write=True, create=True)
     handle.truncate(0)
     write_all(handle, data, 0)
@@ -116,7 +116,7 @@
         self._fd = os.open(path, flags | os.O_CLOEXEC, 0o600)
 
     def read(self, size: int, offset: int) -> bytes:
-        """Return up to `size` bytes from an offset, fewer only at the end of the file."""
+        """Returns up to `size` bytes from an offset, fewer only at the end of the file."""
         data = os.pread(self._fd, size, offset)
         while len(data) < size and (
             more := os.pread(self._fd, size - len(data), offset + len(data))
@@ -125,19 +125,19 @@
         return data
 
     def write(self, data: bytes, offset: int) -> int:
-        """Write a part of the data; return how many bytes."""
+        """Writes at an offset; returns the number of bytes written, which may be fewer than given."""
         return os.pwrite(self._fd, data, offset)
 
     def truncate(self, size: int) -> None:
-        """Set the file's size."""
+        """Sets the file's size."""
         os.ftruncate(self._fd, size)
 
     def sync(self) -> None:
-        """Bring the file's data and size to disk."""
-        os.fdatasync(self._fd)  # a file's size is part of what it syncs
+        """Syncs the file's data and size to disk."""
+        os.fdatasync(self._fd)  # fdatasync includes the file's size
 
     def size(self) -> int:
-        """Return the file's size in bytes."""
+        """Returns the file's size in bytes."""
         return os.fstat(self._fd).st_size
 
     def __del__(self) -> None:
@@ -147,7 +147,7 @@
 
 
 class RealFiles:
-    """A directory of the system's. `make` creates it if it is absent."""
+    """A directory in the file system. `make` creates it if it does not exist."""
 
     def __init__(self, path: str | Path, make: bool = True):
         self.path = Path(path)
@@ -156,14 +156,14 @@
             self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def list(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Returns the names of all files, sorted."""
         names = [entry.name for entry in os.scandir(self.path) if entry.is_file()]
         with suppress(FileNotFoundError):
             names += [QUARANTINE + entry.name for entry in os.scandir(self.path / QUARANTINE)]
         return sorted(names)
 
     def open(self, name: str, *, write: bool = False, create: bool = False) -> RealHandle:
-        """Open a file; `create` makes it if it is absent. Raises OSError."""
+        """Opens a file; `create` creates it if it does not exist. Raises OSError."""
         path = self.path / name
         if create and name.startswith(QUARANTINE):
             path.parent.mkdir(mode=0o700, exist_ok=True)
@@ -172,17 +172,17 @@
         )
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, over any of the new name."""
+        """Renames a file and replaces any file with the new name."""
         if new.startswith(QUARANTINE):
             (self.path / QUARANTINE).mkdir(mode=0o700, exist_ok=True)
         os.rename(self.path / old, self.path / new)
 
     def remove(self, name: str) -> None:
-        """Remove a file. Raises FileNotFoundError."""
+        """Removes a file. Raises FileNotFoundError."""
         os.unlink(self.path / name)
 
     def sync_names(self) -> None:
-        """Bring the directory's names to disk."""
+        """Syncs the directory: all creations, renames and removals so far are on disk."""
         for path in (self.path / QUARANTINE, self.path):
             try:
                 fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
@@ -194,7 +194,7 @@
                 os.close(fd)
 
     def reserve(self, name: str, size: int) -> None:
-        """Make a file of this size whose blocks are allocated. Raises OSError."""
+        """Creates a file of this size whose disk blocks are allocated. Raises OSError."""
         fd = os.open(self.path / name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             os.posix_fallocate(fd, 0, size)
@@ -205,14 +205,14 @@
             os.close(fd)
 
     def lock(self) -> None:
-        """Lock the directory for this process. Raises StoreLocked."""
+        """Locks the directory for this process. Raises StoreLocked."""
         path = self.path / LOCK
         try:
             fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as error:
             if error.errno not in (errno.EROFS, errno.EACCES, errno.EPERM):
                 raise
-            try:  # a directory that can't be written can be read beside any other reader
+            try:  # several processes may read a directory that is not writable
                 fd = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
             except OSError:
                 return
@@ -223,7 +223,8 @@
             os.close(fd)
             raise StoreLocked(f"{self.path}: held by {holder}") from None
         self._lock = fd
-        with suppress(OSError):  # who holds it is a kindness; that it is held is not
+        # The lock holds even if the name of its holder can't be written.
+        with suppress(OSError):
             os.ftruncate(fd, 0)
             since = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime())
             os.pwrite(
@@ -231,9 +232,9 @@
             )
 
     def unlock(self) -> None:
-        """Release the directory."""
+        """Unlocks the directory."""
         if self._lock >= 0:
             with suppress(OSError):
-                os.ftruncate(self._lock, 0)  # nobody has it: no name either
+                os.ftruncate(self._lock, 0)  # removes the name of the holder
             os.close(self._lock)
             self._lock = -1
--- a/yewrill/store/findings.py
+++ b/yewrill/store/findings.py
@@ -1,4 +1,4 @@
-"""What an opening, a verification, a reader or a compaction met and did not expect."""
+"""Findings: damage and other anomalies that recovery, verification, reads or compaction detected."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class FindingKind(StrEnum):
-    """What a finding is of. The values are those that the sub-commands print."""
+    """The kind of an anomaly. The sub-commands print the values."""
 
-    TORN = "torn"  # a write at the end of the file that was never whole
-    DAMAGE = "damage"  # bytes that are not what was written
+    TORN = "torn"  # a write at the end of the file was cut short
+    DAMAGE = "damage"  # bytes fail their checksum
     HEADER = "header"  # a segment's header is damaged
     HINT = "hint"  # a hint file is damaged
     MANIFEST = "manifest"  # the manifest is damaged or missing
-    MISSING = "missing"  # a segment that the manifest names is not there
-    ADOPTED = "adopted"  # a segment with records that the manifest does not name
-    LATER_FORMAT = "later-format"  # written by a later version
-    UNWRITABLE = "unwritable"  # the directory can't be written
+    MISSING = "missing"  # a segment that the manifest lists does not exist
+    ADOPTED = "adopted"  # a segment with records that the manifest does not list
+    LATER_FORMAT = "later-format"  # a file written by a later version of the format
+    UNWRITABLE = "unwritable"  # a file or the directory is not writable
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """Something unexpected in a file; offsets in bytes."""
+    """One anomaly in a file, from byte offset `start` up to, and without, `end`."""
 
     kind: FindingKind
     file: str
     start: int = 0
     end: int = 0
-    records: int | None = None  # lost there; None: unknown
+    records: int | None = None  # number of records lost there; None: unknown
     note: str = ""
 
     def __str__(self) -> str:
@@ -42,7 +42,7 @@
         return f"{self.kind.value} file={self.file}{offsets}{lost}{note}"
 
     def as_dict(self) -> dict:
-        """Return the finding as the sub-commands print it."""
+        """Returns the finding in the form of the sub-commands' JSON output."""
         return {
             "what": self.kind.value,
             "file": self.file,
@@ -57,7 +57,7 @@
     """The findings of one open store."""
 
     def add_damage(self, segment: Segment, finding: Finding) -> None:
-        """Mark a segment as damaged, and add a finding that is not yet known."""
+        """Marks a segment as damaged, and adds the finding unless it is there already or the list is full."""
         segment.damaged = True
         if finding not in self and len(self) < MAX_FINDINGS:
             self.append(finding)
--- a/yewrill/store/format.py
+++ b/yewrill/store/format.py
@@ -1,9 +1,10 @@
-"""Bytes to values and back: segments, frames, hints and manifests. No I/O; docs/store-format.md is its page.
+"""Encoding and decoding of segments, frames, hint files and manifests. No I/O. See docs/store-format.md.
 
-A *segment* is a header and frames. A *frame* is one batch, with a checksum over its head and one over its
-body, so a reader can tell three cases apart: a whole frame; a head that can be believed before a body that
-can't (skip it exactly); and a head that can't (look for the next magic whose frame is whole). All checksums
-of a segment begin from its salt. All numbers are little-endian.
+A *segment* is a segment header followed by frames. A *frame* is one batch, with a checksum of its header and
+one of its body. A reader can therefore distinguish three cases: an intact frame; a valid header with a
+damaged body, which can be skipped exactly; and a damaged header, after which the reader searches for the
+magic number of the next intact frame. The checksums of a segment start from the segment's salt. All numbers
+are little-endian.
 """
 
 from __future__ import annotations
@@ -19,36 +20,37 @@
 
 from yewrill.store.errors import StoreError
 
-FORMAT = 1
+FORMAT_VERSION = 1
 MAX_KEY_BYTES = 4 * 1024
 MAX_VALUE_BYTES = 16 * 1024 * 1024
-MAX_BODY_BYTES = 64 * 1024 * 1024  # of a batch, its operations' heads included
+MAX_BODY_BYTES = 64 * 1024 * 1024  # of a frame, the headers of its operations included
 
 SEGMENT_MAGIC = b"YEWRSEG\n"
 HINT_MAGIC = b"YEWRHNT\n"
 MANIFEST_MAGIC = b"YEWRMAN\n"
 FRAME_MAGIC = b"\xd7YR\xb1"
 
-# Magic, format, (unused), salt, segment, number of replaced segments; then these, 8 bytes each, and a
-# checksum.
+# Magic, format, (unused), salt, segment number, count of replaced segments. Their numbers follow, 8 bytes
+# each, then a checksum.
 _SEGMENT = struct.Struct("<8sHHIQI")
-# Magic, length of the body, time written (ms), checksum of the body; then a checksum of these.
+# Magic, length of the body, time written (ms), checksum of the body. A checksum of these follows.
 _FRAME = struct.Struct("<4sIqI")
 _CRC = struct.Struct("<I")
 FRAME_HEADER_BYTES = _FRAME.size + _CRC.size
 # Kind, (unused), length of key, length of value, sequence number, expiry (ms, 0: none), checksum of key and
-# value.
+# value. Key and value follow.
 _OP = struct.Struct("<BBHIQqI")
 OP_HEADER_BYTES = _OP.size
-PUT, DELETE = 1, 2
-# Magic, format, (unused), (unused), size of the segment; entries follow, then their number and a checksum
-# of all.
+PUT = 1
+DELETE = 2
+# Magic, format, (unused), (unused), size of the segment. Entries follow, then their count and a checksum of
+# everything before it.
 _HINT = struct.Struct("<8sHHIQ")
 # Kind, (unused), length of key, length of value, offset of the operation in the segment, sequence number,
-# expiry.
+# expiry. The key follows.
 _HINT_ENTRY = struct.Struct("<BBHIQQq")
 _HINT_END = struct.Struct("<QI")
-# Magic, format, (unused), length of the JSON that follows; then a checksum of all.
+# Magic, format, (unused), length of the JSON. The JSON follows, then a checksum of everything before it.
 _MANIFEST = struct.Struct("<8sHHI")
 
 _NAME = re.compile(r"([0-9a-f]{16})-([0-9a-f]{8})\.(seg|hint)")
@@ -58,69 +60,69 @@
 
 
 class Malformed(StoreError):
-    """Bytes that are not the format's."""
+    """Bytes that are not valid in this format."""
 
 
 class LaterFormat(StoreError):
-    """A file of a format number that this program doesn't know."""
+    """A file with a format number that this program does not know yet."""
 
 
 # ------------------------------------------------------------------------------------------------- batches
 
 
 class Op(NamedTuple):
-    """One operation as it stands in a segment."""
+    """One operation in a segment: a put or a deletion."""
 
     kind: int
     key: bytes
     value: bytes
     seq: int = 0
-    expires: int = 0  # milliseconds of the caller's clock, 0: never
-    offset: int = 0  # of its head, in the segment
+    expires: int = 0  # ms of the store's clock; 0: never
+    offset: int = 0  # of its header, in the segment
 
 
 @dataclass(slots=True)
 class Batch:
-    """Operations that become visible together, or not at all, and the conditions that they stand under."""
+    """Operations that are written together or not at all, and the versions that they require."""
 
     ops: list[Op] = field(default_factory=list)
     conditions: list[tuple[bytes, int]] = field(default_factory=list)
     size: int = 0  # of the frame's body, in bytes
 
     def put(self, key: bytes, value: bytes, expires: int = 0) -> Batch:
-        """Set a key. `expires` is when it ends, in ms of the store's clock (0: never)."""
+        """Sets a key. It expires at `expires`, in ms of the store's clock (0: never). Raises StoreError."""
         if len(value) > MAX_VALUE_BYTES:
             raise StoreError(f"value: {len(value)} bytes, at most {MAX_VALUE_BYTES}")
         if not -(2**63) <= expires < 2**63:
-            raise StoreError(f"expires: {expires} is no time in milliseconds")
-        return self._add(Op(PUT, _key(key), bytes(value), 0, int(expires)))
+            raise StoreError(f"expires: {expires} does not fit into 64 bits")
+        return self._add(Op(PUT, _checked_key(key), bytes(value), 0, int(expires)))
 
     def delete(self, key: bytes) -> Batch:
-        """Remove a key; one that is not there is no fault."""
-        return self._add(Op(DELETE, _key(key), b""))
+        """Deletes a key, which need not exist. Raises StoreError."""
+        return self._add(Op(DELETE, _checked_key(key), b""))
 
     def require(self, key: bytes, version: int) -> Batch:
-        """Write only if the key is at this version (0: absent) when the batch's turn comes."""
-        self.conditions.append((_key(key), version))
+        """Requires that the key has this version (0: absent) when the batch is committed."""
+        self.conditions.append((_checked_key(key), version))
         return self
 
     def _add(self, op: Op) -> Batch:
         size = self.size + op_size(op.key, len(op.value))
         if size > MAX_BODY_BYTES:
-            raise StoreError(f"batch: over {MAX_BODY_BYTES} bytes")
+            raise StoreError(f"batch: larger than {MAX_BODY_BYTES} bytes")
         self.ops.append(op)
         self.size = size
         return self
 
 
-def _key(key: bytes) -> bytes:
+def _checked_key(key: bytes) -> bytes:
     if not 1 <= len(key) <= MAX_KEY_BYTES:
-        raise StoreError(f"key: {len(key)} bytes, 1 to {MAX_KEY_BYTES} are possible")
+        raise StoreError(f"key: {len(key)} bytes, 1 to {MAX_KEY_BYTES} are allowed")
     return bytes(key)
 
 
 def op_size(key: bytes, value_size: int) -> int:
-    """Return the bytes that an operation takes in a frame's body."""
+    """Returns the size in bytes of an operation in a frame's body."""
     return OP_HEADER_BYTES + len(key) + value_size
 
 
@@ -128,24 +130,24 @@
 
 
 class SegmentName(NamedTuple):
-    """A segment's number and salt, which its file's name holds."""
+    """The number and the salt of a segment. They make up its file name."""
 
     number: int
     salt: int
 
     @property
     def file(self) -> str:
-        """The name of the segment's file."""
+        """The name of the segment file."""
         return f"{self.number:016x}-{self.salt:08x}.seg"
 
     @property
     def hint(self) -> str:
-        """The name of its hint file."""
+        """The name of the segment's hint file."""
         return f"{self.number:016x}-{self.salt:08x}.hint"
 
 
 def segment_name(file: str) -> SegmentName | None:
-    """The segment that a file's name means; None for any other name."""
+    """Parses the name of a segment or hint file; returns None for any other name."""
     match = _NAME.fullmatch(file)
     return SegmentName(int(match[1], 16), int(match[2], 16)) if match else None
 
@@ -154,35 +156,40 @@
 
 
 def encode_segment_header(name: SegmentName, replaces: tuple[int, ...] = ()) -> bytes:
-    """Return a segment's header; `replaces` are the numbers of a compaction's inputs."""
-    head = _SEGMENT.pack(SEGMENT_MAGIC, FORMAT, 0, name.salt, name.number, len(replaces))
+    """Returns a segment's header. `replaces` are the numbers of the segments compacted into it."""
+    head = _SEGMENT.pack(SEGMENT_MAGIC, FORMAT_VERSION, 0, name.salt, name.number, len(replaces))
     head += b"".join(struct.pack("<Q", number) for number in replaces)
     return head + _CRC.pack(crc32c(head))
 
 
 def segment_header_size(replaced: int) -> int:
-    """Return the bytes of a header that names this many replaced segments."""
+    """Returns the size in bytes of a segment header that lists this many replaced segments."""
     return _SEGMENT.size + 8 * replaced + _CRC.size
 
 
 def decode_segment_header(data: bytes, name: SegmentName) -> tuple[tuple[int, ...], int]:
-    """The numbers of the segments that this one replaces, and where its frames begin."""
+    """Returns the numbers of the replaced segments, and the offset of the first frame.
+
+    Raises Malformed, LaterFormat.
+    """
     if len(data) < _SEGMENT.size:
-        raise Malformed("header cut short")
-    magic, form, _, salt, number, count = _SEGMENT.unpack_from(data)
+        raise Malformed("header truncated")
+    magic, format_version, _, salt, number, count = _SEGMENT.unpack_from(data)
     end = segment_header_size(count) - _CRC.size
-    whole = len(data) >= end + _CRC.size and _CRC.unpack_from(data, end)[0] == crc32c(data[:end])
-    if (
-        magic == SEGMENT_MAGIC and form > FORMAT and whole
-    ):  # no later format may change the header's layout
-        raise LaterFormat(f"format {form}")
-    if not whole or magic != SEGMENT_MAGIC or (number, salt) != (name.number, name.salt):
+    intact = len(data) >= end + _CRC.size and _CRC.unpack_from(data, end)[0] == crc32c(data[:end])
+    # The layout of the header is the same in all later formats.
+    if magic == SEGMENT_MAGIC and format_version > FORMAT_VERSION and intact:
+        raise LaterFormat(f"format {format_version}")
+    if not intact or magic != SEGMENT_MAGIC or (number, salt) != (name.number, name.salt):
         raise Malformed("header damaged")
     return struct.unpack_from(f"<{count}Q", data, _SEGMENT.size), end + _CRC.size
 
 
 def encode_frame(ops: list[Op], salt: int, time: int, first: int | None = None) -> bytes:
-    """One batch. Its operations are numbered from `first` on; without it they have their numbers."""
+    """Returns the frame of one batch, written at `time` (ms).
+
+    Operations are numbered from `first` on; without it they keep their own sequence numbers.
+    """
     parts = []
     for at, op in enumerate(ops, first or 0):
         content = op.key + op.value
@@ -197,7 +204,7 @@
 
 
 class FrameHeader(NamedTuple):
-    """A frame's head: length and checksum of its body, and when it was written (ms)."""
+    """The header of a frame: length and checksum of its body, and the time of its write (ms)."""
 
     length: int
     time: int
@@ -205,7 +212,7 @@
 
 
 def decode_frame_header(data: bytes, at: int, salt: int) -> FrameHeader | None:
-    """A frame's head, if it can be believed."""
+    """Returns the frame header at an offset, None if its checksum or length is invalid."""
     if at + FRAME_HEADER_BYTES > len(data) or data[at : at + 4] != FRAME_MAGIC:
         return None
     end = at + _FRAME.size
@@ -216,7 +223,7 @@
 
 
 def decode_body(body: bytes, head: FrameHeader, salt: int, base: int) -> list[Op]:
-    """The operations of a frame's body, which begins at `base` in its segment. Raises Malformed."""
+    """Returns the operations of a frame body, which begins at `base` in its segment. Raises Malformed."""
     if len(body) != head.length or extend(salt, body) != head.crc:
         raise Malformed("body damaged")
     ops, at = [], 0
@@ -239,12 +246,12 @@
             )
             at = end
     except struct.error:
-        raise Malformed("operation cut short") from None
+        raise Malformed("operation truncated") from None
     return ops
 
 
 def read_value(data: bytes, key: bytes, salt: int) -> bytes | None:
-    """The value in one put's bytes, read for this key; None if they are not what was written."""
+    """Returns the value of an encoded put of this key, None if the bytes are damaged."""
     if len(data) < OP_HEADER_BYTES:
         return None
     kind, _, key_size, value_size, _, _, crc = _OP.unpack_from(data)
@@ -260,7 +267,7 @@
 
 
 def stored_op_crc(data: bytes, at: int) -> int:
-    """The checksum that an operation's head names, for its key and value."""
+    """Returns the checksum of key and value that an operation's header states."""
     return _CRC.unpack_from(data, at + OP_HEADER_BYTES - _CRC.size)[0]
 
 
@@ -272,27 +279,27 @@
 
 
 class HintWriter:
-    """A hint file's bytes, piece by piece, so that a large one needs little memory."""
+    """Builds a hint file in parts, so that a large one needs little memory."""
 
     def __init__(self, segment_size: int):
         self._count = 0
-        self.head = _HINT.pack(HINT_MAGIC, FORMAT, 0, 0, segment_size)
+        self.head = _HINT.pack(HINT_MAGIC, FORMAT_VERSION, 0, 0, segment_size)
         self._crc = crc32c(self.head)
 
     def add(self, entries: bytes, count: int) -> bytes:
-        """Count in what `encode_hint_entries` made."""
+        """Accounts for encoded entries in the count and the checksum, and returns them."""
         self._count += count
         self._crc = extend(self._crc, entries)
         return entries
 
     def end(self) -> bytes:
-        """Return the end of the file: the number of entries and a checksum."""
+        """Returns the end of the file: the count of entries and the checksum."""
         count = struct.pack("<Q", self._count)
         return count + _CRC.pack(extend(self._crc, count))
 
 
 def encode_hint_entries(ops: Iterable[HintEntry]) -> bytes:
-    """Return entries as they stand in a hint file."""
+    """Returns the encoded entries of a hint file."""
     pack = _HINT_ENTRY.pack
     parts = []
     for kind, key, value_size, offset, seq, expires in ops:
@@ -302,16 +309,18 @@
 
 
 def decode_hint(data: bytes, segment_size: int) -> Iterator[HintEntry]:
-    """The entries of a hint file that belongs to a segment of this size. Raises Malformed before the
-    first."""
+    """Returns the entries of the hint file of a segment of this size.
+
+    Raises Malformed here, before the first entry is returned.
+    """
     end = len(data) - _HINT_END.size
     if end < _HINT.size or _CRC.unpack_from(data, len(data) - _CRC.size)[0] != crc32c(
         data[: -_CRC.size]
     ):
         raise Malformed("hint damaged")
-    magic, form, _, _, size = _HINT.unpack_from(data)
-    if magic != HINT_MAGIC or form != FORMAT or size != segment_size:
-        raise Malformed("hint of another segment or format")
+    magic, format_version, _, _, size = _HINT.unpack_from(data)
+    if magic != HINT_MAGIC or format_version != FORMAT_VERSION or size != segment_size:
+        raise Malformed("hint file belongs to another segment or format")
     return _decode_hint_entries(data, end)
 
 
@@ -329,7 +338,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """Which segments make up the store, and the numbers that must never be used again."""
+    """The list of a store's segments, and the next unused segment and sequence numbers."""
 
     segments: tuple[SegmentName, ...] = ()
     next_segment: int = 1
@@ -337,7 +346,7 @@
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
-    """Return the manifest file."""
+    """Returns the content of the manifest file."""
     text = json.dumps(
         {
             "segments": [name.file for name in manifest.segments],
@@ -345,27 +354,27 @@
             "next_seq": manifest.next_seq,
         }
     ).encode()
-    data = _MANIFEST.pack(MANIFEST_MAGIC, FORMAT, 0, len(text)) + text
+    data = _MANIFEST.pack(MANIFEST_MAGIC, FORMAT_VERSION, 0, len(text)) + text
     return data + _CRC.pack(crc32c(data))
 
 
 def decode_manifest(data: bytes) -> Manifest:
-    """Raises Malformed, or LaterFormat."""
+    """Decodes a manifest file. Raises Malformed, LaterFormat."""
     if len(data) < _MANIFEST.size + _CRC.size:
-        raise Malformed("manifest cut short")
-    magic, form, _, length = _MANIFEST.unpack_from(data)
-    whole = len(data) == _MANIFEST.size + length + _CRC.size and _CRC.unpack_from(
+        raise Malformed("manifest truncated")
+    magic, format_version, _, length = _MANIFEST.unpack_from(data)
+    intact = len(data) == _MANIFEST.size + length + _CRC.size and _CRC.unpack_from(
         data, len(data) - _CRC.size
     )[0] == crc32c(data[: -_CRC.size])
-    if magic == MANIFEST_MAGIC and form > FORMAT and whole:
-        raise LaterFormat(f"format {form}")
-    if not whole or magic != MANIFEST_MAGIC or form != FORMAT:
+    if magic == MANIFEST_MAGIC and format_version > FORMAT_VERSION and intact:
+        raise LaterFormat(f"format {format_version}")
+    if not intact or magic != MANIFEST_MAGIC or format_version != FORMAT_VERSION:
         raise Malformed("manifest damaged")
     try:
         raw = json.loads(data[_MANIFEST.size : -_CRC.size])
         names = [segment_name(file) for file in raw["segments"]]
         if None in names:
-            raise Malformed("manifest names what is no segment")
+            raise Malformed("manifest lists an invalid segment name")
         return Manifest(tuple(names), int(raw["next_segment"]), int(raw["next_seq"]))
     except (ValueError, KeyError, TypeError):
-        raise Malformed("manifest of another form") from None
+        raise Malformed("manifest has unexpected fields") from None
--- a/yewrill/store/frames.py
+++ b/yewrill/store/frames.py
@@ -1,4 +1,4 @@
-"""Reading a segment frame by frame, whatever its bytes are: whole frames, and gaps that are none."""
+"""Reads a segment as intact frames and gaps between them. It never fails because of damaged bytes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Frame:
-    """A whole frame: where it begins and ends, when it was written (ms), its operations."""
+    """An intact frame: its offsets in the segment, when it was written (ms), its operations."""
 
     offset: int
     end: int
@@ -24,27 +24,30 @@
 
 @dataclass(slots=True)
 class Gap:
-    """Bytes that are no frame: in the middle, or up to the end of the file."""
+    """Bytes that are not an intact frame, between frames or at the end of the file (`tail`)."""
 
     start: int
     end: int
     tail: bool = False
-    explained: bool = False  # a tail that a write cut short leaves behind
+    torn: bool = False  # a tail that looks like a write cut short, not like damage
 
 
 class _DamagedBody(NamedTuple):
-    """A valid head whose body is damaged; the next frame begins at `end`."""
+    """A valid header whose body is damaged; the next frame begins at `end`."""
 
     end: int
 
 
 class _Incomplete(NamedTuple):
-    """A valid head whose body was never wholly written."""
+    """A valid header whose body extends beyond the end of the file."""
 
 
 def read_frames(handle: Handle, start: int, size: int, salt: int) -> Iterator[Frame | Gap]:
-    """Yield all of a segment from `start` to `size`, in order, in memory bounded by the largest frame."""
-    window, base = b"", start  # bytes read ahead, and where they begin
+    """Yields the frames and gaps of a segment from offset `start` to `size`, in order.
+
+    Memory use is bounded by the largest frame.
+    """
+    window, base = b"", start  # bytes read ahead, and their offset
 
     def take(at: int, count: int) -> bytes:
         nonlocal window, base
@@ -70,19 +73,19 @@
 def _gap_at(
     take: Callable[[int, int], bytes], at: int, size: int, salt: int, incomplete: bool
 ) -> Gap:
-    """Return the gap up to the next whole frame, or to the end of the file."""
+    """Returns the gap up to the next intact frame, or to the end of the file."""
     end = size if incomplete else _next_frame(take, at + 1, size, salt)
     if end < size:
         return Gap(at, end)
     cut_short = incomplete or size - at < fmt.FRAME_HEADER_BYTES
-    explained = cut_short or not any(take(at, min(size - at, READ_CHUNK_BYTES)))
-    return Gap(at, end, tail=True, explained=explained)
+    torn = cut_short or not any(take(at, min(size - at, READ_CHUNK_BYTES)))
+    return Gap(at, end, tail=True, torn=torn)
 
 
 def _frame_at(
     take: Callable[[int, int], bytes], at: int, size: int, salt: int
 ) -> Frame | _DamagedBody | _Incomplete | None:
-    """Return what begins there; None if it is no valid head."""
+    """Returns what begins at an offset, None if there is no valid frame header."""
     head = fmt.decode_frame_header(take(at, min(fmt.FRAME_HEADER_BYTES, size - at)), 0, salt)
     if head is None:
         return None
@@ -97,15 +100,15 @@
 
 
 def _next_frame(take: Callable[[int, int], bytes], at: int, size: int, salt: int) -> int:
-    """Return where the next whole frame begins; the end of the file if there is none."""
+    """Returns the offset of the next intact frame, or the end of the file if there is none."""
     while at < size:
         chunk = take(at, min(READ_CHUNK_BYTES // 2, size - at))
-        hit = chunk.find(fmt.FRAME_MAGIC)
-        if hit < 0:
-            # The magic may lie across two chunks.
+        position = chunk.find(fmt.FRAME_MAGIC)
+        if position < 0:
+            # The magic number may span two chunks.
             at += max(1, len(chunk) - len(fmt.FRAME_MAGIC) + 1)
             continue
-        at += hit
+        at += position
         if isinstance(_frame_at(take, at, size, salt), Frame):
             return at
         at += 1
--- a/yewrill/store/group_commit.py
+++ b/yewrill/store/group_commit.py
@@ -1,8 +1,9 @@
-"""Group commit: batches of many threads and tasks are written and synced as one.
+"""Group commit: batches of many threads and tasks share one write and one sync.
 
-The committing thread takes all queued batches, has the engine write and sync them as one, and notifies each
-waiter of its result. In mode `always` that is after the sync. In `interval` a batch is acknowledged when the
-system has it, and synced within the interval; in `never`, whenever the system likes.
+The committing thread takes the queued batches, has the engine write and sync them together, and notifies
+each waiter of its result. In mode `always` a batch is acknowledged after the sync. In `interval` it is
+acknowledged after the write and synced within the interval. In `never` the operating system decides when to
+sync.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
 MAX_GROUP_BYTES = 16 * 1024 * 1024
 FULL_QUEUE_RETRY_SECONDS = 0.1
 
-Done = Callable[[int | StoreError], None]
+ResultCallback = Callable[[int | StoreError], None]
 
 
 class _ThreadWaiter:
-    """A thread that waits for its batch; lighter than a future."""
+    """A thread that waits for its batch. It costs less than a future."""
 
     __slots__ = ("_lock", "_result")
 
@@ -73,7 +74,7 @@
 
 
 class GroupCommit:
-    """The queue of batches, and the thread that commits them. Methods may be called from any thread."""
+    """The queue of batches and the thread that commits them. Any thread may call its methods."""
 
     def __init__(
         self,
@@ -84,13 +85,13 @@
         interval: float,
         maintenance_due: threading.Event,
     ):
-        """`interval` in seconds; `maintenance_due` is set when a commit gives compaction work to do."""
+        """`interval` in seconds. `maintenance_due` is set when there may be segments to compact."""
         self._engine = engine
         self._clock = clock
         self._mode = mode
         self._interval = interval
         self._maintenance_due = maintenance_due
-        self._queue: deque[tuple[Batch, Done]] = deque()
+        self._queue: deque[tuple[Batch, ResultCallback]] = deque()
         self._queued_bytes = 0
         self._queue_changed = threading.Condition()
         self._committing = threading.Lock()
@@ -104,28 +105,31 @@
         """The number of queued batches."""
         return len(self._queue)
 
-    def submit(self, batch: Batch, done: Done) -> None:
-        """Queue a batch; `done` is called in another thread with its version, or with what went wrong.
+    def submit(self, batch: Batch, done: ResultCallback) -> None:
+        """Queues a batch. `done` is called in another thread with the batch's version, or a StoreError.
 
         Raises StoreQueueFull, StoreClosed.
         """
         self._enqueue(batch, done, wake=True)
 
-    def _enqueue(self, batch: Batch, done: Done, wake: bool) -> None:
+    def _enqueue(self, batch: Batch, done: ResultCallback, wake: bool) -> None:
         with self._queue_changed:
             if self._closing:
                 raise StoreClosed("the store is closed")
             if len(self._queue) >= MAX_QUEUED_BATCHES or (
                 self._queue and self._queued_bytes + batch.size > MAX_QUEUED_BYTES
             ):
-                raise StoreQueueFull(f"{len(self._queue)} batches wait already")
+                raise StoreQueueFull(f"{len(self._queue)} batches are queued already")
             self._queue.append((batch, done))
             self._queued_bytes += batch.size
             if wake:
                 self._queue_changed.notify_all()
 
     def write(self, batch: Batch) -> int:
-        """Write a batch and wait for its acknowledgement: its first operation's version; or StoreError."""
+        """Writes a batch and waits for its acknowledgement; returns its first operation's version.
+
+        Raises StoreError. Waits while the queue is full.
+        """
         waiter = _ThreadWaiter()
         while True:
             try:
@@ -134,8 +138,8 @@
             except StoreQueueFull:
                 with self._queue_changed:
                     self._queue_changed.wait(FULL_QUEUE_RETRY_SECONDS)
-        # If no thread is committing, this one does, which spares two changes of threads. The lock is released
-        # before the queue is checked for batches that came meanwhile, so that none stays unnoticed.
+        # If no thread is committing, this one does, which saves two context switches. The lock is released
+        # before the queue is checked for batches queued meanwhile, so that none is overlooked.
         if self._committing.acquire(blocking=False):
             try:
                 self._commit_queued()
@@ -147,7 +151,10 @@
         return waiter.result()
 
     async def awrite(self, batch: Batch) -> int:
-        """As `write`, without blocking trio's event loop. Cancellation ends the wait, not the write."""
+        """Like `write`, without blocking trio's event loop. Cancellation ends the wait, not the write.
+
+        Raises StoreQueueFull instead of waiting for space in the queue.
+        """
         waiter = _TaskWaiter(trio.lowlevel.current_trio_token())
         self.submit(batch, waiter)
         await waiter.event.wait()
@@ -156,13 +163,13 @@
         return waiter.value
 
     def close(self) -> None:
-        """Accept no further batch. `join` waits until the queued ones are written."""
+        """Rejects further batches. `join` waits until the queued ones are written."""
         with self._queue_changed:
             self._closing = True
             self._queue_changed.notify_all()
 
     def join(self) -> None:
-        """Wait for the end of the committing thread, after `close`."""
+        """Waits for the end of the committing thread, after `close`."""
         self._thread.join()
 
     # -- the committing thread
@@ -182,7 +189,7 @@
             self._sync_if_due()
 
     def _sync_due(self) -> float | None:
-        dirty = self._engine.dirty and self._engine.poison is None
+        dirty = self._engine.dirty and self._engine.poisoned_by is None
         return policy.sync_due(
             self._mode, dirty, self._dirty_since, time.monotonic(), self._interval
         )
@@ -201,7 +208,7 @@
         if group:
             self._commit(group)
 
-    def _take_group(self) -> list[tuple[Batch, Done]]:
+    def _take_group(self) -> list[tuple[Batch, ResultCallback]]:
         group, size = [], 0
         while self._queue and len(group) < MAX_GROUP_BATCHES:
             batch = self._queue[0][0]
@@ -214,28 +221,28 @@
         self._queued_bytes -= size
         return group
 
-    def _commit(self, group: list[tuple[Batch, Done]]) -> None:
+    def _commit(self, group: list[tuple[Batch, ResultCallback]]) -> None:
         engine = self._engine
-        clean, poisoned = not engine.dirty, engine.poison is not None
+        clean, poisoned = not engine.dirty, engine.poisoned_by is not None
         segments = engine.sealed_count
         try:
             results = engine.commit(
                 [batch for batch, _ in group], self._clock(), self._mode == "always"
             )
-        except Exception as error:  # an internal fault: those who wait must be notified
+        except Exception as error:  # a bug in the engine must not leave the waiters waiting
             log.exception("store_commit_fault")
-            results = [StoreError(f"internal fault: {error!r}")] * len(group)
+            results = [StoreError(f"internal error: {error!r}")] * len(group)
         if clean and engine.dirty:
             self._dirty_since = time.monotonic()
-        if engine.poison is not None and not poisoned:
-            log.error("store_poisoned %s", engine.poison)
+        if engine.poisoned_by is not None and not poisoned:
+            log.error("store_poisoned %s", engine.poisoned_by)
         _notify(group, results)
-        if engine.sealed_count != segments or engine.short:
+        if engine.sealed_count != segments or engine.low_on_space:
             self._maintenance_due.set()
 
 
-def _notify(group: list[tuple[Batch, Done]], results: list[int | StoreError]) -> None:
-    """Give each waiter its result, with one call into each event loop, however many of its tasks wait."""
+def _notify(group: list[tuple[Batch, ResultCallback]], results: list[int | StoreError]) -> None:
+    """Gives each waiter its result. Each event loop is called once, however many of its tasks wait."""
     tasks: dict[trio.lowlevel.TrioToken, list[_TaskWaiter]] = {}
     for (_, done), result in zip(group, results, strict=True):
         done(result)
--- a/yewrill/store/key_directory.py
+++ b/yewrill/store/key_directory.py
@@ -1,7 +1,7 @@
-"""The key directory: where the newest value of each key lies, and which older ones snapshots still see.
+"""The key directory: the location of each key's newest value, and of older ones that snapshots still need.
 
-Everything is guarded by `lock`, which is held for short moments only and never while a file is synced.
-Looking up one key needs no lock: the index's and the table's own operations are atomic.
+`lock` guards all of it. It is held only briefly, never while a file is synced. Looking up one key needs no
+lock, since single operations on the index and on the table of segments are atomic.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 
 class _ReplacedEntry(NamedTuple):
-    """An entry that a snapshot may still need: in force from its own number until this one."""
+    """An index entry that a snapshot may still need.
+
+    It was the newest from its own sequence number up to, and without, `until`.
+    """
 
     until: int
     entry: bytes
@@ -24,7 +27,7 @@
 
 
 class KeyDirectory:
-    """The index, the table of segments and the entries that open snapshots need."""
+    """The index, the table of segments and the replaced entries that open snapshots need."""
 
     def __init__(self, index: SortedDict, segments: dict[int, Segment], next_seq: int):
         self.lock = threading.RLock()
@@ -32,12 +35,12 @@
         self.segments = segments  # by slot
         self.next_seq = next_seq  # sequence number of the next operation
         self.history: SortedDict = SortedDict()  # key: list of _ReplacedEntry
-        self._snapshots: dict[int, int] = {}  # sequence numbers by the snapshots' handles
+        self._snapshots: dict[int, int] = {}  # last visible sequence number by handle
         self._next_slot = max(segments, default=-1) + 1
         self._next_snapshot = 0
 
     def take_slot(self) -> int:
-        """Return a slot that no segment has had."""
+        """Returns a new segment's slot. Slots are never reused."""
         with self.lock:
             self._next_slot += 1
             return self._next_slot - 1
@@ -45,26 +48,26 @@
     # -- changes
 
     def apply(self, segment: Segment, op: fmt.Op, seq: int, offset: int) -> None:
-        """Enter an operation that was written to a segment. Under the lock."""
+        """Adds an operation that was written to a segment. The caller holds the lock."""
         size = fmt.op_size(op.key, len(op.value))
-        segment.lowest = min(segment.lowest, seq)
+        segment.lowest_seq = min(segment.lowest_seq, seq)
         self._replace(op.key, seq)
         if op.kind == fmt.PUT:
             self.index[op.key] = ENTRY.pack(segment.slot, offset, len(op.value), seq, op.expires)
             segment.live += size
             if op.expires:
-                segment.note_expiry(op.expires, size)
+                segment.add_expiring_bytes(op.expires, size)
         else:
             self.index.pop(op.key, None)
             segment.deletions += size
 
     def remove_expired(self, key: bytes) -> None:
-        """Remove a key whose value has expired. Under the lock."""
+        """Removes a key whose value has expired. The caller holds the lock."""
         self._replace(key, self.next_seq)
         del self.index[key]
 
     def _replace(self, key: bytes, until: int) -> None:
-        """Count an entry that leaves the index as garbage, and retain it for the snapshots that see it."""
+        """Counts a key's entry as garbage, and keeps it in `history` if a snapshot still sees it."""
         entry = self.index.get(key)
         if entry is None:
             return
@@ -73,12 +76,15 @@
         size = fmt.op_size(key, value_size)
         segment.live -= size
         if expires:
-            segment.note_expiry(expires, -size)
+            segment.add_expiring_bytes(expires, -size)
         if self._snapshots and any(seq <= seen < until for seen in self._snapshots.values()):
             self.history.setdefault(key, []).append(_ReplacedEntry(until, entry, segment))
 
     def move(self, op: fmt.Op, output: Segment) -> None:
-        """Have a key's entry refer to its copy in a compaction's output, if it is still the newest."""
+        """Makes a key's entry refer to its copy in a compaction's output if it is still the newest.
+
+        The caller holds the lock.
+        """
         entry = self.index.get(op.key)
         if op.kind != fmt.PUT or entry is None:
             return
@@ -90,14 +96,18 @@
         self.segments[slot].live -= size
         output.live += size
         if expires:
-            self.segments[slot].note_expiry(expires, -size)
-            output.note_expiry(expires, size)
+            self.segments[slot].add_expiring_bytes(expires, -size)
+            output.add_expiring_bytes(expires, size)
 
     def remove_segments(self, segments: list[Segment]) -> int:
-        """Remove segments after their compaction; return how many keys had values only there."""
+        """Removes segments after their compaction.
+
+        Returns the number of keys that were lost since their only value was unreadable.
+        """
         with self.lock:
             lost: list[bytes] = []
-            if any(segment.live > 0 for segment in segments):  # entries without a whole frame
+            # Live bytes remain where a damaged frame could not be copied.
+            if any(segment.live > 0 for segment in segments):
                 slots = {segment.slot for segment in segments}
                 lost = [key for key, entry in self.index.items() if ENTRY.unpack(entry)[0] in slots]
                 for key in lost:
@@ -114,14 +124,14 @@
         return len(self._snapshots)
 
     def open_snapshot(self) -> tuple[int, int]:
-        """Return a new snapshot's handle, and the last sequence number that it sees."""
+        """Opens a snapshot; returns its handle and the last sequence number that it sees."""
         with self.lock:
             self._next_snapshot += 1
             self._snapshots[self._next_snapshot] = self.next_seq - 1
             return self._next_snapshot, self.next_seq - 1
 
     def close_snapshot(self, handle: int) -> None:
-        """Drop what only this snapshot could see. A second call has no effect."""
+        """Closes a snapshot and drops the entries that only it needed. A second call has no effect."""
         with self.lock:
             self._snapshots.pop(handle, None)
             if not self._snapshots:
@@ -138,7 +148,7 @@
                     del self.history[key]
 
     def entry_at(self, key: bytes, seq: int) -> tuple[Segment, bytes] | None:
-        """Return a key's segment and entry as of a sequence number. Under the lock."""
+        """Returns a key's segment and entry as of a sequence number. The caller holds the lock."""
         entry = self.index.get(key)
         if entry is not None and ENTRY.unpack(entry)[3] <= seq:
             return self.segments[ENTRY.unpack(entry)[0]], entry
--- a/yewrill/store/maintenance.py
+++ b/yewrill/store/maintenance.py
@@ -1,4 +1,4 @@
-"""Background maintenance: compaction at a bounded rate, hints, the space reserve."""
+"""Background maintenance: rate-limited compaction, missing hint files and the space reserve."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 log = logging.getLogger("yewrill.store")
 
-MAINTENANCE_INTERVAL_SECONDS = 5.0  # between checks for something to compact
-MAINTENANCE_RETRY_SECONDS = 30.0  # before the next try after a fault
-PACER_BURST_SECONDS = 0.25  # of work at the full rate that may be done at once
+MAINTENANCE_INTERVAL_SECONDS = 5.0  # between checks for segments to compact
+MAINTENANCE_RETRY_SECONDS = 30.0  # pause after an error
+PACER_BURST_SECONDS = 0.25  # work at the full rate that may be done without a pause
 
 
 class Maintenance:
-    """Compacts on demand, and in a thread of its own once `start` was called."""
+    """Compacts on demand, and in a background thread once `start` was called."""
 
     def __init__(self, engine: Engine, clock: Callable[[], int], rate: float, due: threading.Event):
-        """`rate` in bytes a second (0: unbounded); `due` is set by others when there may be work."""
+        """`rate` in bytes per second (0: unlimited); setting `due` wakes the background thread."""
         self._engine = engine
         self._clock = clock
         self._rate = rate
@@ -32,26 +32,29 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Begin the background work."""
+        """Starts the background thread."""
         self._thread = threading.Thread(target=self._run, name="store-maintain", daemon=True)
         self._thread.start()
 
     def stop(self) -> None:
-        """End the background work, in the middle of a compaction if need be; `join` waits for that."""
+        """Stops the background thread, even in the middle of a compaction; `join` waits for its end."""
         self._stop.set()
         self._due.set()
 
     def join(self) -> None:
-        """Wait for the end of the thread, if it was started."""
+        """Waits for the end of the background thread, if it was started."""
         if self._thread is not None:
             self._thread.join()
 
     def compact_everything(self, on_progress: Callable[[int], None]) -> int:
-        """Compact now, as far as that frees anything, and unpaced; return how many segments were merged."""
+        """Compacts all segments now, without rate limit; returns the number of segments merged.
+
+        `on_progress` is called with the bytes of each step.
+        """
         engine, merged = self._engine, 0
         with self._lock:
             engine.seal()
-            while numbers := engine.choose(self._clock(), everything=True):
+            while numbers := engine.choose_segments(self._clock(), everything=True):
                 for size in engine.compact(numbers, self._clock()):
                     on_progress(size)
                 merged += len(numbers)
@@ -81,23 +84,23 @@
 
     def _maintain(self) -> None:
         engine = self._engine
-        if engine.short:
+        if engine.low_on_space:
             engine.restore_reserve()
         burst = self._rate * PACER_BURST_SECONDS
-        pacer = policy.Pacer(self._rate, burst, at=time.monotonic())
-        while (numbers := engine.choose(self._clock())) and not engine.short:
+        pacer = policy.Pacer(self._rate, burst, updated_at=time.monotonic())
+        while (numbers := engine.choose_segments(self._clock())) and not engine.low_on_space:
             before = engine.compactions
             if not self._paced(engine.compact(numbers, self._clock()), pacer):
                 return
             if engine.compactions == before:
                 break
             log.info("store_compacted segments=%d", len(numbers))
-        if engine.short and (numbers := engine.choose(self._clock())):
+        if engine.low_on_space and (numbers := engine.choose_segments(self._clock())):
             self._paced(engine.compact(numbers, self._clock()), pacer)
         self._paced(engine.write_hints(), pacer)
 
     def _paced(self, work: Iterator[int], pacer: policy.Pacer) -> bool:
-        """Do work at the pacer's rate; whether it came to its end."""
+        """Does work at the pacer's rate; returns False if `stop` ended it early."""
         for size in work:
             if self._stop.wait(pacer.spend(size, time.monotonic())):
                 work.close()
--- a/yewrill/store/policy.py
+++ b/yewrill/store/policy.py
@@ -1,9 +1,11 @@
-"""Which segments to compact, when to sync, how fast to work in the background. No I/O, clock or randomness.
+"""The compaction policy, the sync schedule and the rate limit of background work.
 
-Compaction has two reasons. *Garbage*: a segment of which a good part is overwritten, deleted or expired
-frees its space. *Tiers*: many segments of about one size are merged to one of the next, so that their
-number grows with the logarithm of what is stored and each byte is rewritten about once a tier. Damaged
-segments go first: their whole records are copied to a new file.
+This module has no I/O, clock or randomness.
+
+A segment is compacted for one of two reasons. *Garbage*: much of it is overwritten, deleted or expired, and
+compaction frees that space. *Tiers*: segments of similar size are merged into one of the next tier, so that
+the number of segments grows with the logarithm of the stored bytes and each byte is rewritten about once per
+tier. Damaged segments come first: their intact records are copied to a new segment.
 """
 
 from __future__ import annotations
@@ -13,34 +15,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SegmentFacts:
-    """A sealed segment, as the choice needs to know it; sizes in bytes."""
+class SegmentStats:
+    """The sizes of a sealed segment, in bytes, on which the policy decides."""
 
     number: int
     size: int
-    live: int  # of records that a reader can still reach
-    deletions: int = 0  # of tombstones
+    live: int  # bytes of records that the index refers to
+    deletions: int = 0  # bytes of tombstones
     damaged: bool = False
 
     @property
     def garbage(self) -> int:
-        """Bytes that compaction would free."""
+        """The bytes that compaction frees."""
         return max(0, self.size - self.live - self.deletions)
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
-    """When a compaction is worth what it writes."""
+class CompactionRules:
+    """Thresholds from which a compaction is worth the bytes that it writes."""
 
-    min_garbage_ratio: float = 0.5  # of a segment
-    min_garbage_bytes: int = 64 * 1024  # bytes; less is not worth a file
-    fan_in: int = 6  # segments of a tier before they are merged
-    tier_factor: float = 4.0  # between the sizes of neighbouring tiers
-    min_tier_bytes: int = 256 * 1024  # bytes; all smaller segments are one tier
-    max_output_bytes: int = 128 * 1024 * 1024  # bytes that one compaction writes at most
+    min_garbage_ratio: float = 0.5  # garbage as a share of the segment's size
+    min_garbage_bytes: int = 64 * 1024  # less is not worth a new file
+    fan_in: int = 6  # segments in one tier from which they are merged
+    tier_factor: float = 4.0  # ratio of the size limits of neighbouring tiers
+    min_tier_bytes: int = 256 * 1024  # segments up to this size are the lowest tier
+    max_output_bytes: int = 128 * 1024 * 1024  # bound on the bytes that one compaction writes
 
     def tier(self, size: int) -> int:
-        """Return the tier of a segment of this size."""
+        """Returns the tier of a segment of this size."""
         tier = 0
         bound = self.min_tier_bytes
         while size > bound:
@@ -50,61 +52,70 @@
 
 
 def choose(
-    segments: Sequence[SegmentFacts], rules: Rules, writable_bytes: int | None = None
+    segments: Sequence[SegmentStats], rules: CompactionRules, writable_bytes: int | None = None
 ) -> list[int]:
-    """Return the numbers of the segments to compact into one, none if nothing is worth it.
+    """Returns the numbers of the segments to compact into one, an empty list if none is worth it.
 
-    `writable_bytes`: what can be written at most; None where the disk is not full. On a full disk, the choice
-    is whatever frees most for what it writes.
+    `writable_bytes` is None unless the disk is full; then it bounds the bytes that the compaction may write,
+    and the segments that free most bytes per byte written are chosen.
     """
     max_bytes = (
         rules.max_output_bytes
         if writable_bytes is None
         else min(rules.max_output_bytes, writable_bytes)
     )
-    if damaged := [s for s in segments if s.damaged and _surviving(s) <= max_bytes]:
+    if damaged := [
+        segment for segment in segments if segment.damaged and _surviving(segment) <= max_bytes
+    ]:
         return _fill(damaged, max_bytes)
     if writable_bytes is not None:
-        wasteful = [s for s in segments if s.garbage > 0]
+        wasteful = [segment for segment in segments if segment.garbage > 0]
     else:
         wasteful = [
-            s
-            for s in segments
-            if s.garbage >= rules.min_garbage_bytes
-            and s.garbage >= rules.min_garbage_ratio * s.size
+            segment
+            for segment in segments
+            if segment.garbage >= rules.min_garbage_bytes
+            and segment.garbage >= rules.min_garbage_ratio * segment.size
         ]
-    wasteful.sort(key=lambda s: (_surviving(s) / max(1, s.garbage), s.number))
+    wasteful.sort(
+        key=lambda segment: (_surviving(segment) / max(1, segment.garbage), segment.number)
+    )
     if chosen := _fill(wasteful, max_bytes):
         return chosen
     if writable_bytes is not None:
         return []
-    tiers: dict[int, list[SegmentFacts]] = {}
+    tiers: dict[int, list[SegmentStats]] = {}
     for segment in segments:
         tiers.setdefault(rules.tier(segment.size), []).append(segment)
     for tier in sorted(tiers):
         if len(tiers[tier]) >= rules.fan_in:
-            chosen = _fill(sorted(tiers[tier], key=lambda s: s.number), max_bytes)
+            chosen = _fill(sorted(tiers[tier], key=lambda segment: segment.number), max_bytes)
             if len(chosen) >= rules.fan_in:
                 return chosen
     return []
 
 
-def everything(segments: Sequence[SegmentFacts], rules: Rules) -> list[int]:
-    """Return what an operator's "compact now" takes: all that one output holds, most garbage first."""
-    worst = sorted(segments, key=lambda s: (-s.garbage / max(1, s.size), s.number))
+def choose_everything(segments: Sequence[SegmentStats], rules: CompactionRules) -> list[int]:
+    """Returns the segments that an explicit compaction merges next: as many as fit one output, most garbage
+    first."""
+    worst = sorted(
+        segments, key=lambda segment: (-segment.garbage / max(1, segment.size), segment.number)
+    )
     chosen = _fill(worst, rules.max_output_bytes)
-    lone = len(chosen) == 1 and not any(
-        s.garbage or s.deletions or s.damaged for s in segments if s.number in chosen
+    nothing_to_do = len(chosen) == 1 and not any(
+        segment.garbage or segment.deletions or segment.damaged
+        for segment in segments
+        if segment.number in chosen
     )
-    return [] if lone else chosen
+    return [] if nothing_to_do else chosen
 
 
-def _surviving(segment: SegmentFacts) -> int:
+def _surviving(segment: SegmentStats) -> int:
     return segment.live + segment.deletions
 
 
-def _fill(segments: Sequence[SegmentFacts], max_bytes: int) -> list[int]:
-    """Return as many of them as one output holds, in this order."""
+def _fill(segments: Sequence[SegmentStats], max_bytes: int) -> list[int]:
+    """Returns the numbers of the segments that fit one output, tried in the given order."""
     chosen, written = [], 0
     for segment in segments:
         if written + _surviving(segment) <= max_bytes:
@@ -113,35 +124,39 @@
     return chosen
 
 
-def may_drop_deletion(seq: int, others: Sequence[int]) -> bool:
-    """Whether a tombstone can be dropped: `others` are the lowest numbers in the segments that stay.
+def may_drop_tombstone(seq: int, remaining_lowest_seqs: Sequence[int]) -> bool:
+    """Whether compaction may drop a tombstone with sequence number `seq`.
 
-    An older record of the key can lie only in a segment whose lowest number is lower than the deletion's.
+    `remaining_lowest_seqs` are the lowest sequence numbers of the segments that are not compacted. Only a
+    segment whose lowest number is below the tombstone's can hold an older record of the key.
     """
-    return all(lowest > seq for lowest in others)
+    return all(lowest_seq > seq for lowest_seq in remaining_lowest_seqs)
 
 
 @dataclass(slots=True)
 class Pacer:
-    """A token bucket in bytes: how long background work must wait before it goes on."""
+    """A token bucket, in bytes, that limits the rate of background work. Times are monotonic seconds."""
 
-    rate: float  # bytes a second, 0: no bound
+    rate: float  # bytes per second; 0: unlimited
     burst: float
     tokens: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
     def spend(self, size: int, now: float) -> float:
-        """Seconds to wait after this much work at time `now` (seconds of any monotonic clock)."""
+        """Accounts for `size` bytes of work; returns the seconds to wait before the next."""
         if self.rate <= 0:
             return 0.0
-        self.tokens = min(self.burst, self.tokens + max(0.0, now - self.at) * self.rate)
-        self.at = now
+        self.tokens = min(self.burst, self.tokens + max(0.0, now - self.updated_at) * self.rate)
+        self.updated_at = now
         self.tokens -= size
         return max(0.0, -self.tokens / self.rate)
 
 
 def sync_due(mode: str, dirty: bool, since: float, now: float, interval: float) -> float | None:
-    """Seconds until what was written must be synced; 0 or less: now; None: not at all."""
+    """Returns the seconds until written data must be synced: 0 or less means now, None no sync.
+
+    `since` is when the oldest unsynced write was made; all times are in monotonic seconds.
+    """
     if not dirty or mode == "never":
         return None
     return 0.0 if mode == "always" else since + interval - now
--- a/yewrill/store/reader.py
+++ b/yewrill/store/reader.py
@@ -1,4 +1,7 @@
-"""Reading values: one key, a range of keys, and both as of a snapshot. Safe beside writes and compaction."""
+"""Reads of single keys and ranges of keys, now or as of a snapshot.
+
+They are safe while writes and compaction go on.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +15,13 @@
 from yewrill.store.key_directory import KeyDirectory
 from yewrill.store.segment import ENTRY, SLOT, Segment
 
-SCAN_CHUNK_KEYS = 512  # looked up under the lock at a time
+SCAN_CHUNK_KEYS = 512  # keys that are looked up at a time while the lock is held
 READ_AHEAD_BYTES = 64 * 1024
-MAX_LOOKUPS = 8  # of a key whose segment is compacted away meanwhile
+MAX_LOOKUPS = 8  # lookups of a key whose segment compaction removes in between
 
 
 class Found(NamedTuple):
-    """A value with its version (the number of the write that put it) and expiry (ms, 0: never)."""
+    """A value, its version (the sequence number of its put) and its expiry (ms, 0: never)."""
 
     value: bytes
     version: int
@@ -41,7 +44,7 @@
         self._findings = findings
 
     def get(self, key: bytes, now: int) -> Found | None:
-        """Return the value of a key, None if it is absent or expired. Raises DamagedValue."""
+        """Returns the value of a key, None if it is absent or expired. Raises DamagedValue."""
         for _ in range(MAX_LOOKUPS):
             entry = self._directory.index.get(key)
             if entry is None:
@@ -50,19 +53,21 @@
             if expires and expires <= now:
                 return None
             segment = self._directory.segments.get(slot)
-            if segment is not None:  # else it was compacted away this very moment
+            if segment is not None:  # else compaction removed it after the index lookup
                 return Found(self.read(segment, key, offset, size), seq, expires)
         raise DamagedValue(key, "no segment", 0)
 
     def read(self, segment: Segment, key: bytes, offset: int, size: int) -> bytes:
-        """Read one value and check it. Raises DamagedValue."""
+        """Reads one value and verifies its checksum. Raises DamagedValue."""
         data = segment.handle.read(fmt.OP_HEADER_BYTES + len(key) + size, offset)
         value = fmt.read_value(data, key, segment.name.salt)
         if value is None:
             end = offset + fmt.op_size(key, size)
             self._findings.add_damage(
                 segment,
-                Finding(FindingKind.DAMAGE, segment.name.file, offset, end, 1, "met by a reader"),
+                Finding(
+                    FindingKind.DAMAGE, segment.name.file, offset, end, 1, "detected by a read"
+                ),
             )
             raise DamagedValue(key, segment.name.file, offset)
         return value
@@ -70,7 +75,7 @@
     def rows(
         self, now: int, prefix: bytes, start: bytes, stop: bytes | None, reverse: bool
     ) -> Iterator[Row]:
-        """Yield the rows of a range of keys; each chunk is as of when the iteration gets there."""
+        """Yields the rows of a range of keys. Each chunk is read when the iteration reaches it."""
         low, high = key_range(prefix, start, stop)
         index, segments = self._directory.index, self._directory.segments
         while True:
@@ -88,30 +93,33 @@
                 low = chunk[-1][0] + b"\0"
 
     def read_chunk(self, entries: list[tuple[bytes, Segment, bytes]], now: int) -> Iterator[Row]:
-        """Read the values of entries, with read-ahead while they are adjacent in their segment."""
+        """Yields the rows of index entries, with read-ahead while they are adjacent in a segment."""
         unpack, head, extend, crc_of = (
             ENTRY.unpack,
             fmt.OP_HEADER_BYTES,
             fmt.extend,
             fmt.stored_op_crc,
         )
-        window, base, owner, after = b"", 0, None, -1
+        window, base, window_segment, previous_end = b"", 0, None, -1
         for key, segment, entry in entries:
             _, offset, size, seq, expires = unpack(entry)
             if expires and expires <= now:
                 continue
-            whole = head + len(key) + size
+            total_size = head + len(key) + size
             at = offset - base
-            if segment is not owner or at < 0 or at + whole > len(window):
-                near = segment is owner and 0 <= offset - after <= 4 * fmt.FRAME_HEADER_BYTES
+            if segment is not window_segment or at < 0 or at + total_size > len(window):
+                adjacent = (
+                    segment is window_segment
+                    and 0 <= offset - previous_end <= 4 * fmt.FRAME_HEADER_BYTES
+                )
                 window = segment.handle.read(
-                    max(whole, READ_AHEAD_BYTES if near else whole), offset
+                    max(total_size, READ_AHEAD_BYTES if adjacent else total_size), offset
                 )
-                base, owner, at = offset, segment, 0
-            after = offset + whole
-            content = window[at + head : at + whole]  # the key, and the value
+                base, window_segment, at = offset, segment, 0
+            previous_end = offset + total_size
+            content = window[at + head : at + total_size]  # the key, then the value
             if (
-                len(content) != whole - head
+                len(content) != total_size - head
                 or crc_of(window, at) != extend(segment.salt, content)
                 or not content.startswith(key)
             ):
@@ -120,7 +128,7 @@
 
 
 class Snapshot:
-    """A consistent view; `close` it, or use it in a `with` statement: it keeps old files open."""
+    """A consistent view of the store. It keeps old segment files open until it is closed."""
 
     def __init__(self, directory: KeyDirectory, reader: Reader, now: int):
         self._directory = directory
@@ -129,7 +137,7 @@
         self.now = now
 
     def get(self, key: bytes) -> Found | None:
-        """Return the value that the key had, None if it was absent or expired. Raises DamagedValue."""
+        """Returns the value of a key in this view, None if absent or expired. Raises DamagedValue."""
         with self._directory.lock:
             found = self._directory.entry_at(key, self.seq)
         if found is None:
@@ -148,7 +156,7 @@
         stop: bytes | None = None,
         reverse: bool = False,
     ) -> Iterator[tuple[bytes, Found]]:
-        """Yield keys and values as `Engine.scan`, all as of one moment."""
+        """Yields keys and values like `Engine.scan`, all as of the snapshot."""
         low, high = key_range(prefix, start, stop)
         while True:
             with self._directory.lock:
@@ -165,16 +173,19 @@
     def _next_chunk(
         self, low: bytes, high: bytes | None, reverse: bool
     ) -> tuple[list[tuple[bytes, Segment, bytes]], bytes | None]:
-        """Return entries, and the last key looked at if there may be more. Under the lock."""
-        # Keys of both maps, merged; the second holds what was overwritten or deleted since.
+        """Returns the next entries, and the last key covered if there may be more, else None.
+
+        The caller holds the lock.
+        """
+        # Merges the keys of both maps; `history` has the entries replaced or deleted since.
         keys: set[bytes] = set()
         ends = []
         for source in (self._directory.index, self._directory.history):
-            some = list(islice(source.irange(low, high, (True, False), reverse), SCAN_CHUNK_KEYS))
-            if len(some) == SCAN_CHUNK_KEYS:
-                ends.append(some[-1])
-            keys.update(some)
-        # Beyond the nearer end of the two, the other one may have keys that are not looked at yet.
+            listed = list(islice(source.irange(low, high, (True, False), reverse), SCAN_CHUNK_KEYS))
+            if len(listed) == SCAN_CHUNK_KEYS:
+                ends.append(listed[-1])
+            keys.update(listed)
+        # Beyond the nearer end, one of the maps may have keys that were not listed yet.
         end = (max(ends) if reverse else min(ends)) if ends else None
         chunk = []
         for key in sorted(keys, reverse=reverse):
@@ -185,7 +196,7 @@
         return chunk, end
 
     def close(self) -> None:
-        """End the view. A second call has no effect."""
+        """Closes the view. A second call has no effect."""
         self._directory.close_snapshot(self._handle)
 
     def __enter__(self) -> Snapshot:
@@ -196,10 +207,9 @@
 
 
 def key_range(prefix: bytes, start: bytes, stop: bytes | None) -> tuple[bytes, bytes | None]:
-    """Return the range of keys that a prefix and two ends leave: its first key, and the end that it
-    excludes (None: no end)."""
+    """Returns the first key and the excluded end (None: no end) of a range of keys with a prefix."""
     low = max(prefix, start)
     last = prefix.rstrip(b"\xff")
-    after = last[:-1] + bytes([last[-1] + 1]) if last else None
-    ends = [end for end in (after, stop) if end is not None]
+    prefix_end = last[:-1] + bytes([last[-1] + 1]) if last else None
+    ends = [end for end in (prefix_end, stop) if end is not None]
     return low, min(ends) if ends else None
--- a/yewrill/store/reserve.py
+++ b/yewrill/store/reserve.py
@@ -1,7 +1,6 @@
-"""Disk space set aside, so that a full store can still delete and compact.
+"""Reserved disk space that lets a store on a full disk still delete records and compact.
 
-Half of it may be used for deletions; the other half is for compaction, without which deletions would free
-nothing.
+Deletions may use half of it. The other half is for compaction, without which deletions free nothing.
 """
 
 from __future__ import annotations
@@ -12,25 +11,25 @@
 from yewrill.store.files import Files
 
 RESERVE = "RESERVE"  # the file that occupies the space
-METADATA_BYTES = 4096  # of the reserve, for manifests and directory entries
-DISK_FULL = (errno.ENOSPC, errno.EDQUOT)
+METADATA_BYTES = 4096  # share of the reserve for manifests and directory entries
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
 
 class SpaceReserve:
-    """The reserve of one store; `size` in bytes, 0 for none."""
+    """The space reserve of one store, a file of `size` bytes; 0 for no reserve."""
 
     def __init__(self, files: Files, size: int):
         self._files = files
         self.size = size
-        self.low = False  # the disk was full: the reserve is in use, or could not be had
+        self.low = False  # the disk was full: the reserve is in use or could not be allocated
 
     @property
     def compaction_bytes(self) -> int:
-        """What one compaction may write while the disk is full."""
+        """The bytes that one compaction may write while the disk is full."""
         return max(0, self.size // 2 - METADATA_BYTES)
 
     def restore(self) -> None:
-        """Set the space aside (again), if the disk has it."""
+        """Allocates the reserve (again) if the disk has the space."""
         if not self.size:
             return
         try:
@@ -39,10 +38,10 @@
                 self._files.reserve(RESERVE, self.size)
             self.low = False
         except OSError as error:
-            self.low = error.errno in DISK_FULL
+            self.low = error.errno in DISK_FULL_ERRNOS
 
     def release_half(self) -> bool:
-        """Give up the half that deletions may use; whether that has freed anything."""
+        """Frees the half that deletions may use; returns whether that freed any space."""
         self.low = True
         try:
             handle = self._files.open(RESERVE, write=True)
@@ -54,7 +53,7 @@
         return True
 
     def release(self) -> bool:
-        """Give up all of it; whether there was any."""
+        """Frees the whole reserve; returns whether there was any."""
         self.low = True
         try:
             self._files.remove(RESERVE)
@@ -63,7 +62,7 @@
         return True
 
     def write(self, write: Callable[[], None]) -> None:
-        """Write what compaction needs, if need be into the reserve. Raises OSError."""
+        """Calls `write`, and once more after freeing the reserve if the disk is full. Raises OSError."""
         try:
             write()
         except OSError as error:
--- a/yewrill/store/segment.py
+++ b/yewrill/store/segment.py
@@ -1,4 +1,4 @@
-"""An open segment, and the form of an index entry."""
+"""An open segment file, and the layout of an index entry."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from yewrill.store.files import Handle
 from yewrill.store.format import SegmentName
-from yewrill.store.policy import SegmentFacts
+from yewrill.store.policy import SegmentStats
 
-# Slot of the segment, offset of the operation in it, size of the value, sequence number, expiry. Packed,
-# since a tuple of five numbers takes four times the memory.
+# Slot of the segment, offset of the operation in it, size of the value, sequence number, expiry.
+# Entries are packed since a tuple of five numbers takes four times the memory.
 ENTRY = struct.Struct("<IIIQq")
-SLOT = struct.Struct("<I")  # its beginning
-TOMBSTONE = 0xFFFFFFFF  # as a value's size: the key was deleted; only while a directory is read
-EXPIRY_BUCKET_MS = 60_000  # expiries within it are counted together
+SLOT = struct.Struct("<I")  # the first field of ENTRY
+TOMBSTONE = 0xFFFFFFFF  # value size that marks a deleted key; used only during recovery
+EXPIRY_BUCKET_MS = 60_000  # records that expire within one bucket are counted together
 
 
 class Segment:
-    """One file of frames. Only the newest is written to; the file is closed with its last reader."""
+    """An open segment file. Commits append to the newest one only."""
 
     __slots__ = (
         "name",
@@ -25,14 +25,14 @@
         "handle",
         "slot",
         "size",
-        "start",
+        "frames_start",
         "live",
         "deletions",
-        "lowest",
+        "lowest_seq",
         "damaged",
         "hinted",
-        "output",
-        "expiring",
+        "from_compaction",
+        "expiring_bytes",
     )
 
     def __init__(self, name: SegmentName, handle: Handle, slot: int):
@@ -41,29 +41,31 @@
         self.handle = handle
         self.slot = slot
         self.size = 0
-        self.start = 0  # of the first frame
-        self.live = 0  # bytes of records that are in the index
-        self.deletions = 0  # bytes of deletions
-        self.lowest = 2**63  # sequence number
+        self.frames_start = 0  # offset of the first frame
+        self.live = 0  # bytes of records that the index refers to
+        self.deletions = 0  # bytes of tombstones
+        self.lowest_seq = 2**63  # lowest sequence number of its operations
         self.damaged = False
-        self.hinted = False
-        self.output = False  # made by compaction, so that numbers have holes
-        self.expiring: dict[int, int] = {}  # bytes of live records by the time of their expiry
+        self.hinted = False  # has a valid hint file
+        self.from_compaction = False  # written by compaction, so its sequence numbers have gaps
+        self.expiring_bytes: dict[int, int] = {}  # live bytes by expiry bucket
 
-    def note_expiry(self, expires: int, size: int) -> None:
-        """Add to (or, if negative, take from) the live bytes that expire at a time."""
+    def add_expiring_bytes(self, expires: int, size: int) -> None:
+        """Adds `size`, which may be negative, to the live bytes that expire at a time (ms)."""
         bucket = expires // EXPIRY_BUCKET_MS
-        left = self.expiring.get(bucket, 0) + size
+        left = self.expiring_bytes.get(bucket, 0) + size
         if left:
-            self.expiring[bucket] = left
+            self.expiring_bytes[bucket] = left
         else:
-            del self.expiring[bucket]
+            del self.expiring_bytes[bucket]
 
-    def facts(self, now: int) -> SegmentFacts:
-        """Return what the compaction policy needs to know; what has expired is not live."""
+    def stats(self, now: int) -> SegmentStats:
+        """Returns the sizes that the compaction policy needs; expired records count as garbage."""
         expired = sum(
-            size for bucket, size in self.expiring.items() if (bucket + 1) * EXPIRY_BUCKET_MS <= now
+            size
+            for bucket, size in self.expiring_bytes.items()
+            if (bucket + 1) * EXPIRY_BUCKET_MS <= now
         )
-        return SegmentFacts(
+        return SegmentStats(
             self.name.number, self.size, max(0, self.live - expired), self.deletions, self.damaged
         )
--- a/yewrill/store/simdisk.py
+++ b/yewrill/store/simdisk.py
@@ -1,13 +1,12 @@
-"""A directory in memory that can crash, and fail any call: what was synced apart from what was only written.
+"""A simulated directory in memory that can crash and fail any call. It tracks synced and unsynced data apart.
 
-It counts its calls. `crash_at` ends the process before a call of that number (`Crashed`, and at every call
-after it); `after_crash` then gives the directory as a power cut would leave it: of what was not synced,
-each write is lost, kept or torn by the given generator, independently of the others, and each change of a
-name is lost or kept. `fail` decides on a call before it is made: an errno, or SHORT for a write that takes
-a part.
+Calls are counted. The call with number `crash_at` and all later ones raise `Crashed`. `after_crash` then
+returns the directory as a power failure leaves it: each unsynced write is independently lost, kept or torn,
+and each unsynced change of a file name is lost or kept, as the given random generator decides. `fail` is
+called before each call and returns the errno to fail with, SHORT for a short write, or None.
 
-A sync that fails does what kernels do: the pages count as clean, so the next sync says yes and writes
-nothing.
+A failed sync behaves as in common kernels: the pages are marked clean, so the next sync succeeds without
+writing them.
 """
 
 from __future__ import annotations
@@ -20,24 +19,26 @@
 from yewrill.store.errors import StoreLocked
 
 SHORT = -1
-SECTOR = 512  # a torn write is kept to a multiple of this, in the disk's own order
+SECTOR_BYTES = 512  # sectors of a torn write are kept or lost one by one
 
-Fault = Callable[[int, str, str], int | None]  # number of the call, its name, the file's name
+Fault = Callable[[int, str, str], int | None]  # number and name of the call, file name
 
 
 class Crashed(BaseException):
-    """The process is gone."""
+    """The simulated process has crashed."""
 
 
-class _Node:
-    """A file: what readers see, what is on disk, and the writes between the two."""
+class _Inode:
+    """A file: its content as read, its synced content, and the unsynced writes."""
 
     __slots__ = ("data", "durable", "pending")
 
     def __init__(self, data: bytes = b""):
         self.data = bytearray(data)
         self.durable = bytearray(data)
-        self.pending: list[tuple[int, bytes | None]] = []  # offset and data; None: cut there
+        self.pending: list[
+            tuple[int, bytes | None]
+        ] = []  # offset and data; None: truncation to the offset
 
     def after_crash(self, rng: random.Random) -> bytes:
         found = bytearray(self.durable)
@@ -49,13 +50,13 @@
                 del found[offset:]
                 continue
             pieces = [(0, len(data))]
-            if fate < 0.65:  # torn: any of its sectors, or cut at any byte
+            if fate < 0.65:  # torn: some of its sectors, or cut at any byte
                 if rng.random() < 0.5:
                     pieces = [(0, rng.randrange(len(data) + 1))]
                 else:
                     pieces = [
-                        (at, min(at + SECTOR, len(data)))
-                        for at in range(0, len(data), SECTOR)
+                        (at, min(at + SECTOR_BYTES, len(data)))
+                        for at in range(0, len(data), SECTOR_BYTES)
                         if rng.random() < 0.5
                     ]
             for start, end in pieces:
@@ -66,46 +67,46 @@
 
 
 class _Handle:
-    def __init__(self, disk: SimulatedDisk, name: str, node: _Node, write: bool):
-        self._disk, self._name, self._node, self._write = disk, name, node, write
+    def __init__(self, disk: SimulatedDisk, name: str, inode: _Inode, write: bool):
+        self._disk, self._name, self._inode, self._write = disk, name, inode, write
 
     def read(self, size: int, offset: int) -> bytes:
         self._disk.call("read", self._name)
-        return bytes(self._node.data[offset : offset + size])
+        return bytes(self._inode.data[offset : offset + size])
 
     def write(self, data: bytes, offset: int) -> int:
         data = bytes(data)
         if self._disk.call("write", self._name) == SHORT:
             data = data[: max(1, len(data) // 2)]
-        node = self._node
-        grown = max(0, offset + len(data) - len(node.data))
+        inode = self._inode
+        grown = max(0, offset + len(data) - len(inode.data))
         if self._disk.capacity is not None:
             fits = max(0, self._disk.capacity - self._disk.used())
             if grown > fits:
                 data = data[: len(data) - grown + fits]
                 if not data:
                     raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        node.data.extend(bytes(max(0, offset - len(node.data))))
-        node.data[offset : offset + len(data)] = data
-        node.pending.append((offset, data))
+        inode.data.extend(bytes(max(0, offset - len(inode.data))))
+        inode.data[offset : offset + len(data)] = data
+        inode.pending.append((offset, data))
         return len(data)
 
     def truncate(self, size: int) -> None:
         self._disk.call("truncate", self._name)
-        del self._node.data[size:]
-        self._node.pending.append((size, None))
+        del self._inode.data[size:]
+        self._inode.pending.append((size, None))
 
     def sync(self) -> None:
         try:
             self._disk.call("sync", self._name)
         except OSError:
-            self._node.pending.clear()
+            self._inode.pending.clear()
             raise
-        self._node.durable = bytearray(self._node.data)
-        self._node.pending.clear()
+        self._inode.durable = bytearray(self._inode.data)
+        self._inode.pending.clear()
 
     def size(self) -> int:
-        return len(self._node.data)
+        return len(self._inode.data)
 
 
 class SimulatedDisk:
@@ -118,14 +119,15 @@
         self.capacity = capacity  # bytes that the disk has in all, None: no bound
         self.crashed = False
         self.read_only = False
-        self.synced_names = True  # False: syncing names is forgotten, to see that it matters
-        self._names: dict[str, _Node] = {}
-        self._durable: dict[str, _Node] = {}
-        self._changes: list[dict[str, _Node | None]] = []  # of names, not yet on disk
+        # If False, sync_names has no effect, so that tests can show that it is needed.
+        self.name_syncs_enabled = True
+        self._names: dict[str, _Inode] = {}
+        self._durable: dict[str, _Inode] = {}
+        self._changes: list[dict[str, _Inode | None]] = []  # unsynced changes of file names
         self._locked = False
 
     def call(self, operation: str, name: str) -> int | None:
-        """Count a call; die, fail or shorten it as planned."""
+        """Counts a call and injects the planned crash or error; returns SHORT for a short write."""
         if self.crashed:
             raise Crashed
         self.calls += 1
@@ -140,107 +142,107 @@
         return fault
 
     def used(self) -> int:
-        """Return the bytes of all files."""
-        return sum(len(node.data) for node in self._names.values())
+        """Returns the total size of all files in bytes."""
+        return sum(len(inode.data) for inode in self._names.values())
 
     # -- the calls of a directory
 
     def list(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Returns the names of all files, sorted."""
         self.call("list", "")
         return sorted(self._names)
 
     def open(self, name: str, *, write: bool = False, create: bool = False) -> _Handle:
-        """Open a file; `create` makes it if it is absent. Raises OSError."""
-        made = create and name not in self._names
-        self.call("create" if made else "open", name)
-        if made:
-            self._change({name: _Node()})
+        """Opens a file; `create` creates it if it does not exist. Raises OSError."""
+        creates = create and name not in self._names
+        self.call("create" if creates else "open", name)
+        if creates:
+            self._change({name: _Inode()})
         if name not in self._names:
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT), name)
         return _Handle(self, name, self._names[name], write)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, over any of the new name."""
+        """Renames a file and replaces any file with the new name."""
         self.call("rename", new)
         self._change({new: self._names[old], old: None})
 
     def remove(self, name: str) -> None:
-        """Remove a file. Raises FileNotFoundError."""
+        """Removes a file. Raises FileNotFoundError."""
         self.call("remove", name)
         if name not in self._names:
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT), name)
         self._change({name: None})
 
     def sync_names(self) -> None:
-        """Bring the directory's names to disk."""
+        """Syncs the directory: all creations, renames and removals so far are on disk."""
         self.call("sync_names", "")
-        if self.synced_names:
+        if self.name_syncs_enabled:
             self._durable = dict(self._names)
             self._changes.clear()
 
     def reserve(self, name: str, size: int) -> None:
-        """Make a file of this size whose blocks are allocated. Raises OSError."""
+        """Creates a file of this size whose disk blocks are allocated. Raises OSError."""
         self.call("reserve", name)
         allocated = len(self._names[name].data) if name in self._names else 0
         if self.capacity is not None and size - allocated > self.capacity - self.used():
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        self._change({name: _Node(bytes(size))})
+        self._change({name: _Inode(bytes(size))})
 
     def lock(self) -> None:
-        """Lock the directory for this process. Raises StoreLocked."""
+        """Locks the directory for this process. Raises StoreLocked."""
         if self._locked:
-            raise StoreLocked("held by another")
+            raise StoreLocked("the directory is locked by another process")
         self._locked = True
 
     def unlock(self) -> None:
-        """Release the directory."""
+        """Unlocks the directory."""
         self._locked = False
 
-    def _change(self, change: dict[str, _Node | None]) -> None:
+    def _change(self, change: dict[str, _Inode | None]) -> None:
         _apply(self._names, change)
         self._changes.append(change)
 
-    # -- after the end
+    # -- after a crash
 
     def after_crash(self, rng: random.Random) -> SimulatedDisk:
-        """The directory that the next process finds after a power cut."""
+        """Returns the directory that the next process finds after a power failure."""
         names = dict(self._durable)
         for change in self._changes:
             if rng.random() < 0.5:
                 _apply(names, change)
         found = SimulatedDisk()
-        # Two names may mean one file, if only half of a rename came through.
-        nodes = {id(node): _Node(node.after_crash(rng)) for node in names.values()}
-        found._names = {name: nodes[id(node)] for name, node in names.items()}
+        # Two names may refer to one file if only half of a rename is on disk.
+        inodes = {id(inode): _Inode(inode.after_crash(rng)) for inode in names.values()}
+        found._names = {name: inodes[id(inode)] for name, inode in names.items()}
         found._durable = dict(found._names)
         return found
 
     def after_kill(self) -> SimulatedDisk:
-        """The directory that the next process finds if only this one died: all that was written."""
+        """Returns the directory that the next process finds if only this process died: no write is lost."""
         found = SimulatedDisk()
-        found._names = {name: _Node(bytes(node.data)) for name, node in self._names.items()}
+        found._names = {name: _Inode(bytes(inode.data)) for name, inode in self._names.items()}
         found._durable = dict(found._names)
         return found
 
     # -- files as bytes, for tests and tools
 
     def dump(self) -> dict[str, bytes]:
-        """Return all files, as readers see them."""
-        return {name: bytes(node.data) for name, node in self._names.items()}
+        """Returns the content of all files by name, unsynced writes included."""
+        return {name: bytes(inode.data) for name, inode in self._names.items()}
 
     @classmethod
     def of(cls, contents: dict[str, bytes]) -> SimulatedDisk:
-        """Return a disk with these files, all synced."""
+        """Returns a disk with these files, all of them synced."""
         disk = cls()
-        disk._names = {name: _Node(data) for name, data in contents.items()}
+        disk._names = {name: _Inode(data) for name, data in contents.items()}
         disk._durable = dict(disk._names)
         return disk
 
 
-def _apply(names: dict[str, _Node], change: dict[str, _Node | None]) -> None:
-    for name, node in change.items():
-        if node is None:
+def _apply(names: dict[str, _Inode], change: dict[str, _Inode | None]) -> None:
+    for name, inode in change.items():
+        if inode is None:
             names.pop(name, None)
         else:
-            names[name] = node
+            names[name] = inode
--- a/yewrill/store/store.py
+++ b/yewrill/store/store.py
@@ -1,4 +1,4 @@
-"""A store as the rest of a program uses it: the engine with its threads, a blocking and a trio interface.
+"""The public interface of a store: the engine with its threads, for blocking callers and for trio.
 
 `GroupCommit` writes batches in one thread, `Maintenance` compacts in another.
 """
@@ -16,7 +16,7 @@
 from yewrill.store.engine import Engine
 from yewrill.store.files import Files, RealFiles
 from yewrill.store.format import Batch
-from yewrill.store.group_commit import Done, GroupCommit
+from yewrill.store.group_commit import GroupCommit, ResultCallback
 from yewrill.store.maintenance import Maintenance
 from yewrill.store.reader import Found, Snapshot
 
@@ -26,12 +26,12 @@
 
 
 def wall_clock() -> int:
-    """Milliseconds since the epoch."""
+    """Returns the milliseconds since the Unix epoch."""
     return int(time.time() * 1000.0)
 
 
 class Store:
-    """Opens a directory and locks it until `close`. Every method may be called from any thread."""
+    """A store that is open, with its directory locked, until `close`. Any thread may call its methods."""
 
     def __init__(
         self,
@@ -43,11 +43,14 @@
         segment_size: int = 32 * 1024 * 1024,
         reserve: int = 8 * 1024 * 1024,
         compaction_rate: float = 16 * 1024 * 1024,
-        rules: policy.Rules | None = None,
+        rules: policy.CompactionRules | None = None,
         maintain: bool = True,
     ):
-        """`interval` in seconds; sizes in bytes, `compaction_rate` in bytes a second (0: unbounded).
-        Raises StoreLocked if another process has the directory, OSError if there can be none."""
+        """Opens the store; creates the directory if it does not exist.
+
+        `interval` is in seconds, sizes are in bytes, `compaction_rate` is in bytes per second (0: unlimited).
+        Raises StoreLocked if another process has the store open, OSError if the directory can't be created.
+        """
         if mode not in MODES:
             raise ValueError(f"mode: {mode!r} is not one of {', '.join(MODES)}")
         self.mode = mode
@@ -72,42 +75,48 @@
 
     # -- writing
 
-    def submit(self, batch: Batch, done: Done) -> None:
-        """Queue a batch; `done` is called in another thread with its version, or with what went wrong.
+    def submit(self, batch: Batch, done: ResultCallback) -> None:
+        """Queues a batch. `done` is called in another thread with the batch's version, or a StoreError.
 
         Raises StoreQueueFull, StoreClosed.
         """
         self._group_commit.submit(batch, done)
 
     def write(self, batch: Batch) -> int:
-        """Write a batch and wait for its acknowledgement: its first operation's version; or StoreError."""
+        """Writes a batch and waits for its acknowledgement; returns its first operation's version.
+
+        Raises StoreError.
+        """
         return self._group_commit.write(batch)
 
     async def awrite(self, batch: Batch) -> int:
-        """As `write`, without blocking trio's event loop. Cancellation ends the wait, not the write."""
+        """Like `write`, without blocking trio's event loop. Cancellation ends the wait, not the write.
+
+        Raises StoreQueueFull instead of waiting for space in the queue.
+        """
         return await self._group_commit.awrite(batch)
 
     def put(self, key: bytes, value: bytes, expires: int = 0) -> int:
-        """Put one value; return its version. Raises StoreError."""
+        """Sets one key; returns its version. Raises StoreError."""
         return self.write(Batch().put(key, value, expires))
 
     def put_if(self, key: bytes, value: bytes, version: int, expires: int = 0) -> int:
-        """Put only over this version (0: only if absent). Raises Conflict."""
+        """Sets one key if it has this version (0: if absent). Raises Conflict, StoreError."""
         return self.write(Batch().require(key, version).put(key, value, expires))
 
     def delete(self, key: bytes) -> int:
-        """Delete one key; return the deletion's version. Raises StoreError."""
+        """Deletes one key; returns the version of the deletion. Raises StoreError."""
         return self.write(Batch().delete(key))
 
     # -- reading
 
     def get(self, key: bytes) -> bytes | None:
-        """A key's value, None if it has none or its time is over. Raises DamagedValue."""
+        """Returns the value of a key, None if it is absent or expired. Raises DamagedValue."""
         found = self.engine.get(key, self.clock())
         return None if found is None else found.value
 
     def find(self, key: bytes) -> Found | None:
-        """A key's value with its version and expiry."""
+        """Returns the value of a key with its version and expiry; as `get`."""
         return self.engine.get(key, self.clock())
 
     def scan(
@@ -118,38 +127,38 @@
         stop: bytes | None = None,
         reverse: bool = False,
     ) -> Iterator[tuple[bytes, bytes]]:
-        """Keys and values in order; see `Engine.scan`."""
+        """Yields keys and values in order; see `Engine.scan`."""
         for key, value, _, _ in self.engine.rows(self.clock(), prefix, start, stop, reverse):
             yield key, value
 
     def snapshot(self) -> Snapshot:
-        """Return the store as it is at this moment, for as long as the snapshot is open."""
+        """Returns a consistent view of the store at this moment; the caller closes it."""
         return self.engine.snapshot(self.clock())
 
     def stat(self) -> dict:
-        """Return the store's state as `yewrill store stat` prints it; sizes in bytes."""
+        """Returns figures and findings under the names that `yewrill store stat` prints; sizes in bytes."""
         return {
             **self.engine.stat(self.clock()),
             "mode": self.mode,
             "waiting": self._group_commit.queued,
         }
 
-    # -- maintenance and end
+    # -- maintenance and closing
 
     def compact(self, on_progress: Callable[[int], None] = lambda size: None) -> int:
-        """Compact now, as far as that frees anything, and unpaced; return how many segments were merged."""
+        """Compacts all segments now, without rate limit; returns the number of segments merged."""
         return self._maintenance.compact_everything(on_progress)
 
     def backup(
         self, target: str | Path | Files, on_progress: Callable[[int], None] = lambda size: None
     ) -> None:
-        """Copy the store as it is at this moment into an empty directory. Raises StoreError, OSError."""
+        """Copies the store as of now to an empty directory. Raises StoreError, OSError."""
         files = RealFiles(target) if isinstance(target, (str, Path)) else target
         for size in self.engine.backup(files):
             on_progress(size)
 
     def close(self) -> None:
-        """Write what is queued, sync, and unlock the directory."""
+        """Writes queued batches, syncs, and unlocks the directory."""
         self._group_commit.close()
         self._maintenance.stop()
         self._group_commit.join()
--- a/yewrill/store/verification.py
+++ b/yewrill/store/verification.py
@@ -1,4 +1,4 @@
-"""A check of every byte of a store's directory, which changes nothing."""
+"""Verification: a read-only check of every checksum in a store's directory."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class Verification:
-    """One check of a directory. Its methods raise OSError where a file can't be read."""
+    """One check of a directory. Raises OSError if a file can't be read."""
 
     def __init__(self, files: Files, progress: Callable[[int], None] = lambda size: None):
-        """`progress` is called with bytes as they are checked."""
+        """`progress` is called with the number of bytes after each frame."""
         self._files = files
         self._progress = progress
         self.findings: list[Finding] = []
         self.bytes_read = 0
 
     def run(self) -> None:
-        """Check segments, hints and manifest."""
+        """Checks the segments, hint files and manifest, and adds to `findings`."""
         present = self._files.list()
         for file in present:
             if (name := fmt.segment_name(file)) is None:
@@ -68,8 +68,8 @@
         for found in read_frames(handle, start, size, salt):
             if isinstance(found, Frame):
                 self._progress(found.end - found.offset)
-            elif start or found.start:  # else it is the header, which is reported already
-                kind = FindingKind.TORN if found.tail and found.explained else FindingKind.DAMAGE
+            elif start or found.start:  # else the gap is the damaged header, already reported
+                kind = FindingKind.TORN if found.tail and found.torn else FindingKind.DAMAGE
                 self._add(kind, file, found.start, found.end)
 
     def _check_manifest(self, present: list[str]) -> None:
@@ -84,4 +84,4 @@
             return
         for name in segments:
             if name.file not in present:
-                self._add(FindingKind.MISSING, name.file, note="named in the manifest")
+                self._add(FindingKind.MISSING, name.file, note="listed in the manifest")
