--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -159,7 +159,7 @@
         await w.until(
             lambda: (
                 persistent_state.store_open
-                and not persistent_state.attempts._finished_keys
+                and not persistent_state.attempts._keys_to_delete
                 and not persistent_state._disk._failure_logged
                 # Keys leave the list when a write of them begins: that it is done, only the store says.
                 and not list(persistent_state._disk.store.scan(prefix=ATTEMPT_PREFIX))
--- a/yewrill/persistence/attempt_journal.py
+++ b/yewrill/persistence/attempt_journal.py
@@ -1,8 +1,9 @@
-"""Write-ahead records of attempts that must not simply run twice, by this run and by earlier ones.
+"""Write-ahead records of attempts that are unsafe to repeat, of this run and of earlier ones.
 
-The record of such an attempt is on disk before the attempt's first byte is sent. It is deleted once its
-request is finished; that deletion is not waited for. What a run finds of earlier runs are therefore attempts
-that were in flight when these died.
+A *run* is one process of this dispatcher. These attempts are those of requests that are not idempotent, or
+idempotent only by key. The record of an attempt is on disk before the attempt's first byte is sent. It is
+deleted in the background after its request has finished. The records that a new run finds are therefore of
+attempts that were in flight when an earlier run died.
 """
 
 from __future__ import annotations
@@ -33,11 +34,10 @@
 from yewrill.store import Batch
 
 ATTEMPT_PREFIX = b"sent/"
-MAX_FINISHED_KEYS = (
-    512  # deletions that wait to be written; beyond it records end with their windows
-)
+# Records whose deletion exceeds this bound stay on disk until they expire.
+MAX_PENDING_DELETIONS = 512
 MAX_RECOVERED_ATTEMPTS = 100_000
-EXPIRY_CHECKS_PER_ROUND = 64  # requests of earlier runs checked for the end of their windows
+EXPIRY_CHECKS_PER_ROUND = 64  # requests of earlier runs checked per call of expire_recovered
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,19 +50,20 @@
 
 @dataclass(slots=True)
 class _TrackedRequest:
-    """A request in progress that must not simply run twice."""
+    """A request in progress whose attempts are recorded."""
 
     identity: RequestIdentity
     window_ms: float
-    earlier_runs_known: bool  # the records of earlier runs had been read when it arrived
-    key: bytes = b""  # of its record: the first attempt that may have run, else the last one
+    earlier_runs_known: bool  # all records of earlier runs were read when the request arrived
+    # Key of its record, which is that of the first attempt that may have run, else of the last attempt.
+    key: bytes = b""
     value: bytes = b""
     expires: int = 0  # wall clock, ms
-    confirmed: bool = False  # an attempt that may have run has ended
+    may_have_run: bool = False  # an attempt has ended whose outcome does not rule out that it ran
 
 
 class AttemptJournal:
-    """Records attempts before they are sent, and knows those that earlier runs left unfinished."""
+    """Records attempts before they are sent, and holds the attempts that earlier runs left unfinished."""
 
     def __init__(
         self,
@@ -74,36 +75,36 @@
         clocks: Callable[[], Clocks],
         run_id: str,
     ):
-        """`write` tells whether a batch is on disk; `run_id` is a part of the keys of this run's records."""
+        """`write` returns whether a batch is on disk; the keys of this run's records contain `run_id`."""
         self._disk = disk
         self._endpoints = endpoints
         self._non_idempotent_window_ms = non_idempotent_window_ms
         self._write = write
         self._clocks = clocks
         self._run_id = run_id
-        self._key_count = 0
+        self._keys_issued = 0
         self._recovered_attempts: dict[RequestIdentity, list[_RecoveredAttempt]] = {}
         self._requests: dict[Request, _TrackedRequest] = {}
-        self._finished_keys: list[bytes] = []
-        self.recovered = False  # all records of earlier runs have been read
-        # While another run of this dispatcher has the store: asks it to write a record (key, value).
+        self._keys_to_delete: list[bytes] = []
+        self.recovered = False  # all records of earlier runs were read
+        # Asks the run that has the store open to write a record (key, value); None if there is no such run.
         self.forward_record: Callable[[str, str], Awaitable[bool]] | None = None
 
     # -- attempts of earlier runs
 
     @property
     def recovered_count(self) -> int:
-        """The number of attempts of earlier runs that may still have run."""
+        """The number of attempts of earlier runs that may have run."""
         return sum(map(len, self._recovered_attempts.values()))
 
     def recover(self) -> bool:
-        """Read the records of earlier runs; whether all of them are known now. Blocks."""
+        """Reads the records of earlier runs; returns whether all were read. Blocks."""
         recovered: dict[RequestIdentity, list[_RecoveredAttempt]] = {}
         count = 0
         try:
             for name, value in self._disk.records(ATTEMPT_PREFIX):
                 if f"/{self._run_id}/" in name:
-                    continue  # this run's own, written by the run that had the store before
+                    continue  # of this run, forwarded to the run that had the store before
                 with suppress(ValueError, TypeError, KeyError):
                     record = AttemptRecord.decode(value)
                     recovered.setdefault(record.identity, []).append(
@@ -120,41 +121,49 @@
         return self.recovered
 
     def expire_recovered(self) -> None:
-        """Drop some of the recovered attempts that are past the longest window, in memory and on disk."""
+        """Deletes recovered attempts past the longest window, in memory and on disk.
+
+        Each call checks up to EXPIRY_CHECKS_PER_ROUND requests.
+        """
         now = self._clocks()
         oldest = list(itertools.islice(self._recovered_attempts, EXPIRY_CHECKS_PER_ROUND))
         for identity in oldest:
             attempts = self._recovered_attempts.pop(identity)
             if any(
-                min_age_ms(each.record.at, now) <= self._non_idempotent_window_ms
-                for each in attempts
+                min_age_ms(recovered_attempt.record.at, now) <= self._non_idempotent_window_ms
+                for recovered_attempt in attempts
             ):
-                self._recovered_attempts[identity] = attempts  # checked again after all others
+                # Moves the request to the end, so that the others are checked first.
+                self._recovered_attempts[identity] = attempts
             else:
-                self._finish(each.key for each in attempts)
+                self._queue_deletions(recovered_attempt.key for recovered_attempt in attempts)
 
-    def _find_earlier(self, identity: RequestIdentity, window_ms: float) -> EarlierAttempt | None:
+    def _find_earlier_attempt(
+        self, identity: RequestIdentity, window_ms: float
+    ) -> EarlierAttempt | None:
         attempts = self._recovered_attempts.get(identity)
         if attempts is None:
             return None
-        records = [each.record for each in attempts]
+        records = [recovered_attempt.record for recovered_attempt in attempts]
         earlier = estimate_earlier_attempt(records, self._clocks(), window_ms)
         if earlier is None:
             del self._recovered_attempts[identity]
-            self._finish(each.key for each in attempts)
+            self._queue_deletions(recovered_attempt.key for recovered_attempt in attempts)
         return earlier
 
     # -- requests of this run
 
     def begin_request(self, request: Request, spec: RequestClass, tenant: str) -> None:
-        """Track a request, as soon as its class and tenant are known, and note on it what an earlier run
-        may have done of it."""
+        """Starts to track a request, once its class and tenant are known.
+
+        Sets on the request the age, zone and cell of an attempt that an earlier run may have made of it.
+        """
         window_ms = retention_window_ms(spec, self._non_idempotent_window_ms)
         if window_ms <= 0:
             return
         identity = RequestIdentity(spec.name, tenant, _idempotency_key(request))
         self._requests[request] = _TrackedRequest(identity, window_ms, self.recovered)
-        earlier = self._find_earlier(identity, window_ms)
+        earlier = self._find_earlier_attempt(identity, window_ms)
         if earlier is None:
             return
         request.ran_ago = earlier.age_ms
@@ -168,12 +177,14 @@
         )
 
     async def record_attempt(self, attempt: Attempt) -> bool:
-        """Write an attempt's record; whether the attempt may be sent. To be awaited before its first byte."""
+        """Writes an attempt's record; returns whether the attempt may be sent.
+
+        It is awaited before the attempt's first byte is sent.
+        """
         tracked = self._requests.get(attempt.request)
-        if tracked is None or tracked.confirmed:
-            return (
-                True  # a confirmed request keeps the record of its first attempt that may have run
-            )
+        if tracked is None or tracked.may_have_run:
+            # The record stays that of the first attempt that may have run.
+            return True
         worker = self._endpoints.get(attempt.worker)
         if worker is None:
             return False
@@ -187,20 +198,21 @@
         if self._disk.store is None and self.forward_record is not None:
             return await self.forward_record(tracked.key.decode(), tracked.value.decode())
         if not tracked.earlier_runs_known:
-            return False  # an earlier run may have sent it; its records could not be read yet
-        return await self.write_with_finished(
+            return False  # an earlier run may have sent it: its records were not read yet
+        return await self.write_with_pending_deletions(
             Batch().put(tracked.key, tracked.value, tracked.expires)
         )
 
     def _new_key(self, identity: RequestIdentity) -> bytes:
-        self._key_count += 1
+        self._keys_issued += 1
         digest = hashlib.blake2b("\0".join(identity).encode(), digest_size=16).hexdigest()
-        return ATTEMPT_PREFIX + f"{digest}/{self._run_id}/{self._key_count}".encode()
+        return ATTEMPT_PREFIX + f"{digest}/{self._run_id}/{self._keys_issued}".encode()
 
     async def write_forwarded_record(self, key: str, value: str) -> bool:
-        """Write an attempt's record for another run of this dispatcher, which waits for the store.
+        """Writes an attempt's record for another run of this dispatcher, which waits for the store.
 
-        False if it can't be written, or if an earlier run may have sent that request.
+        Returns False if the record is invalid or can't be written, or if an earlier run may have sent the
+        request.
         """
         try:
             record = AttemptRecord.decode(ujson.loads(value))
@@ -209,54 +221,54 @@
         if not self.recovered or not key.startswith(ATTEMPT_PREFIX.decode()):
             return False
         window_ms = self._non_idempotent_window_ms
-        if self._find_earlier(record.identity, window_ms) is not None:
+        if self._find_earlier_attempt(record.identity, window_ms) is not None:
             return False
         return await self._write(
             Batch().put(key.encode(), value.encode(), _expiry(record, window_ms))
         )
 
     def attempt_finished(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Note an attempt's outcome; the record of one that may have run is not replaced any more."""
+        """Notes an attempt's outcome. The record of one that may have run is not replaced any more."""
         tracked = self._requests.get(attempt.request)
         if tracked is not None and outcome.policy_outcome not in NEVER_RAN:
-            tracked.confirmed = True
+            tracked.may_have_run = True
 
     def request_finished(self, request: Request) -> None:
-        """Note that a request has its answer and no attempt in flight: its record is deleted soon."""
+        """Queues the deletion of a request's record, since it has its answer and no attempt in flight."""
         tracked = self._requests.pop(request, None)
         if tracked is not None and tracked.key:
-            self._finish([tracked.key])
+            self._queue_deletions([tracked.key])
 
     # -- writing
 
     def put_records(self, batch: Batch) -> None:
-        """Add the records of all requests in progress to a batch."""
+        """Adds the records of all requests in progress to a batch."""
         for tracked in self._requests.values():
             if tracked.key:
                 batch.put(tracked.key, tracked.value, tracked.expires)
 
     @property
-    def has_finished(self) -> bool:
-        """Whether records of finished requests wait to be deleted."""
-        return bool(self._finished_keys)
+    def has_pending_deletions(self) -> bool:
+        """Whether deletions of records are pending."""
+        return bool(self._keys_to_delete)
 
-    def take_finished(self, batch: Batch) -> Batch:
-        """Move the deletions that wait into a batch."""
-        for key in self._finished_keys:
+    def take_pending_deletions(self, batch: Batch) -> Batch:
+        """Moves the pending deletions into a batch and returns it."""
+        for key in self._keys_to_delete:
             batch.delete(key)
-        self._finished_keys = []
+        self._keys_to_delete = []
         return batch
 
-    async def write_with_finished(self, batch: Batch) -> bool:
-        """Write a batch together with the deletions that wait; whether it is on disk."""
-        keys = self._finished_keys
-        written = await self._write(self.take_finished(batch))
-        if not written:  # else a later run would take them for attempts in flight
-            self._finish(keys)
+    async def write_with_pending_deletions(self, batch: Batch) -> bool:
+        """Writes a batch together with the pending deletions; returns whether it is on disk."""
+        keys = self._keys_to_delete
+        written = await self._write(self.take_pending_deletions(batch))
+        if not written:  # otherwise a later run takes them for attempts in flight
+            self._queue_deletions(keys)
         return written
 
-    def _finish(self, keys: Iterable[bytes]) -> None:
-        self._finished_keys = [*self._finished_keys, *keys][:MAX_FINISHED_KEYS]
+    def _queue_deletions(self, keys: Iterable[bytes]) -> None:
+        self._keys_to_delete = [*self._keys_to_delete, *keys][:MAX_PENDING_DELETIONS]
 
 
 def _expiry(record: AttemptRecord, window_ms: float) -> int:
@@ -264,5 +276,5 @@
 
 
 def _idempotency_key(request: Request) -> str:
-    """Return the name under which a client repeats a request: its key, else the request's own id."""
+    """Returns what identifies a client's repeats of a request: the idempotency key, else the request id."""
     return request.payload.single_header(b"idempotency-key") or request.id
--- a/yewrill/persistence/attempts.py
+++ b/yewrill/persistence/attempts.py
@@ -1,10 +1,10 @@
-"""Records of attempts, and what a later run may conclude from them. No I/O, no clock.
+"""Records of attempts, and the conclusions that a later run draws from them. No I/O, no clock.
 
-A record says that a request was about to be sent to a worker at a given time, and that its end was not
-recorded, so the worker may have run it. The age of a record serves two questions. Does the worker's cell
-still drop a duplicate? Then the age must not be underestimated. May the record be deleted? Then it must not
-be overestimated. Within one boot the monotonic clock answers both exactly. Over a reboot only the wall clock
-remains, which may have been set by up to `MAX_CLOCK_ADJUSTMENT_MS` in between.
+A record says that a request was about to be sent to a worker at a given time. As long as it exists, the end
+of the request is unknown, so the worker may have run it. The age of a record has two uses. To decide whether
+the worker's cell still drops a duplicate, it must not be underestimated. To decide whether the record may be
+deleted, it must not be overestimated. Within one boot the monotonic clock gives the exact age. Across a
+reboot only the wall clock is left, which may have been set by up to `MAX_CLOCK_ADJUSTMENT_MS` meanwhile.
 """
 
 from __future__ import annotations
@@ -15,30 +15,33 @@
 
 from yewrill.policy import interface as api
 
-LONG_AGO_MS = 1e12  # past every window
-MAX_CLOCK_ADJUSTMENT_MS = 2 * 3_600_000.0  # most by which a wall clock is assumed to be set
+LONG_AGO_MS = 1e12  # an age beyond every window
+MAX_CLOCK_ADJUSTMENT_MS = 2 * 3_600_000.0  # largest change of the wall clock that is allowed for
 
 
 @dataclass(frozen=True, slots=True)
 class Clocks:
-    """One reading: wall and monotonic clock in ms, and the boot id that the latter belongs to (or "")."""
+    """One reading of the wall clock and the monotonic clock, in ms.
+
+    `boot` is the boot id to which the monotonic time belongs; "" if the system has none.
+    """
 
     wall: float
     monotonic: float
     boot: str
 
     def encode(self) -> dict[str, Any]:
-        """Return the stored form; its keys are part of the store's format."""
+        """Returns the stored form; its keys are part of the store's format."""
         return {"wall": self.wall, "steady": self.monotonic, "boot": self.boot}
 
     @staticmethod
     def decode(raw: Mapping[str, Any]) -> Clocks:
-        """Read the stored form. Raises KeyError, TypeError or ValueError on anything else."""
+        """Reads the stored form. Raises KeyError, TypeError or ValueError on anything else."""
         return Clocks(float(raw["wall"]), float(raw["steady"]), str(raw["boot"]))
 
 
 class RequestIdentity(NamedTuple):
-    """What all repeats of a request share. `key` is the idempotency key, else the request id."""
+    """Identifies all repeats of a request. `key` is the idempotency key, else the request id."""
 
     request_class: str
     tenant: str
@@ -47,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptRecord:
-    """An attempt that is about to go out."""
+    """The record of an attempt that is about to be sent."""
 
     request_class: str
     tenant: str
@@ -59,11 +62,11 @@
 
     @property
     def identity(self) -> RequestIdentity:
-        """What all repeats of the request share."""
+        """The identity that all repeats of the request share."""
         return RequestIdentity(self.request_class, self.tenant, self.key)
 
     def encode(self) -> dict[str, Any]:
-        """Return the stored form; its keys are part of the store's format."""
+        """Returns the stored form; its keys are part of the store's format."""
         return {
             "class": self.request_class,
             "tenant": self.tenant,
@@ -76,7 +79,7 @@
 
     @staticmethod
     def decode(raw: Mapping[str, Any]) -> AttemptRecord:
-        """Read the stored form. Raises KeyError, TypeError or ValueError on anything else."""
+        """Reads the stored form. Raises KeyError, TypeError or ValueError on anything else."""
         return AttemptRecord(
             str(raw["class"]),
             str(raw["tenant"]),
@@ -90,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EarlierAttempt:
-    """How long ago the first attempt that may have run was sent, and in which zone and cell."""
+    """Age, zone and cell of the first attempt of a request that may have run."""
 
     age_ms: float
     zone: int
@@ -98,7 +101,7 @@
 
 
 def retention_window_ms(request_class: api.RequestClass, non_idempotent_window_ms: float) -> float:
-    """Return for how long (ms) attempts of this class are kept on record; 0: not at all."""
+    """Returns how long (ms) records of attempts of this class are kept; 0: none are written."""
     if request_class.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY:
         return request_class.window
     return (
@@ -109,7 +112,7 @@
 
 
 def min_age_ms(at: Clocks, now: Clocks) -> float:
-    """Return a lower bound of the time since then, in ms."""
+    """Returns a lower bound of the time since `at`, in ms."""
     if _same_boot(at, now):
         return max(0.0, now.monotonic - at.monotonic)
     by_wall_clock_ms = now.wall - at.wall - MAX_CLOCK_ADJUSTMENT_MS
@@ -118,11 +121,11 @@
 
 
 def max_age_ms(at: Clocks, now: Clocks) -> float:
-    """Return an upper bound of the time since then, in ms."""
+    """Returns an upper bound of the time since `at`, in ms."""
     if _same_boot(at, now):
         return max(0.0, now.monotonic - at.monotonic)
     if now.wall < at.wall:
-        return LONG_AGO_MS  # the clock was set back: there is no upper bound
+        return LONG_AGO_MS  # the wall clock was set back, so there is no upper bound
     return now.wall - at.wall + MAX_CLOCK_ADJUSTMENT_MS
 
 
@@ -134,12 +137,12 @@
 def estimate_earlier_attempt(
     records: Iterable[AttemptRecord], now: Clocks, window_ms: float
 ) -> EarlierAttempt | None:
-    """Combine all records of one request; None if every one is certainly past its window."""
+    """Combines all records of one request; returns None if all of them are certainly past the window."""
     within_window = [record for record in records if min_age_ms(record.at, now) <= window_ms]
     if not within_window:
         return None
     first = max(within_window, key=lambda record: max_age_ms(record.at, now))
     age_ms = max_age_ms(first.at, now)
     if len({(record.zone, record.cell) for record in within_window}) > 1:
-        age_ms = LONG_AGO_MS  # no single cell can recognise all of them
+        age_ms = LONG_AGO_MS  # no single cell can detect all duplicates
     return EarlierAttempt(age_ms, first.zone, first.cell)
--- a/yewrill/persistence/clock.py
+++ b/yewrill/persistence/clock.py
@@ -1,4 +1,4 @@
-"""Reading the clocks that stored records carry."""
+"""Reads the clocks for the times in stored records."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from yewrill.persistence.attempts import Clocks
 
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
-# Windows are counted by the monotonic clock; the store's own expiry, by the wall clock, only bounds the
-# lifetime of records that no later run reads.
+# Windows are measured with the monotonic clock where possible. The store's own expiry uses the wall clock
+# and only limits the lifetime of records that no later run reads, hence the margin.
 EXPIRY_MARGIN_MS = 24 * 3_600_000.0
 
 
 def read_boot_id() -> str:
-    """Return the id of the machine's current boot; "" where the system has none."""
+    """Returns the id of the machine's current boot; "" where the system has none."""
     try:
         return BOOT_ID_PATH.read_text().strip()
     except OSError:
@@ -22,5 +22,5 @@
 
 
 def read_clocks(boot_id: str) -> Clocks:
-    """Return the clocks as they stand now, in ms."""
+    """Returns a reading of the clocks now, in ms."""
     return Clocks(time.time() * 1000.0, time.monotonic() * 1000.0, boot_id)
--- a/yewrill/persistence/disk.py
+++ b/yewrill/persistence/disk.py
@@ -1,8 +1,8 @@
-"""The store below the persistent state: opening, writes with a time limit, reopening after a failed sync.
+"""The store under the persistent state: opening, writes with a timeout, reopening after a failed sync.
 
 A store whose sync has failed accepts no further write, since it is unknown which of its pages are on disk.
-`Disk` closes and reopens it, which begins a new segment: no page is synced twice. The user of the store then
-writes its whole state again (`on_reopened`).
+`Disk` closes and reopens it. The reopened store writes to a new segment, so that no page is synced twice.
+The owner of the state then writes all of it again (`on_reopened`).
 """
 
 from __future__ import annotations
@@ -21,13 +21,15 @@
 log = logging.getLogger("yewrill.state")
 
 SEGMENT_BYTES = 4 * 1024 * 1024
-LOCK_RETRY_SECONDS = 0.25  # between tries to open a store that another run has locked
-# Exponential backoff between tries to reopen a store whose sync failed.
-REOPEN_MIN_SECONDS, REOPEN_FACTOR, REOPEN_MAX_SECONDS = 0.1, 2.0, 5.0
+LOCK_RETRY_SECONDS = 0.25  # between attempts to open a store that another process has locked
+# Exponential backoff between attempts to reopen a store whose sync failed.
+REOPEN_MIN_SECONDS = 0.1
+REOPEN_FACTOR = 2.0
+REOPEN_MAX_SECONDS = 5.0
 
 
 class WriteFailure(Enum):
-    """Why a write is not known to be on disk."""
+    """The reason why a write is not certainly on disk. The log has the member's name in lower case."""
 
     NO_STORE = "no store is open"
     SLOW_DISK = "slow disk"
@@ -36,31 +38,31 @@
 
 
 class Unreadable(Exception):
-    """The disk failed a read, so there may be more records; a later read may succeed."""
+    """A read of the disk failed, so there may be more records. A later read may succeed."""
 
 
 class Disk:
-    """One store, which this process or another run of this dispatcher has open."""
+    """The store in `state_dir`. During a hot restart another process may have it open."""
 
     def __init__(self, config: StateConfig, on_reopened: Callable[[], Awaitable[None]]):
-        """`on_reopened` is awaited after each reopening and must write all state again."""
+        """`on_reopened` is awaited after each reopening and has to write the whole state again."""
         self._config = config
         self._store: Store | None = None
         self._closing = False
         self._on_reopened = on_reopened
         self._reopen_needed = trio.Event()
-        self._failure_logged = False  # and no write has succeeded since
+        self._failure_logged = False  # a failure was logged, and no write has succeeded since
         self.reopen_count = 0
 
     @property
     def store(self) -> Store | None:
-        """The open store; None while this process has none."""
+        """The open store, None while this process has none open."""
         return self._store
 
     def open(self) -> None:
-        """Open the store. Blocks.
+        """Opens the store. Blocks.
 
-        Raises StoreLocked while another run has it, OSError if it can't be created.
+        Raises StoreLocked while another process has it open, OSError if it can't be created.
         """
         self._store = Store(
             self._config.path,
@@ -71,7 +73,7 @@
         )
 
     def close(self, last: Batch) -> None:
-        """Write a last batch and close the store. Blocks."""
+        """Writes a last batch and closes the store. Blocks."""
         self._closing = True
         store, self._store = self._store, None
         if store is None:
@@ -82,7 +84,10 @@
         store.close()
 
     async def open_when_released(self) -> None:
-        """Open the store once the run that has it exits. Cancellation between two tries leaves it closed."""
+        """Opens the store once the process that has it open exits.
+
+        Cancellation between two attempts leaves the store closed.
+        """
         while True:
             try:
                 await trio.to_thread.run_sync(self.open)
@@ -91,7 +96,9 @@
                 await trio.sleep(LOCK_RETRY_SECONDS)
 
     async def write(self, batch: Batch) -> WriteFailure | None:
-        """Write, and wait at most `patience_ms`: None once it is on disk, else why that is not certain.
+        """Writes a batch with a timeout of `patience_ms`.
+
+        Returns None once the batch is on disk, else the reason why that is not certain.
 
         A write that timed out or was cancelled may still reach the disk.
         """
@@ -121,10 +128,10 @@
         return WriteFailure.SLOW_DISK, WriteFailure.SLOW_DISK.value
 
     async def reopen_after_failed_syncs(self) -> None:
-        """Reopen the store each time a sync of it has failed. Runs until cancelled."""
+        """Reopens the store each time a sync of it has failed. Runs until cancelled."""
         while True:
             await self._reopen_needed.wait()
-            self._reopen_needed = trio.Event()  # a write may fail again during the reopening
+            self._reopen_needed = trio.Event()  # a write may fail again while the store is reopened
             await self._reopen()
 
     async def _reopen(self) -> None:
@@ -151,9 +158,9 @@
             store.close()
 
     def records(self, prefix: bytes) -> Iterator[tuple[str, dict]]:
-        """Yield the rest of the key and the JSON value of each record under a prefix. Blocks.
+        """Yields the key without the prefix and the decoded JSON value of each record under a prefix. Blocks.
 
-        Damaged records are skipped and logged. Raises Unreadable where the disk failed.
+        Invalid JSON is skipped. Damage ends the iteration and is logged. Raises Unreadable if a read fails.
         """
         if self._store is None:
             return
--- a/yewrill/persistence/operator_state.py
+++ b/yewrill/persistence/operator_state.py
@@ -1,4 +1,4 @@
-"""What operators have set, as records of the store: detached and reattached workers, the operator drain."""
+"""Operators' settings as records of the store: detached and reattached workers, the operator drain."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 from yewrill.persistence.disk import Disk, Unreadable
 from yewrill.store import Batch, StoreError
 
-DETACHED_PREFIX, REATTACHED_PREFIX = b"out/", b"back/"
+DETACHED_PREFIX = b"out/"
+REATTACHED_PREFIX = b"back/"
 OPERATOR_DRAIN_KEY = b"lame"
 ENDPOINT_LIST_KEY = b"list"
 REATTACHED_RETENTION_MS = REATTACHED_RETENTION_SECONDS * 1000.0
@@ -23,15 +24,17 @@
 
 @dataclass(slots=True)
 class RestoredState:
-    """What the last run left, apart from its attempts."""
+    """The state that the last run stored, without its attempts."""
 
     detached: list[str] = field(default_factory=list)
-    reattached: dict[str, float] = field(default_factory=dict)  # worker: how long ago, in ms
+    reattached: dict[str, float] = field(
+        default_factory=dict
+    )  # worker: time since it was reattached, in ms
     operator_drain: bool = False
-    endpoint_list: dict[str, Any] | None = None  # in the form of discovery's answers
+    endpoint_list: dict[str, Any] | None = None  # in the format of discovery responses
 
     def as_message(self) -> dict[str, Any]:
-        """Return the form in which the old process of a hot restart sends the same to the new one."""
+        """Returns the message in which the old process of a hot restart sends this state to the new one."""
         return {
             "out": self.detached,
             "back": self.reattached,
@@ -41,7 +44,7 @@
 
 
 def read_state(disk: Disk, now: Clocks) -> RestoredState:
-    """Read all that can be read; what cannot is left at its default. Blocks."""
+    """Reads the state. Unreadable parts keep their defaults. Blocks."""
     state = RestoredState()
     with suppress(Unreadable):
         state.detached = [name for name, _ in disk.records(DETACHED_PREFIX)]
@@ -63,7 +66,7 @@
 
 
 def stored_worker_keys(disk: Disk) -> list[bytes]:
-    """Return the keys of all detached and reattached workers; none if the disk fails. Blocks."""
+    """Returns the keys of all detached and reattached workers, an empty list if a read fails. Blocks."""
     with suppress(Unreadable):
         return [
             prefix + name.encode()
@@ -74,17 +77,17 @@
 
 
 def put_detached(batch: Batch, name: str) -> Batch:
-    """Add the record of a detached worker."""
+    """Adds the record of a detached worker."""
     return batch.put(DETACHED_PREFIX + name.encode(), b"{}")
 
 
 def put_reattached(batch: Batch, name: str, age_ms: float, now: Clocks) -> Batch:
-    """Add the record of a worker that was reattached `age_ms` before `now`."""
+    """Adds the record of a worker that was reattached `age_ms` before `now`."""
     at = Clocks(now.wall - age_ms, now.monotonic - age_ms, now.boot)
     expires = int(now.wall + REATTACHED_RETENTION_MS + EXPIRY_MARGIN_MS)
     return batch.put(REATTACHED_PREFIX + name.encode(), ujson.dumps(at.encode()).encode(), expires)
 
 
 def put_operator_drain(batch: Batch, on: bool) -> Batch:
-    """Add the record of the operator drain, or its deletion."""
+    """Adds the record of the operator drain, or the deletion of that record."""
     return batch.put(OPERATOR_DRAIN_KEY, b"1") if on else batch.delete(OPERATOR_DRAIN_KEY)
--- a/yewrill/persistence/persistent_state.py
+++ b/yewrill/persistence/persistent_state.py
@@ -1,8 +1,7 @@
-"""What the rest of the program uses of the persistent state: operators' settings, endpoint list, attempts.
+"""The interface of the persistent state: operators' settings, the endpoint list and records of attempts.
 
-Order, where it matters: the record of an attempt that must not simply run twice is on disk before the
-attempt's first byte is sent, and an operator's setting before its call is answered. Everything else is
-written in the background.
+The record of an attempt is on disk before the attempt's first byte is sent, and an operator's setting before
+its management call is answered. Everything else is written in the background.
 """
 
 from __future__ import annotations
@@ -40,7 +39,10 @@
 
 
 class PersistentState:
-    """What outlasts this process. `open_store` comes first; `attempts` holds the records of attempts."""
+    """The state that outlives this process. `open_store` is called before other methods.
+
+    `attempts` is the journal of attempts.
+    """
 
     def __init__(
         self,
@@ -51,7 +53,7 @@
         clocks: Callable[[], Clocks] | None = None,
         run_id: str | None = None,
     ):
-        """`clocks` and `run_id` replace the system's clocks and a random id."""
+        """`clocks` defaults to the system's clocks, `run_id` to a random id."""
         if clocks is None:
             clocks = partial(read_clocks, read_boot_id())
         self._endpoints = endpoints
@@ -73,15 +75,15 @@
     # -- opening and closing
 
     def open_store(self) -> None:
-        """Open the store. Blocks.
+        """Opens the store. Blocks.
 
-        Raises StoreLocked while another run has it, OSError if it can't be created.
+        Raises StoreLocked while another process has it open, OSError if it can't be created.
         """
         self._disk.open()
 
     def close_store(self) -> None:
-        """Write what waits and close the store. Blocks."""
-        self._disk.close(self.attempts.take_finished(Batch()))
+        """Writes the pending deletions and closes the store. Blocks."""
+        self._disk.close(self.attempts.take_pending_deletions(Batch()))
 
     @property
     def store_open(self) -> bool:
@@ -89,12 +91,12 @@
         return self._disk.store is not None
 
     async def take_over_store(self) -> None:
-        """Wait until the run that has the store exits, then open it and read the attempts it left."""
+        """Waits until the process that has the store open exits, then opens it and reads its attempts."""
         await self._disk.open_when_released()
         await trio.to_thread.run_sync(self.attempts.recover)
 
     def restore(self) -> RestoredState:
-        """Return what the last run left, and take in the attempts that it had in flight. Blocks."""
+        """Returns the state that the last run stored, and reads the attempts it had in flight. Blocks."""
         state = read_state(self._disk, self._clocks())
         self._operator_drain = state.operator_drain
         self.attempts.recover()
@@ -112,7 +114,7 @@
     # -- background writes
 
     async def run(self) -> None:
-        """Do the background writes, and reopen the store after failures. Runs until cancelled."""
+        """Runs the background writes, and reopens the store after failed syncs. Runs until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._write_endpoint_list)
             nursery.start_soon(self._disk.reopen_after_failed_syncs)
@@ -126,8 +128,8 @@
         self.attempts.expire_recovered()
         if self._rewrite_needed and self.store_open:
             await self._rewrite()
-        if self.attempts.has_finished and self.store_open:
-            await self.attempts.write_with_finished(Batch())
+        if self.attempts.has_pending_deletions and self.store_open:
+            await self.attempts.write_with_pending_deletions(Batch())
 
     async def _write_endpoint_list(self) -> None:
         while True:
@@ -141,11 +143,11 @@
             await trio.sleep(ENDPOINT_LIST_INTERVAL_SECONDS)
 
     def endpoint_list_changed(self) -> None:
-        """Have the endpoint list written soon."""
+        """Schedules a write of the endpoint list."""
         self._endpoint_list_changed.set()
 
     async def _rewrite(self) -> None:
-        """Write the whole state again, after the store was reopened or a write has failed."""
+        """Writes the whole state again, after the store was reopened or a write failed."""
         batch = Batch()
         for key in await trio.to_thread.run_sync(stored_worker_keys, self._disk):
             batch.delete(key)
@@ -161,17 +163,17 @@
     # -- operators' settings
 
     async def write_detached(self, name: str) -> bool:
-        """Record that a worker was detached; whether that is on disk. It is tried again if not."""
+        """Records that a worker was detached; returns whether that is on disk. Failures are retried."""
         batch = put_detached(Batch(), name).delete(REATTACHED_PREFIX + name.encode())
         return await self._write_setting(batch)
 
     async def write_reattached(self, name: str) -> bool:
-        """Record that a worker was reattached; as `write_detached`."""
+        """Records that a worker was reattached, like `write_detached`."""
         batch = Batch().delete(DETACHED_PREFIX + name.encode())
         return await self._write_setting(put_reattached(batch, name, 0.0, self._clocks()))
 
     async def write_operator_drain(self, on: bool) -> bool:
-        """Record the operator drain or its end; as `write_detached`."""
+        """Records the start or end of the operator drain, like `write_detached`."""
         self._operator_drain = on
         return await self._write_setting(put_operator_drain(Batch(), on))
 
@@ -182,14 +184,17 @@
         return written
 
     async def rewrite_settings(self, operator_drain: bool) -> None:
-        """Write all settings again, since another run had the store until now."""
+        """Writes all settings, after the store was taken over from another process."""
         self._operator_drain = operator_drain
         await self._rewrite()
 
-    # -- values of other parts (the spool of traces)
+    # -- values of other subsystems (the trace spool)
 
     def usage_under(self, prefix: bytes) -> tuple[int, int]:
-        """Return the bytes of all values under a prefix, and the number that ends the last key. Blocks."""
+        """Returns the total bytes of the values under a prefix, and the number in the last key. Blocks.
+
+        Keys consist of the prefix and a hexadecimal number.
+        """
         size = number = 0
         if (store := self._disk.store) is not None:
             for key, value in store.scan(prefix=prefix):
@@ -197,10 +202,7 @@
         return size, number
 
     def first(self, prefix: bytes) -> tuple[bytes, bytes] | None:
-        """Return the first key under a prefix and its value. Blocks.
-
-        None if there is none or it can't be read.
-        """
+        """Returns the first key under a prefix and its value, None if there is none readable. Blocks."""
         if (store := self._disk.store) is None:
             return None
         try:
@@ -210,15 +212,15 @@
             return None
 
     async def keep(self, key: bytes, value: bytes) -> bool:
-        """Put a value; whether it is on disk."""
+        """Writes a value; returns whether it is on disk."""
         return await self._write(Batch().put(key, value))
 
     async def drop(self, key: bytes) -> bool:
-        """Delete a value; whether that is on disk."""
+        """Deletes a value; returns whether the deletion is on disk."""
         return await self._write(Batch().delete(key))
 
     async def _write(self, batch: Batch) -> bool:
-        """Write, wait for at most `patience_ms`, and count the result. Whether it is on disk."""
+        """Writes a batch with a timeout and counts the result; returns whether the batch is on disk."""
         written = await self._disk.write(batch) is None
         self._metrics.count_state_write(written)
         self._metrics.add({"state_reopened": self._disk.reopen_count})
