--- a/tests/store_world.py
+++ b/tests/store_world.py
@@ -1,4 +1,4 @@
-"""A store on a simulated disk, a plain dict beside it, and a reader that knows nothing of recovery."""
+"""Helpers for tests of the store: an engine on a simulated disk, a model, and a decoder without recovery."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 
 
-def engine(disk, seed=0, **more) -> Engine:
+def open_engine(disk, seed=0, **more) -> Engine:
     rng = random.Random(seed)
     return Engine(
         disk,
@@ -23,36 +23,39 @@
     )
 
 
-def contents(e: Engine, now: int = 0) -> dict[bytes, bytes]:
-    """Everything that a reader sees."""
-    seen = {key: found.value for key, found in e.scan(now)}
+def read_all(engine: Engine, now: int = 0) -> dict[bytes, bytes]:
+    """Returns all keys and values, and checks that scans are ordered."""
+    seen = {key: found.value for key, found in engine.scan(now)}
     assert list(seen) == sorted(seen)
     return seen
 
 
-def reopened(disk: SimulatedDisk, now: int = 0, **more) -> dict[bytes, bytes]:
-    return contents(engine(disk, 99, **more), now)
+def reopen_and_read(disk: SimulatedDisk, now: int = 0, **more) -> dict[bytes, bytes]:
+    return read_all(open_engine(disk, 99, **more), now)
 
 
-def compacted(
-    e: Engine, now: int, everything: bool = False, some: random.Random | None = None
+def compact_once(
+    engine: Engine, now: int, everything: bool = False, rng: random.Random | None = None
 ) -> bool:
-    """Compact what the policy chooses, or any segments at all: every choice must be right."""
-    numbers = e.choose_segments(now, everything)
-    if some is not None:
-        numbers = [s.name.number for s in e.sealed() if some.random() < 0.4]
-    for _ in e.compact(numbers, now):
+    """Compacts the segments that the policy chooses, or random ones if `rng` is given.
+
+    Returns whether any were chosen. Compaction must be correct for every choice of segments.
+    """
+    numbers = engine.choose_segments(now, everything)
+    if rng is not None:
+        numbers = [s.name.number for s in engine.sealed() if rng.random() < 0.4]
+    for _ in engine.compact(numbers, now):
         pass
     return bool(numbers)
 
 
 class Model:
-    """What the store is to hold: a dict, changed when a batch is acknowledged."""
+    """The expected content of the store: value and expiry by key. Tests update it on acknowledgements."""
 
     def __init__(self):
         self.data: dict[bytes, tuple[bytes, int]] = {}
 
-    def after(self, batch: Batch) -> dict:
+    def data_after(self, batch: Batch) -> dict:
         data = dict(self.data)
         for op in batch.ops:
             if op.kind == format.PUT:
@@ -62,14 +65,14 @@
         return data
 
     @staticmethod
-    def seen(data: dict, now: int) -> dict[bytes, bytes]:
+    def unexpired(data: dict, now: int) -> dict[bytes, bytes]:
         return {
             key: value for key, (value, expires) in data.items() if not expires or expires > now
         }
 
 
 def workload(seed: int = 7, commits: int = 300) -> list[Batch]:
-    """Batches, deletions and expiries over few keys: 500 operations or more."""
+    """Returns batches of puts, deletions and expiring values over few keys, 500 operations or more."""
     rng = random.Random(seed)
     batches = []
     for i in range(commits):
@@ -79,15 +82,15 @@
             if rng.random() < 0.2:
                 batch.delete(key)
             else:
-                # Some end before the clock of the run does, some never within it.
+                # Some values expire during the run, some only after it.
                 expires = rng.choice((0, 0, 0, i + rng.randrange(1, 40), 10**6))
                 batch.put(key, b"%d" % i * rng.randrange(1, 4), expires)
         batches.append(batch)
     return batches
 
 
-def frames(name: str, data: bytes) -> list[tuple[int, int, list[format.Op]]]:
-    """The frames of a sound segment, from begin to end."""
+def decode_frames(name: str, data: bytes) -> list[tuple[int, int, list[format.Op]]]:
+    """Returns start, end and operations of each frame in an undamaged segment."""
     parsed = format.segment_name(name)
     _, at = format.decode_segment_header(data, parsed)
     found = []
@@ -107,10 +110,10 @@
     return found
 
 
-def state_of(
+def expected_contents(
     files: dict[str, list[tuple[int, int, list[format.Op]]]], now: int
 ) -> dict[bytes, bytes]:
-    """What frames amount to: of each key the highest number counts."""
+    """Returns the content that frames define: the operation with the highest sequence number of each key."""
     best: dict[bytes, format.Op] = {}
     for parts in files.values():
         for _, _, ops in parts:
@@ -124,18 +127,18 @@
     }
 
 
-def recorded(commits: int = 300) -> list[tuple[dict[str, bytes], int]]:
-    """A run's directory before, between and after two compactions, and the clock at each."""
+def record_directories(commits: int = 300) -> list[tuple[dict[str, bytes], int]]:
+    """Returns the files of a store before, between and after two compactions, each with the clock."""
     disk = SimulatedDisk()
-    e = engine(disk)
-    moments = []
+    engine = open_engine(disk)
+    directories = []
     batches = workload(commits=commits)
     assert sum(len(batch.ops) for batch in batches) >= 500
     for now, batch in enumerate(batches):
-        assert isinstance(e.commit([batch], now)[0], int)
+        assert isinstance(engine.commit([batch], now)[0], int)
         if now in (commits // 3, 2 * commits // 3):
-            moments.append((disk.dump(), now))
-            assert compacted(e, now, everything=True)
-    assert e.compactions == 2
-    moments.append((disk.dump(), len(batches)))
-    return moments
+            directories.append((disk.dump(), now))
+            assert compact_once(engine, now, everything=True)
+    assert engine.compactions == 2
+    directories.append((disk.dump(), len(batches)))
+    return directories
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store with its threads, on a real directory; its policy; two processes; the command line."""
+"""The store with its threads on a real directory, its policy, its lock and its sub-commands."""
 
 from __future__ import annotations
 
@@ -48,9 +48,8 @@
         ]
         for thread in threads:
             thread.start()
-        while any(
-            thread.is_alive() for thread in threads
-        ):  # readers beside them see only what was written
+        # Scans while writes go on see only written values.
+        while any(thread.is_alive() for thread in threads):
             for _, value in store.scan():
                 assert 0 <= int(value) < 60
         for thread in threads:
@@ -100,7 +99,7 @@
 def test_interval_acknowledges_first_and_syncs_later():
     disk, synced = SimulatedDisk(), threading.Event()
     with Store(disk, mode="interval", interval=0.01, reserve=0) as store:
-        store.put(b"first", b"")  # makes the segment, whose header is synced at once
+        store.put(b"first", b"")  # creates the segment, whose header is synced at once
         disk.fail = lambda number, word, name: synced.set() if word == "sync" else None
         store.put(b"k", b"v")
         assert store.get(b"k") == b"v" and synced.wait(5)
@@ -154,10 +153,10 @@
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == ""
 
 
-# -- the policy
+# -- compaction policy and pacing
 
 
-def test_what_is_compacted():
+def test_policy_chooses_damaged_segments_then_garbage_then_full_tiers():
     rules = CompactionRules(
         min_garbage_ratio=0.5,
         min_garbage_bytes=100,
@@ -169,11 +168,12 @@
     assert choose(full, rules) == []
     assert choose([*full, SegmentStats(3, 900, 900)], rules) == [1, 2, 3]
     assert choose([*full, SegmentStats(4, 1000, 480)], rules) == [4]
-    assert choose([full[0], SegmentStats(4, 150, 60)], rules) == []  # not worth a file
+    # Too little garbage for a new file.
+    assert choose([full[0], SegmentStats(4, 150, 60)], rules) == []
     assert choose([*full, SegmentStats(5, 10**6, 400, damaged=True)], rules) == [5]
-    # Deletions that must stay are no garbage: else they would be rewritten for ever.
+    # Tombstones that have to stay are not garbage, otherwise they would be rewritten again and again.
     assert choose([SegmentStats(1, 1000, 100, 850)], rules) == []
-    # Short of room: whatever gives most back, within what can be written.
+    # On a full disk: the segments that free most, within the bytes that can be written.
     assert choose([SegmentStats(1, 1000, 900), SegmentStats(2, 4000, 300)], rules, 350) == [2]
     assert choose([SegmentStats(1, 1000, 1000)], rules, 10**6) == []
     assert choose_everything([SegmentStats(1, 1000, 1000)], rules) == []
@@ -181,7 +181,7 @@
     assert may_drop_tombstone(5, [6, 9]) and not may_drop_tombstone(5, [6, 4])
 
 
-def test_compacting_by_the_policy_comes_to_an_end_and_bounds_the_number_of_files():
+def test_compaction_by_the_policy_terminates_and_bounds_the_number_of_segments():
     rng, segments, written, number = random.Random(3), {}, 0, 0
     for _ in range(3000):
         number += 1
@@ -194,11 +194,11 @@
             number += 1
             segments[number] = SegmentStats(number, live, live)
         else:
-            raise AssertionError("no end")
+            raise AssertionError("compaction does not terminate")
     assert len(segments) < 40 and written < 8 * 3000 * 3000
 
 
-def test_background_work_keeps_to_its_rate_and_syncs_to_their_time():
+def test_the_pacer_keeps_its_rate_and_syncs_are_due_as_the_mode_says():
     pacer, now, spent = Pacer(1000.0, 250.0), 0.0, 0
     while now < 20.0:
         now += pacer.spend(100, now)
@@ -218,14 +218,14 @@
     )
 
 
-# -- the command line
+# -- sub-commands
 
 
 def run(*args, **more):
     return CliRunner().invoke(main, ["store", *map(str, args)], **more)
 
 
-def test_the_command_line_looks_checks_copies_and_moves(tmp_path):
+def test_sub_commands_inspect_verify_copy_dump_and_load_a_store(tmp_path):
     path = tmp_path / "s"
     with Store(path, reserve=0) as store:
         for i in range(50):
@@ -249,7 +249,7 @@
     assert run("verify", path).exit_code == 0
     assert run("compact", path).exit_code == 0
     assert run("backup", path, tmp_path / "b").exit_code == 0
-    assert run("backup", path, tmp_path / "b").exit_code == 2  # not empty
+    assert run("backup", path, tmp_path / "b").exit_code == 2  # the target is not empty
     assert run("restore", tmp_path / "b", tmp_path / "r").exit_code == 0
     dumped = run("dump", tmp_path / "r").stdout
     assert run("load", tmp_path / "l", input=dumped).stdout == "50 records loaded\n"
@@ -266,7 +266,7 @@
         assert run("stat", path).exit_code == 0
 
 
-def test_verify_names_what_is_damaged_in_each_kind_of_file_and_changes_nothing(tmp_path):
+def test_verify_names_the_damaged_file_of_each_kind_and_changes_nothing(tmp_path):
     with Store(tmp_path, reserve=0) as store:
         for i in range(20):
             store.put(b"k%02d" % i, b"value %d" % i)
