--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -1,4 +1,4 @@
-"""A disk that fails for a while: no non-idempotent attempt is sent unless its record is on disk."""
+"""Temporary disk failures: no non-idempotent attempt is sent unless its record is on disk."""
 
 import errno
 import shutil
@@ -17,7 +17,7 @@
 WRITE_TIMEOUT_MS = 1000
 
 
-def state(tmp_path) -> dict:
+def state_settings(tmp_path) -> dict:
     return {
         "state_dir": str(tmp_path / "state"),
         "state": {"patience_ms": WRITE_TIMEOUT_MS},
@@ -25,8 +25,8 @@
     }
 
 
-def records_left_by_a_kill(tmp_path) -> list[bytes]:
-    """What a restart would find of attempts, were the program killed now."""
+def records_after_kill(tmp_path) -> list[bytes]:
+    """Returns the keys of the attempt records that a restart finds if the program is killed now."""
     copy = tmp_path / "copy"
     shutil.copytree(tmp_path / "state", copy)
     with Store(copy) as store:
@@ -35,9 +35,9 @@
     return records
 
 
-async def killed_with_an_attempt_out(peer, tmp_path) -> None:
-    """Leave in `killed` what a restart would find, were the program killed with an unsafe attempt out."""
-    async with world(peer, **state(tmp_path)) as w:
+async def copy_state_with_attempt_in_flight(peer, tmp_path) -> None:
+    """Copies the state directory to `killed` while a non-idempotent attempt is in flight."""
+    async with world(peer, **state_settings(tmp_path)) as w:
         client = await w.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="k")
         await w.until(lambda: peer.exchanges)
@@ -58,11 +58,11 @@
 ):
     disk = FaultyDisk(monkeypatch, calls)
     peer = Peer("d1", done)
-    async with world(peer, **state(tmp_path)) as w:
+    async with world(peer, **state_settings(tmp_path)) as w:
         disk.error = error
         for number, target in enumerate(("/once", "/save")):
             reply = await w.ask(target, X_Request_ID=f"r{number}", Idempotency_Key=f"k{number}")
-            assert reply.status == 503  # it never ran, so repeating it is harmless
+            assert reply.status == 503  # it never ran, so it is safe to repeat
         assert peer.exchanges == []
         assert (await w.ask(X_Request_ID="safe")).status == 200  # needs no record
 
@@ -71,12 +71,12 @@
 async def test_a_store_whose_sync_failed_is_reopened_once_the_disk_works(tmp_path, monkeypatch):
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
     peer = Peer("d1", done)
-    async with world(peer, **state(tmp_path)) as w:
+    async with world(peer, **state_settings(tmp_path)) as w:
         disk.error = errno.EIO
         assert (await w.ask("/once", X_Request_ID="r0", Idempotency_Key="k0")).status == 503
         disk.error = 0
         status, number = 0, 0
-        while status != 200:  # bounded by the story's limit of time
+        while status != 200:  # bounded by the time limit of @story
             number += 1
             reply = await w.ask("/once", X_Request_ID=f"r{number}", Idempotency_Key="k0")
             status = reply.status
@@ -85,7 +85,7 @@
         client = await w.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="kout")
         await w.until(lambda: peer.exchanges[-1].id == "out")
-        assert len(records_left_by_a_kill(tmp_path)) >= 1
+        assert len(records_after_kill(tmp_path)) >= 1
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0, 2 * 3600.0])
@@ -95,14 +95,13 @@
 ):
     clock = SetClock(monkeypatch)
     peer = Peer("d1", hang)
-    await killed_with_an_attempt_out(peer, tmp_path)
+    await copy_state_with_attempt_in_flight(peer, tmp_path)
     clock.offset = step
     peer.script = done
-    async with world(peer, **state(tmp_path / "killed")) as w:
-        # Its own window, an hour by default, has not begun to run out by the monotonic clock.
-        await trio.sleep(
-            2 * WRITE_INTERVAL_SECONDS
-        )  # in which what is past its window is forgotten
+    async with world(peer, **state_settings(tmp_path / "killed")) as w:
+        # By the monotonic clock the record is far from the end of its window, an hour by default. The wait is
+        # long enough for the deletion of records past their window.
+        await trio.sleep(2 * WRITE_INTERVAL_SECONDS)
         reply = await w.ask("/once", X_Request_ID="again", Idempotency_Key="k")
         assert reply.status == 502
         assert [e.id for e in peer.exchanges] == ["out"]
@@ -113,18 +112,18 @@
     tmp_path, monkeypatch
 ):
     peer = Peer("d1", hang)
-    await killed_with_an_attempt_out(peer, tmp_path)
+    await copy_state_with_attempt_in_flight(peer, tmp_path)
     peer.script = done
     failing = [True]
     records = Disk.records
 
-    def fails(disk, prefix):
+    def failing_records(disk, prefix):
         if failing and prefix == ATTEMPT_PREFIX:
             raise Unreadable("Input/output error")
         return records(disk, prefix)
 
-    monkeypatch.setattr(Disk, "records", fails)
-    async with world(peer, **state(tmp_path / "killed")) as w:
+    monkeypatch.setattr(Disk, "records", failing_records)
+    async with world(peer, **state_settings(tmp_path / "killed")) as w:
         assert (await w.ask("/once", X_Request_ID="a1", Idempotency_Key="k")).status == 503
         assert (await w.ask(X_Request_ID="plain")).status == 200
         failing.clear()
@@ -139,12 +138,12 @@
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
     gate = trio.Event()
 
-    async def waits(exchange):
+    async def answer_after_gate(exchange):
         await gate.wait()
         await exchange.done()
 
-    peer = Peer("d1", waits)
-    async with world(peer, **state(tmp_path)) as w:
+    peer = Peer("d1", answer_after_gate)
+    async with world(peer, **state_settings(tmp_path)) as w:
         client = await w.client()
         await client.send("/once", X_Request_ID="r1", Idempotency_Key="k")
         await w.until(lambda: peer.exchanges)
@@ -152,36 +151,35 @@
         gate.set()
         assert (await client.reply()).status == 200
         persistent_state = w.service.persistent_state
-        await w.until(
-            lambda: persistent_state._disk._failure_logged
-        )  # its end was tried and failed
+        # The deletion was tried and failed.
+        await w.until(lambda: persistent_state._disk._failure_logged)
         disk.error = 0
         await w.until(
             lambda: (
                 persistent_state.store_open
                 and not persistent_state.attempts._keys_to_delete
                 and not persistent_state._disk._failure_logged
-                # Keys leave the list when a write of them begins: that it is done, only the store says.
+                # Keys leave the list when their write begins; only the store shows that it is done.
                 and not list(persistent_state._disk.store.scan(prefix=ATTEMPT_PREFIX))
             )
         )
-        assert records_left_by_a_kill(tmp_path) == []
+        assert records_after_kill(tmp_path) == []
 
 
 @story
-async def test_a_process_that_waits_for_the_store_has_its_attempts_recorded_by_the_one_that_has_it(
+async def test_a_process_that_waits_for_the_store_has_its_attempts_recorded_by_the_old_process(
     tmp_path,
 ):
     peer = Peer("d1", hang)
-    async with shared_world(peer, **state(tmp_path)) as w:
+    async with shared_world(peer, **state_settings(tmp_path)) as w:
         busy = await w.client()
-        await busy.send(X_Request_ID="busy")  # so that the old run stays
+        await busy.send(X_Request_ID="busy")  # keeps the old process running
         await w.until(lambda: peer.exchanges)
         new = await start_new_process(w)
         assert not new.persistent_state.store_open
-        w.old_process.listener.stop_accepting()  # the new run alone accepts
+        w.old_process.listener.stop_accepting()  # only the new process accepts
         client = await w.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="k")
         await w.until(lambda: len(peer.exchanges) == 2)
         assert new.engine.pending == 1 and not new.persistent_state.store_open
-        assert len(records_left_by_a_kill(tmp_path)) == 1
+        assert len(records_after_kill(tmp_path)) == 1
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""What outlives a restart: stories on real sockets, the program killed amid jobs and operators' calls."""
+"""State that outlives a restart: real sockets, and the program killed during requests and calls."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Program:
-    """The real program as a process, its standard error read line by line."""
+    """The real program as a child process whose standard error is read line by line."""
 
     def __init__(self, process: trio.Process):
         self.process, self.lines, self.changed = process, [], trio.Event()
@@ -72,7 +72,7 @@
 @asynccontextmanager
 async def program(nursery: trio.Nursery, path, descriptors: int = 0):
     command = [sys.executable, "-m", "yewrill", "serve", "--config", str(path)]
-    if descriptors:  # the system's own bound on them
+    if descriptors:  # limits the open file descriptors
         command = ["sh", "-c", f'ulimit -n {descriptors} && exec "$@"', "sh", *command]
     process = await trio.lowlevel.open_process(command, stderr=subprocess.PIPE)
     running = Program(process)
@@ -86,24 +86,24 @@
             await process.wait()
 
 
-class Rack:
-    """Destinations that count effects, and drop repeats of a key as a rack does."""
+class EffectCountingWorkers:
+    """Workers in two cells that count effects. A cell drops repeats of a `/save` with the same key."""
 
     def __init__(self, rng: random.Random):
-        self.rng, self.calm = rng, False
+        self.rng, self.reliable = rng, False
         self.effects: Counter = Counter()
         self.seen: set[tuple[int, str]] = set()
-        self.met: list[tuple[str, str]] = []  # destination and key, in order
+        self.received: list[tuple[str, str]] = []  # worker and idempotency key, in order of arrival
         self.peers = [Peer(f"d{i}", self.script(i), cell=i // 2) for i in range(4)]
 
     def script(self, i: int):
         async def run(exchange):
             key = exchange.headers.get("idempotency-key", "")
-            self.met.append((f"d{i}", key))
+            self.received.append((f"d{i}", key))
             if not (exchange.target == "/save" and (i // 2, key) in self.seen):
                 self.effects[key] += 1
                 self.seen.add((i // 2, key))
-            if not self.calm and self.rng.random() < 0.4:
+            if not self.reliable and self.rng.random() < 0.4:
                 await exchange.closed()
             else:
                 await exchange.done()
@@ -113,15 +113,15 @@
 
 @pytest.mark.parametrize("seed", range(20))
 @story
-async def test_after_a_kill_amid_requests_and_management_calls_every_guarantee_holds(
+async def test_after_a_kill_during_requests_and_management_calls_every_guarantee_holds(
     seed, tmp_path
 ):
     rng = random.Random(seed)
-    rack = Rack(rng)
+    workers = EffectCountingWorkers(rng)
     async with trio.open_nursery() as nursery:
-        for peer in rack.peers:
+        for peer in workers.peers:
             await nursery.start(peer.serve)
-        discovery = Discovery(rack.peers)
+        discovery = Discovery(workers.peers)
         config = tmp_path / "config.json"
         config.write_text(
             ujson.dumps(
@@ -135,12 +135,12 @@
                 }
             )
         )
-        out: dict[str, bool | None] = {}  # None: the call was under way, either may hold
+        detached: dict[str, bool | None] = {}  # None: the outcome of the call is unknown
         operator_drain: list[bool | None] = [False]
         keys: dict[str, str] = {}
         answered = set()
 
-        async def job(number: int) -> None:
+        async def send_request(number: int) -> None:
             target = rng.choice(("/tour", "/save", "/once"))
             key = f"key{number}"
             keys[key] = target
@@ -148,7 +148,7 @@
                 await first.ask(target, X_Request_ID=f"r{number}", Idempotency_Key=key)
                 answered.add(key)
 
-        async def call() -> None:
+        async def call_management() -> None:
             what = rng.choice(("detach", "attach", "on", "off"))
             with suppress(OSError, trio.BrokenResourceError, Exception):
                 if what in ("on", "off"):
@@ -157,62 +157,62 @@
                     operator_drain[0] = what == "on"
                 else:
                     name = rng.choice(("d0", "d2"))
-                    out[name] = None
+                    detached[name] = None
                     assert (await first.call(f"PUT /_profilers/{what}?name={name}")).status == 200
-                    out[name] = what == "detach"
+                    detached[name] = what == "detach"
 
         async with program(nursery, config) as first, trio.open_nursery() as busy:
             while b"app.state_kept:0" in (await first.call("GET /_vars")).body:
-                await trio.sleep(0.005)  # the list comes to disk on its own
+                await trio.sleep(0.005)  # the endpoint list is written in the background
             for number in range(rng.randrange(8, 25)):
                 if rng.random() < 0.3:
-                    await call()
+                    await call_management()
                 else:
-                    busy.start_soon(job, number)
+                    busy.start_soon(send_request, number)
                 if rng.random() < 0.5:
                     await trio.sleep(0.002)
-            busy.start_soon(call)
+            busy.start_soon(call_management)
             for _ in range(rng.randrange(3)):
                 await trio.lowlevel.checkpoint()
             first.process.send_signal(signal.SIGKILL)
-        discovery.silent = rack.calm = True
-        met = len(rack.met)
+        discovery.silent = workers.reliable = True
+        received_before = len(workers.received)
         async with program(nursery, config) as second:
             up = await second.ask("/up", "GET", b"")
             if operator_drain[0] is not None:
                 assert (up.status == 503) == operator_drain[0]
             answers = {}
 
-            async def again(key: str, target: str) -> None:
+            async def repeat(key: str, target: str) -> None:
                 answers[key] = await second.ask(
                     target, X_Request_ID=f"again-{key}", Idempotency_Key=key
                 )
 
             async with trio.open_nursery() as repeats:
                 for key, target in keys.items():
-                    repeats.start_soon(again, key, target)
-            for worker, _ in rack.met[met:]:
-                assert out.get(worker) is not True, "work for a destination that was taken out"
+                    repeats.start_soon(repeat, key, target)
+            for worker, _ in workers.received[received_before:]:
+                assert detached.get(worker) is not True, "request sent to a detached worker"
             assert (await second.ask(X_Request_ID="last")).status == 200
-        for key in keys.keys() - answered:  # a repeat of what was answered is a job of its own
+        for key in keys.keys() - answered:  # a repeat of an answered request may run again
             if keys[key] == "/tour":
                 assert answers[key].status == 200
             else:
-                assert rack.effects[key] <= 1, f"{keys[key]} had two effects"
+                assert workers.effects[key] <= 1, f"{keys[key]} had two effects"
                 assert answers[key].status in (200, 502)
         nursery.cancel_scope.cancel()
 
 
-def state(tmp_path, **more) -> dict:
+def state_settings(tmp_path, **more) -> dict:
     return {"state_dir": str(tmp_path / "state"), "state": {"patience_ms": 5000, **more}, **MGMT}
 
 
 @story
-async def test_no_byte_of_a_keyed_or_side_effect_attempt_goes_out_before_its_record_is_on_disk(
+async def test_no_attempt_that_is_unsafe_to_repeat_is_sent_before_its_record_is_on_disk(
     tmp_path,
 ):
     peer = Peer("d1", done)
-    async with world(peer, **state(tmp_path)) as w:
+    async with world(peer, **state_settings(tmp_path)) as w:
         store, gate, waiting = w.service.persistent_state._disk.store, trio.Event(), []
         write = store.awrite
 
@@ -228,13 +228,12 @@
                     lambda t=target: w.ask(t, X_Request_ID=t[1:], Idempotency_Key="k" + t[1:])
                 )
             await w.until(lambda: len(waiting) >= 2)
-            assert (await w.ask(X_Request_ID="plain")).status == 200  # waits for no disk
+            assert (await w.ask(X_Request_ID="plain")).status == 200  # needs no record
             assert [x.id for x in peer.exchanges] == ["plain"]
             gate.set()
         assert {x.id for x in peer.exchanges} == {"plain", "save", "once"}
-        await w.until(
-            lambda: not list(store.scan(prefix=b"sent/"))
-        )  # and it goes when they are over
+        # The records are deleted once the requests have finished.
+        await w.until(lambda: not list(store.scan(prefix=b"sent/")))
 
 
 @story
@@ -244,15 +243,14 @@
     caplog.set_level("INFO")
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
     peer = Peer("d1", done)
-    async with world(peer, **state(tmp_path)) as w:
-        await w.until(
-            lambda: b"app.state_kept:1|c" in w.service.metrics.text({}).encode()
-        )  # the list
+    async with world(peer, **state_settings(tmp_path)) as w:
+        # Waits for the write of the endpoint list.
+        await w.until(lambda: b"app.state_kept:1|c" in w.service.metrics.text({}).encode())
         disk.error = errno.EIO
         for i in range(3):
-            # Nobody could tell a later run of these, so they are refused, and have not run.
-            refused = await w.ask("/save", X_Request_ID=f"r{i}", Idempotency_Key=f"k{i}")
-            assert refused.status == 503
+            # A later run could not know of these, so they are rejected without being sent.
+            reply = await w.ask("/save", X_Request_ID=f"r{i}", Idempotency_Key=f"k{i}")
+            assert reply.status == 503
             assert (await w.ask(X_Request_ID=f"plain{i}")).status == 200
         detached = await w.call("PUT /_profilers/detach?name=d1")
         assert (detached.status, detached.body) == (
@@ -263,8 +261,8 @@
         counted = re.search(rb"app.state_failed:(\d+)", (await w.call("GET /_vars")).body)
         assert int(counted[1]) >= 4
         assert {e.id for e in peer.exchanges} == {"plain0", "plain1", "plain2"}
-        told = [r for r in caplog.records if "persistent_state_write_failed" in r.getMessage()]
-        assert len(told) == 1
+        logged = [r for r in caplog.records if "persistent_state_write_failed" in r.getMessage()]
+        assert len(logged) == 1
         disk.error = 0
         await w.until(
             lambda: any(
@@ -277,12 +275,12 @@
 
 @story
 async def test_endpoint_list_reattached_workers_and_operator_drain_survive_a_restart(tmp_path):
-    config = state(tmp_path)
+    config = state_settings(tmp_path)
     peer = Peer("d1", done)
     async with world(peer, Peer("d2", done), Peer("d3", done), **config) as w:
         for call in ("detach?name=d1", "attach?name=d1", "detach?name=d2"):
             assert (await w.call(f"PUT /_profilers/{call}")).status == 200
-        assert w.service.endpoints.recently_attached["d1"] < 20_000.0  # milliseconds ago
+        assert w.service.endpoints.recently_attached["d1"] < 20_000.0  # ms
         assert (await w.call("PUT /_lameduck/on")).status == 200
         await w.until(lambda: w.service.persistent_state._disk.store.get(b"list") is not None)
         w.service.engine.fail_all()
@@ -310,7 +308,8 @@
         assert 0.0 < service.endpoints.recently_attached["d1"] < 20_000.0
         service.engine.tick()
         worker = service.engine._module.fleet.workers["d1"]
-        assert worker.slow_start.started_at >= 0  # put back a moment ago, by a run that is dead
+        # Slow start counts from the reattachment in the earlier run.
+        assert worker.slow_start.started_at >= 0
         async with await trio.open_tcp_stream(*service.listener.address) as stream:
             assert (await Client(stream).ask()).status == 200
         nursery.cancel_scope.cancel()
@@ -321,7 +320,7 @@
     from test_operators import shared_world, start_new_process
 
     caplog.set_level("INFO")
-    async with shared_world(Peer("d1", done), Peer("d2", done), **state(tmp_path)) as w:
+    async with shared_world(Peer("d1", done), Peer("d2", done), **state_settings(tmp_path)) as w:
         await w.call("PUT /_profilers/detach?name=d1")
         new_process = await start_new_process(w)
         assert not new_process.persistent_state.store_open and new_process.endpoints.detached == [
@@ -338,7 +337,7 @@
         ] == [b"out/d1"]
 
 
-def test_a_second_process_on_one_directory_is_rejected_and_without_one_nothing_is_imported(
+def test_a_second_process_on_one_directory_is_rejected_and_without_state_dir_nothing_is_imported(
     tmp_path,
 ):
     config = tmp_path / "config.json"
@@ -386,22 +385,22 @@
         )
 
 
-# -- the module, told of an attempt of an earlier run
+# -- decisions of the policy about attempts of earlier runs
 
 
-def decided(idempotency: str, ago: float, cell: int = 0, now: float = 1e6, **more) -> list:
+def decisions(idempotency: str, ago: float, cell: int = 0, now: float = 1e6, **more) -> list:
     classes = [
         api.RequestClass(
             "tour", 2000.0, 9000.0, idempotency=idempotency, group="cell", window=7500.0
         )
     ]
-    module = Dispatcher(api.Settings(classes, max_attempts=3, **more), 1)
+    dispatcher = Dispatcher(api.Settings(classes, max_attempts=3, **more), 1)
     workers = [api.WorkerEntry(f"w{i}", cell=i // 2) for i in range(4)]
-    module.handle(now, [api.WorkerList(api.ListForm.FULL, workers)])
+    dispatcher.handle(now, [api.WorkerList(api.ListForm.FULL, workers)])
     return [
         action
         for i in range(20)
-        for action in module.handle(
+        for action in dispatcher.handle(
             now + i,
             [
                 api.RequestArrived(
@@ -414,22 +413,25 @@
 
 
 def test_the_policy_decides_on_a_repeat_by_what_an_earlier_run_sent():
-    assert {type(action) for action in decided(api.Idempotency.NON_IDEMPOTENT, 10.0)} == {api.Fail}
-    assert {type(action) for action in decided(api.Idempotency.IDEMPOTENT_BY_KEY, 7000.0)} == {
+    assert {type(action) for action in decisions(api.Idempotency.NON_IDEMPOTENT, 10.0)} == {
+        api.Fail
+    }
+    assert {type(action) for action in decisions(api.Idempotency.IDEMPOTENT_BY_KEY, 7000.0)} == {
         api.Fail
-    }  # nearly past its window
+    }  # the window is nearly over
     assert {
-        type(action) for action in decided(api.Idempotency.IDEMPOTENT_BY_KEY, LONG_AGO_MS, now=1e13)
+        type(action)
+        for action in decisions(api.Idempotency.IDEMPOTENT_BY_KEY, LONG_AGO_MS, now=1e13)
     } == {api.Fail}
-    for cell, rack in ((0, {"w0", "w1"}), (1, {"w2", "w3"}), (9, set())):
-        actions = decided(api.Idempotency.IDEMPOTENT_BY_KEY, 3000.0, cell)
+    for cell, cell_workers in ((0, {"w0", "w1"}), (1, {"w2", "w3"}), (9, set())):
+        actions = decisions(api.Idempotency.IDEMPOTENT_BY_KEY, 3000.0, cell)
         sent = {action.worker for action in actions if type(action) is api.Send}
-        assert sent <= rack and bool(sent) == bool(rack)
-        # Refusing would say that it never ran: nobody may say that of a job that may have.
+        assert sent <= cell_workers and bool(sent) == bool(cell_workers)
+        # A rejection tells the client that the request never ran, which is unknown here.
         assert api.Reject not in map(type, actions)
     assert {
         action.worker
-        for action in decided(api.Idempotency.IDEMPOTENT_BY_KEY, -1.0)
+        for action in decisions(api.Idempotency.IDEMPOTENT_BY_KEY, -1.0)
         if type(action) is api.Send
     } & {
         "w0",
@@ -437,8 +439,8 @@
     }
 
 
-def test_a_window_longer_than_the_clock_has_run_counts_whole():
-    # The module's clock starts at 1,000 s, and the first run of the job is longer ago than that.
+def test_a_window_longer_than_the_clock_has_run_is_applied_in_full():
+    # The dispatcher's clock starts at 1,000 s, and the request's first attempt is longer ago than that.
     classes = [
         api.RequestClass(
             "tour",
@@ -450,15 +452,15 @@
         )
     ]
     for ago, expected in ((7.1e6, api.Fail), (6.0e6, api.Send)):
-        module = Dispatcher(api.Settings(classes, max_attempts=3), 1)
-        module.handle(1e6, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
-        out = module.handle(1e6 + 1, [api.RequestArrived("j", 0, 1e6 + 5000.0, ran_ago=ago)])
+        dispatcher = Dispatcher(api.Settings(classes, max_attempts=3), 1)
+        dispatcher.handle(1e6, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
+        out = dispatcher.handle(1e6 + 1, [api.RequestArrived("j", 0, 1e6 + 5000.0, ran_ago=ago)])
         assert [type(a) for a in out if isinstance(a, (api.Send, api.Fail))] == [expected]
 
 
 def test_the_max_age_is_never_underestimated():
     then = Clocks(1_000_000.0, 500.0, "a")
-    for wall in (0.0, 1e9):  # one boot: whatever the wall clock says
+    for wall in (0.0, 1e9):  # within one boot the wall clock does not matter
         assert max_age_ms(then, Clocks(wall, 3500.0, "a")) == 3000.0
         assert min_age_ms(then, Clocks(wall, 3500.0, "a")) == 3000.0
     rebooted = Clocks(1_004_000.0, 10.0, "b")
@@ -479,10 +481,10 @@
     assert estimate_earlier_attempt([record()], now, 7500.0).age_ms == 4000.0
     assert (
         estimate_earlier_attempt([record(monotonic=2000.0), record()], now, 7500.0).age_ms == 4000.0
-    )  # the first one counts
+    )  # the age is that of the oldest
     assert (
         estimate_earlier_attempt([record(), record(cell=1)], now, 7500.0).age_ms == LONG_AGO_MS
-    )  # two racks: neither knows of both
+    )  # two cells: neither can detect both duplicates
     assert estimate_earlier_attempt([record()], now, 3000.0) is None
     assert (
         estimate_earlier_attempt([record(boot="b")], Clocks(0.0, 0.0, "a"), 7500.0).age_ms
@@ -493,7 +495,7 @@
 def test_the_min_age_is_never_overestimated_where_records_expire():
     then = Clocks(1_000_000.0, 500.0, "a")
     hour = 3_600_000.0
-    # Over a reboot the wall clock may have been set by an hour; the boot's own clock can be believed.
+    # The wall clock may have been set by an hour across the reboot; the monotonic clock since boot is exact.
     assert min_age_ms(then, Clocks(1_000_000.0 + hour, 10.0, "b")) == 10.0
     assert min_age_ms(then, Clocks(0.0, hour, "b")) == hour
     assert (
