--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -298,7 +298,7 @@
         entries = list(store_format.decode_hint(data, size))
         writer = store_format.HintWriter(size)
         body = writer.add(store_format.encode_hint_entries(entries), len(entries))
-        return writer.head + body + writer.end()
+        return writer.header + body + writer.end()
     replaced, at = store_format.decode_segment_header(data, name)
     found = store_format.encode_segment_header(name, replaced)
     while at < len(data):
--- a/tests/test_store_crash.py
+++ b/tests/test_store_crash.py
@@ -184,7 +184,7 @@
 
 
 def test_without_checksums_flipped_bits_are_accepted(monkeypatch):
-    monkeypatch.setattr(format, "extend", lambda crc, data: 7)
+    monkeypatch.setattr(format, "extend_crc32c", lambda crc, data: 7)
     monkeypatch.setattr(format, "crc32c", lambda data: 7)
     disk = SimulatedDisk()
     engine = open_engine(disk)
--- a/yewrill/store/compaction.py
+++ b/yewrill/store/compaction.py
@@ -67,7 +67,7 @@
         """Returns the hint file's content. It states the segment's size, so all frames must be written."""
         writer = fmt.HintWriter(self.segment.size)
         entries = [writer.add(piece, count) for piece, count in self.hint_parts]
-        return b"".join([writer.head, *entries, writer.end()])
+        return b"".join([writer.header, *entries, writer.end()])
 
 
 class Compactor:
@@ -243,7 +243,7 @@
 
     def _write_hint(self, segment: Segment) -> Iterator[int]:
         writer = fmt.HintWriter(segment.size)
-        parts = [writer.head]
+        parts = [writer.header]
         for found in read_frames(segment.handle, segment.frames_start, segment.size, segment.salt):
             if isinstance(found, Gap):
                 self._record_gap(segment, found)
--- a/yewrill/store/engine.py
+++ b/yewrill/store/engine.py
@@ -33,7 +33,7 @@
 from yewrill.store.files import Files, write_all, write_file
 from yewrill.store.findings import FindingKind, Findings
 from yewrill.store.key_directory import KeyDirectory
-from yewrill.store.reader import Found, Reader, Row, Snapshot, is_expired
+from yewrill.store.reader import Reader, Row, Snapshot, VersionedValue, is_expired
 from yewrill.store.recovery import MANIFEST, open_directory
 from yewrill.store.reserve import DISK_FULL_ERRNOS, SpaceReserve
 from yewrill.store.segment import ENTRY, Segment
@@ -323,7 +323,7 @@
 
     # -- reads
 
-    def get(self, key: bytes, now: int) -> Found | None:
+    def get(self, key: bytes, now: int) -> VersionedValue | None:
         """Returns the value of a key, None if it is absent or expired. Raises DamagedValue, StoreClosed."""
         if self.closed:
             raise StoreClosed("the store is closed")
@@ -337,13 +337,13 @@
         start: bytes = b"",
         stop: bytes | None = None,
         reverse: bool = False,
-    ) -> Iterator[tuple[bytes, Found]]:
+    ) -> Iterator[tuple[bytes, VersionedValue]]:
         """Yields the keys with this prefix from `start` up to, and without, `stop`, in order, with values.
 
         This is not a snapshot: each chunk of keys is read when the iteration reaches it. Raises DamagedValue.
         """
         for key, value, seq, expires in self.rows(now, prefix, start, stop, reverse):
-            yield key, Found(value, seq, expires)
+            yield key, VersionedValue(value, seq, expires)
 
     def rows(
         self, now: int, prefix: bytes, start: bytes, stop: bytes | None, reverse: bool
--- a/yewrill/store/format.py
+++ b/yewrill/store/format.py
@@ -56,7 +56,7 @@
 _NAME = re.compile(r"([0-9a-f]{16})-([0-9a-f]{8})\.(seg|hint)")
 
 crc32c = google_crc32c.value
-extend = google_crc32c.extend
+extend_crc32c = google_crc32c.extend
 
 
 class Malformed(StoreError):
@@ -157,9 +157,9 @@
 
 def encode_segment_header(name: SegmentName, replaces: tuple[int, ...] = ()) -> bytes:
     """Returns a segment's header. `replaces` are the numbers of the segments compacted into it."""
-    head = _SEGMENT.pack(SEGMENT_MAGIC, FORMAT_VERSION, 0, name.salt, name.number, len(replaces))
-    head += b"".join(struct.pack("<Q", number) for number in replaces)
-    return head + _CRC.pack(crc32c(head))
+    header = _SEGMENT.pack(SEGMENT_MAGIC, FORMAT_VERSION, 0, name.salt, name.number, len(replaces))
+    header += b"".join(struct.pack("<Q", number) for number in replaces)
+    return header + _CRC.pack(crc32c(header))
 
 
 def segment_header_size(replaced: int) -> int:
@@ -195,12 +195,20 @@
         content = op.key + op.value
         seq = op.seq if first is None else at
         parts.append(
-            _OP.pack(op.kind, 0, len(op.key), len(op.value), seq, op.expires, extend(salt, content))
+            _OP.pack(
+                op.kind,
+                0,
+                len(op.key),
+                len(op.value),
+                seq,
+                op.expires,
+                extend_crc32c(salt, content),
+            )
         )
         parts.append(content)
     body = b"".join(parts)
-    head = _FRAME.pack(FRAME_MAGIC, len(body), time, extend(salt, body))
-    return head + _CRC.pack(extend(salt, head)) + body
+    header = _FRAME.pack(FRAME_MAGIC, len(body), time, extend_crc32c(salt, body))
+    return header + _CRC.pack(extend_crc32c(salt, header)) + body
 
 
 class FrameHeader(NamedTuple):
@@ -216,15 +224,15 @@
     if at + FRAME_HEADER_BYTES > len(data) or data[at : at + 4] != FRAME_MAGIC:
         return None
     end = at + _FRAME.size
-    if _CRC.unpack_from(data, end)[0] != extend(salt, data[at:end]):
+    if _CRC.unpack_from(data, end)[0] != extend_crc32c(salt, data[at:end]):
         return None
     _, length, time, crc = _FRAME.unpack_from(data, at)
     return FrameHeader(length, time, crc) if length <= MAX_BODY_BYTES else None
 
 
-def decode_body(body: bytes, head: FrameHeader, salt: int, base: int) -> list[Op]:
+def decode_body(body: bytes, header: FrameHeader, salt: int, base: int) -> list[Op]:
     """Returns the operations of a frame body, which begins at `base` in its segment. Raises Malformed."""
-    if len(body) != head.length or extend(salt, body) != head.crc:
+    if len(body) != header.length or extend_crc32c(salt, body) != header.crc:
         raise Malformed("body damaged")
     ops, at = [], 0
     try:
@@ -259,7 +267,7 @@
         kind != PUT
         or len(data) != OP_HEADER_BYTES + key_size + value_size
         or key_size != len(key)
-        or extend(salt, data[OP_HEADER_BYTES:]) != crc
+        or extend_crc32c(salt, data[OP_HEADER_BYTES:]) != crc
         or not data.startswith(key, OP_HEADER_BYTES)
     ):
         return None
@@ -283,19 +291,19 @@
 
     def __init__(self, segment_size: int):
         self._count = 0
-        self.head = _HINT.pack(HINT_MAGIC, FORMAT_VERSION, 0, 0, segment_size)
-        self._crc = crc32c(self.head)
+        self.header = _HINT.pack(HINT_MAGIC, FORMAT_VERSION, 0, 0, segment_size)
+        self._crc = crc32c(self.header)
 
     def add(self, entries: bytes, count: int) -> bytes:
         """Accounts for encoded entries in the count and the checksum, and returns them."""
         self._count += count
-        self._crc = extend(self._crc, entries)
+        self._crc = extend_crc32c(self._crc, entries)
         return entries
 
     def end(self) -> bytes:
         """Returns the end of the file: the count of entries and the checksum."""
         count = struct.pack("<Q", self._count)
-        return count + _CRC.pack(extend(self._crc, count))
+        return count + _CRC.pack(extend_crc32c(self._crc, count))
 
 
 def encode_hint_entries(ops: Iterable[HintEntry]) -> bytes:
--- a/yewrill/store/frames.py
+++ b/yewrill/store/frames.py
@@ -49,7 +49,7 @@
     """
     window, base = b"", start  # bytes read ahead, and their offset
 
-    def take(at: int, count: int) -> bytes:
+    def read_at(at: int, count: int) -> bytes:
         nonlocal window, base
         if not base <= at or at + count > base + len(window):
             window, base = handle.read(min(max(count, READ_CHUNK_BYTES), size - at), at), at
@@ -57,7 +57,7 @@
 
     at = start
     while at < size:
-        frame = _frame_at(take, at, size, salt)
+        frame = _frame_at(read_at, at, size, salt)
         if isinstance(frame, Frame):
             yield frame
             at = frame.end
@@ -65,51 +65,51 @@
         if isinstance(frame, _DamagedBody):
             gap = Gap(at, frame.end, tail=frame.end >= size)
         else:
-            gap = _gap_at(take, at, size, salt, incomplete=frame is not None)
+            gap = _gap_at(read_at, at, size, salt, incomplete=frame is not None)
         yield gap
         at = gap.end
 
 
 def _gap_at(
-    take: Callable[[int, int], bytes], at: int, size: int, salt: int, incomplete: bool
+    read_at: Callable[[int, int], bytes], at: int, size: int, salt: int, incomplete: bool
 ) -> Gap:
     """Returns the gap up to the next intact frame, or to the end of the file."""
-    end = size if incomplete else _next_frame(take, at + 1, size, salt)
+    end = size if incomplete else _next_frame(read_at, at + 1, size, salt)
     if end < size:
         return Gap(at, end)
     cut_short = incomplete or size - at < fmt.FRAME_HEADER_BYTES
-    torn = cut_short or not any(take(at, min(size - at, READ_CHUNK_BYTES)))
+    torn = cut_short or not any(read_at(at, min(size - at, READ_CHUNK_BYTES)))
     return Gap(at, end, tail=True, torn=torn)
 
 
 def _frame_at(
-    take: Callable[[int, int], bytes], at: int, size: int, salt: int
+    read_at: Callable[[int, int], bytes], at: int, size: int, salt: int
 ) -> Frame | _DamagedBody | _Incomplete | None:
     """Returns what begins at an offset, None if there is no valid frame header."""
-    head = fmt.decode_frame_header(take(at, min(fmt.FRAME_HEADER_BYTES, size - at)), 0, salt)
-    if head is None:
+    header = fmt.decode_frame_header(read_at(at, min(fmt.FRAME_HEADER_BYTES, size - at)), 0, salt)
+    if header is None:
         return None
     begin = at + fmt.FRAME_HEADER_BYTES
-    if begin + head.length > size:
+    if begin + header.length > size:
         return _Incomplete()
     try:
-        ops = fmt.decode_body(take(begin, head.length), head, salt, begin)
+        ops = fmt.decode_body(read_at(begin, header.length), header, salt, begin)
     except fmt.Malformed:
-        return _DamagedBody(begin + head.length)
-    return Frame(at, begin + head.length, head.time, ops)
+        return _DamagedBody(begin + header.length)
+    return Frame(at, begin + header.length, header.time, ops)
 
 
-def _next_frame(take: Callable[[int, int], bytes], at: int, size: int, salt: int) -> int:
+def _next_frame(read_at: Callable[[int, int], bytes], at: int, size: int, salt: int) -> int:
     """Returns the offset of the next intact frame, or the end of the file if there is none."""
     while at < size:
-        chunk = take(at, min(READ_CHUNK_BYTES // 2, size - at))
+        chunk = read_at(at, min(READ_CHUNK_BYTES // 2, size - at))
         position = chunk.find(fmt.FRAME_MAGIC)
         if position < 0:
             # The magic number may span two chunks.
             at += max(1, len(chunk) - len(fmt.FRAME_MAGIC) + 1)
             continue
         at += position
-        if isinstance(_frame_at(take, at, size, salt), Frame):
+        if isinstance(_frame_at(read_at, at, size, salt), Frame):
             return at
         at += 1
     return size
--- a/yewrill/store/reader.py
+++ b/yewrill/store/reader.py
@@ -20,7 +20,7 @@
 MAX_LOOKUPS = 8  # lookups of a key whose segment compaction removes in between
 
 
-class Found(NamedTuple):
+class VersionedValue(NamedTuple):
     """A value, its version (the sequence number of its put) and its expiry (ms, 0: never)."""
 
     value: bytes
@@ -43,7 +43,7 @@
         self._directory = directory
         self._findings = findings
 
-    def get(self, key: bytes, now: int) -> Found | None:
+    def get(self, key: bytes, now: int) -> VersionedValue | None:
         """Returns the value of a key, None if it is absent or expired. Raises DamagedValue."""
         for _ in range(MAX_LOOKUPS):
             entry = self._directory.index.get(key)
@@ -54,7 +54,7 @@
                 return None
             segment = self._directory.segments.get(slot)
             if segment is not None:  # else compaction removed it after the index lookup
-                return Found(self.read(segment, key, offset, size), seq, expires)
+                return VersionedValue(self.read(segment, key, offset, size), seq, expires)
         raise DamagedValue(key, "no segment", 0)
 
     def read(self, segment: Segment, key: bytes, offset: int, size: int) -> bytes:
@@ -94,10 +94,10 @@
 
     def read_chunk(self, entries: list[tuple[bytes, Segment, bytes]], now: int) -> Iterator[Row]:
         """Yields the rows of index entries, with read-ahead while they are adjacent in a segment."""
-        unpack, head, extend, crc_of = (
+        unpack, head, extend_crc32c, crc_of = (
             ENTRY.unpack,
             fmt.OP_HEADER_BYTES,
-            fmt.extend,
+            fmt.extend_crc32c,
             fmt.stored_op_crc,
         )
         window, base, window_segment, previous_end = b"", 0, None, -1
@@ -120,7 +120,7 @@
             content = window[at + head : at + total_size]  # the key, then the value
             if (
                 len(content) != total_size - head
-                or crc_of(window, at) != extend(segment.salt, content)
+                or crc_of(window, at) != extend_crc32c(segment.salt, content)
                 or not content.startswith(key)
             ):
                 self.read(segment, key, offset, size)  # reports the damage and raises
@@ -136,7 +136,7 @@
         self._handle, self.seq = directory.open_snapshot()
         self.now = now
 
-    def get(self, key: bytes) -> Found | None:
+    def get(self, key: bytes) -> VersionedValue | None:
         """Returns the value of a key in this view, None if absent or expired. Raises DamagedValue."""
         with self._directory.lock:
             found = self._directory.entry_at(key, self.seq)
@@ -146,7 +146,7 @@
         _, offset, size, seq, expires = ENTRY.unpack(entry)
         if is_expired(expires, self.now):
             return None
-        return Found(self._reader.read(segment, key, offset, size), seq, expires)
+        return VersionedValue(self._reader.read(segment, key, offset, size), seq, expires)
 
     def scan(
         self,
@@ -155,14 +155,14 @@
         start: bytes = b"",
         stop: bytes | None = None,
         reverse: bool = False,
-    ) -> Iterator[tuple[bytes, Found]]:
+    ) -> Iterator[tuple[bytes, VersionedValue]]:
         """Yields keys and values like `Engine.scan`, all as of the snapshot."""
         low, high = key_range(prefix, start, stop)
         while True:
             with self._directory.lock:
                 chunk, end = self._next_chunk(low, high, reverse)
             for key, value, seq, expires in self._reader.read_chunk(chunk, self.now):
-                yield key, Found(value, seq, expires)
+                yield key, VersionedValue(value, seq, expires)
             if end is None:
                 return
             if reverse:
--- a/yewrill/store/recovery.py
+++ b/yewrill/store/recovery.py
@@ -342,18 +342,18 @@
 
 def _index(entries: dict[bytes, bytes], segments: dict[int, Segment]) -> SortedDict:
     """Returns the ordered index without tombstones, and counts the live bytes of each segment."""
-    unpack, head = ENTRY.unpack, fmt.OP_HEADER_BYTES
+    unpack, header_bytes = ENTRY.unpack, fmt.OP_HEADER_BYTES
     deleted_keys = []
     live = dict.fromkeys(segments, 0)
     for key, entry in entries.items():
         slot, _, size, _, expires = unpack(entry)
         if size == TOMBSTONE:
             deleted_keys.append(key)
-            segments[slot].deletions += head + len(key)
+            segments[slot].deletions += header_bytes + len(key)
         else:
-            live[slot] += head + len(key) + size
+            live[slot] += header_bytes + len(key) + size
             if expires:
-                segments[slot].add_expiring_bytes(expires, head + len(key) + size)
+                segments[slot].add_expiring_bytes(expires, header_bytes + len(key) + size)
     for key in deleted_keys:
         del entries[key]
     for slot, size in live.items():
--- a/yewrill/store/store.py
+++ b/yewrill/store/store.py
@@ -18,7 +18,7 @@
 from yewrill.store.format import Batch
 from yewrill.store.group_commit import GroupCommit, ResultCallback
 from yewrill.store.maintenance import Maintenance
-from yewrill.store.reader import Found, Snapshot
+from yewrill.store.reader import Snapshot, VersionedValue
 
 log = logging.getLogger("yewrill.store")
 
@@ -115,7 +115,7 @@
         found = self.engine.get(key, self.clock())
         return None if found is None else found.value
 
-    def find(self, key: bytes) -> Found | None:
+    def find(self, key: bytes) -> VersionedValue | None:
         """Returns the value of a key with its version and expiry; as `get`."""
         return self.engine.get(key, self.clock())
 
