--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -28,8 +28,8 @@
 
 from yewrill.config.schema import OwnershipConfig
 from yewrill.lab.netsim import Path as Wire
-from yewrill.lab.ownnet import OwnNet, trouble
-from yewrill.lab.raftcheck import Bounds, Broken, Checker
+from yewrill.lab.ownnet import OwnNet, run_random_faults
+from yewrill.lab.raftcheck import Bounds, Checker, InvariantViolation
 from yewrill.leases import disk as on_disk
 from yewrill.leases.raft import Raft
 from yewrill.leases.raft_types import (
@@ -65,10 +65,10 @@
 def harm(seed: int, span: float) -> tuple[int, int, int, int]:
     """Two acting at once, orders obeyed late, orders refused, grants."""
     try:
-        net = trouble(seed, span)
-    except Broken as broken:
+        net = run_random_faults(seed, span)
+    except InvariantViolation as broken:
         return int("act at once" in str(broken)), int("obeyed" in str(broken)), 0, 0
-    return 0, 0, sum(m.fence.refused for m in net.members.values()), len(net.owned)
+    return 0, 0, sum(m.fence.refused for m in net.members.values()), len(net.acquisitions)
 
 
 def orders(voters: int, seconds: float, at_once: int) -> float:
@@ -147,15 +147,15 @@
     )
     explored = 0
     bounds = {
-        "two elections": Bounds(term=2, log=2, messages=2, orders=0, crashes=0),
-        "one restart": Bounds(term=1, log=1, messages=2, orders=0, crashes=1),
+        "two elections": Bounds(term=2, log=2, messages=2, commands=0, crashes=0),
+        "one restart": Bounds(term=1, log=1, messages=2, commands=0, crashes=1),
     }
     if not given.quick:
         bounds |= {
             "an order, three messages": Bounds(term=1, log=2, messages=3, crashes=0),
             "two elections and an order": Bounds(term=2, log=2, messages=2, crashes=0),
             "a lost tail": Bounds(
-                term=2, log=2, messages=2, orders=0, crashes=1, tails=1, states=400_000
+                term=2, log=2, messages=2, commands=0, crashes=1, lost_tails=1, states=400_000
             ),
         }
     for i, (name, bound) in enumerate(bounds.items(), 1):
@@ -169,9 +169,15 @@
             )
         found = Checker(bound).run()
         explored += found.states
-        end = "whole" if found.whole else f"BROKEN: {found.broken}" if found.broken else "cut off"
+        end = (
+            "whole"
+            if found.complete
+            else f"BROKEN: {found.violation}"
+            if found.violation
+            else "cut off"
+        )
         print(f"{name}: {found.states} states, {found.steps} steps, {end}")
-        two += bool(found.broken)
+        two += bool(found.violation)
     rates = {voters: (orders(voters, 1.0, 1), orders(voters, 1.0, 32)) for voters in (3, 5)}
     for voters, (one, many) in rates.items():
         print(f"{voters} voters: {one:.0f} orders a second one by one, {many:.0f} at 32 together")
--- a/tests/test_log_states.py
+++ b/tests/test_log_states.py
@@ -46,7 +46,9 @@
 
 
 def submit(net, member, data):
-    number = net.members[member].node.submit("ledger", data, net.now * net.members[member].rate)
+    number = net.members[member].node.submit(
+        "ledger", data, net.now * net.members[member].clock_rate
+    )
     assert number
     return number
 
@@ -85,13 +87,13 @@
             for name in net.voters:
                 if not net.members[name].up:
                     net.restart(name)
-    net.peace()
+    net.end_faults()
     for member, number, data in submissions:
         positions[data] = int(wait_for_result(net, member, number))
     for name in net.voters:
         net.kill(name)
     net.run(1.0)
-    net.peace()
+    net.end_faults()
     net.run(10.0)
     assert wait_for_result(net, "m3", submit(net, "m3", b"last")) == b"30"
     net.run(2.0)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yewrill.lab.ownnet import OwnNet, trouble
-from yewrill.lab.raftcheck import Broken
+from yewrill.lab.ownnet import OwnNet, run_random_faults
+from yewrill.lab.raftcheck import InvariantViolation
 from yewrill.leases import disk as on_disk
 from yewrill.leases import lease_table as lease_table_module
 from yewrill.leases.format import Reply, Request, pack, unpack
@@ -137,18 +137,20 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_random_faults_give_no_two_holders_at_once_and_stale_commands_are_refused(seed):
-    net = trouble(seed)
-    net.peace()
+    net = run_random_faults(seed)
+    net.end_faults()
     assert net.until(lambda: bool(net.owners()), 20) is not None
-    assert len(net.owned) > 1 and net.obeyed
-    assert [number for _, _, number in net.owned] == sorted(number for _, _, number in net.owned)
+    assert len(net.acquisitions) > 1 and net.accepted_commands
+    assert [number for _, _, number in net.acquisitions] == sorted(
+        number for _, _, number in net.acquisitions
+    )
 
 
 def first_violation(seeds):
     for seed in seeds:
         try:
-            trouble(seed)
-        except Broken as error:
+            run_random_faults(seed)
+        except InvariantViolation as error:
             return str(error)
     return ""
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -9,7 +9,7 @@
 import pytest
 
 from yewrill.lab.netsim import Path
-from yewrill.lab.raftcheck import Bounds, Broken, Checker, World
+from yewrill.lab.raftcheck import Bounds, Checker, InvariantViolation, World
 from yewrill.lab.raftnet import RaftNet
 from yewrill.leases import raft as raft_module
 from yewrill.leases.raft import Raft
@@ -82,18 +82,18 @@
             disk = PersistentRaftState(
                 term, "c" if term == 3 else "", entries, Snapshot(0, 0, self.names)
             )
-            raft = self.make(name, 1, disk)
+            raft = self.create_raft(name, 1, disk)
             raft.is_voting, raft.commit_index = True, 1
-            world.nodes[name], world.past[name] = raft, (disk,)
+            world.nodes[name], world.saved_states[name] = raft, (disk,)
         world.committed = (LogEntry(1),)
         return world
 
 
 ONE_TERM = Bounds(term=1, log=2, messages=2, crashes=0)
-ELECTIONS = Bounds(term=2, log=2, messages=2, orders=0, crashes=0, states=15_000)
-CRASH = Bounds(term=1, log=1, messages=2, orders=0, crashes=1, states=15_000)
-LOST_TAIL = Bounds(term=2, log=2, messages=2, orders=0, crashes=1, tails=1, states=8_000)
-EARLIER_TERMS = Bounds(term=5, log=3, messages=2, orders=0, crashes=0, states=25_000)
+ELECTIONS = Bounds(term=2, log=2, messages=2, commands=0, crashes=0, states=15_000)
+CRASH = Bounds(term=1, log=1, messages=2, commands=0, crashes=1, states=15_000)
+LOST_TAIL = Bounds(term=2, log=2, messages=2, commands=0, crashes=1, lost_tails=1, states=8_000)
+EARLIER_TERMS = Bounds(term=5, log=3, messages=2, commands=0, crashes=0, states=25_000)
 
 
 @pytest.mark.parametrize(
@@ -112,8 +112,8 @@
     # One entry per message, so that only some of several entries may arrive.
     monkeypatch.setattr(raft_module, "MAX_ENTRIES_PER_MESSAGE", 1)
     found = checker(bounds).run()
-    assert not found.broken, (found.broken, found.path)
-    assert found.whole or not complete
+    assert not found.violation, (found.violation, found.path)
+    assert found.complete or not complete
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
 ):
     monkeypatch.setattr(raft_module, "MAX_ENTRIES_PER_MESSAGE", 1)
     found = checker(bounds, mutant, trust_disk=trust_disk).run()
-    assert found.broken and found.path
+    assert found.violation and found.path
 
 
 # ---------------------------------------------------------------------------------------------- random runs
@@ -192,7 +192,7 @@
     def finds_fault(seed):
         try:
             run_with_random_faults(seed, mutant)
-        except (Broken, AssertionError, IndexError):
+        except (InvariantViolation, AssertionError, IndexError):
             return True
         return False
 
--- a/yewrill/lab/ownnet.py
+++ b/yewrill/lab/ownnet.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from yewrill.lab.netsim import Path, VirtualNetwork
-from yewrill.lab.raftcheck import Broken
+from yewrill.lab.raftcheck import InvariantViolation
 from yewrill.leases.format import pack, unpack
 from yewrill.leases.lease_table import Fence
 from yewrill.leases.node import LeaseNode, NodeOutput
@@ -33,7 +33,7 @@
     incarnation: int = 1
     up: bool = True
     paused_until: float = -1.0
-    rate: float = 1.0
+    clock_rate: float = 1.0
     sent: int = 0
     fence: Fence = field(default_factory=Fence)  # on its disk
     joiner: FragmentAssembler = field(default_factory=FragmentAssembler)
@@ -56,13 +56,15 @@
         self.duty, self.span = duty, span
         self.voters = tuple(f"m{i}" for i in range(voters))
         self.members: dict[str, Member] = {}
-        self.owned: list[tuple[float, str, int]] = []  # when, who began to own, with which number
-        self.obeyed: list[tuple[float, str, int]] = []  # when, at whom, which number
+        self.acquisitions: list[
+            tuple[float, str, int]
+        ] = []  # when, who began to own, with which number
+        self.accepted_commands: list[tuple[float, str, int]] = []  # when, at whom, which number
         self.wanting, self.machines = wanting, machines
         disk = PersistentRaftState(snapshot=Snapshot(0, 0, self.voters))
         for i in range(members):
             member = Member(f"m{i}", None, disk, [disk])  # type: ignore[arg-type]
-            member.rate = 1.0 + drift * self.rng.uniform(-1.0, 1.0)
+            member.clock_rate = 1.0 + drift * self.rng.uniform(-1.0, 1.0)
             self.members[member.name] = member
             self._begin(member)
 
@@ -73,7 +75,7 @@
             member.disk,
             member.incarnation,
             random.Random(self.rng.getrandbits(64)),
-            self.now * member.rate,
+            self.now * member.clock_rate,
             lease_seconds=self.span,
             machines=self.machines() if self.machines is not None else None,
         )
@@ -89,8 +91,8 @@
             if self.now < member.paused_until:
                 self.at(member.paused_until + 1e-4, step)
                 return
-            self._carry_out(member, node.tick(self.now * member.rate))
-            self.at(max(self.now + 2e-3, min(self.now + 0.05, node.due / member.rate)), step)
+            self._carry_out(member, node.tick(self.now * member.clock_rate))
+            self.at(max(self.now + 2e-3, min(self.now + 0.05, node.due / member.clock_rate)), step)
 
         self.at(self.now, step)
 
@@ -109,7 +111,7 @@
     def pause(self, name: str, span: float) -> None:
         self.members[name].paused_until = self.now + span
 
-    def peace(self) -> None:
+    def end_faults(self) -> None:
         """Nothing more befalls them, and all are there."""
         for name, member in self.members.items():
             if not member.up:
@@ -141,7 +143,8 @@
         whole = member.joiner.take(sender.name, part)
         if whole is not None:
             self._carry_out(
-                member, member.node.receive(self.now * member.rate, unpack(whole), sender.name)
+                member,
+                member.node.receive(self.now * member.clock_rate, unpack(whole), sender.name),
             )
 
     # -- what must hold
@@ -153,35 +156,37 @@
             for m in self.members.values()
             if m.up
             and self.now >= m.paused_until
-            and (number := m.node.owns(self.duty, self.now * m.rate))
+            and (number := m.node.owns(self.duty, self.now * m.clock_rate))
         ]
 
     def _look(self, member: Member) -> None:
         owners = self.owners()
         if len(owners) > 1:
-            raise Broken(f"{owners} act at once")
+            raise InvariantViolation(f"{owners} act at once")
         for name, number in owners:
-            if not self.owned or self.owned[-1][1:] != (name, number):
-                if self.owned and number <= self.owned[-1][2]:
-                    raise Broken(f"{name} owns with {number} after {self.owned[-1]}")
-                self.owned.append((self.now, name, number))
-
-    def order(self, name: str, number: int, delay: float) -> None:
+            if not self.acquisitions or self.acquisitions[-1][1:] != (name, number):
+                if self.acquisitions and number <= self.acquisitions[-1][2]:
+                    raise InvariantViolation(
+                        f"{name} owns with {number} after {self.acquisitions[-1]}"
+                    )
+                self.acquisitions.append((self.now, name, number))
+
+    def send_command(self, name: str, number: int, delay: float) -> None:
         """An order of an owner's goes to all, and arrives some time."""
         for member in self.members.values():
 
             def obey(member: Member = member) -> None:
                 if member.fence.admits(self.duty, number):
-                    last = [n for _, who, n in self.obeyed if who == member.name]
+                    last = [n for _, who, n in self.accepted_commands if who == member.name]
                     if last and number < last[-1]:
-                        raise Broken(f"{member.name} obeyed {number} after {last[-1]}")
-                    self.obeyed.append((self.now, member.name, number))
+                        raise InvariantViolation(f"{member.name} obeyed {number} after {last[-1]}")
+                    self.accepted_commands.append((self.now, member.name, number))
 
             self.at(self.now + delay * self.rng.random(), obey)
 
 
-def trouble(seed: int, span: float = 25.0, members: int = 8) -> OwnNet:
-    """Members that all want one duty while anything befalls them; owners' orders come late. Raises Broken."""
+def run_random_faults(seed: int, span: float = 25.0, members: int = 8) -> OwnNet:
+    """Runs members that all want one duty under random faults. Raises InvariantViolation."""
     rng = random.Random(seed)
     path = Path(delay=0.004, jitter=0.01, loss=rng.choice((0.0, 0.05, 0.15)), duplication=0.1)
     net = OwnNet(seed, members, rng.choice((3, 5)), path=path, drift=0.04)
@@ -190,7 +195,7 @@
         net.run(0.1)
         owners = net.owners()
         if owners and rng.random() < 0.3:
-            net.order(*owners[0], 6.0)
+            net.send_command(*owners[0], 6.0)
         who = owners[0][0] if owners and rng.random() < 0.5 else rng.choice(list(net.members))
         down = [name for name, member in net.members.items() if not member.up]
         chance = rng.random()
--- a/yewrill/lab/raftcheck.py
+++ b/yewrill/lab/raftcheck.py
@@ -35,23 +35,23 @@
     term: int = 2
     log: int = 3  # entries, those that a new leader adds included
     messages: int = 4  # under way; an older one gives way
-    orders: int = 1
+    commands: int = 1
     crashes: int = 1
-    tails: int = 0  # of the crashes, those that lose the disk's tail
+    lost_tails: int = 0  # of the crashes, those that lose the disk's tail
     states: int = 2_000_000
 
 
 @dataclass(slots=True)
 class World:
     nodes: dict[str, Raft]
-    past: dict[
+    saved_states: dict[
         str, tuple[PersistentRaftState, ...]
     ]  # what each disk held since its process began, oldest first
     wire: tuple[RaftMessage, ...] = ()
     crashes: int = 0
-    tails: int = 0
+    lost_tails: int = 0
     restarted: frozenset[str] = frozenset()
-    orders: int = 0
+    commands: int = 0
     leaders: tuple[tuple[int, str], ...] = ()
     committed: tuple[LogEntry, ...] = ()
 
@@ -60,25 +60,27 @@
 class Found:
     states: int
     steps: int
-    whole: bool  # nothing was left out within the bounds
-    broken: str = ""  # the first invariant that failed, and where
+    complete: bool  # nothing was left out within the bounds
+    violation: str = ""  # the first invariant that failed, and where
     path: tuple[str, ...] = ()
 
 
-class Broken(Exception):
+class InvariantViolation(Exception):
     pass
 
 
 class Checker:
     def __init__(
-        self, bounds: Bounds, make: Callable[..., Raft] = Raft, *, trust_disk: bool = False
+        self, bounds: Bounds, create_raft: Callable[..., Raft] = Raft, *, trust_disk: bool = False
     ):
-        self.bounds, self.make, self.trust_disk = bounds, make, trust_disk
+        self.bounds, self.create_raft, self.trust_disk = bounds, create_raft, trust_disk
         self.names = tuple("abcdefg"[: bounds.voters])
 
     def start(self) -> World:
         disk = PersistentRaftState(snapshot=Snapshot(0, 0, self.names))
-        nodes = {name: self.make(name, 1, disk, trust_disk=self.trust_disk) for name in self.names}
+        nodes = {
+            name: self.create_raft(name, 1, disk, trust_disk=self.trust_disk) for name in self.names
+        }
         for raft in nodes.values():  # the first start of all: nobody has given any word
             raft.is_voting = True
         return World(nodes, dict.fromkeys(self.names, (disk,)))
@@ -97,15 +99,15 @@
                 )
             if (
                 raft.role == LEADER
-                and world.orders < bounds.orders
+                and world.commands < bounds.commands
                 and raft.last_index < bounds.log
             ):
-                order = b"%d" % world.orders
+                order = b"%d" % world.commands
                 yield (
                     f"{name} is given an order",
                     partial(
                         self._after,
-                        replace(world, orders=world.orders + 1),
+                        replace(world, commands=world.commands + 1),
                         name,
                         lambda r, order=order: r.propose(COMMAND, order),
                     ),
@@ -113,10 +115,10 @@
             if world.crashes < bounds.crashes:
                 yield (
                     f"{name} restarts",
-                    partial(self._restart, world, name, world.past[name][-1], False),
+                    partial(self._restart, world, name, world.saved_states[name][-1], False),
                 )
-                if world.tails < bounds.tails and not world.restarted - {name}:
-                    for disk in world.past[name][:-1]:
+                if world.lost_tails < bounds.lost_tails and not world.restarted - {name}:
+                    for disk in world.saved_states[name][:-1]:
                         yield (
                             f"{name} restarts, its tail lost",
                             partial(self._restart, world, name, disk, True),
@@ -134,14 +136,16 @@
             )
 
     def _restart(self, world: World, name: str, disk: PersistentRaftState, lost: bool) -> World:
-        raft = self.make(name, world.nodes[name].incarnation + 1, disk, trust_disk=self.trust_disk)
+        raft = self.create_raft(
+            name, world.nodes[name].incarnation + 1, disk, trust_disk=self.trust_disk
+        )
         raft.take()
         return replace(
             world,
             nodes={**world.nodes, name: raft},
-            past={**world.past, name: (disk,)},
+            saved_states={**world.saved_states, name: (disk,)},
             crashes=world.crashes + 1,
-            tails=world.tails + lost,
+            lost_tails=world.lost_tails + lost,
             restarted=world.restarted | {name},
         )
 
@@ -151,8 +155,11 @@
         raft.heartbeat_round = 0
         out = raft.take()
         after = replace(world, nodes={**world.nodes, name: raft})
-        if out.save is not None and out.save != after.past[name][-1]:
-            after.past = {**after.past, name: (*after.past[name], out.save)[-4:]}
+        if out.save is not None and out.save != after.saved_states[name][-1]:
+            after.saved_states = {
+                **after.saved_states,
+                name: (*after.saved_states[name], out.save)[-4:],
+            }
         for message in out.messages:
             message = (
                 replace(message, number=0) if message.kind in ("append", "appended") else message
@@ -161,14 +168,16 @@
                 after.wire = (*after.wire, message)[-self.bounds.messages :]
         if raft.role == LEADER and (raft.term, name) not in after.leaders:
             if any(term == raft.term for term, _ in after.leaders):
-                raise Broken(f"two leaders in term {raft.term}")
+                raise InvariantViolation(f"two leaders in term {raft.term}")
             if tuple(raft.log[: len(after.committed)]) != after.committed:
-                raise Broken(f"{name} leads in term {raft.term} without what was committed")
+                raise InvariantViolation(
+                    f"{name} leads in term {raft.term} without what was committed"
+                )
             after.leaders = (*after.leaders, (raft.term, name))
         for index, entry in out.committed:
             if index <= len(after.committed):
                 if after.committed[index - 1] != entry:
-                    raise Broken(f"{name} commits another entry at {index}")
+                    raise InvariantViolation(f"{name} commits another entry at {index}")
             else:
                 after.committed = (*after.committed, entry)
         return after
@@ -250,10 +259,10 @@
                             for d in disks
                         ),
                     )
-                    for who, disks in world.past.items()
+                    for who, disks in world.saved_states.items()
                 )
             )
-            if self.bounds.tails > world.tails
+            if self.bounds.lost_tails > world.lost_tails
             else ()
         )
         return (
@@ -261,9 +270,9 @@
             wire,
             past,
             world.crashes,
-            world.tails,
+            world.lost_tails,
             tuple(sorted(map(other, world.restarted))),
-            world.orders,
+            world.commands,
             tuple((e.term, e.data) for e in world.committed),
             tuple(sorted((term, other(who)) for term, who in world.leaders)),
         )
@@ -286,7 +295,7 @@
                             return Found(len(seen), steps, False)
                         seen.add(mark)
                         waiting.append((after, (path, taken)))
-            except Broken as broken:
+            except InvariantViolation as broken:
                 return Found(len(seen), steps, False, str(broken), (*unrolled(path), taken))
         return Found(len(seen), steps, True)
 
--- a/yewrill/lab/raftnet.py
+++ b/yewrill/lab/raftnet.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from yewrill.lab.netsim import Path, VirtualNetwork
-from yewrill.lab.raftcheck import Broken
+from yewrill.lab.raftcheck import InvariantViolation
 from yewrill.leases.raft import Raft
 from yewrill.leases.raft_types import (
     COMMAND,
@@ -47,7 +47,7 @@
 
 
 class RaftNet(VirtualNetwork):
-    """The simulated voters and the network between them. Raises Broken if an invariant fails."""
+    """The simulated voters and the network between them. Raises InvariantViolation if an invariant fails."""
 
     def __init__(
         self,
@@ -123,7 +123,7 @@
         for index, entry in output.committed:
             if index <= len(self.committed):
                 if self.committed[index - 1] != entry:
-                    raise Broken(f"{voter.name} commits another entry at {index}")
+                    raise InvariantViolation(f"{voter.name} commits another entry at {index}")
             else:
                 self.committed.append(entry)
             voter.applied_index = index
@@ -132,11 +132,11 @@
         raft = voter.raft
         if raft.role == LEADER and self.leaders.get(raft.term) != voter.name:
             if raft.term in self.leaders:
-                raise Broken(f"two leaders in term {raft.term}")
+                raise InvariantViolation(f"two leaders in term {raft.term}")
             self.leaders[raft.term] = voter.name
             self.elections += 1
             if raft.last_index < len(self.committed):
-                raise Broken(
+                raise InvariantViolation(
                     f"{voter.name} leads in term {raft.term} without all committed entries"
                 )
 
@@ -166,9 +166,9 @@
         return bool(index)
 
     def check(self) -> None:
-        """Raise Broken unless each acknowledged command is committed exactly once."""
+        """Raise InvariantViolation unless each acknowledged command is committed exactly once."""
         committed_data = [e.data for e in self.committed if e.kind == COMMAND]
         if not self.acknowledged <= set(committed_data) or len(committed_data) != len(
             set(committed_data)
         ):
-            raise Broken("an acknowledged command is missing, or committed twice")
+            raise InvariantViolation("an acknowledged command is missing, or committed twice")
