--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -39,14 +39,19 @@
 )
 from yewrill.store import Store
 
-SPAN = OwnershipConfig.__dataclass_fields__["span"].default  # seconds of a grant
+LEASE_SECONDS = OwnershipConfig.__dataclass_fields__["span"].default
 PROBE = 1000  # states, to see how fast this machine explores
 
 
 def failover(seed: int, voters: int, how: str) -> float:
     """Seconds from a fault at the owner until another owns."""
     net = OwnNet(
-        seed, 8, voters, span=SPAN, drift=0.04, path=Wire(delay=0.003, jitter=0.003, loss=0.02)
+        seed,
+        8,
+        voters,
+        lease_seconds=LEASE_SECONDS,
+        drift=0.04,
+        path=Wire(delay=0.003, jitter=0.003, loss=0.02),
     )
     net.until(lambda: bool(net.owners()), 10)
     net.run(2.0 + net.rng.random())
--- a/yewrill/lab/__init__.py
+++ b/yewrill/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: worlds to try the program's parts in. Never imported by the dispatcher."""
+"""Simulations, model checkers and test rigs of the dispatcher's parts. The dispatcher itself imports none."""
--- a/yewrill/lab/raftcheck.py
+++ b/yewrill/lab/raftcheck.py
@@ -1,11 +1,12 @@
-"""Explores the replicated log exhaustively within bounds, and checks what must hold in every state.
+"""Bounded model checker for the replicated log: explores all states and checks Raft's invariants in each.
 
-Breadth first over all orders of events of a few voters: an election's time is up, a leader speaks, an order
-is proposed, a message arrives (any of those under way, in any order; what is never chosen is lost), a voter
-is killed and starts anew, with its disk as it was or with its tail lost. States are told apart by a hash of
-all that decides what follows, names of the same standing being interchangeable; each is visited once.
+The search is breadth first over all orders of events of a few voters: an election timeout, a round of
+heartbeats, a proposed command, the arrival of any message in flight (in any order; a message that is never
+picked is lost), and a restart of a voter, with its disk intact or with the tail of its disk lost. Two states
+are equal if the hashes of everything that decides their future are; voters whose names can be exchanged
+without a difference count as the same. Each state is visited once.
 
-Within what the machine promises: a tail is lost only while nobody who remembers has restarted.
+The log tolerates a lost tail only as long as no other voter has restarted, so only such losses are explored.
 """
 
 from __future__ import annotations
@@ -31,23 +32,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
+    """Limits of the exploration, each inclusive."""
+
     voters: int = 3
     term: int = 2
-    log: int = 3  # entries, those that a new leader adds included
-    messages: int = 4  # under way; an older one gives way
+    log: int = 3  # entries, including those that a new leader appends
+    messages: int = 4  # in flight; the oldest is dropped when there are more
     commands: int = 1
     crashes: int = 1
-    lost_tails: int = 0  # of the crashes, those that lose the disk's tail
+    lost_tails: int = 0  # crashes that also lose the tail of the disk
     states: int = 2_000_000
 
 
 @dataclass(slots=True)
 class World:
+    """One state of the whole system: the voters, their disks, the messages in flight, and the history that
+    the invariants are about."""
+
     nodes: dict[str, Raft]
-    saved_states: dict[
-        str, tuple[PersistentRaftState, ...]
-    ]  # what each disk held since its process began, oldest first
-    wire: tuple[RaftMessage, ...] = ()
+    # The last states saved by each voter since its process started, oldest first.
+    saved_states: dict[str, tuple[PersistentRaftState, ...]]
+    in_flight: tuple[RaftMessage, ...] = ()
     crashes: int = 0
     lost_tails: int = 0
     restarted: frozenset[str] = frozenset()
@@ -57,19 +62,23 @@
 
 
 @dataclass(slots=True)
-class Found:
+class ExplorationResult:
+    """The result of an exploration. `path` lists the steps that led to the violation."""
+
     states: int
     steps: int
-    complete: bool  # nothing was left out within the bounds
-    violation: str = ""  # the first invariant that failed, and where
+    complete: bool  # every state within the bounds was visited
+    violation: str = ""  # the first invariant that failed
     path: tuple[str, ...] = ()
 
 
 class InvariantViolation(Exception):
-    pass
+    """An invariant failed; the text says which, and at which voter."""
 
 
 class Checker:
+    """Explores the states of the log's voters. `trust_disk` is passed to each voter that it creates."""
+
     def __init__(
         self, bounds: Bounds, create_raft: Callable[..., Raft] = Raft, *, trust_disk: bool = False
     ):
@@ -77,24 +86,30 @@
         self.names = tuple("abcdefg"[: bounds.voters])
 
     def start(self) -> World:
+        """Returns the initial state: all voters started for the first time, with empty disks."""
         disk = PersistentRaftState(snapshot=Snapshot(0, 0, self.names))
         nodes = {
             name: self.create_raft(name, 1, disk, trust_disk=self.trust_disk) for name in self.names
         }
-        for raft in nodes.values():  # the first start of all: nobody has given any word
+        # On the first start of all no voter can have forgotten a vote, so none has to recover.
+        for raft in nodes.values():
             raft.is_voting = True
         return World(nodes, dict.fromkeys(self.names, (disk,)))
 
-    # -- all that may happen next
+    # -- steps
 
     def steps(self, world: World) -> Iterator[tuple[str, Callable[[], World]]]:
+        """Yields the name of each possible next step and a function that returns the state after it."""
         bounds = self.bounds
         for name, raft in world.nodes.items():
             if raft.role != LEADER and raft.term < bounds.term:
-                yield f"{name} stands", partial(self._after, world, name, _stands)
+                yield (
+                    f"{name} starts an election",
+                    partial(self._after, world, name, _start_election_at_once),
+                )
             if raft.role == LEADER or not raft.is_voting:
                 yield (
-                    f"{name} speaks",
+                    f"{name} sends heartbeats",
                     partial(self._after, world, name, lambda r: r.send_heartbeats()),
                 )
             if (
@@ -104,7 +119,7 @@
             ):
                 order = b"%d" % world.commands
                 yield (
-                    f"{name} is given an order",
+                    f"{name} is given a command",
                     partial(
                         self._after,
                         replace(world, commands=world.commands + 1),
@@ -120,16 +135,16 @@
                 if world.lost_tails < bounds.lost_tails and not world.restarted - {name}:
                     for disk in world.saved_states[name][:-1]:
                         yield (
-                            f"{name} restarts, its tail lost",
+                            f"{name} restarts, the tail of its disk lost",
                             partial(self._restart, world, name, disk, True),
                         )
-        for at, message in enumerate(world.wire):
-            rest = world.wire[:at] + world.wire[at + 1 :]
+        for position, message in enumerate(world.in_flight):
+            remaining = world.in_flight[:position] + world.in_flight[position + 1 :]
             yield (
                 f"{message.kind} {message.sender}>{message.to}",
                 partial(
                     self._after,
-                    replace(world, wire=rest),
+                    replace(world, in_flight=remaining),
                     message.to,
                     lambda r, m=message: r.receive(m),
                 ),
@@ -149,32 +164,32 @@
             restarted=world.restarted | {name},
         )
 
-    def _after(self, world: World, name: str, act: Callable[[Raft], object]) -> World:
+    def _after(self, world: World, name: str, action: Callable[[Raft], object]) -> World:
         raft = clone(world.nodes[name])
-        act(raft)
+        action(raft)
         raft.heartbeat_round = 0
-        out = raft.take()
+        output = raft.take()
         after = replace(world, nodes={**world.nodes, name: raft})
-        if out.save is not None and out.save != after.saved_states[name][-1]:
+        if output.save is not None and output.save != after.saved_states[name][-1]:
             after.saved_states = {
                 **after.saved_states,
-                name: (*after.saved_states[name], out.save)[-4:],
+                name: (*after.saved_states[name], output.save)[-4:],
             }
-        for message in out.messages:
+        for message in output.messages:
             message = (
                 replace(message, number=0) if message.kind in ("append", "appended") else message
             )
-            if message not in after.wire and len(raft.log) <= self.bounds.log:
-                after.wire = (*after.wire, message)[-self.bounds.messages :]
+            if message not in after.in_flight and len(raft.log) <= self.bounds.log:
+                after.in_flight = (*after.in_flight, message)[-self.bounds.messages :]
         if raft.role == LEADER and (raft.term, name) not in after.leaders:
             if any(term == raft.term for term, _ in after.leaders):
                 raise InvariantViolation(f"two leaders in term {raft.term}")
             if tuple(raft.log[: len(after.committed)]) != after.committed:
                 raise InvariantViolation(
-                    f"{name} leads in term {raft.term} without what was committed"
+                    f"{name} leads in term {raft.term} without all committed entries"
                 )
             after.leaders = (*after.leaders, (raft.term, name))
-        for index, entry in out.committed:
+        for index, entry in output.committed:
             if index <= len(after.committed):
                 if after.committed[index - 1] != entry:
                     raise InvariantViolation(f"{name} commits another entry at {index}")
@@ -182,13 +197,14 @@
                 after.committed = (*after.committed, entry)
         return after
 
-    # -- exploring
+    # -- exploration
 
     def key(self, world: World) -> object:
-        """All that decides what may follow, the same for worlds that differ in names only."""
-        alike: dict[tuple, list[str]] = {}
-        for name, r in world.nodes.items():  # whoever differs in this has its place by it
-            mark = (
+        """Returns everything that decides a state's future, equal for states that differ in names only."""
+        by_signature: dict[tuple, list[str]] = {}
+        # Voters with different signatures have a fixed order; only those with the same are permuted.
+        for name, r in world.nodes.items():
+            signature = (
                 r.term,
                 r.role,
                 len(r.log),
@@ -198,45 +214,47 @@
                 r.pre_voting,
                 len(r.votes),
                 r.vote == name,
-                sum(m.to == name for m in world.wire),
+                sum(m.to == name for m in world.in_flight),
             )
-            alike.setdefault(mark, []).append(name)
-        groups = [alike[mark] for mark in sorted(alike)]
+            by_signature.setdefault(signature, []).append(name)
+        groups = [by_signature[signature] for signature in sorted(by_signature)]
         return min(
-            self._named(world, {name: at for at, name in enumerate(chain(*order))})
+            self._canonical(world, {name: number for number, name in enumerate(chain(*order))})
             for order in product(*map(permutations, groups))
         )
 
-    def _named(self, world: World, name: dict[str, int]) -> tuple:
-        def other(text: str) -> int:
-            return name.get(text, -1 if not text else -2)
+    def _canonical(self, world: World, numbers: dict[str, int]) -> tuple:
+        """Returns the state as a tuple in which each voter's name is replaced by its number."""
+
+        def number_of(voter: str) -> int:
+            return numbers.get(voter, -1 if not voter else -2)
 
         nodes = [()] * len(self.names)
         for who, r in world.nodes.items():
-            nodes[name[who]] = (
+            nodes[numbers[who]] = (
                 r.term,
-                other(r.vote),
+                number_of(r.vote),
                 tuple((e.term, e.data) for e in r.log),
                 r.role,
-                other(r.leader),
+                number_of(r.leader),
                 r.commit_index,
                 r.is_voting,
                 r.lost_tail,
                 r.pre_voting,
                 r.incarnation,
-                (r.state_at_start[0], other(r.state_at_start[1]), r.state_at_start[2]),
-                tuple(sorted(map(other, r.votes))),
-                tuple(sorted(map(other, r.answered_by))),
-                tuple(sorted((other(k), v) for k, v in r.match_index.items())),
-                tuple(sorted((other(k), v) for k, v in r.next_index.items())),
-                tuple(sorted((other(k), v) for k, v in r.incarnations.items())),
-                tuple(sorted((other(k), v) for k, v in r.acknowledged.items())),
+                (r.state_at_start[0], number_of(r.state_at_start[1]), r.state_at_start[2]),
+                tuple(sorted(map(number_of, r.votes))),
+                tuple(sorted(map(number_of, r.answered_by))),
+                tuple(sorted((number_of(k), v) for k, v in r.match_index.items())),
+                tuple(sorted((number_of(k), v) for k, v in r.next_index.items())),
+                tuple(sorted((number_of(k), v) for k, v in r.incarnations.items())),
+                tuple(sorted((number_of(k), v) for k, v in r.acknowledged.items())),
             )
-        wire = tuple(
+        in_flight = tuple(
             (
                 m.kind,
-                other(m.sender),
-                other(m.to),
+                number_of(m.sender),
+                number_of(m.to),
                 m.incarnation,
                 m.term,
                 m.number,
@@ -247,15 +265,15 @@
                 m.commit_index,
                 tuple((e.term, e.data) for e in m.entries),
             )
-            for m in world.wire
+            for m in world.in_flight
         )
-        past = (
+        saved_states = (
             tuple(
                 sorted(
                     (
-                        name[who],
+                        numbers[who],
                         tuple(
-                            (d.term, other(d.vote), tuple((e.term, e.data) for e in d.log))
+                            (d.term, number_of(d.vote), tuple((e.term, e.data) for e in d.log))
                             for d in disks
                         ),
                     )
@@ -267,42 +285,45 @@
         )
         return (
             tuple(nodes),
-            wire,
-            past,
+            in_flight,
+            saved_states,
             world.crashes,
             world.lost_tails,
-            tuple(sorted(map(other, world.restarted))),
+            tuple(sorted(map(number_of, world.restarted))),
             world.commands,
             tuple((e.term, e.data) for e in world.committed),
-            tuple(sorted((term, other(who)) for term, who in world.leaders)),
+            tuple(sorted((term, number_of(who)) for term, who in world.leaders)),
         )
 
-    def run(self) -> Found:
+    def run(self) -> ExplorationResult:
+        """Explores until every state is visited, an invariant fails or the bound on states is reached."""
         start = self.start()
         seen = {hash(self.key(start))}
-        waiting: deque[tuple[World, tuple]] = deque([(start, ())])
+        queue: deque[tuple[World, tuple]] = deque([(start, ())])
         steps = 0
-        while waiting:
-            world, path = waiting.popleft()
-            taken = ""
+        while queue:
+            world, path = queue.popleft()
+            step_name = ""
             try:
-                for taken, step in self.steps(world):
+                for step_name, step in self.steps(world):
                     after = step()
                     steps += 1
-                    mark = hash(self.key(after))
-                    if mark not in seen:
+                    state_hash = hash(self.key(after))
+                    if state_hash not in seen:
                         if len(seen) >= self.bounds.states:
-                            return Found(len(seen), steps, False)
-                        seen.add(mark)
-                        waiting.append((after, (path, taken)))
-            except InvariantViolation as broken:
-                return Found(len(seen), steps, False, str(broken), (*unrolled(path), taken))
-        return Found(len(seen), steps, True)
+                            return ExplorationResult(len(seen), steps, False)
+                        seen.add(state_hash)
+                        queue.append((after, (path, step_name)))
+            except InvariantViolation as error:
+                return ExplorationResult(
+                    len(seen), steps, False, str(error), (*unrolled(path), step_name)
+                )
+        return ExplorationResult(len(seen), steps, True)
 
 
-def _stands(raft: Raft) -> None:
-    """Its election's time is up, and whoever it asked before would vote for it: pre-votes promise nothing, so
-    standing without them is the more that may happen."""
+def _start_election_at_once(raft: Raft) -> None:
+    """Starts an election without waiting for pre-votes: pre-votes bind no voter, so skipping them allows more
+    behaviours than counting them."""
     raft.campaign()
     if raft.pre_voting:
         raft.take()
@@ -310,28 +331,28 @@
 
 
 def unrolled(path: tuple) -> list[str]:
-    """The steps of a path that was kept as (the path before, the last step)."""
-    told: list[str] = []
+    """Returns the list of steps of a path that is stored as nested pairs (earlier path, last step)."""
+    steps: list[str] = []
     while path:
         path, step = path
-        told.append(step)
-    return told[::-1]
+        steps.append(step)
+    return steps[::-1]
 
 
 def clone(raft: Raft) -> Raft:
-    """A copy that shares what never changes."""
-    other = copy.copy(raft)
-    other.ready = Ready()
-    other.log = list(raft.log)
-    other.answered_by, other.votes, other.active_followers = (
+    """Returns a copy of a voter that shares its immutable values, for use in another state."""
+    copied = copy.copy(raft)
+    copied.ready = Ready()
+    copied.log = list(raft.log)
+    copied.answered_by, copied.votes, copied.active_followers = (
         set(raft.answered_by),
         set(raft.votes),
         set(raft.active_followers),
     )
-    other.incarnations, other.acknowledged = dict(raft.incarnations), dict(raft.acknowledged)
-    other.match_index, other.next_index, other.pending_reads = (
+    copied.incarnations, copied.acknowledged = dict(raft.incarnations), dict(raft.acknowledged)
+    copied.match_index, copied.next_index, copied.pending_reads = (
         dict(raft.match_index),
         dict(raft.next_index),
         list(raft.pending_reads),
     )
-    return other
+    return copied
