--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,8 @@
-"""The control of large fleets in virtual time, within the shipped budgets: counts and bytes."""
+"""The control plane of large fleets, in virtual time and within the shipped budgets.
+
+Guards against a fleet that does not form or loses leases because the budgets hold back its messages, and
+against traffic that grows with the fleet's size.
+"""
 
 import math
 import random
@@ -8,11 +12,11 @@
 
 from yewrill.lab.netsim import Path
 from yewrill.lab.scale import plan
-from yewrill.lab.scale.events import WideFleet, rate, stood
-from yewrill.lab.scale.fit import line
-from yewrill.lab.scale.module import state
-from yewrill.lab.scale.plan import Mix, TooLarge
-from yewrill.lab.scale.virtual import Fleet, VirtualFleet
+from yewrill.lab.scale.events import WideFleet, create_settled_fleet, send_rates
+from yewrill.lab.scale.fit import fit_line
+from yewrill.lab.scale.module import state_bytes
+from yewrill.lab.scale.plan import FleetMix, FleetTooLarge
+from yewrill.lab.scale.virtual import FleetParameters, VirtualFleet
 from yewrill.membership.format import Codec
 from yewrill.membership.intake import BURST_SECONDS, InboundBudget, Priority, TokenBucket
 from yewrill.membership.machine import SwimMember
@@ -36,7 +40,7 @@
     priority_of,
     unpack,
 )
-from yewrill.views.machine import ViewMachine as ViewsMachine
+from yewrill.views.machine import ViewMachine
 from yewrill.views.timing import ViewCounters, ViewTiming
 from yewrill.views.view import Entry, View
 from yewrill.views.view_member import ViewMember
@@ -48,30 +52,30 @@
     return tuple(Entry(f"m{i:04d}", i + 1, ("h", i)) for i in range(size))
 
 
-# -- a fleet that starts at once
+# -- formation of a fleet
 
 
 @pytest.mark.parametrize(
     "dispatchers, seed, within", [(24, 1, 15.0), (24, 2, 15.0), (24, 5, 15.0), (60, 1, 20.0)]
 )
-def test_dispatchers_that_start_at_once_agree_within_the_shipped_budget(dispatchers, seed, within):
-    fleet = VirtualFleet(seed, Fleet(dispatchers, path=LOOPBACK))
+def test_dispatchers_started_at_once_agree_within_the_shipped_budget(dispatchers, seed, within):
+    fleet = VirtualFleet(seed, FleetParameters(dispatchers, path=LOOPBACK))
     assert fleet.until(fleet.agreed, within) is not None
     assert not fleet.conflicts and not fleet.lost_leases
     assert not sum(n.transport.held_back_by[Priority.HEARTBEAT] for n in fleet.living())
 
 
-def test_with_loss_and_regions_apart_they_agree_too():
-    fleet = WideFleet(3, Fleet(33, path=Path(loss=0.02)))
+def test_dispatchers_in_several_regions_with_packet_loss_agree():
+    fleet = WideFleet(3, FleetParameters(33, path=Path(loss=0.02)))
     assert fleet.form() is not None and not fleet.conflicts
 
 
-def test_at_rest_bytes_a_member_fall_within_the_budget_and_no_lease_is_lost():
-    """By the size they must not grow faster than its logarithm; here they fall."""
+def test_at_rest_the_bytes_per_member_stay_within_the_budget_and_no_lease_is_lost():
+    """The bytes must not grow faster than the logarithm of the size."""
     found = {}
     for size in (24, 72, 200):
-        fleet = stood(size)
-        found[size] = rate(fleet, 6.0)
+        fleet = create_settled_fleet(size)
+        found[size] = send_rates(fleet, 6.0)
         assert not fleet.lost_leases and fleet.held_back == fleet.flooded == 0
     rates = [found[size]["bytes_per_s"] for size in sorted(found)]
     for (small, less), (large, more) in zip(
@@ -81,27 +85,27 @@
     ):
         assert more <= less * math.log(large) / math.log(small)
     assert found[24]["bytes_per_s"] < plan.BUDGET_BYTES_PER_S
-    assert found[200]["bytes_per_s"] < plan.BUDGET_BYTES_AT_REST
+    assert found[200]["bytes_per_s"] < plan.BUDGET_BYTES_PER_S_AT_REST
 
 
-def test_a_region_that_is_cut_off_leaves_the_others_their_leases_and_comes_back():
-    fleet = stood(33)
-    away = [name for name in fleet.nodes if fleet.region(name) == 2]
-    stay = sorted(set(fleet.nodes) - set(away))
-    fleet.cut(away, stay, heal_after=15.0)
-    assert fleet.until(lambda: fleet.agreed(stay), 6.0) is not None
+def test_a_partition_of_a_region_leaves_the_others_their_leases_and_heals():
+    fleet = create_settled_fleet(33)
+    cut_off = [name for name in fleet.nodes if fleet.region(name) == 2]
+    remaining = sorted(set(fleet.nodes) - set(cut_off))
+    fleet.cut(cut_off, remaining, heal_after=15.0)
+    assert fleet.until(lambda: fleet.agreed(remaining), 6.0) is not None
     fleet.run(15.0)
-    assert not fleet.lost(away)
+    assert not fleet.lost(cut_off)
     assert fleet.until(fleet.agreed, 15.0) is not None and not fleet.conflicts
 
 
-# -- joiners
+# -- joining members
 
 
-def vouching(rank, heard):
-    """Whom a member of a view of nine vouches for, that has heard these call three times each."""
+def attested_by(rank, heard):
+    """Returns the joiners that a member of a view of nine attests after four join requests of each."""
     view = View(1, entries(9))
-    machine = ViewsMachine(view.entries[rank], (), None, random.Random(rank), 0.0)
+    machine = ViewMachine(view.entries[rank], (), None, random.Random(rank), 0.0)
     machine.install(view, 0.0)
     for call in range(4):
         now = 0.1 + 0.3 * call
@@ -113,54 +117,55 @@
     return [entry.name for entry in machine._attested_joiners()]
 
 
-def test_all_observers_prefer_the_same_joiners_in_whatever_order_they_were_heard():
+def test_all_observers_prefer_the_same_joiners_whatever_the_order_of_their_requests():
     names = [f"j{i}" for i in range(40)]
-    lists = [vouching(rank, random.Random(rank).sample(names, len(names))) for rank in range(9)]
+    lists = [attested_by(rank, random.Random(rank).sample(names, len(names))) for rank in range(9)]
     for attested in lists:
         assert len(attested) > MAX_ATTESTED and attested == sorted(attested, key=admission.sort_key)
-    enough = watermarks(8)[1]  # vouchers that a joiner needs
-    come = [name for name in names if sum(name in v[:MAX_ATTESTED] for v in lists) >= enough]
-    assert len(come) >= MAX_ATTESTED // 2
+    enough = watermarks(8)[1]  # attestations that a joiner needs
+    admitted = [name for name in names if sum(name in v[:MAX_ATTESTED] for v in lists) >= enough]
+    assert len(admitted) >= MAX_ATTESTED // 2
 
 
-def test_joiners_call_the_more_rarely_the_more_are_before_them():
+def test_joiners_request_less_often_the_more_joiners_are_before_them():
     names = sorted((f"j{i}" for i in range(200)), key=admission.sort_key)
     found = [admission.slowdown(8, name, names) for name in names]
     assert found[:8] == [1] * 8 and found == sorted(found) and max(found) <= admission.MAX_SLOWDOWN
-    assert sum(1.0 / stretch for stretch in found) < 45  # calls of 200 come to those of so many
+    # 200 joiners send fewer requests than 45 that are not slowed down.
+    assert sum(1.0 / stretch for stretch in found) < 45
     assert admission.slowdown(200, names[-1], names) == 1
 
 
-def test_vouchers_are_told_to_those_who_propose_and_to_others_if_they_do_not():
+def test_attestations_go_to_the_proposers_first_and_to_more_members_if_they_stay_silent():
     view = View(4, entries(40))
-    one = Attestations(view, 0, 0.25)
+    attestations = Attestations(view, 0, 0.25)
     joiner = Entry("new", 7, ("h", 99))
-    assert one.recipients(1.0, frozenset()) == [] and one.record(0, (joiner,))
-    told = {e.name for e in one.recipients(1.0, frozenset())}
+    assert attestations.recipients(1.0, frozenset()) == [] and attestations.record(0, (joiner,))
+    recipients = {e.name for e in attestations.recipients(1.0, frozenset())}
     turns = [view.entries[rank].name for rank in view.proposal_order()]
-    assert told == set(turns[:PROPOSERS]) - {"m0000"}
-    assert one.recipients(1.1, frozenset()) == []  # not again at once
-    later = {e.name for e in one.recipients(1.0 + SHIFT_SECONDS, frozenset())}
+    assert recipients == set(turns[:PROPOSERS]) - {"m0000"}
+    assert attestations.recipients(1.1, frozenset()) == []  # not repeated at once
+    later = {e.name for e in attestations.recipients(1.0 + SHIFT_SECONDS, frozenset())}
     assert later == set(turns[: 2 * PROPOSERS]) - {"m0000"}
     dead = frozenset(view.proposal_order()[:PROPOSERS])
-    again = {e.name for e in one.recipients(30.0, dead)}
+    again = {e.name for e in attestations.recipients(30.0, dead)}
     assert again and not again & {view.entries[rank].name for rank in dead}
-    assert one.attesters() == {joiner: {0}} and not one.record(0, (joiner,))
+    assert attestations.attesters() == {joiner: {0}} and not attestations.record(0, (joiner,))
 
 
-# -- the vote, where the other holds the proposal
+# -- votes sent as tallies, to a peer that holds the proposal
 
 
-def test_a_tally_says_what_the_word_says_and_only_to_the_same_proposal():
-    word = VoteState((3, 1), 0b111, proposal=b"x" * 900, accepted=0b110)
-    tally = encode_tally(word, 5)
-    assert decode_tally(tally, word._replace(accepted=0b1), 5) == word
-    assert decode_tally(tally, word._replace(proposal=b"y"), 5) is None
-    assert decode_tally(tally, word._replace(ballot=(4, 1)), 5) is None
+def test_a_tally_decodes_to_the_vote_only_with_the_same_proposal_and_ballot():
+    vote = VoteState((3, 1), 0b111, proposal=b"x" * 900, accepted=0b110)
+    tally = encode_tally(vote, 5)
+    assert decode_tally(tally, vote._replace(accepted=0b1), 5) == vote
+    assert decode_tally(tally, vote._replace(proposal=b"y"), 5) is None
+    assert decode_tally(tally, vote._replace(ballot=(4, 1)), 5) is None
     assert decode_tally(tally, VoteState((3, 1)), 5) is None
 
 
-def test_a_proposal_goes_once_to_who_shows_that_it_holds_it():
+def test_a_proposal_is_not_sent_again_to_a_peer_that_has_shown_to_hold_it():
     view = View(4, entries(3))
     one, other = (
         ViewMember(
@@ -175,15 +180,15 @@
         )
         for rank in (0, 1)
     )
-    word = VoteState((1, 2), 0b111, proposal=b"x" * 900, accepted=0b100)
+    vote = VoteState((1, 2), 0b111, proposal=b"x" * 900, accepted=0b100)
     for inside in (one, other):
-        assert inside.vote.merge(word)
+        assert inside.vote.merge(vote)
     to_other, to_one = one.edges[1], other.edges[0]
     first = one._message(to_other, 1.0)
     assert first.vote is not None and first.tally is None
     other.merge(1.0, first, to_one, "m0000")
     second = other._message(to_one, 1.1)
-    assert second.vote is None and second.tally is not None  # we have told it ourselves
+    assert second.vote is None and second.tally is not None  # the peer itself sent the proposal
     one.merge(1.2, second, to_other, "m0001")
     assert one.vote.state.accepted == 0b111
     parts = MessageAssembler()
@@ -191,25 +196,25 @@
     assert [type(message) for message in whole] == [Heartbeat]
 
 
-def test_the_first_format_of_beats_and_answers_is_still_understood():
-    """As an older member sends them: without the fields that came later, and it ignores these."""
-    beat = Heartbeat(4, b"8 bytes!", 7, 250, 10, 0, version=2)
+def test_heartbeats_and_join_responses_of_the_first_format_are_still_decoded():
+    """An older member sends messages without the fields added later, and ignores those fields."""
+    heartbeat = Heartbeat(4, b"8 bytes!", 7, 250, 10, 0, version=2)
     answer = JoinResponse(4, b"8 bytes!", 10, size=9)
-    for message, fields in ((beat, 11), (answer, 6)):
+    for message, fields in ((heartbeat, 11), (answer, 6)):
         plain = msgspec.msgpack.decode(msgspec.msgpack.encode(message))
         assert len(plain) > fields
         old = unpack(msgspec.msgpack.encode(plain[:fields]))
         assert type(old) is type(message) and old.number == 4
     assert (
         unpack(
-            msgspec.msgpack.encode(msgspec.msgpack.decode(msgspec.msgpack.encode(beat))[:11])
+            msgspec.msgpack.encode(msgspec.msgpack.decode(msgspec.msgpack.encode(heartbeat))[:11])
         ).version
         == 1
     )
-    word = VoteState((1, 0), 0b1)
+    vote = VoteState((1, 0), 0b1)
     assert (
-        decode_vote(Heartbeat(4, b"8 bytes!", 7, 0, 0, 0, vote=encode_vote(word, 3)).vote, 3)
-        == word
+        decode_vote(Heartbeat(4, b"8 bytes!", 7, 0, 0, 0, vote=encode_vote(vote, 3)).vote, 3)
+        == vote
     )
 
 
@@ -221,7 +226,7 @@
     return Transport(machine, Codec("a", 1, [b"k" * 16]), bytes_per_s)
 
 
-def test_heartbeats_find_room_where_gossip_and_lists_do_not():
+def test_heartbeats_are_sent_when_the_budget_for_gossip_and_lists_is_used_up():
     sender = transport(1000.0)
     full = 1000.0 * BURST_SECONDS
     while sender.send(0.0, [(("h", 2), Message("list", about="x" * 40))]):
@@ -235,14 +240,17 @@
     assert sender.held_back_by == {Priority.LIST: 1, Priority.GOSSIP: 1}
 
 
-def test_messages_of_views_have_their_priority():
+def test_view_heartbeats_and_join_requests_have_heartbeat_priority():
     entry = Entry("n", 1, ("h", 1))
-    beat, call = Heartbeat(1, b"8 bytes!", 1, 0, 0, 0), JoinRequest(entry, 0, 250, -1, 0)
-    assert priority_of(beat) is priority_of(call) is Priority.HEARTBEAT
+    heartbeat, join_request = (
+        Heartbeat(1, b"8 bytes!", 1, 0, 0, 0),
+        JoinRequest(entry, 0, 250, -1, 0),
+    )
+    assert priority_of(heartbeat) is priority_of(join_request) is Priority.HEARTBEAT
     assert priority_of(JoinResponse(1, b"8 bytes!", 0)) is Priority.GOSSIP
 
 
-def test_one_member_and_strangers_leave_the_others_their_share_of_what_is_looked_at():
+def test_a_flooding_member_and_unknown_senders_leave_the_others_their_inbound_budget():
     intake = InboundBudget(10_000.0)
     members = [("h", i) for i in range(20)]
     intake.set_members(members)
@@ -250,19 +258,19 @@
     assert taken * 100 <= 0.25 * 10_000.0 * BURST_SECONDS
     assert sum(intake.admits(0.0, ("strange", i), 100) for i in range(1000)) * 100 <= 5000.0
     rest = sum(intake.admits(0.0, member, 100) for member in members[1:] for _ in range(5))
-    assert rest == 5 * 19  # a well peer sends so much in a moment
+    assert rest == 5 * 19  # a healthy peer may send this many at once
     assert sum(intake.admits(0.0, m, 100) for m in members for _ in range(99)) * 100 <= 20_000.0
 
 
-def test_a_bucket_leaves_what_it_is_told_to():
+def test_a_token_bucket_keeps_its_reserve():
     bucket = TokenBucket(100.0)
     assert bucket.take(0.0, 100.0, 0.5) and not bucket.take(0.0, 1.0, 0.5) and bucket.take(0.0, 1.0)
 
 
-# -- lists
+# -- membership lists
 
 
-def test_equal_lists_are_not_sent_and_different_ones_are():
+def test_a_membership_list_is_sent_only_if_its_digest_differs():
     one, other = (
         SwimMember(Claim(name, ("h", at)), [], random.Random(at), 0.0)
         for at, name in enumerate("ab")
@@ -270,39 +278,41 @@
     for machine, claim in ((one, other.me), (other, one.me)):
         machine.apply(claim)
     assert one.digest == other.digest
-    question = Message("list", one.digest, about="a")
-    assert other.receive(0.1, question, "a", ("h", 0)) == []
+    request = Message("list", one.digest, about="a")
+    assert other.receive(0.1, request, "a", ("h", 0)) == []
     other.apply(Claim("c", ("h", 9)))
-    (answer,) = other.receive(0.2, question, "a", ("h", 0))
+    (answer,) = other.receive(0.2, request, "a", ("h", 0))
     assert {claim.name for claim in answer[1].updates} == {"a", "b", "c"}
-    assert other.receive(0.3, Message("list", about="a"), "a", ("h", 0))  # as an older member asks
+    assert other.receive(
+        0.3, Message("list", about="a"), "a", ("h", 0)
+    )  # an older member sends no digest
 
 
-# -- what a machine is asked to run, and lines through measurements
+# -- limits of the machine, and fitted lines
 
 
-def test_a_fleet_that_is_too_large_for_the_machine_is_refused_with_its_reason():
-    plan.check(Mix(12, 188), 32_000.0)
-    with pytest.raises(TooLarge, match="301 processes"):
-        plan.check(Mix(301, 0), 1e6)
-    with pytest.raises(TooLarge, match="half of the machine's 1000 MB"):
-        plan.check(Mix(12, 188), 1000.0)
+def test_a_fleet_too_large_for_the_machine_is_rejected_with_the_limit():
+    plan.check_limits(FleetMix(12, 188), 32_000.0)
+    with pytest.raises(FleetTooLarge, match="301 processes"):
+        plan.check_limits(FleetMix(301, 0), 1e6)
+    with pytest.raises(FleetTooLarge, match="half of the machine's 1000 MB"):
+        plan.check_limits(FleetMix(12, 188), 1000.0)
 
 
-def test_a_line_tells_a_hidden_square_and_wants_five_sizes():
+def test_a_fitted_line_detects_a_quadratic_term_and_needs_five_sizes():
     sizes = [6.0, 12.0, 24.0, 60.0, 120.0, 200.0]
-    straight = line(sizes, [3.0 * size + 7.0 for size in sizes])
+    straight = fit_line(sizes, [3.0 * size + 7.0 for size in sizes])
     assert straight.slope == pytest.approx(3.0) and straight.constant == pytest.approx(7.0)
     assert (
-        not straight.bent
+        not straight.is_nonlinear
         and straight.residual < 1e-9
-        and straight.at(680.0) == pytest.approx(2047.0)
+        and straight.value_at(680.0) == pytest.approx(2047.0)
     )
-    assert line(sizes, [0.1 * size * size for size in sizes]).bent
+    assert fit_line(sizes, [0.1 * size * size for size in sizes]).is_nonlinear
     with pytest.raises(ValueError, match="5 sizes, not 2"):
-        line([1.0, 2.0], [1.0, 2.0])
+        fit_line([1.0, 2.0], [1.0, 2.0])
 
 
-def test_the_modules_state_is_bounded_by_workers_and_teams():
-    assert (state(680, 15) - state(60, 15)) / 620 < 1500
-    assert (state(60, 120) - state(60, 2)) / 118 < 1500
+def test_the_modules_state_per_worker_and_per_tenant_is_bounded():
+    assert (state_bytes(680, 15) - state_bytes(60, 15)) / 620 < 1500
+    assert (state_bytes(60, 120) - state_bytes(60, 2)) / 118 < 1500
--- a/yewrill/lab/scale/__init__.py
+++ b/yewrill/lab/scale/__init__.py
@@ -1,8 +1,10 @@
-"""Scale tests: how large a fleet of dispatchers may get, and what its control costs.
+"""Scale tests: the cost of a dispatcher's control plane, by the size of the fleet.
 
-`plan.py` has the planned sizes and budgets, `fit.py` turns measurements at several sizes into slopes.
-`virtual.py` runs the control stack (membership and views, in its real format and within its real budgets) in
-virtual time; `fleet.py` runs it as processes on loopback: real dispatchers as they ship beside *hollow* ones
-(`hollow.py`), which have the same control and serve nothing, many a process. `sampling.py` reads what a
-process costs. Nothing here is imported by the dispatcher.
+The control plane of a dispatcher is its membership, views and zone failover. `virtual.py` simulates it in
+virtual time, with the production codecs and send budgets, and `events.py` measures failures and restarts in
+that simulation. `fleet.py` starts a fleet of processes on loopback: real dispatchers with the shipped
+configuration, and *hollow* ones (`hollow.py`), which run the same control plane but serve no requests, many
+to a process; `measure.py` measures such a fleet with the process statistics of `sampling.py`. `module.py`
+measures the decision module and the endpoint list. `plan.py` has the planned sizes and the budgets, `fit.py`
+fits lines through measurements, and `page.py` renders the capacity page. The dispatcher imports none of it.
 """
--- a/yewrill/lab/scale/events.py
+++ b/yewrill/lab/scale/events.py
@@ -1,8 +1,10 @@
-"""Events in a fleet in virtual time: what each adds in bytes, and how long until all agree again.
+"""Measures starts, failures and restarts of a fleet in virtual time: traffic, and the time until agreement.
 
-Delays between regions are those of a wide area, inside one of a data centre. `worst_10s` is the most
-that any dispatcher sent in ten seconds of the event, in bytes a second with headers; `lost` counts leases
-that dispatchers lost which the event did not touch.
+Network delays are those of a wide area between regions and of a data centre inside a region. The results are
+written to JSON: `gone` is the number of dispatchers affected, `agreed_s` the seconds until all others agreed
+on a view, `back_s` the seconds until all agreed again. `worst_10s` is the highest rate at which a dispatcher
+sent over ten seconds, in bytes per second with headers. `lost` counts the leases lost by dispatchers that the
+event did not affect.
 """
 
 from __future__ import annotations
@@ -15,47 +17,47 @@
 
 from yewrill.lab.netsim import Path
 from yewrill.lab.scale import plan
-from yewrill.lab.scale.virtual import Fleet, Node, VirtualFleet
+from yewrill.lab.scale.virtual import FleetParameters, Node, VirtualFleet
 from yewrill.views.view import View
 
-INSIDE = Path(delay=0.0002, jitter=0.0002)
-BETWEEN = Path(delay=0.008, jitter=0.001)  # one way between regions
+INSIDE_REGION = Path(delay=0.0002, jitter=0.0002)
+BETWEEN_REGIONS = Path(delay=0.008, jitter=0.001)  # one way
 WINDOW_S = 10
 FORM_LIMIT_S = 90.0
 REST_S = 20.0
-CUT_S = 60.0
-LIMIT_S = 120.0
+PARTITION_S = 60.0
+AGREE_LIMIT_S = 120.0
 
 
 class WideFleet(VirtualFleet):
-    """Dispatchers in regions, and what each sent in the last seconds."""
+    """A fleet over several regions that records the traffic of each dispatcher over the last seconds."""
 
-    def __init__(self, seed: int, fleet: Fleet):
+    def __init__(self, seed: int, fleet: FleetParameters):
         self._history: dict[str, deque[int]] = {}
         self.worst = 0.0
         super().__init__(seed, fleet)
 
     def path(self, a: str, b: str) -> Path:
-        """Delays by regions, where nothing else is set."""
+        """Returns the path set for the pair of dispatchers, else one with the delay for their regions."""
         found = self.paths.get((a, b))
         if found is not None:
             return found
-        return INSIDE if self.region(a) == self.region(b) else BETWEEN
+        return INSIDE_REGION if self.region(a) == self.region(b) else BETWEEN_REGIONS
 
     def region(self, name: str) -> int:
-        """The region that a dispatcher is in."""
-        return int(name[1:]) % self.fleet.zones % plan.REGIONS
+        """Returns the number of a dispatcher's region."""
+        return int(name[1:]) % self.parameters.zones % plan.REGIONS
 
     def zone(self, name: str) -> int:
-        """The zone that a dispatcher is in."""
-        return int(name[1:]) % self.fleet.zones
+        """Returns the number of a dispatcher's zone."""
+        return int(name[1:]) % self.parameters.zones
 
     def form(self) -> float | None:
-        """Seconds until all that started at once agree."""
+        """Runs until all dispatchers agree on a view; returns the seconds that took, None if too long."""
         return self.until(self.agreed, FORM_LIMIT_S, 0.5)
 
-    def join_all(self) -> None:
-        """Have all know each other and be in one view, as a fleet that has stood for long."""
+    def install_common_view(self) -> None:
+        """Installs one view of all dispatchers, as in a fleet that formed long ago."""
         for node in self.nodes.values():
             members = node.transport.machine
             members.entries.clear()
@@ -65,53 +67,53 @@
             members.gossip.clear()
         view = View(1, tuple(node.views.me for node in self.nodes.values()))
         for node in self.nodes.values():
-            self._settle(node)
-            self._put(node, self._say(node, node.views.install(view, self.now)))
-            self._settle(node)
+            self._after_event(node)
+            self._send(node, self._process_step(node, node.views.install(view, self.now)))
+            self._after_event(node)
 
-    def watch(self) -> None:
-        """Note each second what was sent."""
+    def record_traffic(self) -> None:
+        """Records each second the bytes that each dispatcher has sent."""
         for node in self.nodes.values():
             sent = self._history.setdefault(node.name, deque(maxlen=WINDOW_S + 1))
-            if sent and node.bytes_out < sent[-1]:  # started anew
+            if sent and node.bytes_out < sent[-1]:  # restarted, so its counters began at zero
                 sent.clear()
             sent.append(node.bytes_out)
             if len(sent) == WINDOW_S + 1:
                 self.worst = max(self.worst, (sent[-1] - sent[0]) / WINDOW_S)
-        self.at(self.now + 1.0, self.watch)
+        self.at(self.now + 1.0, self.record_traffic)
 
-    def begin(self) -> None:
-        """Count from here."""
+    def start_recording(self) -> None:
+        """Discards what was recorded so far, and starts recording."""
         self._history.clear()
         self.worst = 0.0
         self.lost_leases.clear()
-        self.at(self.now, self.watch)
+        self.at(self.now, self.record_traffic)
 
-    def lost(self, but: Iterable[str] = ()) -> int:
-        """Leases lost by those that the event did not touch."""
-        spared = set(but)
-        return sum(count for name, count in self.lost_leases.items() if name not in spared)
+    def lost(self, excluding: Iterable[str] = ()) -> int:
+        """Returns the number of leases lost by dispatchers other than those in `excluding`."""
+        excluded = set(excluding)
+        return sum(count for name, count in self.lost_leases.items() if name not in excluded)
 
 
-def stood(dispatchers: int, seed: int = 1) -> WideFleet:
-    """A fleet that has stood for a while."""
-    fleet = WideFleet(seed, Fleet(dispatchers))
-    fleet.join_all()
+def create_settled_fleet(dispatchers: int, seed: int = 1) -> WideFleet:
+    """Creates a fleet that is in one view and has run at rest for a while."""
+    fleet = WideFleet(seed, FleetParameters(dispatchers))
+    fleet.install_common_view()
     fleet.run(REST_S)
-    fleet.begin()
+    fleet.start_recording()
     return fleet
 
 
-def rate(fleet: WideFleet, span: float) -> dict[str, float]:
-    """Bytes a second and dispatcher over a span: mean and worst; and datagrams."""
+def send_rates(fleet: WideFleet, seconds: float) -> dict[str, float]:
+    """Runs for `seconds`; returns the mean and worst bytes, and mean datagrams, sent by a dispatcher."""
 
     def totals(node: Node) -> tuple[int, int]:
         return node.bytes_out, node.datagrams_out
 
     before = {node.name: totals(node) for node in fleet.living()}
-    fleet.run(span)
-    sizes = [(node.bytes_out - before[node.name][0]) / span for node in fleet.living()]
-    counts = [(node.datagrams_out - before[node.name][1]) / span for node in fleet.living()]
+    fleet.run(seconds)
+    sizes = [(node.bytes_out - before[node.name][0]) / seconds for node in fleet.living()]
+    counts = [(node.datagrams_out - before[node.name][1]) / seconds for node in fleet.living()]
     return {
         "bytes_per_s": sum(sizes) / len(sizes),
         "bytes_per_s_worst": max(sizes),
@@ -119,25 +121,25 @@
     }
 
 
-def start(dispatchers: int, seed: int = 1) -> dict[str, Any]:
-    """All start at once."""
-    fleet = WideFleet(seed, Fleet(dispatchers))
-    fleet.begin()
+def measure_start(dispatchers: int, seed: int = 1) -> dict[str, Any]:
+    """Measures a start of all dispatchers at once."""
+    fleet = WideFleet(seed, FleetParameters(dispatchers))
+    fleet.start_recording()
     formed = fleet.form()
     fleet.run(max(0.0, WINDOW_S + 1.0 - (FORM_LIMIT_S if formed is None else formed)))
     return {"formed_s": formed, "worst_10s": fleet.worst, "held_back": fleet.held_back}
 
 
-def rest(dispatchers: int, span: float = 20.0) -> dict[str, Any]:
-    """Nothing happens."""
-    fleet = stood(dispatchers)
-    return rate(fleet, span) | {"lost": fleet.lost()}
+def measure_rest(dispatchers: int, seconds: float = 20.0) -> dict[str, Any]:
+    """Measures a fleet in which nothing happens."""
+    fleet = create_settled_fleet(dispatchers)
+    return send_rates(fleet, seconds) | {"lost": fleet.lost()}
 
 
 def _outcome(
     fleet: WideFleet, gone: list[str], agreed: float | None, back: float | None
 ) -> dict[str, Any]:
-    """What an event led to: seconds until the rest agreed, and until all did again."""
+    """Returns the results of an event."""
     return {
         "gone": len(gone),
         "agreed_s": agreed,
@@ -147,38 +149,38 @@
     }
 
 
-def death(dispatchers: int, names: Callable[[WideFleet], list[str]]) -> dict[str, Any]:
-    """Some die at once, and come back."""
-    fleet = stood(dispatchers)
+def measure_crash(dispatchers: int, names: Callable[[WideFleet], list[str]]) -> dict[str, Any]:
+    """Measures a simultaneous crash of several dispatchers and their restart."""
+    fleet = create_settled_fleet(dispatchers)
     gone = names(fleet)
     fleet.kill(gone)
-    left = [node.name for node in fleet.living()]
-    known = fleet.until(lambda: fleet.agreed(left), LIMIT_S, 0.25)
+    remaining = [node.name for node in fleet.living()]
+    agreed = fleet.until(lambda: fleet.agreed(remaining), AGREE_LIMIT_S, 0.25)
     fleet.run(20.0)
     fleet.restart(gone)
-    back = fleet.until(fleet.agreed, LIMIT_S, 0.25)
-    return _outcome(fleet, gone, known, back)
+    back = fleet.until(fleet.agreed, AGREE_LIMIT_S, 0.25)
+    return _outcome(fleet, gone, agreed, back)
 
 
-def cut_region(dispatchers: int, span: float = CUT_S) -> dict[str, Any]:
-    """A region is cut off from the others, and back after some minutes."""
-    fleet = stood(dispatchers)
-    away = [name for name in fleet.nodes if fleet.region(name) == plan.REGIONS - 1]
-    stay = [name for name in fleet.nodes if name not in set(away)]
-    fleet.cut(away, stay, heal_after=span)
-    known = fleet.until(lambda: fleet.agreed(stay), min(span, LIMIT_S), 0.25)
-    fleet.run(span - (span if known is None else known))
-    back = fleet.until(fleet.agreed, LIMIT_S, 0.25)
-    return _outcome(fleet, away, known, back)
+def measure_partition(dispatchers: int, seconds: float = PARTITION_S) -> dict[str, Any]:
+    """Measures a network partition that cuts off one region for `seconds`."""
+    fleet = create_settled_fleet(dispatchers)
+    cut_off = [name for name in fleet.nodes if fleet.region(name) == plan.REGIONS - 1]
+    remaining = [name for name in fleet.nodes if name not in set(cut_off)]
+    fleet.cut(cut_off, remaining, heal_after=seconds)
+    agreed = fleet.until(lambda: fleet.agreed(remaining), min(seconds, AGREE_LIMIT_S), 0.25)
+    fleet.run(seconds - (seconds if agreed is None else agreed))
+    back = fleet.until(fleet.agreed, AGREE_LIMIT_S, 0.25)
+    return _outcome(fleet, cut_off, agreed, back)
 
 
-def rolling(dispatchers: int) -> dict[str, Any]:
-    """All are restarted, a tenth at a time, in good order."""
-    fleet = stood(dispatchers)
+def measure_rolling_restart(dispatchers: int) -> dict[str, Any]:
+    """Measures a rolling restart: graceful stops and starts of a tenth of the dispatchers at a time."""
+    fleet = create_settled_fleet(dispatchers)
     names = sorted(fleet.nodes)
     lost, longest = 0, 0.0
-    for at in range(10):
-        batch = names[at::10]
+    for first in range(10):
+        batch = names[first::10]
         fleet.lost_leases.clear()
         for name in batch:
             fleet.leave(name)
@@ -190,47 +192,47 @@
     return {"gone": len(names), "back_s": longest, "worst_10s": fleet.worst, "lost": lost}
 
 
-def _one(_: WideFleet) -> list[str]:
+def _one_dispatcher(_: WideFleet) -> list[str]:
     return ["d007"]
 
 
-def _rack(fleet: WideFleet) -> list[str]:
-    """A tenth of a zone, two at least."""
+def _one_rack(fleet: WideFleet) -> list[str]:
+    """Returns a tenth of the dispatchers of a zone, at least two."""
     zone = [name for name in sorted(fleet.nodes) if fleet.zone(name) == 1]
     return zone[: max(2, len(zone) // 10)]
 
 
-def _zone(fleet: WideFleet) -> list[str]:
+def _one_zone(fleet: WideFleet) -> list[str]:
     return [name for name in sorted(fleet.nodes) if fleet.zone(name) == 1]
 
 
 def _founders(fleet: WideFleet) -> list[str]:
-    return sorted(fleet.nodes)[: fleet.fleet.founders]
+    return sorted(fleet.nodes)[: fleet.parameters.founders]
 
 
-def jobs(quick: bool) -> dict[str, Callable[[], dict[str, Any]]]:
-    """What is played, by name."""
+def scenarios(quick: bool) -> dict[str, Callable[[], dict[str, Any]]]:
+    """Returns the measurements by name, each as a function without parameters."""
     size = 24 if quick else 200
     found: dict[str, Callable[[], dict[str, Any]]] = {
-        f"start_{n}": partial(start, n) for n in ((24,) if quick else (24, 60, 120, 200))
+        f"start_{n}": partial(measure_start, n) for n in ((24,) if quick else (24, 60, 120, 200))
     }
     sizes = (24, 60) if quick else (22, 24, 60, 120, 200, 400, 1000)
-    found |= {f"rest_{n}": partial(rest, n, 4.0 if n >= 400 else 20.0) for n in sizes}
+    found |= {f"rest_{n}": partial(measure_rest, n, 4.0 if n >= 400 else 20.0) for n in sizes}
     found |= {
-        "death": partial(death, size, _one),
-        "rack": partial(death, size, _rack),
-        "zone": partial(death, size, _zone),
-        "founders": partial(death, size, _founders),
-        "region": partial(cut_region, size, 20.0 if quick else CUT_S),
-        "rolling": partial(rolling, size),
+        "death": partial(measure_crash, size, _one_dispatcher),
+        "rack": partial(measure_crash, size, _one_rack),
+        "zone": partial(measure_crash, size, _one_zone),
+        "founders": partial(measure_crash, size, _founders),
+        "region": partial(measure_partition, size, 20.0 if quick else PARTITION_S),
+        "rolling": partial(measure_rolling_restart, size),
     }
     return found
 
 
 def play_all(quick: bool, workers: int = 6) -> dict[str, Any]:
-    """Play everything, in processes beside each other; numbers are rounded."""
+    """Runs all measurements in `workers` parallel processes; returns their results, rounded."""
     with ProcessPoolExecutor(workers) as pool:
-        futures = {name: pool.submit(job) for name, job in jobs(quick).items()}
+        futures = {name: pool.submit(measure) for name, measure in scenarios(quick).items()}
         return {
             name: {
                 key: round(value, 2) if isinstance(value, float) else value
--- a/yewrill/lab/scale/fit.py
+++ b/yewrill/lab/scale/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measurements at several sizes, and whether a square term is hidden in them."""
+"""Least-squares lines through measurements at several sizes, with a check for a hidden quadratic term."""
 
 from __future__ import annotations
 
@@ -6,15 +6,18 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-LEAST_POINTS = 5
-SQUARE_MATTERS = 0.25  # of the value at the largest size that was run
+MIN_SIZES = 5
+# A quadratic term above this fraction of the value at the largest size makes a line a wrong model.
+MAX_QUADRATIC_FRACTION = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """`slope * size + constant` by least squares. `residual`: the root of the mean squared distance, as a
-    part of the mean value. `square`: the part of the value at the largest size that a square term makes up,
-    in a fit with one."""
+    """The line `slope * size + constant`, fitted by least squares.
+
+    `residual`: root mean square of the errors, as a fraction of the mean value. `square`: contribution of a
+    quadratic term to the value at the largest size, as a fraction of it, when one is fitted too.
+    """
 
     slope: float
     constant: float
@@ -22,56 +25,56 @@
     square: float
     largest: float
 
-    def at(self, size: float) -> float:
-        """The value that the line gives at a size."""
+    def value_at(self, size: float) -> float:
+        """Returns the value of the line at a size."""
         return self.slope * size + self.constant
 
     @property
-    def bent(self) -> bool:
-        """Whether a straight line hides a square."""
-        return abs(self.square) > SQUARE_MATTERS
+    def is_nonlinear(self) -> bool:
+        """Whether the quadratic term is too large for a line to be a good model."""
+        return abs(self.square) > MAX_QUADRATIC_FRACTION
 
 
-def _solve(rows: list[list[float]]) -> list[float]:
-    """Solve linear equations by elimination; each row ends with its right side."""
+def _solve_linear(rows: list[list[float]]) -> list[float]:
+    """Solves linear equations by Gauss-Jordan elimination; the last value of a row is its right-hand side."""
     size = len(rows)
-    for at in range(size):
-        pivot = max(range(at, size), key=lambda row: abs(rows[row][at]))
-        rows[at], rows[pivot] = rows[pivot], rows[at]
+    for column in range(size):
+        pivot = max(range(column, size), key=lambda row: abs(rows[row][column]))
+        rows[column], rows[pivot] = rows[pivot], rows[column]
         for row in range(size):
-            if row != at:
-                factor = rows[row][at] / rows[at][at]
-                rows[row] = [a - factor * b for a, b in zip(rows[row], rows[at], strict=True)]
-    return [row[-1] / row[at] for at, row in enumerate(rows)]
+            if row != column:
+                factor = rows[row][column] / rows[column][column]
+                rows[row] = [a - factor * b for a, b in zip(rows[row], rows[column], strict=True)]
+    return [row[-1] / row[column] for column, row in enumerate(rows)]
 
 
-def _polynomial(sizes: Sequence[float], values: Sequence[float], degree: int) -> list[float]:
-    """Coefficients by least squares, the constant first."""
+def _fit_polynomial(sizes: Sequence[float], values: Sequence[float], degree: int) -> list[float]:
+    """Returns the coefficients of the least-squares polynomial, the constant first."""
     powers = range(degree + 1)
     rows = [
         [sum(size ** (a + b) for size in sizes) for b in powers]
         + [sum(v * size**a for size, v in zip(sizes, values, strict=True))]
         for a in powers
     ]
-    return _solve(rows)
+    return _solve_linear(rows)
 
 
-def line(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """The line through measured values. Raises ValueError for fewer sizes than `LEAST_POINTS`."""
-    if len(set(sizes)) < LEAST_POINTS:
-        raise ValueError(f"a slope needs {LEAST_POINTS} sizes, not {len(set(sizes))}")
+def fit_line(sizes: Sequence[float], values: Sequence[float]) -> Fit:
+    """Fits a line through measured values. Raises ValueError for fewer than MIN_SIZES different sizes."""
+    if len(set(sizes)) < MIN_SIZES:
+        raise ValueError(f"a fitted line needs at least {MIN_SIZES} sizes, not {len(set(sizes))}")
     largest = max(sizes)
-    scaled = [size / largest for size in sizes]  # keeps the equations well conditioned
-    constant, slope = _polynomial(scaled, values, 1)
-    square = _polynomial(scaled, values, 2)[2]
+    scaled = [size / largest for size in sizes]  # keeps the normal equations well conditioned
+    constant, slope = _fit_polynomial(scaled, values, 1)
+    square = _fit_polynomial(scaled, values, 2)[2]
     errors = [constant + slope * size - value for size, value in zip(scaled, values, strict=True)]
     mean = sum(values) / len(values)
-    root = math.sqrt(sum(error * error for error in errors) / len(errors))
-    top = values[list(sizes).index(largest)]
+    rms_error = math.sqrt(sum(error * error for error in errors) / len(errors))
+    value_at_largest = values[list(sizes).index(largest)]
     return Fit(
         slope / largest,
         constant,
-        root / abs(mean) if mean else 0.0,
-        square / top if top else 0.0,
+        rms_error / abs(mean) if mean else 0.0,
+        square / value_at_largest if value_at_largest else 0.0,
         largest,
     )
--- a/yewrill/lab/scale/fleet.py
+++ b/yewrill/lab/scale/fleet.py
@@ -1,8 +1,8 @@
-"""A fleet on loopback: real dispatchers as they ship, hollow ones beside them, hollow workers on their lists.
+"""Starts a fleet of dispatcher processes on loopback, real and hollow, with one endpoint list.
 
-The real ones are measured. They serve, have a discovery and the planned list of workers; the hollow ones have
-the same control. One more real dispatcher runs with its control off: what the others spend beyond it is what
-control costs.
+The real dispatchers are measured. They run the shipped configuration with an endpoint list of the planned
+size; no workers run behind its addresses. The hollow ones run the same control plane only. One further real
+dispatcher runs without its control plane: the cost of the control plane is what the others use beyond it.
 """
 
 from __future__ import annotations
@@ -24,24 +24,27 @@
 from typing import Any
 
 from yewrill.lab.scale import plan
-from yewrill.lab.scale.sampling import Sample, sample
+from yewrill.lab.scale.sampling import ProcessSample, sample_process
 
-SHIPPED = Path(__file__).parents[3] / "deploy" / "cluster.json"
+SHIPPED_CONFIG = Path(__file__).parents[3] / "deploy" / "cluster.json"
 FIRST_PORT = 21_000
 LAST_PORT = 31_000
 PEERS = 8
 FOUNDERS = 3
 LONG_POLL_S = 4.0
-CONTROL = ("members", "views", "zones")  # keys of the configuration
+CONTROL_PLANE = ("members", "views", "zones")  # keys of the configuration
 Status = Mapping[str, Any]
 
 
 class FleetError(Exception):
-    """A fleet that did not start, or a process of it that ended; the text says which."""
+    """The fleet could not be started, or one of its processes has ended."""
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody has now, by TCP or UDP, below those that the system gives out by itself."""
+    """Returns ports that are free for TCP and UDP, below the system's ephemeral range.
+
+    Raises FleetError if there are too few.
+    """
     found: list[int] = []
     for port in range(FIRST_PORT + os.getpid() * 61 % 5000, LAST_PORT):
         with (
@@ -54,11 +57,11 @@
             found.append(port)
         if len(found) == count:
             return found
-    raise FleetError("too few free ports")
+    raise FleetError("fewer free ports than the fleet needs")
 
 
-class WorkerList:
-    """A discovery that lists hollow workers: entries, and nobody behind them."""
+class StaticDiscovery:
+    """A stand-in for the discovery service. It lists endpoints at which no worker runs."""
 
     def __init__(self, workers: int, zones: list[str]):
         servers = [
@@ -85,7 +88,7 @@
                 self.send_response(200)
                 self.send_header("Content-Length", str(len(body)))
                 self.end_headers()
-                with suppress(OSError):  # whoever asked may have gone
+                with suppress(OSError):  # the client may have disconnected
                     self.wfile.write(body)
 
             def log_message(self, *_: object) -> None:
@@ -97,42 +100,46 @@
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The TCP port on which it listens."""
         return self._server.server_address[1]
 
     def close(self) -> None:
-        """Stop answering."""
+        """Stops the server and closes its socket."""
         self._server.shutdown()
         self._server.server_close()
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """What is started. `control`: which keys of the configuration are on; `voters`: the log's, if it is."""
+    """Size and configuration of a fleet.
+
+    `control`: the configuration keys of the control plane that are kept; all others are removed. `voters`:
+    number of lease voters, if `control` has "ownership".
+    """
 
-    mix: plan.Mix
+    mix: plan.FleetMix
     workers: int = plan.WORKERS
     zones: int = plan.ZONES
     regions: int = plan.REGIONS
-    control: tuple[str, ...] = CONTROL
+    control: tuple[str, ...] = CONTROL_PLANE
     voters: int = 0
 
 
 @dataclass(eq=False)
 class RealDispatcher:
-    """One as it ships."""
+    """A dispatcher process with the shipped configuration."""
 
     name: str
     path: Path
-    management: int  # its port
+    management_port: int
     process: subprocess.Popen | None = None
 
     def status(self) -> Status:
-        """What it says of itself, by hook; empty while it does not answer."""
-        return {key: self._get(f"/_{key}") for key in CONTROL}
+        """Returns the status of each control plane subsystem; an empty one if it can't be read."""
+        return {key: self._get(f"/_{key}") for key in CONTROL_PLANE}
 
     def _get(self, target: str) -> Any:
-        connection = http.client.HTTPConnection("127.0.0.1", self.management, timeout=5.0)
+        connection = http.client.HTTPConnection("127.0.0.1", self.management_port, timeout=5.0)
         try:
             connection.request("GET", target)
             reply = connection.getresponse()
@@ -145,30 +152,32 @@
 
 @dataclass(eq=False)
 class HollowProcess:
-    """A process of hollow dispatchers."""
+    """A process that runs many hollow dispatchers."""
 
     names: list[str]
     process: subprocess.Popen
 
-    def tell(self, command: str, names: Iterable[str] = ()) -> None:
-        """Give it a command."""
+    def send_command(self, command: str, names: Iterable[str] = ()) -> None:
+        """Sends a command to the process."""
         assert self.process.stdin is not None
         self.process.stdin.write(" ".join([command, *names]).encode() + b"\n")
         self.process.stdin.flush()
 
     def status(self) -> dict[str, Status]:
-        """What each of its dispatchers says of itself."""
-        self.tell("status")
+        """Returns the status of each dispatcher in the process. Raises FleetError if it has ended."""
+        self.send_command("status")
         assert self.process.stdout is not None
         line = self.process.stdout.readline()
         if not line:
-            raise FleetError("a process of hollow dispatchers has ended")
+            raise FleetError(
+                "a process of hollow dispatchers has ended without an answer to `status`"
+            )
         return json.loads(line)
 
 
 @dataclass(eq=False)
 class ScaleFleet:
-    """The fleet. Use it as a context manager: at its end all processes end."""
+    """A running fleet. It is a context manager: on exit it kills all processes."""
 
     plan: FleetPlan
     directory: Path
@@ -178,28 +187,31 @@
     started_at: float = 0.0
 
     def __enter__(self) -> ScaleFleet:
-        """Start all at once."""
+        """Starts all processes without waiting for them.
+
+        Raises FleetTooLarge if the fleet exceeds the machine's limits, and FleetError for too few free ports.
+        """
         mix = self.plan.mix
-        plan.check(mix, plan.machine_memory_mb())
+        plan.check_limits(mix, plan.machine_memory_mb())
         zones = [f"z{i:02d}" for i in range(self.plan.zones)]
-        self._list = WorkerList(self.plan.workers, zones)
+        self._discovery = StaticDiscovery(self.plan.workers, zones)
         shutil.rmtree(self.directory, ignore_errors=True)
         self.directory.mkdir(parents=True)
-        shipped = json.loads(SHIPPED.read_text())
+        shipped = json.loads(SHIPPED_CONFIG.read_text())
         count = mix.dispatchers + 1
         ports = free_ports(3 * count)
         files = []
         for index in range(count):
             name = f"d{index:03d}"
-            raw = self._configuration(shipped, index, name, zones, ports)
+            config = self._dispatcher_config(shipped, index, name, zones, ports)
             if index == mix.dispatchers:
-                raw = {key: value for key, value in raw.items() if key not in CONTROL}
+                config = {key: value for key, value in config.items() if key not in CONTROL_PLANE}
             path = self.directory / f"{name}.json"
-            path.write_text(json.dumps(raw))
+            path.write_text(json.dumps(config))
             files.append((name, path, ports[2 * count + index]))
         self.started_at = time.monotonic()
         try:
-            # Real ones are spread over the numbers: founders are among them.
+            # The real dispatchers are spread evenly over the indices, so that founders are among them.
             step = max(1, mix.dispatchers // max(1, mix.real))
             real = set(list(range(0, mix.dispatchers, step))[: mix.real])
             self._start_hollow([files[i] for i in range(mix.dispatchers) if i not in real])
@@ -211,22 +223,22 @@
             raise
         return self
 
-    def _configuration(
+    def _dispatcher_config(
         self, shipped: Status, index: int, name: str, zones: list[str], ports: list[int]
     ) -> dict[str, Any]:
-        """A dispatcher's file: the shipped one with its own name and addresses."""
+        """Returns a dispatcher's configuration: the shipped one with its own name, addresses and zone."""
         count = self.plan.mix.dispatchers + 1
         zone = zones[index % len(zones)]
         region = f"r{zones.index(zone) % self.plan.regions}"
-        raw = json.loads(json.dumps(shipped))
-        raw |= {
+        config = json.loads(json.dumps(shipped))
+        config |= {
             "name": name,
             "listen": f"127.0.0.1:{ports[count + index]}",
             "mgmt": f"127.0.0.1:{ports[2 * count + index]}",
-            "discovery": f"127.0.0.1:{self._list.port}",
+            "discovery": f"127.0.0.1:{self._discovery.port}",
         }
         peers = [port for port in ports[: PEERS + 1] if port != ports[index]][:PEERS]
-        raw["members"] |= {
+        config["members"] |= {
             "listen": f"127.0.0.1:{ports[index]}",
             "peers": [f"127.0.0.1:{port}" for port in peers[: self.plan.mix.dispatchers]],
             "name": name,
@@ -234,91 +246,96 @@
             "region": region,
         }
         founders = [f"d{i:03d}" for i in range(min(FOUNDERS, self.plan.mix.dispatchers))]
-        raw["views"] = {"founders": founders, "dir": str(self.directory / f"{name}.views")}
-        raw["settings"] |= {"areas": [zone, *(z for z in zones if z != zone)], "instances": count}
+        config["views"] = {"founders": founders, "dir": str(self.directory / f"{name}.views")}
+        config["settings"] |= {
+            "areas": [zone, *(z for z in zones if z != zone)],
+            "instances": count,
+        }
         if "ownership" in self.plan.control:
             voters = [f"d{i:03d}" for i in range(self.plan.voters)]
-            raw["ownership"] = {"voters": voters, "dir": str(self.directory / f"{name}.owns")}
-        off = [key for key in CONTROL if key not in self.plan.control]
-        return {key: value for key, value in raw.items() if key not in off}
+            config["ownership"] = {"voters": voters, "dir": str(self.directory / f"{name}.owns")}
+        off = [key for key in CONTROL_PLANE if key not in self.plan.control]
+        return {key: value for key, value in config.items() if key not in off}
 
-    def _start_real(self, name: str, path: Path, management: int) -> RealDispatcher:
-        one = RealDispatcher(name, path, management)
-        self.start(one)
-        return one
+    def _start_real(self, name: str, path: Path, management_port: int) -> RealDispatcher:
+        dispatcher = RealDispatcher(name, path, management_port)
+        self.start(dispatcher)
+        return dispatcher
 
-    def start(self, one: RealDispatcher) -> None:
-        """Start a real dispatcher, or start it anew."""
-        command = [sys.executable, "-m", "yewrill", "serve", "--config", str(one.path)]
-        with open(self.directory / f"{one.name}.log", "ab") as log:
-            one.process = subprocess.Popen(command, stderr=log)
+    def start(self, dispatcher: RealDispatcher) -> None:
+        """Starts or restarts the process of a real dispatcher."""
+        command = [sys.executable, "-m", "yewrill", "serve", "--config", str(dispatcher.path)]
+        with open(self.directory / f"{dispatcher.name}.log", "ab") as log:
+            dispatcher.process = subprocess.Popen(command, stderr=log)
 
     def _start_hollow(self, files: list[tuple[str, Path, int]]) -> None:
         processes = -(-len(files) // plan.HOLLOW_PER_PROCESS)
-        for at in range(processes):
-            part = files[at::processes]
+        for index in range(processes):
+            group = files[index::processes]
             command = [sys.executable, "-m", "yewrill.lab.scale.hollow"]
-            with open(self.directory / f"hollow{at}.log", "ab") as log:
+            with open(self.directory / f"hollow{index}.log", "ab") as log:
                 process = subprocess.Popen(
-                    [*command, *(str(path) for _, path, _ in part)],
+                    [*command, *(str(path) for _, path, _ in group)],
                     stdin=subprocess.PIPE,
                     stdout=subprocess.PIPE,
                     stderr=log,
                 )
-            self.hollow.append(HollowProcess([name for name, _, _ in part], process))
+            self.hollow.append(HollowProcess([name for name, _, _ in group], process))
 
     def __exit__(self, *_: object) -> None:
-        """End all processes."""
-        processes = [one.process for one in self.real if one.process is not None]
-        processes += [one.process for one in self.hollow]
+        """Kills all processes and closes the discovery server."""
+        processes = [
+            dispatcher.process for dispatcher in self.real if dispatcher.process is not None
+        ]
+        processes += [host.process for host in self.hollow]
         if self.without_control is not None and self.without_control.process is not None:
             processes.append(self.without_control.process)
         for process in processes:
             process.kill()
         for process in processes:
             process.wait()
-        self._list.close()
+        self._discovery.close()
 
-    # -- what it says
+    # -- measurements
 
     def status(self) -> dict[str, Status]:
-        """What every dispatcher says of itself."""
-        told = {one.name: one.status() for one in self.real}
-        for one in self.hollow:
-            told |= one.status()
-        return told
-
-    def samples(self) -> dict[str, Sample]:
-        """What each measured process has cost so far; the one without control under `off`."""
+        """Returns the status of each real and hollow dispatcher, by name."""
+        statuses = {dispatcher.name: dispatcher.status() for dispatcher in self.real}
+        for host in self.hollow:
+            statuses |= host.status()
+        return statuses
+
+    def samples(self) -> dict[str, ProcessSample]:
+        """Samples each process; the dispatcher without control plane has the key `off`."""
         found = {}
-        for one in self.real:
-            assert one.process is not None
-            found[one.name] = sample(one.process.pid)
+        for dispatcher in self.real:
+            assert dispatcher.process is not None
+            found[dispatcher.name] = sample_process(dispatcher.process.pid)
         assert self.without_control is not None and self.without_control.process is not None
-        found["off"] = sample(self.without_control.process.pid)
-        for at, host in enumerate(self.hollow):
-            found[f"hollow{at}"] = sample(host.process.pid)
+        found["off"] = sample_process(self.without_control.process.pid)
+        for index, host in enumerate(self.hollow):
+            found[f"hollow{index}"] = sample_process(host.process.pid)
         return found
 
 
-def in_one_view(told: Mapping[str, Status], among: Iterable[str] | None = None) -> bool:
-    """Whether all (or these) hold a lease in one view of just them."""
-    names = set(told if among is None else among)
-    views = [told[name].get("views", {}) for name in names]
-    first = views[0].get("digest")
-    return bool(first) and all(
+def in_one_view(statuses: Mapping[str, Status], among: Iterable[str] | None = None) -> bool:
+    """Returns whether all dispatchers, or those of `among`, hold leases in one view of exactly these."""
+    names = set(statuses if among is None else among)
+    views = [statuses[name].get("views", {}) for name in names]
+    digest = views[0].get("digest")
+    return bool(digest) and all(
         view.get("view")
-        and view.get("digest") == first
+        and view.get("digest") == digest
         and {member["name"] for member in view["members"]} == names
         for view in views
     )
 
 
-def leases(told: Mapping[str, Status]) -> int:
-    """How many hold a lease in the largest view that anybody holds one in."""
+def count_leases(statuses: Mapping[str, Status]) -> int:
+    """Returns how many dispatchers hold a lease in the largest view in which any does."""
     sizes = [
         len(status["views"]["members"])
-        for status in told.values()
+        for status in statuses.values()
         if status.get("views", {}).get("view")
     ]
     return sizes.count(max(sizes)) if sizes else 0
--- a/yewrill/lab/scale/hollow.py
+++ b/yewrill/lab/scale/hollow.py
@@ -1,15 +1,15 @@
-"""Hollow dispatchers: the control of real ones, many in a process, and nothing served.
+"""Hollow dispatchers: the control plane of many dispatchers in one process, without serving requests.
 
     python -m yewrill.lab.scale.hollow CONFIGURATION ...
 
-Each file is a dispatcher's, as it ships; its hooks run as in a real one, on the same machines, formats,
-timers and sockets. What they ask of the serving part (slots by zone) is answered as by one that has no work.
-Commands come on standard input, a line each; `status` is answered by a line of JSON on standard output:
+Each file is the configuration of one dispatcher. Its subsystems run as in a real dispatcher, with the same
+state machines, codecs, timers and sockets; the decision engine and the endpoint list that they ask are
+replaced by those of an idle dispatcher. Commands are read from standard input, one on each line:
 
-    status          what each says of itself
-    kill NAME ...   end some without a word
-    start NAME ...  start some anew
-    stop NAME ...   end some in good order
+    status          writes the status of each dispatcher to standard output, as one line of JSON
+    kill NAME ...   stops dispatchers at once, as a crash does
+    start NAME ...  starts dispatchers again
+    stop NAME ...   stops dispatchers gracefully
 """
 
 from __future__ import annotations
@@ -28,52 +28,52 @@
 from yewrill.service.subsystems import Subsystem, SubsystemContext, create_subsystems
 
 
-class _NoWork:
-    """The serving part of a dispatcher without work."""
+class _IdleEngine:
+    """The decision engine of a dispatcher that has no workers and no requests."""
 
     def capacity(self) -> Mapping[int, float]:
-        """No slots in any zone."""
+        """Returns no slots for any zone."""
         return {}
 
     def stuck_attempts(self, _seconds: float) -> Mapping[int, int]:
-        """No attempt hangs."""
+        """Returns no stuck attempts for any zone."""
         return {}
 
-    def set_zone_weights(self, _shares: Mapping[int, float]) -> None:
-        """Nothing is shared out."""
+    def set_zone_weights(self, _weights: Mapping[int, float]) -> None:
+        """Ignores the weights."""
 
 
-class _NoPool:
-    """The list of workers of a dispatcher without any."""
+class _EmptyEndpointList:
+    """An empty endpoint list."""
 
     def __init__(self, config: Config):
         self.topology = config.topology
 
     def get(self, _name: str) -> None:
-        """There is none."""
+        """Finds no endpoint."""
 
 
-async def _no_attempt(_step: Any) -> Any:
-    raise AssertionError("a hollow dispatcher carries nothing")
+async def _reject_attempt(_attempt: Any) -> Any:
+    raise AssertionError("a hollow dispatcher was asked to run an attempt")
 
 
 class HollowDispatcher:
-    """One of them."""
+    """One dispatcher's control plane."""
 
     def __init__(self, path: Path):
-        self._raw = ujson.loads(path.read_text())
-        self.name = str(self._raw["name"])
+        self._raw_config = ujson.loads(path.read_text())
+        self.name = str(self._raw_config["name"])
         self._subsystems: dict[str, Subsystem] = {}
         self._scope = trio.CancelScope()
         self._ended = trio.Event()
         self._ended.set()
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Start its hooks, and return once they run."""
+        """Starts the subsystems in the nursery, after those of an earlier start have ended."""
         await self._ended.wait()
         self._ended = trio.Event()
-        config = read_config(self._raw)
-        context = SubsystemContext(_NoWork(), _NoPool(config), _no_attempt)  # type: ignore[arg-type]
+        config = read_config(self._raw_config)
+        context = SubsystemContext(_IdleEngine(), _EmptyEndpointList(config), _reject_attempt)  # type: ignore[arg-type]
         create_subsystems(config, context)
         self._subsystems = context.subsystems
         self._scope = trio.CancelScope()
@@ -89,11 +89,11 @@
             self._ended.set()
 
     def stop(self) -> None:
-        """End in good order."""
+        """Stops gracefully: the subsystems send their final messages."""
         self._scope.cancel()
 
     def kill(self) -> None:
-        """End without a word."""
+        """Stops without final messages, as a crash does."""
         members = self._subsystems["members"]
         assert isinstance(members, Members)
         if members.link is not None:
@@ -101,47 +101,49 @@
         self._scope.cancel()
 
     def status(self) -> dict[str, Any]:
-        """What it says of itself, by hook."""
+        """Returns the status of each subsystem, by name."""
         return {key: dict(subsystem.status()) for key, subsystem in self._subsystems.items()}
 
 
 class HollowHost:
-    """A process of them, and the commands to it."""
+    """Runs many hollow dispatchers in one process and executes the commands from standard input."""
 
     def __init__(self, paths: list[Path]):
-        self._dispatchers = {one.name: one for one in map(HollowDispatcher, paths)}
+        self._dispatchers = {
+            dispatcher.name: dispatcher for dispatcher in map(HollowDispatcher, paths)
+        }
 
     async def run(self) -> None:
-        """Start all and obey until the input ends."""
+        """Starts all dispatchers and executes commands until standard input ends."""
         async with trio.open_nursery() as nursery:
-            for one in self._dispatchers.values():
-                await one.start(nursery)
+            for dispatcher in self._dispatchers.values():
+                await dispatcher.start(nursery)
             async with trio.lowlevel.FdStream(sys.stdin.fileno()) as commands:
-                rest = b""
+                incomplete_line = b""
                 while data := await commands.receive_some():
-                    *lines, rest = (rest + data).split(b"\n")
+                    *lines, incomplete_line = (incomplete_line + data).split(b"\n")
                     for line in lines:
-                        await self._obey(line.decode().split(), nursery)
+                        await self._execute(line.decode().split(), nursery)
             nursery.cancel_scope.cancel()
 
-    async def _obey(self, words: list[str], nursery: trio.Nursery) -> None:
+    async def _execute(self, words: list[str], nursery: trio.Nursery) -> None:
         command, names = words[0], words[1:]
         if command == "status":
-            told = {name: one.status() for name, one in self._dispatchers.items()}
-            print(ujson.dumps(told), flush=True)
+            statuses = {name: dispatcher.status() for name, dispatcher in self._dispatchers.items()}
+            print(ujson.dumps(statuses), flush=True)
             return
         for name in names:
-            one = self._dispatchers[name]
+            dispatcher = self._dispatchers[name]
             if command == "kill":
-                one.kill()
+                dispatcher.kill()
             elif command == "stop":
-                one.stop()
+                dispatcher.stop()
             elif command == "start":
-                await one.start(nursery)
+                await dispatcher.start(nursery)
 
 
 def main() -> None:
-    """Run a host of the dispatchers whose files are named."""
+    """Runs the dispatchers whose configuration files are on the command line."""
     trio.run(HollowHost([Path(name) for name in sys.argv[1:]]).run)
 
 
--- a/yewrill/lab/scale/measure.py
+++ b/yewrill/lab/scale/measure.py
@@ -1,4 +1,4 @@
-"""Measurements of a fleet on loopback: how fast it agrees on a view, and what control costs at rest."""
+"""Measures a fleet on loopback: the time until it agrees on a view, and the control plane's cost at rest."""
 
 from __future__ import annotations
 
@@ -9,18 +9,38 @@
 from typing import Any
 
 from yewrill.lab.scale import plan
-from yewrill.lab.scale.fleet import CONTROL, FleetPlan, ScaleFleet, Status, in_one_view, leases
-from yewrill.lab.scale.sampling import LEAST_IDLE, Cost, cost, idle_share, machine_times
+from yewrill.lab.scale.fleet import (
+    CONTROL_PLANE,
+    FleetPlan,
+    ScaleFleet,
+    Status,
+    count_leases,
+    in_one_view,
+)
+from yewrill.lab.scale.sampling import (
+    MIN_IDLE_SHARE,
+    ProcessCost,
+    cost_between,
+    idle_share,
+    machine_ticks,
+)
 from yewrill.membership.transport import IP_UDP_HEADER_BYTES
 
-SETTLE_S = 4.0  # between agreement and the span at rest
+SETTLE_S = 4.0  # between agreement and the measurement at rest
 POLL_S = 0.5
 
 
 @dataclass(slots=True)
 class Measured:
-    """A fleet at rest. Figures are of the real dispatchers, in the mean where not said otherwise; `core` and
-    memory are what they have beyond one with its control off (`core_off`, `proportional_off_mb`)."""
+    """A fleet at rest. Values are means over the real dispatchers, rates are per second, `wire_*` are bytes.
+
+    `core`, `proportional_mb` and `private_mb` are the control plane's: the use of the dispatcher without
+    control plane (`core_off`, `proportional_off_mb`) is subtracted. `*_worst` are those of the worst real
+    dispatcher, `wire_hollow` the mean of the hollow ones. `held_back` (datagrams not sent) and `flooded`
+    (received datagrams dropped unread) are sums over all dispatchers. `formed_s`: time from the start until
+    all were in one view, None if that took too long. `starved`: the machine had too little idle time for the
+    values to be valid.
+    """
 
     dispatchers: int
     real: int
@@ -43,12 +63,15 @@
     flooded: int
     idle: float
     starved: bool
-    by_kind: dict[str, list[float]] = field(default_factory=dict)  # datagrams and bytes a second
+    by_kind: dict[str, list[float]] = field(default_factory=dict)  # datagrams/s and bytes/s sent
 
 
 @dataclass(frozen=True, slots=True)
 class Wire:
-    """What one dispatcher sends and receives a second."""
+    """Rates of one dispatcher, per second: bytes sent and received, datagrams sent.
+
+    `by_kind` has the datagrams and bytes sent for each kind of message.
+    """
 
     out: float
     received: float
@@ -56,78 +79,85 @@
     by_kind: Mapping[str, list[float]]
 
 
-def wire_of(first: Status, last: Status, span: float) -> Wire:
-    """From two statuses, `span` seconds apart. What came in is counted without headers."""
+def wire_between(first: Status, last: Status, seconds: float) -> Wire:
+    """Returns the rates between two statuses that are `seconds` apart.
+
+    Sent bytes include the IP and UDP headers, received bytes do not.
+    """
     before, after = first["members"]["sent"], last["members"]["sent"]
     by_kind = {}
-    for kind, now in after.items():
-        was = before.get(kind, {"datagrams": 0, "bytes": 0})
-        count = now["datagrams"] - was["datagrams"]
+    for kind, last_counters in after.items():
+        first_counters = before.get(kind, {"datagrams": 0, "bytes": 0})
+        count = last_counters["datagrams"] - first_counters["datagrams"]
         by_kind[kind] = [
-            count / span,
-            (now["bytes"] - was["bytes"] + IP_UDP_HEADER_BYTES * count) / span,
+            count / seconds,
+            (last_counters["bytes"] - first_counters["bytes"] + IP_UDP_HEADER_BYTES * count)
+            / seconds,
         ]
     received = last["members"]["members_bytes_in"] - first["members"]["members_bytes_in"]
     return Wire(
         sum(size for _, size in by_kind.values()),
-        received / span,
+        received / seconds,
         sum(count for count, _ in by_kind.values()),
         by_kind,
     )
 
 
 def wait_for_one_view(fleet: ScaleFleet, limit_s: float) -> float | None:
-    """Seconds from the start until all hold a lease in one view; None: not within the limit."""
+    """Waits until all dispatchers hold a lease in one view.
+
+    Returns the seconds since the fleet's start, or None if they exceed the limit.
+    """
     while time.monotonic() - fleet.started_at < limit_s:
         time.sleep(POLL_S)
-        told = fleet.status()
-        if in_one_view(told):
+        statuses = fleet.status()
+        if in_one_view(statuses):
             return time.monotonic() - fleet.started_at
     return None
 
 
-def measure_fleet(mix: plan.Mix, directory: Path, limit_s: float, span_s: float) -> Measured:
-    """Start a fleet at once, wait until it agrees, and look at it at rest."""
+def measure_fleet(mix: plan.FleetMix, directory: Path, limit_s: float, span_s: float) -> Measured:
+    """Starts a fleet, waits until it agrees on a view, and measures it at rest for `span_s` seconds."""
     with ScaleFleet(FleetPlan(mix), directory) as fleet:
         formed = wait_for_one_view(fleet, limit_s)
         time.sleep(SETTLE_S)
-        before, machine, samples = fleet.status(), machine_times(), fleet.samples()
+        before, machine, samples = fleet.status(), machine_ticks(), fleet.samples()
         began = time.monotonic()
         time.sleep(span_s)
-        later, last_machine = fleet.samples(), machine_times()
-        span = time.monotonic() - began
+        later, last_machine = fleet.samples(), machine_ticks()
+        seconds = time.monotonic() - began
         after = fleet.status()
-        costs = {key: cost(samples[key], later[key]) for key in samples}
-        return _measured(
-            fleet, formed, costs, before, after, span, idle_share(machine, last_machine)
+        costs = {key: cost_between(samples[key], later[key]) for key in samples}
+        return _summarize(
+            fleet, formed, costs, before, after, seconds, idle_share(machine, last_machine)
         )
 
 
-def _measured(
+def _summarize(
     fleet: ScaleFleet,
     formed: float | None,
-    costs: Mapping[str, Cost],
+    costs: Mapping[str, ProcessCost],
     before: Mapping[str, Status],
     after: Mapping[str, Status],
-    span: float,
+    seconds: float,
     idle: float,
 ) -> Measured:
-    names = [one.name for one in fleet.real]
-    wires = {name: wire_of(before[name], after[name], span) for name in after}
+    names = [dispatcher.name for dispatcher in fleet.real]
+    wires = {name: wire_between(before[name], after[name], seconds) for name in after}
     off = costs["off"]
     hollow = [wire.out for name, wire in wires.items() if name not in names]
 
     def mean(values: list[float]) -> float:
         return sum(values) / len(values) if values else 0.0
 
-    def counted(key: str) -> int:
+    def total(key: str) -> int:
         return sum(status["members"][key] for status in after.values())
 
     return Measured(
         dispatchers=len(after),
         real=len(names),
         formed_s=formed,
-        leases=leases(after),
+        leases=count_leases(after),
         core=mean([costs[name].core for name in names]) - off.core,
         core_worst=max(costs[name].core for name in names) - off.core,
         core_off=off.core,
@@ -141,10 +171,10 @@
         private_mb=mean([costs[name].private_mb for name in names]) - off.private_mb,
         proportional_off_mb=off.proportional_mb,
         resident_mb=mean([costs[name].resident_mb for name in names]),
-        held_back=counted("members_held_back"),
-        flooded=counted("members_flooded"),
+        held_back=total("members_held_back"),
+        flooded=total("members_flooded"),
         idle=idle,
-        starved=idle < LEAST_IDLE,
+        starved=idle < MIN_IDLE_SHARE,
         by_kind={
             kind: [
                 round(mean([wires[n].by_kind.get(kind, [0.0, 0.0])[i] for n in names]), 2)
@@ -156,25 +186,27 @@
 
 
 def measure_voters(dispatchers: int, directory: Path, span_s: float) -> dict[str, Any]:
-    """Three voters of the log in a hollow fleet: bytes a second of its messages, there and elsewhere."""
+    """Measures the lease messages that voters and other members of a hollow fleet send at rest."""
     voters = 3
-    mix = plan.Mix(0, dispatchers)
+    mix = plan.FleetMix(0, dispatchers)
     with ScaleFleet(
-        FleetPlan(mix, control=(*CONTROL, "ownership"), voters=voters), directory
+        FleetPlan(mix, control=(*CONTROL_PLANE, "ownership"), voters=voters), directory
     ) as fleet:
         wait_for_one_view(fleet, 30.0)
         time.sleep(SETTLE_S)
         before, began = fleet.status(), time.monotonic()
         time.sleep(span_s)
-        after, span = fleet.status(), time.monotonic() - began
-    wires = {name: wire_of(before[name], after[name], span) for name in after}
-    log = {name: wire.by_kind.get("ownership", [0.0, 0.0]) for name, wire in wires.items()}
-    names = sorted(log)
+        after, seconds = fleet.status(), time.monotonic() - began
+    wires = {name: wire_between(before[name], after[name], seconds) for name in after}
+    lease_traffic = {
+        name: wire.by_kind.get("ownership", [0.0, 0.0]) for name, wire in wires.items()
+    }
+    names = sorted(lease_traffic)
     return {
         "dispatchers": dispatchers,
-        "voter_bytes_per_s": round(max(log[name][1] for name in names[:voters]), 1),
-        "voter_datagrams_per_s": round(max(log[name][0] for name in names[:voters]), 2),
+        "voter_bytes_per_s": round(max(lease_traffic[name][1] for name in names[:voters]), 1),
+        "voter_datagrams_per_s": round(max(lease_traffic[name][0] for name in names[:voters]), 2),
         "other_bytes_per_s": round(
-            sum(log[name][1] for name in names[voters:]) / max(1, len(names) - voters), 1
+            sum(lease_traffic[name][1] for name in names[voters:]) / max(1, len(names) - voters), 1
         ),
     }
--- a/yewrill/lab/scale/module.py
+++ b/yewrill/lab/scale/module.py
@@ -1,4 +1,4 @@
-"""What serving costs by size: the decision module's time and state, and the list of workers."""
+"""Measures the decision module's processor time and state, and the endpoint list, at several sizes."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 from yewrill import Dispatcher, Settings
 from yewrill.config.endpoints import read_endpoints
 from yewrill.config.schema import TopologyNames
-from yewrill.lab.scale.fit import line
+from yewrill.lab.scale.fit import fit_line
 from yewrill.policy import interface as api
 
 WORKER_SIZES = (60, 120, 240, 480, 680)
-TEAM_SIZES = (2, 15, 30, 60, 120)
-JOBS = 4000
-DEADLINE = 5000.0
+TENANT_SIZES = (2, 15, 30, 60, 120)
+REQUESTS = 4000
+DEADLINE_MS = 5000.0
 
 
-def settings(teams: int) -> Settings:
-    """Settings with so many teams, each with its quota."""
-    share = 1.0 / teams
+def create_settings(tenants: int) -> Settings:
+    """Returns settings with `tenants` tenants, each with its own quota."""
+    share = 1.0 / tenants
     return Settings(
         classes=[
             api.RequestClass(
                 "tour",
                 latency_objective=200.0,
-                deadline=DEADLINE,
+                deadline=DEADLINE_MS,
                 priority_weight=1.0,
                 objective_run_factor=2.0,
             )
         ],
-        tenants=[api.Tenant(f"team{i:03d}", 64.0, share) for i in range(teams)],
+        tenants=[api.Tenant(f"team{i:03d}", 64.0, share) for i in range(tenants)],
         dispatchers=1,
         reports_start=True,
         fifo=True,
@@ -42,22 +42,22 @@
     )
 
 
-def dispatcher(workers: int, teams: int) -> Dispatcher:
-    """A module that knows so many workers."""
-    module = Dispatcher(settings(teams), 1)
+def create_module(workers: int, tenants: int) -> Dispatcher:
+    """Creates a decision module with an endpoint list of `workers` workers."""
+    module = Dispatcher(create_settings(tenants), 1)
     entries = [api.WorkerEntry(f"w{i:04d}", i % 11) for i in range(workers)]
     module.handle(0.0, [api.WorkerList(api.ListForm.CACHED, entries)])
     return module
 
 
-def time_a_job(workers: int, teams: int, jobs: int = JOBS) -> float:
-    """Seconds of processor that the module takes for a job: arrival, start, end."""
-    module = dispatcher(workers, teams)
-    now, busy = 1000.0, 0.0
-    for number in range(jobs):
-        now += 2.8  # 360 a second
+def seconds_per_request(workers: int, tenants: int, requests: int = REQUESTS) -> float:
+    """Returns the module's processor seconds for one request: its arrival, start and end."""
+    module = create_module(workers, tenants)
+    now, cpu_seconds = 1000.0, 0.0
+    for number in range(requests):
+        now += 2.8  # ms, for 360 requests per second
         name = f"j{number}"
-        arrival = api.RequestArrived(name, 0, now + DEADLINE, number % teams, 1.0)
+        arrival = api.RequestArrived(name, 0, now + DEADLINE_MS, number % tenants, 1.0)
         began = time.process_time()
         actions = module.handle(now, [arrival])
         for action in actions:
@@ -66,39 +66,39 @@
                 module.handle(now + 1.0, [api.AttemptStarted(name, 0, worker)])
                 ended = api.AttemptEnded(name, 0, worker, api.PolicyOutcome.SERVED, 100.0, True)
                 module.handle(now + 100.0, [ended])
-        busy += time.process_time() - began
-    return busy / jobs
+        cpu_seconds += time.process_time() - began
+    return cpu_seconds / requests
 
 
-def state(workers: int, teams: int) -> int:
-    """Bytes of the module's state."""
+def state_bytes(workers: int, tenants: int) -> int:
+    """Returns the bytes of memory that a decision module holds."""
     gc.collect()
     tracemalloc.start()
-    module = dispatcher(workers, teams)
+    module = create_module(workers, tenants)
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0]
+    bytes_held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     assert module is not None
-    return held
+    return bytes_held
 
 
 def measure_module(quick: bool) -> dict[str, Any]:
-    """Time and state at five sizes each, and the lines through them."""
-    jobs = JOBS // 8 if quick else JOBS
-    times = [1e6 * time_a_job(workers, 15, jobs) for workers in WORKER_SIZES]
-    by_worker = [float(state(workers, 15)) for workers in WORKER_SIZES]
-    by_team = [float(state(60, teams)) for teams in TEAM_SIZES]
+    """Measures time and state at five sizes each, and fits lines through the results."""
+    requests = REQUESTS // 8 if quick else REQUESTS
+    times = [1e6 * seconds_per_request(workers, 15, requests) for workers in WORKER_SIZES]
+    by_worker = [float(state_bytes(workers, 15)) for workers in WORKER_SIZES]
+    by_tenant = [float(state_bytes(60, tenants)) for tenants in TENANT_SIZES]
     fits = {
-        "us_a_job": line(WORKER_SIZES, times),
-        "bytes_a_worker": line(WORKER_SIZES, by_worker),
-        "bytes_a_team": line(TEAM_SIZES, by_team),
+        "us_a_job": fit_line(WORKER_SIZES, times),
+        "bytes_a_worker": fit_line(WORKER_SIZES, by_worker),
+        "bytes_a_team": fit_line(TENANT_SIZES, by_tenant),
     }
     return {
         "workers": list(WORKER_SIZES),
         "us_a_job": [round(value, 1) for value in times],
         "state_by_worker": by_worker,
-        "teams": list(TEAM_SIZES),
-        "state_by_team": by_team,
+        "teams": list(TENANT_SIZES),
+        "state_by_team": by_tenant,
         "fits": {
             name: {key: round(getattr(fit, key), 4) for key in fit.__slots__}
             for name, fit in fits.items()
@@ -106,8 +106,8 @@
     }
 
 
-def list_of(workers: int) -> bytes:
-    """Discovery's whole list of so many workers, as it is sent."""
+def endpoint_list(workers: int) -> bytes:
+    """Returns the body in which discovery sends a full endpoint list of `workers` workers."""
     servers = [
         {
             "id": f"w{i:04d}",
@@ -125,19 +125,19 @@
 
 
 def measure_lists(quick: bool) -> dict[str, Any]:
-    """A whole list at five sizes: bytes, and the time to read and check it."""
-    places = TopologyNames(tuple(f"z{i:02d}" for i in range(11)), ("std5",))
+    """Measures the size of a full endpoint list, and the time to decode and validate it, at five sizes."""
+    topology = TopologyNames(tuple(f"z{i:02d}" for i in range(11)), ("std5",))
     sizes, times = [], []
     for workers in WORKER_SIZES:
-        body = list_of(workers)
+        body = endpoint_list(workers)
         sizes.append(float(len(body)))
-        took = []
+        seconds = []
         for _ in range(3 if quick else 15):
             began = time.process_time()
-            read_endpoints(ujson.loads(body), "answer", places)
-            took.append(time.process_time() - began)
-        times.append(1e3 * sorted(took)[len(took) // 2])
-    fits = {"bytes": line(WORKER_SIZES, sizes), "ms": line(WORKER_SIZES, times)}
+            read_endpoints(ujson.loads(body), "answer", topology)
+            seconds.append(time.process_time() - began)
+        times.append(1e3 * sorted(seconds)[len(seconds) // 2])
+    fits = {"bytes": fit_line(WORKER_SIZES, sizes), "ms": fit_line(WORKER_SIZES, times)}
     return {
         "workers": list(WORKER_SIZES),
         "bytes": sizes,
--- a/yewrill/lab/scale/page.py
+++ b/yewrill/lab/scale/page.py
@@ -1,4 +1,7 @@
-"""The tables of docs/CAPACITY.md, made from a measurement, so that neither is edited by hand alone."""
+"""Renders the tables of docs/CAPACITY.md from the JSON that benchmarks/capacity.py writes.
+
+The page always shows the last measurement: tests/test_capacity_page.py fails if it was edited by hand.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +10,14 @@
 from typing import Any
 
 from yewrill.lab.scale import plan
-from yewrill.lab.scale.fit import SQUARE_MATTERS
+from yewrill.lab.scale.fit import MAX_QUADRATIC_FRACTION
 
 PAGE = Path(__file__).parents[3] / "docs" / "CAPACITY.md"
 BEGIN, END = "<!-- measured: {} -->", "<!-- end: {} -->"
 Result = Mapping[str, Any]
 
 
-def _number(value: float | None, digits: int = 0) -> str:
+def _format_number(value: float | None, digits: int = 0) -> str:
     return "never" if value is None else f"{value:,.{digits}f}"
 
 
@@ -23,22 +26,22 @@
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
-def _fitted(fit: Mapping[str, float], scale: float, digits: int) -> list[str]:
-    """Slope, constant, residual and what a square would make up."""
-    bent = " (bent)" if abs(fit["square"]) > SQUARE_MATTERS else ""
+def _fit_cells(fit: Mapping[str, float], scale: float, digits: int) -> list[str]:
+    """Returns the cells of a fit: the line, its residual and the contribution of a quadratic term."""
+    bent = " (bent)" if abs(fit["square"]) > MAX_QUADRATIC_FRACTION else ""
     return [
-        f"{scale * fit['slope']:.3g} × size + {_number(scale * fit['constant'], digits)}",
+        f"{scale * fit['slope']:.3g} × size + {_format_number(scale * fit['constant'], digits)}",
         f"{100 * fit['residual']:.0f}%",
         f"{100 * fit['square']:.0f}%{bent}",
     ]
 
 
-def control(result: Result) -> str:
-    """A dispatcher's part in control at rest, against its budget."""
+def control_table(result: Result) -> str:
+    """Returns the table of a dispatcher's control plane at rest, against its budget."""
     rows = {row["dispatchers"]: row for row in result["fleet"]["rows"]}
     quantities = (
-        ("core", "processor, % of a core", 100.0, 2, 100 * plan.BUDGET_CORE),
-        ("wire_out", "sent, bytes a second", 1.0, 0, plan.BUDGET_BYTES_AT_REST),
+        ("core", "processor, % of a core", 100.0, 2, 100 * plan.BUDGET_CORES),
+        ("wire_out", "sent, bytes a second", 1.0, 0, plan.BUDGET_BYTES_PER_S_AT_REST),
         ("datagrams_out", "sent, datagrams a second", 1.0, 1, None),
         ("wakeups", "wake-ups of the process a second", 1.0, 1, None),
         ("proportional_mb", "memory, MB", 1.0, 2, plan.BUDGET_MEMORY_MB),
@@ -46,27 +49,27 @@
     table = []
     for key, name, scale, digits, budget in quantities:
         fit = result["fleet"]["fits"].get(key)
-        values = [_number(scale * rows[size][key], digits) for size in (24, 60, 200)]
+        values = [_format_number(scale * rows[size][key], digits) for size in (24, 60, 200)]
         ratio = "" if budget is None else f"{scale * rows[200][key] / budget:.2f}"
-        fitted = _fitted(fit, scale, digits) if fit else ["", "", ""]
-        at_22 = _number(scale * (fit["slope"] * 22 + fit["constant"]), digits) if fit else ""
-        limit = "" if budget is None else _number(budget, 1)
+        fitted = _fit_cells(fit, scale, digits) if fit else ["", "", ""]
+        at_22 = _format_number(scale * (fit["slope"] * 22 + fit["constant"]), digits) if fit else ""
+        limit = "" if budget is None else _format_number(budget, 1)
         table.append([name, *fitted, at_22, *values, limit, ratio])
     head = ["a dispatcher, control on less off", "fit", "residual", "square at 200", "22 (fit)"]
     return _table([*head, "24", "60", "200", "budget", "ratio at 200"], table)
 
 
-def whole(result: Result) -> str:
-    """Each size that was run."""
+def fleets_table(result: Result) -> str:
+    """Returns the table of all fleets that were run."""
     table = [
         [
             f"{row['real']} + {row['dispatchers'] - row['real']}",
-            _number(row["formed_s"], 1) + (" s" if row["formed_s"] is not None else ""),
+            _format_number(row["formed_s"], 1) + (" s" if row["formed_s"] is not None else ""),
             str(row["leases"]),
             f"{100 * row['core']:.2f} ({100 * row['core_worst']:.2f})",
             f"{100 * row['core_off']:.2f}",
-            f"{_number(row['wire_out'])} ({_number(row['wire_worst'])})",
-            _number(row["wire_hollow"]),
+            f"{_format_number(row['wire_out'])} ({_format_number(row['wire_worst'])})",
+            _format_number(row["wire_hollow"]),
             f"{row['proportional_mb']:.1f}, {row['resident_mb']:.1f}",
             f"{row['held_back']}, {row['flooded']}",
             "not played: starved" if row["starved"] else f"{100 * row['idle']:.0f}%",
@@ -84,33 +87,35 @@
     return _table([*head, "held back, flooded", "machine idle"], table)
 
 
-def events(result: Result) -> str:
-    """Events in virtual time."""
+def events_table(result: Result) -> str:
+    """Returns the table of the events measured in virtual time."""
     table = []
     for name, found in result["virtual"].items():
         if name.startswith("rest"):
             continue
         agreed = found.get("agreed_s", found.get("formed_s"))
-        first = "" if name == "rolling" else _number(agreed, 2)
-        back = _number(found["back_s"], 2) if "back_s" in found else ""
+        first = "" if name == "rolling" else _format_number(agreed, 2)
+        back = _format_number(found["back_s"], 2) if "back_s" in found else ""
         over = found["worst_10s"] / plan.BUDGET_BYTES_PER_S
         lost = str(found.get("lost", ""))
         gone = str(found.get("gone", ""))
-        table.append([name, gone, first, back, _number(found["worst_10s"]), f"{over:.2f}", lost])
+        table.append(
+            [name, gone, first, back, _format_number(found["worst_10s"]), f"{over:.2f}", lost]
+        )
     head = ["event", "dispatchers", "the rest agrees, s", "all agree again, s"]
     return _table(
         [*head, "worst ten seconds, bytes a second", "of the budget", "leases lost"], table
     )
 
 
-def rest(result: Result) -> str:
-    """At rest in virtual time, by size."""
+def rest_table(result: Result) -> str:
+    """Returns the table of the fleets at rest in virtual time, by size."""
     table = [
         [
             name.removeprefix("rest_"),
-            _number(found["bytes_per_s"]),
-            _number(found["bytes_per_s_worst"]),
-            _number(found["datagrams_per_s"], 1),
+            _format_number(found["bytes_per_s"]),
+            _format_number(found["bytes_per_s_worst"]),
+            _format_number(found["datagrams_per_s"], 1),
             str(found["lost"]),
         ]
         for name, found in sorted(
@@ -125,21 +130,21 @@
     return _table([*head, "leases lost"], table)
 
 
-def serving(result: Result) -> str:
-    """The module, its state and the lists."""
+def serving_table(result: Result) -> str:
+    """Returns the table of the decision module, its state and the endpoint list."""
     module, lists = result["module"], result["lists"]
     fits = [
         ("processor a job, µs", module["fits"]["us_a_job"], plan.WORKERS, "workers"),
         ("state of workers, bytes", module["fits"]["bytes_a_worker"], plan.WORKERS, "workers"),
-        ("state of teams, bytes", module["fits"]["bytes_a_team"], plan.TEAMS, "teams"),
+        ("state of teams, bytes", module["fits"]["bytes_a_team"], plan.TENANTS, "teams"),
         ("a whole list, bytes", lists["fits"]["bytes"], plan.WORKERS, "workers"),
         ("reading a whole list, ms", lists["fits"]["ms"], plan.WORKERS, "workers"),
     ]
     table = [
         [
             name,
-            *_fitted(fit, 1.0, 1),
-            f"{_number(fit['slope'] * size + fit['constant'], 1)} at {size} {of}",
+            *_fit_cells(fit, 1.0, 1),
+            f"{_format_number(fit['slope'] * size + fit['constant'], 1)} at {size} {of}",
             f"{fit['largest']:.0f}",
         ]
         for name, fit, size, of in fits
@@ -147,14 +152,14 @@
     return _table(["quantity", "fit", "residual", "square", "planned size", "largest run"], table)
 
 
-def voters(result: Result) -> str:
-    """The log's voters at rest."""
+def voters_table(result: Result) -> str:
+    """Returns the table of the lease voters at rest."""
     table = [
         [
             str(row["dispatchers"]),
-            _number(row["voter_bytes_per_s"]),
-            _number(row["voter_datagrams_per_s"], 1),
-            _number(row["other_bytes_per_s"]),
+            _format_number(row["voter_bytes_per_s"]),
+            _format_number(row["voter_datagrams_per_s"], 1),
+            _format_number(row["other_bytes_per_s"]),
         ]
         for row in result["voters"]
     ]
@@ -163,21 +168,21 @@
 
 
 TABLES: dict[str, Callable[[Result], str]] = {
-    "control": control,
-    "whole": whole,
-    "events": events,
-    "rest": rest,
-    "serving": serving,
-    "voters": voters,
+    "control": control_table,
+    "whole": fleets_table,
+    "events": events_table,
+    "rest": rest_table,
+    "serving": serving_table,
+    "voters": voters_table,
 }
 
 
 def render(text: str, result: Result) -> str:
-    """The page with its tables as a measurement gives them. Raises ValueError where a mark is missing."""
+    """Returns the page's text with the tables of a result. Raises ValueError if a marker is missing."""
     for name, table in TABLES.items():
         begin, end = BEGIN.format(name), END.format(name)
-        head, _, rest_of = text.partition(begin)
-        _, found, tail = rest_of.partition(end)
+        head, _, after_begin = text.partition(begin)
+        _, found, tail = after_begin.partition(end)
         if not found:
             raise ValueError(f"no marks for {name}")
         text = f"{head}{begin}\n{table(result)}\n{end}{tail}"
@@ -185,6 +190,6 @@
 
 
 def update(path: Path, result: Result) -> None:
-    """Put a whole measurement into the page; one of some parts only leaves it as it is."""
+    """Rewrites the page's tables if the result is complete; does nothing if some parts were not run."""
     if all(part in result for part in ("fleet", "real", "module", "lists", "voters", "virtual")):
         path.write_text(render(path.read_text(), result))
--- a/yewrill/lab/scale/plan.py
+++ b/yewrill/lab/scale/plan.py
@@ -1,73 +1,76 @@
-"""The size that is planned for, the budgets that hold there, and what a machine may be asked to run."""
+"""The planned size of an installation, the budgets at that size, and the largest fleet a machine may run."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 WORKERS = 680
-TEAMS = 120
+TENANTS = 120
 ZONES = 11
 REGIONS = 3
-STARTS_PER_S = 360.0
-RUNNING = 2100
-GANG = 64
-URGENT_S = 1.2  # until urgent work starts, from when it was due
-CHANGES_PER_DAY = 540  # of configuration
-CHANGE_IN_FORCE_S = 8.0
+JOB_STARTS_PER_S = 360.0
+RUNNING_JOBS = 2100
+GANG_SIZE = 64
+URGENT_START_LIMIT_S = 1.2  # from the time at which urgent work is due until it starts
+CONFIG_CHANGES_PER_DAY = 540
+CONFIG_CHANGE_LIMIT_S = 8.0  # until a change is in force
 SIZES = (6, 12, 24, 60, 120, 200)  # dispatchers
-PAGE_SIZES = (22, 60, 200)  # dispatchers at which the page tells values: 22 is two a zone
+PAGE_SIZES = (22, 60, 200)  # dispatchers for which the page has values; 22 is two in each zone
 
-# For control, a dispatcher
-BUDGET_CORE = 0.011
+# Budgets of one dispatcher's control plane
+BUDGET_CORES = 0.011
 BUDGET_MEMORY_MB = 32.0
-BUDGET_BYTES_PER_S = 6000.0  # on the wire, headers of IP and UDP included
-BUDGET_BYTES_AT_REST = BUDGET_BYTES_PER_S / 2
+BUDGET_BYTES_PER_S = 6000.0  # sent, including IP and UDP headers
+BUDGET_BYTES_PER_S_AT_REST = BUDGET_BYTES_PER_S / 2
 
-MOST_PROCESSES = 300
+MAX_PROCESSES = 300
 HOLLOW_PER_PROCESS = 50
-REAL_MB, HOLLOW_PROCESS_MB, HOLLOW_MB = 45.0, 40.0, 4.0  # what one takes, estimated high
+# High estimates, so that a fleet that passes `check_limits` doesn't exhaust the machine's memory.
+REAL_MB = 45.0
+HOLLOW_PROCESS_MB = 40.0
+HOLLOW_MB = 4.0
 
 
-class TooLarge(ValueError):
-    """A fleet that this machine is not to be asked for; the text says why."""
+class FleetTooLarge(ValueError):
+    """The fleet exceeds the limits of this machine; the text names the limit."""
 
 
 @dataclass(frozen=True, slots=True)
-class Mix:
-    """How many real dispatchers, and how many hollow ones beside them."""
+class FleetMix:
+    """Numbers of real and of hollow dispatchers in a fleet."""
 
     real: int
     hollow: int
 
     @property
     def dispatchers(self) -> int:
-        """All of them."""
+        """All dispatchers, real and hollow."""
         return self.real + self.hollow
 
     @property
     def processes(self) -> int:
-        """Processes that they take."""
+        """Processes that run them: one for each real dispatcher, and one for each group of hollow ones."""
         return self.real + -(-self.hollow // HOLLOW_PER_PROCESS)
 
     @property
     def memory_mb(self) -> float:
-        """Memory that they take, estimated high."""
+        """High estimate of the memory that they use."""
         hosts = self.processes - self.real
         return self.real * REAL_MB + hosts * HOLLOW_PROCESS_MB + self.hollow * HOLLOW_MB
 
 
 def machine_memory_mb() -> float:
-    """The machine's memory."""
+    """Returns the machine's total memory."""
     with open("/proc/meminfo") as lines:
         total = next(line for line in lines if line.startswith("MemTotal:"))
     return int(total.split()[1]) / 1024
 
 
-def check(mix: Mix, memory_mb: float) -> None:
-    """Raise TooLarge for more processes than `MOST_PROCESSES`, or over half of the machine's memory."""
-    if mix.processes > MOST_PROCESSES:
-        raise TooLarge(f"{mix.processes} processes are asked for, {MOST_PROCESSES} are allowed")
+def check_limits(mix: FleetMix, memory_mb: float) -> None:
+    """Raises FleetTooLarge if a fleet needs more than MAX_PROCESSES, or more than half of the memory."""
+    if mix.processes > MAX_PROCESSES:
+        raise FleetTooLarge(f"{mix.processes} processes are asked for, {MAX_PROCESSES} are allowed")
     if mix.memory_mb > memory_mb / 2:
-        raise TooLarge(
+        raise FleetTooLarge(
             f"{mix.memory_mb:.0f} MB are needed, half of the machine's {memory_mb:.0f} MB are allowed"
         )
--- a/yewrill/lab/scale/sampling.py
+++ b/yewrill/lab/scale/sampling.py
@@ -1,4 +1,4 @@
-"""What processes cost, read from /proc: processor time, memory, wake-ups; whether the machine is starved."""
+"""Processor time, memory and wake-ups of processes, and the machine's idle time, read from /proc."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-LEAST_IDLE = 0.10  # of the machine: below it what is measured is the machine's load
+# With less idle time than this, measurements show the load of the machine rather than the fleet's cost.
+MIN_IDLE_SHARE = 0.10
 
 
 @dataclass(frozen=True, slots=True)
-class Sample:
-    """Of one process, since it started: seconds of processor, MB now, wake-ups."""
+class ProcessSample:
+    """Counters of one process: processor time and wake-ups since it started, and its memory now."""
 
     at: float
     cpu_s: float
@@ -22,23 +23,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cost:
-    """Of one process over a span."""
+class ProcessCost:
+    """Resource use of one process between two samples."""
 
-    core: float  # share of one
+    core: float  # processor time, as a fraction of one core
     resident_mb: float
     proportional_mb: float
     private_mb: float
     wakeups_per_s: float
 
 
-def sample(pid: int) -> Sample:
-    """Read one process. Raises OSError when it has gone."""
+def sample_process(pid: int) -> ProcessSample:
+    """Samples one process. Raises OSError if it has ended."""
     root = Path(f"/proc/{pid}")
     nanoseconds = switches = 0
-    for task in (root / "task").iterdir():
-        nanoseconds += int((task / "schedstat").read_text().split()[0])
-        for line in (task / "status").read_text().splitlines():
+    for thread in (root / "task").iterdir():
+        nanoseconds += int((thread / "schedstat").read_text().split()[0])
+        for line in (thread / "status").read_text().splitlines():
             if line.startswith("voluntary_ctxt_switches:"):
                 switches += int(line.split()[1])
     kilobytes = {}
@@ -47,7 +48,7 @@
         if len(words) == 3 and words[2] == "kB":
             kilobytes[words[0]] = int(words[1])
     private = kilobytes["Private_Clean:"] + kilobytes["Private_Dirty:"]
-    return Sample(
+    return ProcessSample(
         time.monotonic(),
         nanoseconds / 1e9,
         kilobytes["Rss:"] / 1024,
@@ -57,24 +58,24 @@
     )
 
 
-def cost(first: Sample, last: Sample) -> Cost:
-    """What a process cost between two samples; memory as it is at the last."""
-    span = last.at - first.at
-    return Cost(
-        (last.cpu_s - first.cpu_s) / span,
+def cost_between(first: ProcessSample, last: ProcessSample) -> ProcessCost:
+    """Returns a process's resource use between two samples; memory is that of the last."""
+    seconds = last.at - first.at
+    return ProcessCost(
+        (last.cpu_s - first.cpu_s) / seconds,
         last.resident_mb,
         last.proportional_mb,
         last.private_mb,
-        (last.wakeups - first.wakeups) / span,
+        (last.wakeups - first.wakeups) / seconds,
     )
 
 
-def machine_times() -> tuple[int, int]:
-    """Ticks that the machine was idle, and all ticks, since it started."""
+def machine_ticks() -> tuple[int, int]:
+    """Returns the machine's idle clock ticks and all its clock ticks since boot."""
     ticks = [int(word) for word in Path("/proc/stat").read_text().split("\n", 1)[0].split()[1:]]
     return ticks[3] + ticks[4], sum(ticks)
 
 
 def idle_share(first: tuple[int, int], last: tuple[int, int]) -> float:
-    """The part of a span in which the machine had nothing to do."""
+    """Returns the fraction of idle time between two results of `machine_ticks`."""
     return (last[0] - first[0]) / max(1, last[1] - first[1])
--- a/yewrill/lab/scale/virtual.py
+++ b/yewrill/lab/scale/virtual.py
@@ -1,8 +1,8 @@
-"""The control stack of a fleet in virtual time: members and views over one transport, budgets included.
+"""Simulates the control plane of a fleet in virtual time: membership and views over one transport.
 
-Every dispatcher has what a real one has between its socket and its subsystems: the protocol machine, the
-authenticated format, the budget of what it sends and the limits on what it looks at. All start at one moment,
-and know the same few peers. The same seed gives the same run, byte for byte. Seconds.
+Each dispatcher runs the production state machines, the authenticated codec, the send budget and the limits on
+received datagrams; only the sockets are simulated. All dispatchers start at once and know the same few peers.
+The same seed gives the same run, byte for byte. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -20,20 +20,19 @@
 from yewrill.membership.parts import MalformedPayload
 from yewrill.membership.transport import IP_UDP_HEADER_BYTES, VIEWS, Address, Datagram, Transport
 from yewrill.views.format import MessageAssembler, pack, priority_of
-from yewrill.views.machine import Step
-from yewrill.views.machine import ViewMachine as ViewsMachine
-from yewrill.views.timing import ViewTiming as ViewsRules
+from yewrill.views.machine import Step, ViewMachine
+from yewrill.views.timing import ViewTiming
 from yewrill.views.view import Entry, PersistedView, View
 
 SHIPPED_BYTES_PER_S = 20_000.0
 PEERS = 8
-LINGER_S = 0.5  # of one that leaves its view
-LEAST_STEP = 1e-3  # between two looks at a machine's timer
+LEAVE_LINGER_S = 0.5  # from leaving the view until the membership is left too
+MIN_TIMER_STEP_S = 1e-3
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
-    """What is started: how many dispatchers, in how many zones, and with which settings."""
+class FleetParameters:
+    """Size and settings of a simulated fleet."""
 
     dispatchers: int
     zones: int = 11
@@ -41,25 +40,25 @@
     peers: int = PEERS
     bytes_per_s: float = SHIPPED_BYTES_PER_S
     path: Path = field(default_factory=Path)
-    members_rules: SwimConfig = field(default_factory=SwimConfig)
-    views_rules: ViewsRules = field(default_factory=ViewsRules)
+    swim_config: SwimConfig = field(default_factory=SwimConfig)
+    view_timing: ViewTiming = field(default_factory=ViewTiming)
 
 
 @dataclass(eq=False)
 class Node:
-    """One dispatcher's control."""
+    """The control plane of one dispatcher."""
 
     name: str
     zone: str
     address: Address
     transport: Transport
-    views: ViewsMachine
+    views: ViewMachine
     parts: MessageAssembler = field(default_factory=MessageAssembler)
     disk: PersistedView | None = None
     dead: bool = False
-    number: int = 0  # of its last message of views
-    armed: float = math.inf
-    known: int = -1  # changes of the list that its views were told of
+    number: int = 0  # of the last message that its views sent
+    next_wakeup: float = math.inf  # when its timers are checked next
+    known: int = -1  # members last passed to its views; -1 before the first time
     wakeups: int = 0
 
     @property
@@ -69,58 +68,62 @@
 
     @property
     def bytes_out(self) -> int:
-        """Bytes on the wire so far, with headers."""
+        """Bytes sent so far, including IP and UDP headers."""
         return self.transport.sent + IP_UDP_HEADER_BYTES * self.datagrams_out
 
 
 class VirtualFleet(VirtualNetwork):
-    """Dispatchers that all start at once."""
+    """Dispatchers that all start at once, and the network between them."""
 
-    def __init__(self, seed: int, fleet: Fleet):
-        super().__init__(seed, fleet.path)
-        self.fleet = fleet
+    def __init__(self, seed: int, parameters: FleetParameters):
+        super().__init__(seed, parameters.path)
+        self.parameters = parameters
         self.nodes: dict[str, Node] = {}
-        self._at: dict[Address, Node] = {}
+        self._by_address: dict[Address, Node] = {}
         self.digests: dict[int, bytes] = {}
-        self.conflicts: list[str] = []  # two views of one number: what must never be
+        self.conflicts: list[
+            str
+        ] = []  # different views with the same number, which must never exist
         self.lost_leases: dict[str, int] = {}
-        self._held: set[str] = set()
-        for index in range(fleet.dispatchers):
+        self._lease_holders: set[str] = set()
+        for index in range(parameters.dispatchers):
             self.start(index)
 
-    # -- who is there
+    # -- starts and stops
 
     def start(self, index: int, disk: PersistedView | None = None) -> Node:
-        """Start the dispatcher of a number, or start it anew."""
-        fleet = self.fleet
+        """Starts or restarts a dispatcher, with the view that it had persisted, if any."""
+        parameters = self.parameters
         name, address = f"d{index:03d}", self._address(index)
-        zone = f"z{index % fleet.zones:02d}"
-        seeds = [self._address(i) for i in range(min(fleet.peers, fleet.dispatchers))]
+        zone = f"z{index % parameters.zones:02d}"
+        seeds = [self._address(i) for i in range(min(parameters.peers, parameters.dispatchers))]
         members = SwimMember(
             Claim(name, address, zone),
             [seed for seed in seeds if seed != address],
             random.Random(self.rng.getrandbits(64)),
             self.now + self.rng.random() * 0.1,
-            fleet.members_rules,
+            parameters.swim_config,
         )
         codec = Codec(name, self.rng.getrandbits(62) + 1, [KEY])
-        transport = Transport(members, codec, fleet.bytes_per_s)
+        transport = Transport(members, codec, parameters.bytes_per_s)
         entry = Entry(name, self.rng.getrandbits(47) + 1, address, zone)
-        founders = tuple(f"d{i:03d}" for i in range(min(fleet.founders, fleet.dispatchers)))
-        views = ViewsMachine(
+        founders = tuple(
+            f"d{i:03d}" for i in range(min(parameters.founders, parameters.dispatchers))
+        )
+        views = ViewMachine(
             entry,
             founders,
             disk,
             random.Random(self.rng.getrandbits(64)),
             self.now,
-            fleet.views_rules,
+            parameters.view_timing,
         )
         node = Node(name, zone, address, transport, views, disk=disk)
-        transport.handlers[VIEWS] = lambda data, sender, source: self._take(
+        transport.handlers[VIEWS] = lambda data, sender, source: self._receive_payload(
             node, data, sender, source
         )
-        self.nodes[name] = self._at[address] = node
-        self._arm(node)
+        self.nodes[name] = self._by_address[address] = node
+        self._schedule(node)
         return node
 
     @staticmethod
@@ -128,23 +131,23 @@
         return f"10.0.{index >> 8}.{index & 255}", 7400
 
     def kill(self, names: Iterable[str]) -> None:
-        """End some without a word."""
+        """Stops dispatchers at once, as a crash does."""
         for name in names:
             self.nodes[name].dead = True
 
     def leave(self, name: str) -> None:
-        """End one in good order: its views first, then its membership."""
+        """Stops a dispatcher gracefully: it leaves its view first, then the membership."""
         node = self.nodes[name]
-        self._put(node, self._say(node, node.views.leave(self.now)))
+        self._send(node, self._process_step(node, node.views.leave(self.now)))
 
         def end() -> None:
-            self._put(node, node.transport.send(self.now, node.transport.machine.leave(self.now)))
+            self._send(node, node.transport.send(self.now, node.transport.machine.leave(self.now)))
             node.dead = True
 
-        self.at(self.now + LINGER_S, end)
+        self.at(self.now + LEAVE_LINGER_S, end)
 
     def restart(self, names: Iterable[str]) -> None:
-        """Start some anew, with what they kept."""
+        """Restarts dispatchers with the views that they had persisted."""
         for name in list(names):
             old = self.nodes[name]
             old.dead = True
@@ -152,27 +155,27 @@
 
     # -- the network
 
-    def _arm(self, node: Node) -> None:
-        when = max(min(node.transport.due, node.views.due), self.now + LEAST_STEP)
-        if when >= node.armed or when == math.inf:
+    def _schedule(self, node: Node) -> None:
+        when = max(min(node.transport.due, node.views.due), self.now + MIN_TIMER_STEP_S)
+        if when >= node.next_wakeup or when == math.inf:
             return
-        node.armed = when
+        node.next_wakeup = when
 
         def wake() -> None:
-            if node.dead or node.armed != when:
+            if node.dead or node.next_wakeup != when:
                 return
-            node.armed = math.inf
+            node.next_wakeup = math.inf
             node.wakeups += 1
-            self._put(node, node.transport.tick(self.now))
+            self._send(node, node.transport.tick(self.now))
             if self.now >= node.views.due:
-                self._put(node, self._say(node, node.views.tick(self.now)))
-            self._settle(node)
+                self._send(node, self._process_step(node, node.views.tick(self.now)))
+            self._after_event(node)
 
         self.at(when, wake)
 
-    def _put(self, node: Node, datagrams: list[Datagram]) -> None:
+    def _send(self, node: Node, datagrams: list[Datagram]) -> None:
         for address, data in datagrams:
-            to = self._at.get(address)
+            to = self._by_address.get(address)
             if to is not None:
                 path = self.path(node.name, to.name)
                 self.deliver(path, lambda to=to, data=data: self._arrive(to, data, node.address))
@@ -181,10 +184,10 @@
         if node.dead:
             return
         node.wakeups += 1
-        self._put(node, node.transport.receive(self.now, data, source))
-        self._settle(node)
+        self._send(node, node.transport.receive(self.now, data, source))
+        self._after_event(node)
 
-    def _take(
+    def _receive_payload(
         self, node: Node, data: bytes, sender: str, source: Address
     ) -> list[tuple[Address, bytes]]:
         try:
@@ -193,10 +196,10 @@
             return []
         if message is not None:
             step = node.views.receive(self.now, message, sender, source)
-            self._put(node, self._say(node, step))
+            self._send(node, self._process_step(node, step))
         return []
 
-    def _say(self, node: Node, step: Step) -> list[Datagram]:
+    def _process_step(self, node: Node, step: Step) -> list[Datagram]:
         if step.persist is not None:
             node.disk = step.persist
         datagrams: list[Datagram] = []
@@ -206,7 +209,7 @@
             datagrams += node.transport.send_payloads(self.now, VIEWS, parts, priority_of(message))
         return datagrams
 
-    def _settle(self, node: Node) -> None:
+    def _after_event(self, node: Node) -> None:
         if node.transport.take_changes(self.now) or node.known < 0:
             node.known = len(node.transport.machine.entries)
             node.views.set_known_members(
@@ -217,35 +220,35 @@
                 },
                 self.now,
             )
-        self._check(node)
-        self._arm(node)
+        self._check_views(node)
+        self._schedule(node)
 
-    def _check(self, node: Node) -> None:
+    def _check_views(self, node: Node) -> None:
         for _, view in node.views.changes:
             if (
                 view is not None
                 and self.digests.setdefault(view.number, view.digest) != view.digest
             ):
-                self.conflicts.append(f"{self.now:.2f}: two views {view.number}")
+                self.conflicts.append(f"{self.now:.2f}: two different views {view.number}")
         node.views.changes.clear()
         if node.views.view(self.now) is not None:
-            self._held.add(node.name)
-        elif node.name in self._held:
-            self._held.discard(node.name)
+            self._lease_holders.add(node.name)
+        elif node.name in self._lease_holders:
+            self._lease_holders.discard(node.name)
             self.lost_leases[node.name] = self.lost_leases.get(node.name, 0) + 1
 
-    # -- what they have
+    # -- queries
 
     def living(self) -> list[Node]:
-        """Those that run."""
+        """Returns the dispatchers that run."""
         return [node for node in self.nodes.values() if not node.dead]
 
     def holds(self, name: str) -> View | None:
-        """The view in which one holds a lease."""
+        """Returns the view in which a dispatcher holds a lease, if any."""
         return self.nodes[name].views.view(self.now)
 
     def agreed(self, among: Iterable[str] | None = None) -> bool:
-        """Whether all that live (or these) hold leases in one view of just them."""
+        """Returns whether all running dispatchers, or those of `among`, hold leases in one view of these."""
         names = {node.name for node in self.living()} if among is None else set(among)
         views = [self.holds(name) for name in names]
         first = views[0]
@@ -256,10 +259,10 @@
 
     @property
     def held_back(self) -> int:
-        """Datagrams that their senders' budgets did not allow."""
+        """Datagrams that were not sent, for lack of budget."""
         return sum(node.transport.held_back for node in self.living())
 
     @property
     def flooded(self) -> int:
-        """Datagrams that were not looked at."""
+        """Received datagrams that were dropped unread, for lack of budget."""
         return sum(node.transport.flooded for node in self.living())
