--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -157,7 +157,7 @@
     net = create_net(seed)
     twin = net.start_duplicate("m0002", ("10.9.9.9", 7000))
     net.run(6.0)
-    refused = int(twin.machine.standing(net.now) == "refused: name is taken")
+    refused = int(twin.machine.describe(net.now) == "refused: name is taken")
     twin.dead = True
     net.exempt.update(NAMES)
     net.restart("m0005")
