--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -38,11 +38,13 @@
 
 def measure_and_print(mix: plan.FleetMix, quick: bool) -> Measured:
     """Starts a fleet, waits until it agrees on a view, measures it at rest and prints the result."""
-    span = QUICK_MEASURE_S if quick else MEASURE_S
+    seconds = QUICK_MEASURE_S if quick else MEASURE_S
     with tempfile.TemporaryDirectory() as directory:
-        found = measure_fleet(mix, Path(directory) / "fleet", FORM_LIMIT_S[mix.dispatchers], span)
+        found = measure_fleet(
+            mix, Path(directory) / "fleet", FORM_LIMIT_S[mix.dispatchers], seconds
+        )
     formed = "not formed" if found.formed_s is None else f"formed in {found.formed_s:.1f} s"
-    starved = " STARVED: not played" if found.starved else ""
+    starved = " STARVED: not in the fits" if found.starved else ""
     print(
         f"{mix.real:>4} real {mix.hollow:>4} hollow: {formed}, {found.leases} with a lease;"
         f" control {100 * found.core:.2f}% of a core (worst {100 * found.core_worst:.2f}%),"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -71,7 +71,7 @@
 
 
 def test_at_rest_the_bytes_per_member_stay_within_the_budget_and_no_lease_is_lost():
-    """The bytes must not grow faster than the logarithm of the size."""
+    """The bytes must not grow faster than the logarithm of the size; they even fall."""
     found = {}
     for size in (24, 72, 200):
         fleet = create_settled_fleet(size)
@@ -107,12 +107,15 @@
     view = View(1, entries(9))
     machine = ViewMachine(view.entries[rank], (), None, random.Random(rank), 0.0)
     machine.install(view, 0.0)
-    for call in range(4):
-        now = 0.1 + 0.3 * call
+    for request_number in range(4):
+        now = 0.1 + 0.3 * request_number
         for name in heard:
-            caller = Entry(name, 5, (name, 1))
+            joiner = Entry(name, 5, (name, 1))
             machine.receive(
-                now, JoinRequest(caller, 1, 300, 1 if call else -1, 0), name, caller.address
+                now,
+                JoinRequest(joiner, 1, 300, 1 if request_number else -1, 0),
+                name,
+                joiner.address,
             )
     return [entry.name for entry in machine._attested_joiners()]
 
@@ -142,11 +145,11 @@
     joiner = Entry("new", 7, ("h", 99))
     assert attestations.recipients(1.0, frozenset()) == [] and attestations.record(0, (joiner,))
     recipients = {e.name for e in attestations.recipients(1.0, frozenset())}
-    turns = [view.entries[rank].name for rank in view.proposal_order()]
-    assert recipients == set(turns[:PROPOSERS]) - {"m0000"}
+    proposers = [view.entries[rank].name for rank in view.proposal_order()]
+    assert recipients == set(proposers[:PROPOSERS]) - {"m0000"}
     assert attestations.recipients(1.1, frozenset()) == []  # not repeated at once
     later = {e.name for e in attestations.recipients(1.0 + SHIFT_SECONDS, frozenset())}
-    assert later == set(turns[: 2 * PROPOSERS]) - {"m0000"}
+    assert later == set(proposers[: 2 * PROPOSERS]) - {"m0000"}
     dead = frozenset(view.proposal_order()[:PROPOSERS])
     again = {e.name for e in attestations.recipients(30.0, dead)}
     assert again and not again & {view.entries[rank].name for rank in dead}
@@ -181,19 +184,21 @@
         for rank in (0, 1)
     )
     vote = VoteState((1, 2), 0b111, proposal=b"x" * 900, accepted=0b100)
-    for inside in (one, other):
-        assert inside.vote.merge(vote)
+    for member in (one, other):
+        assert member.vote.merge(vote)
     to_other, to_one = one.edges[1], other.edges[0]
     first = one._message(to_other, 1.0)
     assert first.vote is not None and first.tally is None
     other.merge(1.0, first, to_one, "m0000")
     second = other._message(to_one, 1.1)
-    assert second.vote is None and second.tally is not None  # the peer itself sent the proposal
+    assert second.vote is None and second.tally is not None  # `one` sent the proposal itself
     one.merge(1.2, second, to_other, "m0001")
     assert one.vote.state.accepted == 0b111
-    parts = MessageAssembler()
-    whole = [message for part in pack(first) if (message := parts.take("m0000", part)) is not None]
-    assert [type(message) for message in whole] == [Heartbeat]
+    assembler = MessageAssembler()
+    received = [
+        message for part in pack(first) if (message := assembler.take("m0000", part)) is not None
+    ]
+    assert [type(message) for message in received] == [Heartbeat]
 
 
 def test_heartbeats_and_join_responses_of_the_first_format_are_still_decoded():
--- a/yewrill/lab/scale/events.py
+++ b/yewrill/lab/scale/events.py
@@ -32,10 +32,10 @@
 class WideFleet(VirtualFleet):
     """A fleet over several regions that records the traffic of each dispatcher over the last seconds."""
 
-    def __init__(self, seed: int, fleet: FleetParameters):
+    def __init__(self, seed: int, parameters: FleetParameters):
         self._history: dict[str, deque[int]] = {}
         self.worst = 0.0
-        super().__init__(seed, fleet)
+        super().__init__(seed, parameters)
 
     def path(self, a: str, b: str) -> Path:
         """Returns the path set for the pair of dispatchers, else one with the delay for their regions."""
--- a/yewrill/lab/scale/virtual.py
+++ b/yewrill/lab/scale/virtual.py
@@ -53,12 +53,12 @@
     address: Address
     transport: Transport
     views: ViewMachine
-    parts: MessageAssembler = field(default_factory=MessageAssembler)
+    assembler: MessageAssembler = field(default_factory=MessageAssembler)
     disk: PersistedView | None = None
     dead: bool = False
     number: int = 0  # of the last message that its views sent
     next_wakeup: float = math.inf  # when its timers are checked next
-    known: int = -1  # members last passed to its views; -1 before the first time
+    known_members: int = -1  # members last passed to its views; -1 before the first time
     wakeups: int = 0
 
     @property
@@ -191,7 +191,7 @@
         self, node: Node, data: bytes, sender: str, source: Address
     ) -> list[tuple[Address, bytes]]:
         try:
-            message = node.parts.take(sender, data)
+            message = node.assembler.take(sender, data)
         except MalformedPayload:
             return []
         if message is not None:
@@ -210,8 +210,8 @@
         return datagrams
 
     def _after_event(self, node: Node) -> None:
-        if node.transport.take_changes(self.now) or node.known < 0:
-            node.known = len(node.transport.machine.entries)
+        if node.transport.take_changes(self.now) or node.known_members < 0:
+            node.known_members = len(node.transport.machine.entries)
             node.views.set_known_members(
                 {
                     name: member.claim.address
