--- a/yewrill/leases/disk.py
+++ b/yewrill/leases/disk.py
@@ -19,7 +19,10 @@
 
 
 def read(store: Store, voters: tuple[str, ...]) -> tuple[PersistentRaftState, int]:
-    """The stored state and the last incarnation; for an empty store, the initial state with these voters."""
+    """Returns the stored state and the last incarnation.
+
+    For an empty store, the state is the initial one with these voters, and the incarnation is 0.
+    """
     meta = store.get(META)
     if meta is None:
         return PersistentRaftState(snapshot=Snapshot(0, 0, voters)), 0
@@ -31,9 +34,8 @@
         snapshot = Snapshot(index, entry_term, tuple(names), data)
     log = []
     for key, value in store.scan(prefix=ENTRY):
-        if (
-            int(key[len(ENTRY) :]) == snapshot.index + len(log) + 1
-        ):  # entries after a gap are ignored
+        # Entries after a gap in the indexes are ignored.
+        if int(key[len(ENTRY) :]) == snapshot.index + len(log) + 1:
             entry_term, kind, data, names = msgpack.unpackb(value)
             log.append(LogEntry(entry_term, kind, data, tuple(names)))
     return PersistentRaftState(term, vote, tuple(log), snapshot), incarnation
@@ -42,7 +44,7 @@
 def state_batch(
     before: PersistentRaftState | None, now: PersistentRaftState, incarnation: int
 ) -> Batch:
-    """The batch that turns the stored state `before` into `now`."""
+    """Returns the batch that turns the stored state `before` into `now`."""
     batch = Batch().put(META, msgpack.packb([now.term, now.vote, incarnation]))
     if before is None or before.snapshot != now.snapshot:
         snapshot = now.snapshot
@@ -62,10 +64,10 @@
 
 
 def read_fences(store: Store) -> dict[str, int]:
-    """The highest fencing number of each role."""
+    """Returns the highest fencing number of each role."""
     return {key[len(FENCE) :].decode(): int(value) for key, value in store.scan(prefix=FENCE)}
 
 
 def fence_batch(role: str, number: int) -> Batch:
-    """The batch that stores the highest fencing number of a role."""
+    """Returns the batch that stores the highest fencing number of a role."""
     return Batch().put(FENCE + role.encode(), b"%d" % number)
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -35,7 +35,7 @@
 
 
 class OwnershipConfig(Protocol):
-    """The section `ownership` of the settings file. `span` is the lease duration in seconds."""
+    """The section `ownership` of the settings file. `span` is the duration of a lease in seconds."""
 
     voters: tuple[str, ...]
     dir: str
@@ -58,42 +58,48 @@
         self._wake_up = trio.Event()
         self._wanted_roles: set[str] = set()
         self._machines: dict[str, StateMachine] = {}
-        # Set when the reply to a submission arrives, by its number; the node limits how many there are.
+        # By submission number: an event that is set when the reply arrives. The node limits the number of
+        # submissions.
         self._reply_events: dict[int, trio.Event] = {}
-        # Numbers the messages that are split into several datagrams.
+        # Number of the last message, by which the fragments of a large message are told apart from others.
         self._datagram_number = random.SystemRandom().getrandbits(40)
         self._dropped = self._malformed = 0
         self.calls = {"release": self._release}
 
     def attach(self, context: SubsystemContext) -> None:
-        """Take the subsystems that this one uses."""
+        """Takes the subsystems that this one uses."""
         members = context.subsystems["members"]
         assert isinstance(members, Members)
         self._members = members
         self._views = context.subsystems.get("views")
         if self._views is not None:
-            self._views.watch(lambda: self._wake_up.set())  # noqa: PLW0108 - the event is replaced
+            # A lambda, because `_wake_up` is replaced by a new event after each wake-up.
+            self._views.watch(lambda: self._wake_up.set())  # noqa: PLW0108
 
-    # -- what other parts use
+    # -- interface for other subsystems
 
     def want(self, role: str) -> None:
-        """Request the lease on a role from now on, whenever no other member holds it."""
+        """Requests the lease on a role from now on, whenever no other member holds it."""
         self._wanted_roles.add(role)
         if self._node is not None and not self._is_outside_views():
             self._node.want(role)
         self._wake_up.set()
 
     def _is_outside_views(self) -> bool:
-        """Whether group views are in use and this member is in none: then it holds and requests nothing."""
+        """Returns whether views are in use and this member is in none; it then holds no lease."""
         return self._views is not None and self._views.view() is None
 
     def owns(self, role: str) -> int:
-        """The fencing number of this member's lease while the lease is certain to hold, else 0."""
+        """Returns the fencing number of this member's lease while the lease is certain to hold, else 0."""
         outside = self._node is None or self._is_outside_views()
         return 0 if outside else self._node.owns(role, trio.current_time())
 
     def last_known_holder(self, role: str, now: float) -> tuple[int, str]:
-        """The highest known number and the holder; "" if not reported for two lease durations."""
+        """Returns the highest known fencing number of a role, and the holder of its lease.
+
+        The holder is "" if no voter has reported it for two lease durations, or if it is this member and its
+        lease is no longer certain to hold.
+        """
         if self._node is None:
             return 0, ""
         if number := self.owns(role):
@@ -103,14 +109,16 @@
         return number, holder if is_recent and holder != self._node.me else ""
 
     def register_machine(self, name: str, machine: StateMachine) -> None:
-        """Register a state machine of the log; at all voters, and before `run`."""
+        """Registers a state machine of the log. All voters must register it, before `run`."""
         self._machines[name] = machine
 
     async def submit(self, machine: str, data: bytes, timeout_seconds: float) -> bytes:
-        """Submit data to a state machine of the log; returns its reply once a majority has stored the entry.
+        """Submits data to a state machine of the log; returns its reply once a majority has stored the entry.
 
-        Raises Unanswered after `timeout_seconds`, or if the log can't be reached: the submission may have
-        taken effect or not, so the machine must recognise a repetition. The same holds on cancellation."""
+        Raises Unanswered after `timeout_seconds`, or if the log can't be reached. The submission may then
+        have taken effect or not, and it may be submitted again, so the state machine must recognise a
+        repetition. The same holds if the caller is cancelled.
+        """
         node = self._node
         number = (
             0
@@ -137,7 +145,10 @@
             node.withdraw(number)
 
     async def admits(self, role: str, number: int) -> bool:
-        """Whether a command with this number may be executed; a higher number is stored before True."""
+        """Returns whether a command with this fencing number may be executed.
+
+        A number higher than all before is stored on disk first; if that fails, the command is refused.
+        """
         node = self._node
         if node is None or self._store is None:
             return False
@@ -157,7 +168,7 @@
     # -- running
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; the store is closed then. Raises StoreError or OSError if it can't open."""
+        """Serves until cancelled; the store is closed then. Raises StoreError or OSError if it can't open."""
         await self._members.opened.wait()
         link = self._members.link
         assert link is not None
@@ -176,7 +187,8 @@
     async def _open(self, store: Store, me: str) -> None:
         voters = self._config.voters
         self._disk, before = on_disk.read(store, voters)
-        # Higher than any earlier incarnation, even if the disk has lost the number of the last one.
+        # The incarnation is higher than any earlier one, even if the disk has lost the number of the last
+        # one.
         self._incarnation = max(before + 1, time.time_ns() // 1_000_000)
         await store.awrite(on_disk.state_batch(None, self._disk, self._incarnation))
         rng = random.Random(random.SystemRandom().getrandbits(64))
@@ -193,7 +205,7 @@
         )
         node.fence.highest = on_disk.read_fences(store)
         self._node = node
-        self._wake_up.set()  # roles requested before the start are due now
+        self._wake_up.set()  # roles that were requested before the start are due now
         log.info(
             "lease_node_started name=%s voter=%s term=%d entries=%d",
             me,
@@ -246,7 +258,7 @@
                         log.info("lease_lost role=%s number=%d", role, known.number)
 
     def _follow_views(self, node: LeaseNode, now: float) -> None:
-        """Give up all roles while outside the group views; request them again once back in one."""
+        """Gives up all roles while this member is in no view, and requests them again once it is in one."""
         if not self._is_outside_views():
             for role in self._wanted_roles - node.wanted_roles:
                 node.want(role)
@@ -255,7 +267,7 @@
                 node.give_up(role, now)
 
     async def _store_and_send(self, link: MembershipLink, output: NodeOutput) -> None:
-        """Store first, then send: messages must not go out before the state they promise is stored."""
+        """Stores the state, then sends the messages: they promise state that must already be on disk."""
         node = self._node
         assert node is not None and self._store is not None
         if output.save is not None and not node.failed:
@@ -282,7 +294,7 @@
     # -- operators
 
     async def _release(self, role: str) -> bool:
-        """Give up the lease on a role if this member holds it; another member, or later this one, gets it."""
+        """Gives up the lease on a role if this member holds it. Another member gets it, or later this one."""
         node = self._node
         if node is None or role not in self._wanted_roles:
             return False
@@ -293,7 +305,7 @@
         return True
 
     def status(self) -> dict[str, Any]:
-        """The leases and the state of the voter as plain values, for the management interface."""
+        """Returns the leases and the state of the voter as plain values, for the management interface."""
         node, now = self._node, trio.current_time()
         if node is None:
             return {"duties": []}
@@ -325,7 +337,7 @@
         return {**result, **self.metrics()}
 
     def metrics(self) -> Mapping[str, int]:
-        """Counts since the start, by metric name."""
+        """Returns the counts since the start, by metric name."""
         node = self._node
         if node is None:
             return {}
--- a/yewrill/leases/format.py
+++ b/yewrill/leases/format.py
@@ -20,19 +20,19 @@
 from yewrill.membership.parts import MAX_FRAGMENT_BYTES, MAX_FRAGMENTS, MalformedPayload
 
 LOG, REQUEST, REPLY, SUBMIT, SUBMITTED = 0, 1, 2, 3, 4
-MAX_DATA_BYTES = 60_000  # of a submission and of its reply
+MAX_DATA_BYTES = 60_000  # limit on the data of a submission, and on that of its reply
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A holder's request to the leader of the log."""
+    """A command about a lease, sent by a holder or a member that wants the lease to the leader of the log."""
 
     command: LeaseCommand
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer to a request. If not `final`, the request must be sent to `leader`, if that is known."""
+    """The answer to a lease request. If not `final`, it must be sent again, to `leader` if that is known."""
 
     id: int
     final: bool
@@ -51,7 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Submitted:
-    """The state machine's reply. `final` without `ok`: the voters have no such machine."""
+    """The answer to a submission, with the state machine's reply.
+
+    `final` without `ok`: the voters have no such machine. Not `final`: the data must be submitted again, to
+    `leader` if that is known.
+    """
 
     id: int
     final: bool
@@ -64,7 +68,7 @@
 
 
 def pack(message: LeaseMessage) -> bytes:
-    """Encode one message."""
+    """Encodes one message."""
     if isinstance(message, Submit):
         return msgpack.packb([SUBMIT, message.machine, message.id, message.data])
     if isinstance(message, Submitted):
@@ -122,7 +126,7 @@
 
 
 def unpack(data: bytes) -> LeaseMessage:
-    """Decode one message. Raises MalformedPayload."""
+    """Decodes one message. Raises MalformedPayload."""
     try:
         kind, *rest = msgpack.unpackb(data)
         if kind == SUBMIT:
--- a/yewrill/leases/lease_table.py
+++ b/yewrill/leases/lease_table.py
@@ -1,10 +1,12 @@
-"""The lease table, which is the state machine of the replicated log; the holder's view of a lease; and the
-fence of whoever executes a holder's commands. No I/O or clock.
+"""The lease table, a holder's own record of its lease, and the fence that refuses commands of earlier
+holders. The lease table is the state machine of the replicated log. The module does no I/O and reads no
+clock.
 
 Leases expire by the log's own time: milliseconds that every entry carries, set by the leader that made it,
-and never decreasing. So all that apply the same entries agree on the holder. The holder counts its lease by
-its own clock, from before it sent the request, shortened by a bound on that clock's drift. If the clock
-drifts further, the fence still refuses commands with a number below the highest seen.
+and never decreasing. So all voters that apply the same entries agree on the holder. The holder measures its
+lease on its own clock, from the moment before it sent the request, and shortens it by a bound on that clock's
+drift. If the clock drifts further, the members that execute the holder's commands still refuse those with a
+fencing number below the highest that they have seen.
 """
 
 from __future__ import annotations
@@ -14,8 +16,9 @@
 import msgpack
 
 MAX_ROLES = 64
-MAX_CLIENTS = 4096  # members whose last request is kept
-MAX_CLOCK_DRIFT = 0.1  # the fraction by which a holder's clock may run slow
+# Members whose last request is remembered, so that its repetition is recognised.
+MAX_CLIENTS = 4096
+MAX_CLOCK_DRIFT = 0.1  # largest fraction by which a holder's clock may run slow
 
 CLAIM, RENEW, GIVE_UP = "claim", "renew", "give up"
 
@@ -60,21 +63,21 @@
     """All leases. Deterministic: the same entries in the same order produce the same table."""
 
     clock: int = 0
-    # The highest fencing number of each role; they only grow.
+    # The highest fencing number granted for each role; these numbers only grow.
     highest_numbers: dict[str, int] = field(default_factory=dict)
     leases: dict[str, Lease] = field(default_factory=dict)
     # The id and result of each member's last request.
     last_requests: dict[str, tuple[int, LeaseResult]] = field(default_factory=dict)
 
     def view(self, role: str, at: int) -> LeaseResult:
-        """The lease on a role at a moment of the log's time; without a holder if it has expired."""
+        """Returns the lease on a role at a moment of the log's time; without a holder if it has expired."""
         lease = self.leases.get(role)
         if lease is None or lease.expires_at <= at:
             return LeaseResult(False, self.highest_numbers.get(role, 0))
         return LeaseResult(False, lease.number, lease.holder, lease.expires_at - at)
 
     def apply(self, at: int, command: LeaseCommand) -> LeaseResult:
-        """Apply one entry of the log. A request that was applied before returns its earlier result."""
+        """Applies one entry of the log. A request that was applied before returns its earlier result."""
         self.clock = max(self.clock, at)
         last = self.last_requests.get(command.holder)
         if last is not None and command.id <= last[0]:
@@ -106,10 +109,10 @@
         self.leases[command.role] = Lease(command.holder, number, self.clock + command.duration_ms)
         return LeaseResult(True, number, command.holder, command.duration_ms)
 
-    # -- as bytes
+    # -- encoding
 
     def pack(self) -> bytes:
-        """The table as stored in a snapshot."""
+        """Returns the table as it is stored in a snapshot."""
         leases = {
             role: [lease.holder, lease.number, lease.expires_at]
             for role, lease in self.leases.items()
@@ -122,7 +125,7 @@
 
     @classmethod
     def unpack(cls, data: bytes) -> LeaseTable:
-        """Read what `pack` returned; no bytes are an empty table."""
+        """Reads what `pack` returned; empty bytes stand for an empty table."""
         if not data:
             return cls()
         clock, highest_numbers, leases, last_requests = msgpack.unpackb(data)
@@ -135,20 +138,20 @@
 
 
 def pack_command(at: int, command: LeaseCommand) -> bytes:
-    """The data of a log entry: the log's time in milliseconds, and the command."""
+    """Returns the data of a log entry: the log's time in milliseconds, and the command."""
     c = command
     return msgpack.packb([at, c.action, c.role, c.holder, c.id, c.number, c.duration_ms])
 
 
 def unpack_command(data: bytes) -> tuple[int, LeaseCommand]:
-    """Read what `pack_command` returned."""
+    """Reads what `pack_command` returned."""
     at, *rest = msgpack.unpackb(data)
     return at, LeaseCommand(*rest)
 
 
 @dataclass
 class HeldLease:
-    """The holder's view of its lease, in seconds of its own monotonic clock."""
+    """A holder's own record of its lease, in seconds of its own monotonic clock."""
 
     role: str
     number: int
@@ -156,7 +159,7 @@
 
     @classmethod
     def from_result(cls, command: LeaseCommand, result: LeaseResult, asked_at: float) -> HeldLease:
-        """Count from before the request was sent, by a clock that may be slow."""
+        """Returns a lease that is measured from before its request was sent, on a clock that may be slow."""
         return cls(
             command.role,
             result.number,
@@ -164,22 +167,23 @@
         )
 
     def holds(self, now: float) -> bool:
-        """Whether the lease is certain to hold at `now`."""
+        """Returns whether the lease is certain to hold at `now`."""
         return now < self.expires_at
 
 
 @dataclass
 class Fence:
-    """The highest fencing number of each role among the commands so far.
+    """Refuses commands of earlier lease holders, by the highest fencing number seen for each role.
 
-    It is stored before the command is executed.
+    The caller stores that number before it executes the command.
     """
 
     highest: dict[str, int] = field(default_factory=dict)
     refused: int = 0
 
     def admits(self, role: str, number: int) -> bool:
-        """Whether a command with this number may be executed; lower ones are refused from here on."""
+        """Returns whether a command with this fencing number may be executed. Lower ones are refused
+        later."""
         if number < self.highest.get(role, 0):
             self.refused += 1
             return False
--- a/yewrill/leases/node.py
+++ b/yewrill/leases/node.py
@@ -1,4 +1,4 @@
-"""One member of the lease protocol: its requests, its leases and, if it is a voter, its part of the log.
+"""One member of the lease protocol: its requests, its leases and, if it is a voter, its replica of the log.
 
 It does no I/O. Every event returns a `NodeOutput`: the state to store first, then the messages to send. Times
 are in seconds of the member's own monotonic clock.
@@ -45,14 +45,15 @@
 from yewrill.leases.timing import RaftDriver, RaftTiming
 
 SNAPSHOT_AFTER_ENTRIES = 256
-REPLY_TIMEOUT_SECONDS = 0.4  # then another voter is asked
-MAX_PENDING_PROPOSALS = 1024  # requests whose entries are not committed yet
-MAX_PENDING_SUBMISSIONS = 256  # submissions of this member that have no answer yet
+REPLY_TIMEOUT_SECONDS = 0.4  # time without a reply after which another voter is asked
+# Limit on lease requests and submissions whose log entries are not committed yet.
+MAX_PENDING_PROPOSALS = 1024
+MAX_PENDING_SUBMISSIONS = 256  # limit on this member's submissions that have no reply yet
 
 
 @dataclass(slots=True)
 class NodeOutput:
-    """What one event has produced. `save` is on disk before `messages` (receiver, message) are sent."""
+    """The result of one event. `save` must be on disk before `messages` (receiver, message) are sent."""
 
     save: PersistentRaftState | None = None
     messages: list[tuple[str, LeaseMessage]] = field(default_factory=list)
@@ -60,16 +61,16 @@
 
 @dataclass(slots=True)
 class _PendingRequest:
-    """The lease request under way; there is one at a time."""
+    """The lease request that waits for a reply; there is at most one."""
 
     command: LeaseCommand
-    first_sent_at: float  # the lease counts from here
+    first_sent_at: float  # the holder measures its lease from this time on
     retry_at: float
     target: str
 
 
 class KnownHolder(NamedTuple):
-    """The holder of a role as a voter last reported it, and when that report arrived."""
+    """The holder of a role as a voter last reported it, and the time of that report."""
 
     holder: str
     number: int
@@ -77,7 +78,7 @@
 
 
 class _Leadership(NamedTuple):
-    """Since when this member leads in a term, by its own clock, and the log's time (ms) at that moment."""
+    """The term that this member leads, its start by this member's clock, and by the log's time in ms."""
 
     term: int = 0
     since: float = 0.0
@@ -85,7 +86,7 @@
 
 
 class _PendingReply(NamedTuple):
-    """Who waits for a proposed entry: it is answered only if the entry is committed in this term."""
+    """The requester that a log entry is for. It gets a reply only if the entry is committed in this term."""
 
     term: int
     requester: str
@@ -94,7 +95,7 @@
 
 @dataclass(slots=True)
 class _PendingSubmission:
-    """A submission of this member that has no answer yet."""
+    """A submission of this member that has no reply yet."""
 
     message: Submit
     retry_at: float
@@ -133,31 +134,32 @@
         self.wanted_roles: set[str] = set()
         self.held_leases: dict[str, HeldLease] = {}
         self.known_holders: dict[str, KnownHolder] = {}
-        self.elected = 0  # times that this member became leader of the log
-        self.failed = ""  # why it stopped being a voter
+        self.elected = 0  # number of times that this member became leader of the log
+        self.failed = ""  # why this member stopped being a voter; "" while it is one
         self._id = incarnation << 20
         self._pending_request: _PendingRequest | None = None
         self._pending_submissions: dict[int, _PendingSubmission] = {}
-        self._next_request_at: dict[str, float] = {}  # by role
+        self._next_request_at: dict[str, float] = {}  # time of the next lease request, by role
         self._leader = ""
         self._leadership = _Leadership()
-        self._pending_replies: dict[int, _PendingReply] = {}  # by index of the entry
+        # Replies that wait for the commit of a log entry, by the index of the entry.
+        self._pending_replies: dict[int, _PendingReply] = {}
         if self.driver is not None:
             self._apply(self.driver.raft.take(), NodeOutput(), now)
 
     # -- leases
 
     def owns(self, role: str, now: float) -> int:
-        """The fencing number of this member's lease while the lease is certain to hold, else 0."""
+        """Returns the fencing number of this member's lease while the lease is certain to hold, else 0."""
         lease = self.held_leases.get(role)
         return lease.number if lease is not None and lease.holds(now) else 0
 
     def want(self, role: str) -> None:
-        """Request the lease on a role from now on, whenever no other member holds it."""
+        """Requests the lease on a role from now on, whenever no other member holds it."""
         self.wanted_roles.add(role)
 
     def give_up(self, role: str, now: float) -> None:
-        """Release a role. The lease ends here with this call, even if the message is lost."""
+        """Releases a role. The lease ends with this call, even if the message to the log is lost."""
         self.wanted_roles.discard(role)
         # If this member wants the role again, other members get it first.
         self._next_request_at[role] = now + self.lease_seconds
@@ -169,7 +171,7 @@
 
     @property
     def due(self) -> float:
-        """When `tick` is to be called next; infinity if there is nothing to do."""
+        """Returns the time at which `tick` must be called next; infinity if there is nothing to do."""
         at = (
             [self._next_request_at.get(role, 0.0) for role in self.wanted_roles]
             if self._pending_request is None
@@ -183,7 +185,7 @@
     # -- events
 
     def tick(self, now: float) -> NodeOutput:
-        """Do what is due: log timers, expired leases, requests and their retries."""
+        """Does what is due: log timers, expired leases, requests and their retries."""
         output = NodeOutput()
         driver = self.driver
         if driver is not None and not self.failed and now >= driver.due:
@@ -205,7 +207,8 @@
         if self._pending_request is not None and now >= self._pending_request.retry_at:
             pending = self._pending_request
             pending.target = self._leader or self._rng.choice(self.voters)
-            self._leader = ""  # if it doesn't answer, another voter is asked
+            # The leader is taken for down if it doesn't reply; another voter is asked.
+            self._leader = ""
             pending.retry_at = now + REPLY_TIMEOUT_SECONDS
             self._deliver(output, pending.target, Request(pending.command), now)
         for submission in [
@@ -219,7 +222,7 @@
         return output
 
     def submit(self, machine: str, data: bytes, now: float) -> int:
-        """Submit data to a state machine of the log; returns a number, 0 if too many are pending.
+        """Submits data to a state machine of the log; returns a number, 0 if too many are pending.
 
         The reply appears in `results` under that number. The data is sent again until it is answered or
         withdrawn, so the machine may apply it twice."""
@@ -230,12 +233,12 @@
         return message.id
 
     def withdraw(self, id: int) -> None:
-        """Stop waiting for a reply; whether the submission took effect is not known."""
+        """Stops waiting for a reply; whether the submission took effect is not known."""
         self._pending_submissions.pop(id, None)
         self.results.pop(id, None)
 
     def receive(self, now: float, message: LeaseMessage, sender: str) -> NodeOutput:
-        """Handle one message of an authenticated member."""
+        """Handles one message of an authenticated member."""
         output = NodeOutput()
         if isinstance(message, RaftMessage):
             if self.driver is not None and not self.failed and message.sender == sender:
@@ -252,7 +255,7 @@
         return output
 
     def fail(self, reason: str) -> None:
-        """Stop being a voter, since the disk can't be written or the log can't be read."""
+        """Stops being a voter, since the disk can't be written or the log can't be read."""
         self.failed = reason
         if self.driver is not None and self.driver.raft.role == LEADER:
             self.driver.raft.role = FOLLOWER
@@ -331,7 +334,8 @@
     def _log_time(self, now: float) -> int:
         term, since, began = self._leadership
         at = began + int(1000 * (now - since))
-        if at < self.lease_table.clock:  # continue from the time of the last entry applied
+        # The log's time never decreases: it continues from the last entry applied.
+        if at < self.lease_table.clock:
             at = self.lease_table.clock
             self._leadership = _Leadership(term, now, at)
         return at
@@ -346,7 +350,8 @@
             return
         at = self._log_time(now)
         view = self.lease_table.view(command.role, at)
-        if command.action == CLAIM and view.holder:  # refused for certain, so no entry is needed
+        # The lease is held, so the claim is refused without a log entry.
+        if command.action == CLAIM and view.holder:
             self._deliver(output, command.holder, Reply(command.id, True, view), now)
             return
         index = (
@@ -359,7 +364,7 @@
         self._apply(raft.take(), output, now)
 
     def _apply(self, ready: Ready, output: NodeOutput, now: float) -> None:
-        """Process what `Raft` has produced: state to store, messages and committed entries."""
+        """Processes what `Raft` has produced: state to store, messages and committed entries."""
         assert self.driver is not None
         raft = self.driver.raft
         if ready.installed is not None:
@@ -387,7 +392,7 @@
     def _apply_state_entry(
         self, index: int, entry: LogEntry, output: NodeOutput, now: float
     ) -> bool:
-        """Apply an entry of a state machine.
+        """Applies an entry of a state machine.
 
         Returns False if this voter has no such machine; it then stops being a voter, since it must not skip
         an entry.
@@ -414,7 +419,7 @@
             self._deliver(output, pending.requester, Reply(command.id, True, result), now)
 
     def _deliver(self, output: NodeOutput, name: str, message: LeaseMessage, now: float) -> None:
-        """Queue a message for its receiver; one to this member is handled at once."""
+        """Queues a message for its receiver; one to this member is handled at once."""
         if name == self.me:
             nested = self.receive(now, message, self.me)
             output.save = nested.save or output.save
--- a/yewrill/leases/raft.py
+++ b/yewrill/leases/raft.py
@@ -68,7 +68,7 @@
         self.acknowledged: dict[str, Acknowledged] = {}
         # State of a candidate or leader.
         self.votes: set[str] = set()
-        self.pre_voting = False  # `votes` are pre-votes
+        self.pre_voting = False  # whether `votes` holds pre-votes
         self.match_index: dict[str, int] = {}
         self.next_index: dict[str, int] = {}
         self.active_followers: set[str] = set()
@@ -83,14 +83,14 @@
         return self.snapshot.index + len(self.log)
 
     def term_at(self, index: int) -> int:
-        """The term of the entry at an index; -1 if the log has no such entry."""
+        """Returns the term of the entry at an index; -1 if the log has no such entry."""
         if index == self.snapshot.index:
             return self.snapshot.term
         at = index - self.snapshot.index - 1
         return self.log[at].term if 0 <= at < len(self.log) else -1
 
     def voters(self) -> tuple[str, ...]:
-        """The voters by the last entry of kind VOTERS, committed or not, or else by the snapshot."""
+        """Returns the voters by the last entry of kind VOTERS, committed or not, or else by the snapshot."""
         for entry in reversed(self.log):
             if entry.kind == VOTERS:
                 return entry.voters
@@ -111,7 +111,7 @@
         self.ready.save = self.persistent_state()
 
     def take(self) -> Ready:
-        """Return what the events since the last call have produced, and reset it."""
+        """Returns what the events since the last call have produced, and starts a new `Ready`."""
         out, self.ready = self.ready, Ready()
         return out
 
@@ -121,10 +121,10 @@
         )
         self.ready.messages.append(message)
 
-    # -- calls of the driver
+    # -- calls by the driver
 
     def send_heartbeats(self) -> None:
-        """Send what is due at each heartbeat.
+        """Sends the messages that are due at each heartbeat.
 
         A leader sends entries or empty heartbeats to all; a non-voting voter repeats its recovery requests.
         """
@@ -138,7 +138,7 @@
                 self._send_entries(name)
 
     def campaign(self) -> None:
-        """Start a pre-vote, since no message of a leader has arrived within the election timeout."""
+        """Starts a pre-vote, since no message of a leader has arrived within the election timeout."""
         if self.role == LEADER or not self.is_voting or self.me not in self.voters():
             return
         self.role, self.pre_voting, self.votes, self.leader = CANDIDATE, True, {self.me}, ""
@@ -155,14 +155,14 @@
             )
 
     def check_quorum(self) -> None:
-        """Step down as leader if no majority has answered since the last call."""
+        """Steps down as leader if no majority has answered since the last call."""
         if self.role == LEADER:
             if not self._majority(self.active_followers | {self.me}):
                 self._become_follower(self.term, "")
             self.active_followers = set()
 
     def propose(self, kind: str, data: bytes = b"", voters: tuple[str, ...] = ()) -> int:
-        """Append a new entry. Returns its index, or 0 if this is not the leader or may not append it now."""
+        """Appends a new entry. Returns its index, or 0 if this is not the leader or may not append it now."""
         if self.role != LEADER:
             return 0
         if kind == VOTERS:
@@ -184,7 +184,7 @@
         return self.last_index
 
     def read(self, number: int) -> bool:
-        """Start a linearizable read of what is committed now.
+        """Starts a linearizable read of the state committed so far.
 
         The number appears in `Ready.readable` once a majority has confirmed this leader. Returns False unless
         this is a leader that has committed an entry of its term.
@@ -197,7 +197,7 @@
         return True
 
     def compact(self, index: int, data: bytes) -> None:
-        """Replace the entries up to an applied index by a snapshot of the state that they made."""
+        """Replaces the entries up to an applied index by a snapshot of the state that they made."""
         if self.snapshot.index < index <= self.commit_index:
             term, remaining_log = self.term_at(index), self.log[index - self.snapshot.index :]
             voters = self.snapshot.voters
@@ -209,9 +209,10 @@
     # -- messages
 
     def receive(self, message: RaftMessage) -> None:
-        """Handle one message. Those of an earlier incarnation of their sender are ignored."""
+        """Handles one message. Those of an earlier incarnation of their sender are ignored."""
         if message.to != self.me or message.incarnation < self.incarnations.get(message.sender, 0):
-            return  # an earlier incarnation's disk may have lost what it acknowledges
+            # The disk of the earlier incarnation may have lost what the message acknowledges.
+            return
         self._record_incarnation(message)
         match message.kind:
             case MessageKind.RECOVERY_REQUEST:
@@ -233,7 +234,7 @@
             self.votes.discard(message.sender)
 
     def _receive_in_term(self, message: RaftMessage) -> None:
-        """Handle a message by its sender's term: adopt a newer term, refuse a message of an older one."""
+        """Adopts the term of a newer message, refuses a message of an older term, and handles the message."""
         if message.term > self.term:
             self._become_follower(message.term, "")
         elif message.term < self.term:
@@ -254,7 +255,7 @@
                 self._on_recovery_confirmed(message)
 
     def _refuse_older_term(self, message: RaftMessage) -> None:
-        """Answer a leader or candidate of an older term, so that it learns of the newer one."""
+        """Answers a leader or candidate of an older term, so that it learns of the newer one."""
         if message.kind == MessageKind.VOTE:
             self._send(MessageKind.VOTE_REPLY, message.sender, accepted=False, is_voting=False)
         elif message.kind in (MessageKind.APPEND, MessageKind.SNAPSHOT):
@@ -312,7 +313,7 @@
     # -- pre-votes
 
     def _on_pre_vote(self, message: RaftMessage) -> None:
-        """Answer without changing any state. A voter that has a leader doesn't help to replace it."""
+        """Answers without changing any state. A voter that has a leader doesn't help to replace it."""
         accepted = (
             self.is_voting
             and message.term > self.term
@@ -339,7 +340,7 @@
     # -- elections
 
     def _is_up_to_date(self, message: RaftMessage) -> bool:
-        """Whether a candidate's log is at least as new as this voter's."""
+        """Returns whether a candidate's log is at least as new as this voter's."""
         return (message.entry_term, message.index) >= (
             self.term_at(self.last_index),
             self.last_index,
@@ -378,7 +379,7 @@
                     self._become_leader()
 
     def _record_acknowledgement(self, name: str, term: int, index: int, voted: bool) -> None:
-        """Remember the highest term that another voter acknowledged, and the furthest index in it."""
+        """Remembers the highest term that another voter acknowledged, and the furthest index in it."""
         before = self.acknowledged.get(name, Acknowledged())
         if term > before.term:
             self.acknowledged[name] = Acknowledged(term, index, voted)
@@ -521,7 +522,7 @@
             self._send_entries(name)
 
     def _advance_commit_index(self) -> None:
-        """Commit the last entry that a majority has stored, if it is of the current term."""
+        """Commits the last entry that a majority has stored, if it is of the current term."""
         for index in range(self.last_index, self.commit_index, -1):
             if self.term_at(index) != self.term:
                 return
--- a/yewrill/leases/raft_types.py
+++ b/yewrill/leases/raft_types.py
@@ -1,7 +1,7 @@
 """Values of the replicated log: entries, snapshots, messages, and the results of an event.
 
-The string forms of the enums are on the wire and on disk and don't change. A kind of message or entry that
-this version doesn't know is kept as a plain string, since a newer peer may send one.
+The string values of the enums are on the wire and on disk, so they never change. A kind of message or entry
+that this version doesn't know is kept as a plain string, since a newer peer may send one.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 
 class EntryKind(StrEnum):
-    """What the data of an entry is."""
+    """The kind of a log entry."""
 
-    NO_OP = "nothing"  # appended by a new leader
+    NO_OP = "nothing"  # an empty entry, which a new leader appends
     COMMAND = "order"
     VOTERS = "voters"
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """One entry of the log; `voters` only for the kind VOTERS."""
+    """One log entry. `voters` is set only in entries of the kind VOTERS."""
 
     term: int
     kind: str = NO_OP
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistentRaftState:
-    """The state that is kept on disk. `log[0]` has the index after the snapshot's."""
+    """The state that is kept on disk. `log[0]` is the entry that follows the snapshot."""
 
     term: int = 0
     vote: str = ""
@@ -107,21 +107,24 @@
 class RaftMessage:
     """One message between voters.
 
-    `number`: the recovering voter's incarnation (recovery), the heartbeat's round (append and its reply), or
-    PRE_VOTE_NUMBER. `index`: the last entry of a candidate, the entry before those appended, or the last one
-    that matches. `entry_term`: the term of that entry; in a recovery reply, the term acknowledged.
+    `number`: in recovery messages the recovering voter's incarnation, in an append and its reply the
+    heartbeat round, in a reply to a pre-vote PRE_VOTE_NUMBER. `index`: of a candidate's last entry, of the
+    entry before those appended, or of the last entry that matches. `entry_term`: the term of the entry at
+    `index`; in a recovery reply, the term that the recovering voter acknowledged.
     """
 
     kind: str  # a MessageKind, or a name that only a newer version knows
     sender: str
     to: str
-    incarnation: int  # the sender's
+    incarnation: int  # the incarnation of the sender
     term: int = 0
     number: int = 0
     index: int = 0
     entry_term: int = 0
-    accepted: bool = False  # vote granted, entries matched; in a recovery reply: a vote was given
-    is_voting: bool = True  # append reply: the sender counts towards a majority
+    # In a vote reply: the vote is granted. In an append reply: the entries match. In a recovery reply: the
+    # recovering voter had voted for the sender.
+    accepted: bool = False
+    is_voting: bool = True  # in an append reply: the sender counts towards a majority
     commit_index: int = 0
     entries: tuple[LogEntry, ...] = ()
     snapshot: Snapshot | None = None
@@ -133,6 +136,8 @@
 
     save: PersistentRaftState | None = None
     messages: list[RaftMessage] = field(default_factory=list)
-    committed: list[tuple[int, LogEntry]] = field(default_factory=list)  # with the index of each
-    installed: Snapshot | None = None  # replaces the applied state
-    readable: list[int] = field(default_factory=list)  # numbers of reads that a majority confirmed
+    # Newly committed entries, each with its index.
+    committed: list[tuple[int, LogEntry]] = field(default_factory=list)
+    installed: Snapshot | None = None  # a snapshot that replaces the applied state
+    # Numbers of the reads that a majority has confirmed.
+    readable: list[int] = field(default_factory=list)
--- a/yewrill/leases/states.py
+++ b/yewrill/leases/states.py
@@ -1,8 +1,9 @@
-"""Further state machines of the replicated log beside the lease table: their entries and the common snapshot.
+"""State machines of the replicated log other than the lease table: their entries, and the common snapshot.
 
-An entry has the log's own time, the name of its machine, and bytes that only the machine reads. All voters
-apply the same entries in the same order, so a voter without the machine stops rather than skip one. If a
-reply is lost, a submission may be applied twice; the machine must recognise repetitions by its own numbers.
+An entry has the log's own time, the name of its state machine, and bytes that only that machine reads. All
+voters apply the same entries in the same order, so a voter without the state machine stops voting rather than
+skip an entry. If a reply is lost, a submission may be applied twice; the state machine must recognise
+repetitions by numbers in its own data.
 """
 
 from __future__ import annotations
@@ -14,36 +15,36 @@
 
 from yewrill.leases.lease_table import LeaseTable
 
-STATE = "state"  # the kind of a state machine's log entry
-PARTS = "parts"  # the first item of a snapshot of more than the lease table
+STATE = "state"  # kind of the log entries for a state machine
+PARTS = "parts"  # marks a snapshot that holds more than the lease table: its first item
 
 
 class StateMachine(Protocol):
-    """A deterministic state machine. `at` is the log's time in milliseconds; it never decreases."""
+    """A deterministic state machine of the log."""
 
     def apply(self, at: int, data: bytes) -> bytes:
-        """Apply one entry; returns the reply to whoever submitted it."""
+        """Applies one entry; returns the reply. `at` is the log's time in ms, which never decreases."""
 
     def pack(self) -> bytes:
-        """The whole state, for a snapshot."""
+        """Returns the whole state, for a snapshot."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by one that `pack` returned; b"" is the initial state."""
+        """Replaces the state by one that `pack` returned; b"" is the initial state."""
 
 
 def pack_entry(at: int, machine: str, data: bytes) -> bytes:
-    """The data of a log entry for a state machine; `at` is the log's time in milliseconds."""
+    """Returns the data of a log entry for a state machine; `at` is the log's time in milliseconds."""
     return msgpack.packb([at, machine, data])
 
 
 def unpack_entry(data: bytes) -> tuple[int, str, bytes]:
-    """Read what `pack_entry` returned."""
+    """Reads what `pack_entry` returned."""
     at, machine, body = msgpack.unpackb(data)
     return at, machine, body
 
 
 def pack_all(lease_table: LeaseTable, machines: Mapping[str, StateMachine]) -> bytes:
-    """The snapshot of all state. Without machines it has the older format, the lease table alone."""
+    """Returns the snapshot of all state. Without state machines, it is the lease table alone."""
     if not machines:
         return lease_table.pack()
     return msgpack.packb(
@@ -52,7 +53,11 @@
 
 
 def restore_all(data: bytes, machines: Mapping[str, StateMachine]) -> tuple[LeaseTable, str]:
-    """Restore all machines; returns the lease table and the name of one that is missing here, or ""."""
+    """Restores the state machines and returns the lease table.
+
+    Also returns the name of a state machine in the snapshot that this voter doesn't have, "" if there is
+    none.
+    """
     parts = msgpack.unpackb(data) if data else None
     if parts is None or parts[0] != PARTS:
         for machine in machines.values():
--- a/yewrill/leases/timing.py
+++ b/yewrill/leases/timing.py
@@ -22,7 +22,7 @@
     """Durations in seconds."""
 
     heartbeat_interval: float = 0.1
-    election_timeout: float = 0.6  # the shortest; the longest is twice that
+    election_timeout: float = 0.6  # shortest election timeout; the longest is twice as long
 
 
 class RaftDriver:
@@ -36,14 +36,14 @@
 
     @property
     def due(self) -> float:
-        """When `tick` is to be called next."""
+        """The time at which `tick` must be called next."""
         return min(
             self._next_heartbeat_at,
             self._next_quorum_check_at if self.raft.role == LEADER else self._election_timeout_at,
         )
 
     def tick(self, now: float) -> Ready:
-        """Run the timers that are due."""
+        """Runs the timers that are due."""
         raft = self.raft
         if now >= self._next_heartbeat_at:
             self._next_heartbeat_at = now + self._times.heartbeat_interval
@@ -60,7 +60,7 @@
         return raft.take()
 
     def receive(self, now: float, message: RaftMessage) -> Ready:
-        """Handle one message. A leader's message, or a vote granted, restarts the election timeout."""
+        """Handles one message. A leader's message, or a vote granted, restarts the election timeout."""
         raft = self.raft
         vote = raft.vote
         raft.receive(message)
