--- a/yewrill/zone_failover/evidence.py
+++ b/yewrill/zone_failover/evidence.py
@@ -1,6 +1,7 @@
-"""Counts of recent attempts by zone: how many ended, and how many of these were lost.
+"""Counts of recent attempts by zone: the number that ended, and the number of these that were lost.
 
-Members exchange these counts, not verdicts, and each member judges them itself. No I/O or clock.
+Members exchange these counts, not verdicts, and each member judges them itself. This module does no I/O and
+reads no clock.
 """
 
 from __future__ import annotations
@@ -8,30 +9,30 @@
 from collections import deque
 from collections.abc import Container, Mapping
 
-Counts = tuple[int, int]  # attempts ended, of these lost
-# A zone with its normal traffic: a short window, so that a failure shows soon.
+Counts = tuple[int, int]  # number of attempts that ended, and the number of these that were lost
+# The window of a zone with its normal traffic is short, so that a failure shows soon.
 RECENT_WINDOW_SECONDS = 2.5
 RECENT_MAX_ATTEMPTS = 8
-# A zone with little traffic needs a longer window to have enough attempts.
+# The window of a zone with little traffic is longer, so that it contains enough attempts.
 LONG_WINDOW_SECONDS = 4.0
 LONG_MAX_ATTEMPTS = 64
 
 
 class Evidence:
-    """The last attempts that ended in each zone. Times are in seconds."""
+    """The recent attempts that ended in each zone. Times are in seconds."""
 
     def __init__(self) -> None:
         self._ended: dict[str, deque[tuple[float, bool]]] = {}
 
     def record_attempt(self, now: float, zone: str, lost: bool) -> None:
-        """Count an attempt that ended in a zone."""
+        """Counts an attempt that ended in a zone."""
         endings = self._ended.get(zone)
         if endings is None:
             endings = self._ended[zone] = deque(maxlen=LONG_MAX_ATTEMPTS)
         endings.append((now, lost))
 
     def counts(self, now: float, low_traffic_zones: Container[str] = ()) -> Mapping[str, Counts]:
-        """The counts by zone within the window; `low_traffic_zones` have a longer one."""
+        """Returns the counts by zone within the window; zones in `low_traffic_zones` have a longer window."""
         counts: dict[str, Counts] = {}
         for zone, endings in self._ended.items():
             window, max_count = (
@@ -50,7 +51,7 @@
         return counts
 
     def clear(self, zone: str = "") -> None:
-        """Drop the counts of a zone, or of all zones."""
+        """Drops the counts of a zone, or of all zones."""
         if zone:
             self._ended.pop(zone, None)
         else:
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -46,9 +46,9 @@
 
 
 class ZonesConfig(Protocol):
-    """The section `zones` of the settings file; `FailoverRules` explains the fields.
+    """The section `zones` of the settings file; `FailoverRules` explains its fields.
 
-    Durations are in seconds; `most_out` is a fraction of all capacity.
+    Durations are in seconds. `most_out` is the fraction of all capacity that may be left at once.
     """
 
     hold: float
@@ -77,13 +77,14 @@
         self.calls = {order: self._order_call(order) for order in ("leave", "pin", "return")}
 
     def attach(self, context: SubsystemContext) -> None:
-        """Take the subsystems that this one uses, and wrap `run_attempt` to count outcomes."""
+        """Takes the subsystems that this one uses, and wraps `run_attempt` to count outcomes."""
         members = context.subsystems["members"]
         assert isinstance(members, Members)
         self._members, self._engine, self._endpoints = members, context.engine, context.endpoints
         self._views = context.subsystems.get("views")
         if self._views is not None:
-            self._views.watch(lambda: self._wake_up.set())  # noqa: PLW0108 - the event is replaced
+            # A lambda, because `_wake_up` is replaced by a new event after each wake-up.
+            self._views.watch(lambda: self._wake_up.set())  # noqa: PLW0108
         self._ownership = context.subsystems.get("ownership")
         if self._ownership is not None:
             self._ownership.want(ROLE)
@@ -93,7 +94,7 @@
     # -- evidence
 
     async def _attempt(self, attempt: Attempt) -> tuple[AttemptOutcome, Any]:
-        """Run an attempt, and count its outcome for the worker's zone."""
+        """Runs an attempt, and counts its outcome for the worker's zone."""
         machine = self._machine
         endpoint = self._endpoints.get(attempt.worker)
         if machine is None or endpoint is None:
@@ -132,7 +133,7 @@
         }
 
     def _regions(self) -> Mapping[str, str]:
-        """The region of each zone, as the zone's members announce it."""
+        """Returns the region of each zone, as the zone's members announce it."""
         link = self._members.link
         claims = (
             []
@@ -144,7 +145,7 @@
     # -- agreement
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Take part in the agreement until cancelled."""
+        """Takes part in the agreement until cancelled."""
         await self._members.opened.wait()
         link = self._members.link
         assert link is not None
@@ -188,7 +189,10 @@
             self._update_engine()
 
     def _take_ownership(self, machine: FailoverMachine, now: float) -> None:
-        """Pass the holder of the lease on this role to the machine; without leases any member makes plans."""
+        """Tells the machine the holder of the lease on this role.
+
+        Without leases, any member may make plans.
+        """
         if self._ownership is not None:
             number, owner = self._ownership.last_known_holder(ROLE, now)
             machine.epoch = max(machine.epoch, number)
@@ -201,7 +205,7 @@
         return outgoing
 
     def _others(self) -> Sequence[Member]:
-        """The other members by the agreed view, or by the membership if there are no views.
+        """Returns the other members by the agreed view, or by the membership if views are not in use.
 
         Returns the same object until its source changes. A member outside all views counts as degraded and
         keeps the members of its last view.
@@ -244,7 +248,7 @@
             self._engine.set_zone_weights(weights)
 
     def traffic_weights(self) -> dict[str, float]:
-        """The traffic weight of each zone in use here: the plan's, overridden by operators' orders."""
+        """Returns each zone's traffic weight at this dispatcher: an operator's order overrides the plan's."""
         machine = self._machine
         traffic_weights = {} if machine is None else dict(machine.traffic_weights())
         for zone, order in list(self._orders.items()):
@@ -253,7 +257,8 @@
             else:
                 known = traffic_weights.pop(zone, None)
                 if order == "return" and known is None:
-                    del self._orders[zone]  # the plan has no entry for it any more
+                    # The plan has no entry for the zone any more, so the order is no longer needed.
+                    del self._orders[zone]
         return traffic_weights
 
     # -- operators
@@ -269,7 +274,7 @@
         return call
 
     def status(self) -> dict[str, Any]:
-        """The plan, counts and orders as plain values, for the management interface."""
+        """Returns the plan, counts and orders as plain values, for the management interface."""
         machine = self._machine
         if machine is None:
             return {"plan": 0, "zones": []}
@@ -302,7 +307,7 @@
     def _by_region(
         self, traffic_weights: Mapping[str, float], capacity: Mapping[str, float]
     ) -> dict[str, float]:
-        """The fraction of each region's normal traffic that goes there, weighted by its zones' slots."""
+        """Returns the fraction of each region's normal traffic that it gets, weighted by its zones' slots."""
         totals: dict[str, list[float]] = {}
         for zone, region in self._regions().items():
             slots = capacity.get(zone, 0.0)
@@ -316,7 +321,7 @@
         }
 
     def metrics(self) -> dict[str, int]:
-        """Counts since the start, by metric name."""
+        """Returns the counts since the start, by metric name."""
         if self._machine is None:
             return {}
         counted = self._machine.statistics
--- a/yewrill/zone_failover/format.py
+++ b/yewrill/zone_failover/format.py
@@ -1,4 +1,4 @@
-"""The codec of the failover messages between members. Malformed messages are refused.
+"""The codec of the failover messages between members. Malformed messages are rejected.
 
 A message is a msgpack array that begins with its kind and the version of the sender's plan: number, digest.
 """
@@ -24,17 +24,17 @@
     """One message.
 
     DIGEST has the sender's plan version only. ASK starts a poll; ANSWER replies with the sender's counts. GET
-    requests the receiver's plan; PLAN has a whole plan. HINT reports a failing zone to the member that makes
-    the plans.
+    requests the receiver's plan; PLAN has a whole plan. HINT reports a failing zone to the member that holds
+    the lease on the role of making plans.
     """
 
     kind: int
     version: Version
-    number: int = 0  # of the poll
-    is_degraded: bool = False  # the sender's counts can't be trusted
-    busy: float = 0.0  # slots that the sender's running attempts take
+    number: int = 0  # number of the poll, in ASK and ANSWER
+    is_degraded: bool = False  # whether the sender's own counts can't be trusted
+    busy: float = 0.0  # number of slots that the sender's running attempts take
     counts: Mapping[str, tuple[int, int]] = field(default_factory=dict)
-    # The zones none of whose members the sender reaches; in a HINT, the failing zone.
+    # The zones of which the sender reaches no member; in a HINT, the failing zone.
     unreachable_zones: tuple[str, ...] = ()
     plan: FailoverPlan | None = None
 
@@ -44,7 +44,7 @@
 
 
 def pack(message: ZoneMessage) -> bytes:
-    """Encode one message."""
+    """Encodes one message."""
     fields: list[Any] = []
     if message.kind == ASK:
         fields = [message.number]
@@ -71,7 +71,7 @@
 
 
 def unpack(data: bytes) -> ZoneMessage:
-    """Decode one message. Raises Malformed."""
+    """Decodes one message. Raises Malformed."""
     try:
         kind, number, digest, *fields = msgpack.unpackb(data)
         version = (bounded_int(number, 2**48), bounded_text(digest, empty=True))
--- a/yewrill/zone_failover/machine.py
+++ b/yewrill/zone_failover/machine.py
@@ -1,14 +1,14 @@
-"""The state machine by which the dispatchers agree on a failover plan. No I/O: it takes messages and the time
-and returns messages to send.
+"""The state machine by which the dispatchers agree on a failover plan. It does no I/O: it takes messages and
+the time and returns messages to send.
 
 Theory of operation. Each member counts the attempts that it ended, by zone. A member that suspects a zone, or
 has a recovery step due, *polls*: it asks a random sample of the members outside that zone for their counts
 and judges the sum.
 
 - *Leaving a zone.* A zone is failing if more than half of the answering members that have evidence, and at
-  least three, see it lose half of its attempts. The next plan then lowers its traffic as far as the capacity
-  limits allow; it lowers it further if the zone serves nothing and the other zones have gained capacity. Only
-  a member that reaches a majority of all members outside the zone makes a plan.
+  least three members, see it lose half of its attempts. The next plan then lowers its traffic as far as the
+  capacity limits allow; it lowers it further if the zone serves nothing and the other zones have gained
+  capacity. Only a member that reaches a majority of all members outside the zone makes a plan.
 - *Adopting a plan.* No member adopts a plan only because another one sent it. It adopts a newer plan once its
   own poll confirms it, or once more than half of a poll's sample hold it already.
 - *Recovery.* After a hold time, which doubles with each failure in quick succession, the zone gets a small
@@ -17,8 +17,8 @@
 - *Versions.* Plans are ordered by number, then by digest. Once a second each member sends its version to a
   random member, and members fetch newer plans.
 - *Degraded members.* A member doesn't trust its own counts if its membership health is poor, its process was
-  suspended, or its attempts fail in most zones. It says so in its answers and proposes nothing. A poll that
-  fewer than half of the asked members answer has no result.
+  suspended, or its attempts fail in most zones. It says so in its answers to polls and proposes nothing. A
+  poll that fewer than half of the asked members answer has no result.
 - *Isolation.* If a member receives no message for a while, the plan no longer binds it; it then goes by its
   own evidence alone.
 
@@ -68,7 +68,8 @@
 CONFIRMATION_SECONDS = 4.0
 # A plan whose number is further ahead than this is adopted only if a majority holds it.
 MAX_NUMBER_GAP = 64
-# Thousandths by which two members' minimum weights may differ, as they see different loads.
+# Largest difference, in thousandths, between the weight of a received plan and the lowest weight that this
+# member would allow: members see different loads.
 WEIGHT_TOLERANCE = 150
 
 Address = tuple[str, int]
@@ -89,31 +90,39 @@
     """Thresholds of the zone failover. Durations are in seconds."""
 
     tick_interval: float = 0.25
-    poll_sample_size: int = 15  # members asked in one poll
-    poll_timeout: float = 0.4  # after half of it, members that have not answered are asked again
-    failing_loss_ratio: float = 0.5  # from this fraction of lost attempts on, a zone is failing
-    healthy_loss_ratio: float = 0.2  # up to this fraction, a zone is healthy
-    # From this fraction on, a zone that is left in part may be left further, if the others have room by now.
+    poll_sample_size: int = 15  # number of members asked in one poll
+    # Duration of a poll. After half of it, members that have not answered are asked again.
+    poll_timeout: float = 0.4
+    # A zone that loses this fraction of its attempts, or more, is failing.
+    failing_loss_ratio: float = 0.5
+    # A zone that loses at most this fraction of its attempts is healthy.
+    healthy_loss_ratio: float = 0.2
+    # A zone that loses this fraction of its attempts, or more, has its traffic lowered further if it was left
+    # in part and the other zones have gained capacity.
     dead_loss_ratio: float = 0.95
-    min_poll_attempts: int = 6  # fewer attempts in a poll are no evidence
-    max_attempts_per_member: int = 8  # the attempts of one member weigh at most this
-    min_recovery_attempts: int = 3  # enough to show that a zone in the plan still fails
-    min_failing_voters: int = 3  # members that must see the zone fail
-    hold_time: float = 2.0  # from leaving a zone to its trial; doubled with each penalty
-    max_hold_time: float = (
-        60.0  # also the time after which a recovered zone's penalties are dropped
-    )
+    min_poll_attempts: int = 6  # smallest number of attempts in a poll that is evidence
+    max_attempts_per_member: int = 8  # limit on the weight of one member's attempts in a poll
+    # Number of attempts that is enough to show that a zone with an entry in the plan still fails.
+    min_recovery_attempts: int = 3
+    # Smallest number of members that must see a zone fail before it is left.
+    min_failing_voters: int = 3
+    # Time from leaving a zone to its recovery trial; doubles with each penalty.
+    hold_time: float = 2.0
+    # Longest hold time, and also the time after which the penalties of a recovered zone are dropped.
+    max_hold_time: float = 60.0
     recovery_step_interval: float = 1.0
-    unverified_step_interval: float = 2.5  # for a recovery step without evidence
-    plan_validity: float = 10.0  # how long a plan binds while no message arrives
-    max_excluded_fraction: float = 0.5  # of all capacity, that may be left at once
-    push_rounds: int = 4  # ticks in which a new plan, adopted or unconfirmed, is sent out
-    push_fanout: int = 3  # members that it is sent to in each of them
+    # Time before a recovery step for which polls have too little evidence.
+    unverified_step_interval: float = 2.5
+    plan_validity: float = 10.0  # time for which the plan binds a member that receives no message
+    max_excluded_fraction: float = 0.5  # largest fraction of all capacity that may be left at once
+    # Number of ticks in which a new plan, adopted or unconfirmed, is sent out.
+    push_rounds: int = 4
+    push_fanout: int = 3  # number of members to which each of these ticks sends the plan
 
 
 @dataclass(slots=True)
 class _UnconfirmedPlan:
-    """A newer plan that was received and is neither adopted nor refused yet."""
+    """A received plan that is newer than the current one, and neither adopted nor refused yet."""
 
     plan: FailoverPlan
     expires_at: float
@@ -121,7 +130,7 @@
 
 @dataclass(slots=True)
 class _Poll:
-    """A poll under way on one zone."""
+    """A poll of other members about one zone, while answers are awaited."""
 
     zone: str
     number: int
@@ -152,7 +161,7 @@
     plans_refused: int = 0
     malformed: int = 0
     late_ticks: int = 0
-    inconclusive_polls: int = 0  # fewer than half of the members asked have answered
+    inconclusive_polls: int = 0  # polls that fewer than half of the members asked have answered
 
 
 @dataclass
@@ -174,37 +183,38 @@
     def __post_init__(self) -> None:
         self.plan = FailoverPlan()
         self.evidence = Evidence()
-        # Slots of each zone, as discovery lists it.
+        # Number of slots in each zone, as discovery lists them.
         self.capacity: Callable[[], Mapping[str, float]] = dict
-        # The region of each zone, where its members announce one.
+        # The region of each zone, as the zone's members announce it.
         self.regions: Callable[[], Mapping[str, str]] = dict
-        # Attempts by zone that wait at workers which start none of this dispatcher's requests.
+        # By zone, the number of attempts that wait at workers which start none of this dispatcher's requests.
         self.stuck_attempts: Callable[[], Mapping[str, int]] = dict
-        self.busy = 0.0  # slots that this dispatcher's running attempts take
-        # This member's health score by the membership; from 4 on its own counts are not trusted.
+        self.busy = 0.0  # number of slots that this dispatcher's running attempts take
+        # This member's health score, from the membership; from 4 on, its own counts are not trusted.
         self.health_score = 0
-        # The highest fencing number seen of the lease on the role of making plans.
+        # The highest fencing number seen on the lease that allows its holder to make plans.
         self.epoch = 0
-        self.owner = ""  # the other member that holds that lease, if any
-        # Zones that other members reported as failing while this one makes the plans, and when.
+        self.owner = ""  # the other member that holds the lease for making plans, if any
+        # Only while this member makes the plans: zones that other members reported as failing, and the times.
         self._hinted_zones: dict[str, float] = {}
-        self.last_change_reason = ""  # why the plan last changed, for operators
-        # When each zone's entry was adopted here.
+        self.last_change_reason = ""  # reason of the last change of the plan, for operators
+        # The time at which this member adopted each zone's plan entry.
         self._in_force_since: dict[str, float] = {}
-        # The penalty count of each recovered zone, and when it recovered.
+        # By recovered zone: its penalty count, and the time of its recovery.
         self._recovered_zones: dict[str, tuple[int, float]] = {}
         self._verdicts: dict[str, Verdict] = {}
         self._previous_plan = self.plan
-        self._unconfirmed_plans: dict[str, _UnconfirmedPlan] = {}  # by the first sender
+        # Plans that are neither adopted nor refused yet, by the member that sent each first.
+        self._unconfirmed_plans: dict[str, _UnconfirmedPlan] = {}
         self._refused_versions: dict[tuple[int, str], float] = {}
         self._poll: _Poll | None = None
         self._last_polled_at: dict[str, float] = {}
-        # When an unconfirmed plan or a hint was last the only cause for a poll.
+        # The time of the last poll that only an unconfirmed plan or a hint had caused.
         self._last_unconfirmed_poll_at = -1e9
         self._last_poll_number = 0
-        # Random delay of this member's next recovery step, so that rarely two members propose it at once.
+        # Random delay before this member's next recovery step, so that rarely two members propose it at once.
         self._proposal_delay = 0.0
-        # The plans that are still sent out, and for how many more ticks.
+        # The plans that are still sent out, with the number of ticks left for each.
         self._plans_to_push: dict[FailoverPlan, int] = {}
         self._membership_cache: tuple[Sequence[Member], list[Member], set[str]] = ([], [], set())
         self._last_received_at = self.now
@@ -215,16 +225,17 @@
     # -- results
 
     def traffic_weights(self) -> dict[str, float]:
-        """The fraction of its normal traffic that each zone in the plan gets. Zones without an entry get all.
+        """Returns the fraction of its normal traffic that each zone in the plan gets.
 
-        Empty if no message was received for `plan_validity`: then the plan no longer binds.
+        Zones without an entry get all their traffic. The result is empty if no message was received for
+        `plan_validity`: then the plan no longer binds.
         """
         if self.now - self._last_received_at > self.rules.plan_validity:
             return {}
         return {zone: entry.traffic_weight / FULL_WEIGHT for zone, entry in self.plan.zones.items()}
 
     def _counts(self) -> Mapping[str, Counts]:
-        """The counts of this member's own attempts. Stuck attempts count as lost.
+        """Returns the counts of this member's own attempts. Stuck attempts count as lost.
 
         Zones with a plan entry get little traffic, so they are counted over a longer window.
         """
@@ -235,7 +246,7 @@
         return counts
 
     def is_degraded(self) -> bool:
-        """Whether this member's own counts can't be trusted."""
+        """Returns whether this member's own counts can't be trusted."""
         if self.health_score >= 4 or self.now < self._degraded_until:
             return True
         counts = {z: c for z, c in self._counts().items() if c[0] >= 3}
@@ -246,7 +257,8 @@
         ]
         if len(counts) <= 2 or len(failing) * 2 <= len(counts):
             return False
-        # If most zones fail at once, the fault is more likely here, unless they make up one other region.
+        # If most zones fail at once, the fault is more likely at this member, unless these zones make up
+        # exactly one other region.
         regions = self.regions()
         failing_regions = {regions.get(zone, "") for zone in failing}
         return len(failing_regions) != 1 or failing_regions <= {"", regions.get(self.zone, "")}
@@ -254,7 +266,7 @@
     # -- time
 
     def record_attempt(self, now: float, zone: str, lost: bool) -> bool:
-        """Count an attempt that ended in a zone. Returns whether `tick` should be called at once."""
+        """Counts an attempt that ended in a zone. Returns whether `tick` should be called at once."""
         self.evidence.record_attempt(now, zone, lost)
         if (
             not lost
@@ -272,12 +284,13 @@
         return True
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Run what is due: advance or start a poll, send plans and the version digest, drop old records."""
+        """Advances or starts a poll, sends plans and the plan version, and drops old records, as due."""
         delay = now - max(self.due, self._last_tick_at)
         self.now = self._last_tick_at = now
         self.due = now + self.rules.tick_interval
         outgoing: list[OutgoingMessage] = []
-        if delay > 1.0:  # the process was suspended: its counts are old, and its plan may be
+        # The process was suspended: its counts are old, and its plan may be outdated.
+        if delay > 1.0:
             self.statistics.late_ticks += 1
             self.evidence.clear()
             self._poll = None
@@ -314,7 +327,7 @@
         return outgoing
 
     def _membership(self) -> tuple[Sequence[Member], list[Member], set[str]]:
-        """All other members, the live ones, and the zones whose members are all unreachable."""
+        """Returns all other members, the live ones, and the zones whose members are all unreachable."""
         others = self.others()
         if others is not self._membership_cache[0]:
             live_members = [m for m in others if m.is_alive]
@@ -336,7 +349,7 @@
     # -- polls
 
     def _start_poll(self, live_members: Sequence[Member], outgoing: list[OutgoingMessage]) -> None:
-        """Start a poll on the zone that has waited longest for one, if any needs it."""
+        """Starts a poll on the zone that has waited longest for one, if any needs it."""
         zone = self._zone_to_poll()
         if zone is None:
             return
@@ -394,7 +407,7 @@
         return min(candidates, key=lambda z: (self._last_polled_at.get(z, -1e9), z), default=None)
 
     def _min_duration(self, entry: ZoneEntry) -> float:
-        """The shortest time that an entry is in force before the next recovery step."""
+        """Returns the shortest time that an entry is in force before the next recovery step."""
         if entry.is_recovering:
             return self.rules.recovery_step_interval
         return min(
@@ -424,9 +437,9 @@
             self._propose(poll, verdict, outgoing)
 
     def _judge(self, poll: _Poll, held: tuple[int, str] | None = None) -> Verdict:
-        """The verdict on the poll's zone by the answers and this member's own counts.
+        """Returns the verdict on the poll's zone, by the answers and this member's own counts.
 
-        Each member weighs at most `max_attempts_per_member` attempts. Members that hold the plan version
+        The attempts of one member weigh at most `max_attempts_per_member`. Members that hold the plan version
         `held` or a newer one count as seeing the zone fail: they cleared their counts when they adopted it.
         """
         rules, zone = self.rules, poll.zone
@@ -474,8 +487,11 @@
         )
 
     def _fleet_busy_slots(self, poll: _Poll) -> float:
-        """An estimate of the slots in use fleet-wide: the mean of the middle half of the reports, times the
-        number of members. The outer quarters are dropped so that one wrong report can't move it far."""
+        """Estimates the slots in use fleet-wide.
+
+        The estimate is the mean of the middle half of the reports, times the number of members. The outer
+        quarters are dropped so that one wrong report can't move the estimate far.
+        """
         reports = sorted([self.busy, *(message.busy for message in poll.answers.values())])
         trimmed = len(reports) // 4
         middle = reports[trimmed : len(reports) - trimmed]
@@ -488,7 +504,7 @@
         if self.is_degraded():
             return
         if self.owner:
-            # Only the owner makes plans, and it may send too little to this zone to see it fail.
+            # Only the lease holder makes plans. It may send this zone too little traffic to see it fail.
             if verdict.is_failing and (
                 zone not in self.plan.zones or self.plan.zones[zone].is_recovering
             ):
@@ -512,7 +528,7 @@
                 if entry is not None
                 else self._recovered_zones.get(zone, (0, 0.0))[0]
             )
-            # A failed trial cost little, so it adds no penalty; a failure after the first step does.
+            # A failed trial affects few requests, so it adds no penalty; a failure after the first step does.
             penalty_count = min(
                 penalty_count
                 + (
@@ -569,7 +585,7 @@
             else:
                 self._in_force_since[zone] = self.now
                 self._recovered_zones.pop(zone, None)
-            self.evidence.clear(zone)  # counted under another traffic weight
+            self.evidence.clear(zone)  # the counts so far were made under another traffic weight
             self._verdicts.pop(zone, None)
         self._previous_plan, self.plan, self.last_change_reason = self.plan, plan, reason
         self._proposal_delay = self.rng.random() * (
@@ -581,8 +597,10 @@
         }
 
     def _evaluate_unconfirmed_plans(self, poll: _Poll) -> None:
-        """Adopt the highest newer plan that a majority holds or this member's polls confirm; refuse any that
-        they contradict."""
+        """Adopts the highest newer plan that a majority holds or this member's polls confirm.
+
+        Refuses newer plans that the polls contradict.
+        """
         highest_first = sorted(
             self._unconfirmed_plans.items(), key=lambda item: item[1].plan.version, reverse=True
         )
@@ -608,12 +626,13 @@
                 return
 
     def _is_confirmed(self, plan: FailoverPlan, zone: str, poll: _Poll) -> bool | str | None:
-        """Whether this member's polls support a zone's entry in a newer plan.
+        """Returns whether this member's polls support a zone's entry in a newer plan.
 
         True: confirmed. False: contradicted. None: not known yet. A text: no objection, but no confirmation.
         """
         new, old = plan.zones.get(zone), self.plan.zones.get(zone)
-        if plan.number == self.plan.number:  # made at the same time, from slightly different counts
+        # The two plans were made at the same time, from slightly different counts.
+        if plan.number == self.plan.number:
             if (
                 new is not None
                 and old is not None
@@ -651,7 +670,7 @@
         )
 
     def _has_little_evidence(self, verdict: Verdict) -> bool:
-        """Whether a verdict has too few attempts to be evidence, and few of them lost."""
+        """Returns whether a verdict has too few attempts to be evidence, and few of them lost."""
         return (
             verdict.attempts < self.rules.min_poll_attempts
             and verdict.loss_ratio <= self.rules.healthy_loss_ratio
@@ -662,7 +681,7 @@
     def receive(
         self, now: float, data: bytes, sender: str, address: Address
     ) -> list[OutgoingMessage]:
-        """Handle one message of an authenticated member; returns the messages to send."""
+        """Handles one message of an authenticated member; returns the messages to send."""
         self.now = max(self.now, now)
         try:
             message = unpack(data)
@@ -679,7 +698,7 @@
             if poll is not None and message.number == poll.number and sender in poll.asked:
                 poll.answers.setdefault(sender, message)
                 if len(poll.answers) == len(poll.asked):
-                    self.due = self.now  # judge the poll at once
+                    self.due = self.now  # the poll is complete: it is judged at once
         elif message.kind == GET:
             outgoing.append((address, pack(ZoneMessage(PLAN, own_version, plan=self.plan))))
         elif message.kind == HINT and not self.owner:
@@ -719,10 +738,10 @@
     def _receive_plan(
         self, plan: FailoverPlan, sender: str, outgoing: list[OutgoingMessage]
     ) -> None:
-        """Keep a newer plan as unconfirmed and pass it on at once; it is adopted once it is confirmed."""
+        """Keeps a newer plan as unconfirmed and passes it on at once; it is adopted once it is confirmed."""
         if plan.version <= self.plan.version or plan.version in self._refused_versions:
             return
-        # Made by an earlier holder of the lease, or already known.
+        # The plan was made by an earlier holder of the lease, or is already known.
         if plan.number < self.epoch * PLANS_PER_EPOCH or any(
             r.plan.version == plan.version for r in self._unconfirmed_plans.values()
         ):
@@ -735,4 +754,4 @@
         self._unconfirmed_plans[sender] = _UnconfirmedPlan(plan, self.now + CONFIRMATION_SECONDS)
         self._push_plan(plan, outgoing)
         self._plans_to_push[plan] = self.rules.push_rounds - 1
-        self.due = self.now  # poll at once
+        self.due = self.now  # a poll starts at once
--- a/yewrill/zone_failover/plan.py
+++ b/yewrill/zone_failover/plan.py
@@ -1,7 +1,7 @@
 """The failover plan: each zone's fraction of its normal traffic, and the capacity limits that bound it.
 
-No I/O or clock. Traffic weights are integers in thousandths, so that all members encode a plan to the same
-bytes. Capacities are in slots of any size, as long as it is the same for all zones.
+This module does no I/O and reads no clock. Traffic weights are integers in thousandths, so that all members
+encode a plan to the same bytes. Capacities are in slots of any size, as long as it is the same for all zones.
 """
 
 from __future__ import annotations
@@ -12,9 +12,10 @@
 from functools import cached_property
 
 FULL_WEIGHT = 1000
-RECOVERY_RAMP = (50, 200, 500, FULL_WEIGHT)  # weights of a recovering zone; the first is the trial
+# Traffic weights of a recovering zone, one per step; the first is the trial.
+RECOVERY_RAMP = (50, 200, 500, FULL_WEIGHT)
 MAX_ZONES = 64
-# Plan numbers per lease on the role of making plans: a lease's range begins at its fencing number times this.
+# Number of plan numbers that belong to one lease: the first is the lease's fencing number times this.
 PLANS_PER_EPOCH = 2**24
 # The fraction of the other zones' capacity that may be in use once a zone is left.
 MAX_UTILIZATION = 0.95
@@ -22,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneEntry:
-    """The plan for one zone. A zone without an entry is healthy and gets all its traffic."""
+    """The plan's entry for one zone. A zone without an entry is healthy and gets all its traffic."""
 
-    traffic_weight: int  # thousandths
-    # How often the zone was left in quick succession. Each time doubles the hold time before its trial.
+    traffic_weight: int  # thousandths of the zone's normal traffic
+    # Number of times that the zone was left in quick succession; each doubles the hold time before its trial.
     penalty_count: int = 1
-    is_recovering: bool = False  # its weight is being raised step by step
+    is_recovering: bool = False  # whether the zone's weight is being raised step by step
 
 
 @dataclass(frozen=True, eq=False)
@@ -42,7 +43,7 @@
 
     @cached_property
     def version(self) -> tuple[int, str]:
-        """The number, and a digest of the number and the entries; (0, "") for the initial plan."""
+        """The plan's number, and a digest of the number and the entries; (0, "") for the initial plan."""
         if not self.number:
             return 0, ""
         text = ";".join(
@@ -54,18 +55,18 @@
         ).hexdigest()
 
     def traffic_weight(self, zone: str) -> int:
-        """The zone's traffic in thousandths of its normal traffic."""
+        """Returns the zone's traffic in thousandths of its normal traffic."""
         entry = self.zones.get(zone)
         return FULL_WEIGHT if entry is None else entry.traffic_weight
 
     def changed_zones(self, other: FailoverPlan) -> list[str]:
-        """The zones whose entries differ between the two plans."""
+        """Returns the zones whose entries differ between the two plans."""
         return sorted(
             z for z in {*self.zones, *other.zones} if self.zones.get(z) != other.zones.get(z)
         )
 
     def with_entry(self, zone: str, entry: ZoneEntry | None, epoch: int = 0) -> FailoverPlan:
-        """The next plan, with a new entry for a zone; None removes the entry.
+        """Returns the next plan, with a new entry for a zone; None removes the entry.
 
         `epoch` is the fencing number of the proposer's lease, 0 without leases.
         """
@@ -76,7 +77,7 @@
 
 
 def next_recovery_step(entry: ZoneEntry) -> ZoneEntry | None:
-    """The entry after the next recovery step; None once the zone gets its full traffic."""
+    """Returns the entry after the next recovery step; None once the zone gets its full traffic."""
     step = next((s for s in RECOVERY_RAMP if s > entry.traffic_weight), FULL_WEIGHT)
     return replace(entry, traffic_weight=step, is_recovering=True) if step < FULL_WEIGHT else None
 
@@ -88,12 +89,12 @@
     busy_slots: float,
     max_excluded_fraction: float,
 ) -> int:
-    """The lowest traffic weight, in thousandths, that the capacity limits allow for a zone that is left.
+    """Returns the lowest traffic weight that the capacity limits allow for a zone that is left.
 
-    `busy_slots` are in use fleet-wide. Traffic that the other zones have no capacity for stays with the zone,
-    even if the zone serves nothing: each dispatcher's own worker estimates keep most of it off the failing
-    workers, while moving it would make the other zones late (docs/measurements/zones.md). At most
-    `max_excluded_fraction` of all capacity may be left at once.
+    The weight is in thousandths; `busy_slots` is the number of slots in use fleet-wide. Traffic that the
+    other zones have no capacity for stays with the zone, even if the zone serves nothing: each dispatcher's
+    own worker estimates keep most of it off the failing workers, while moving it would make the other zones
+    late (docs/measurements/zones.md). At most `max_excluded_fraction` of all capacity may be left at once.
     """
     own_capacity = capacity.get(zone, 0.0)
     total = sum(capacity.values())
