--- a/yewrill/reservations/asking.py
+++ b/yewrill/reservations/asking.py
@@ -1,7 +1,7 @@
 """The calendar's messages: a tenant's requests (entries of the log) and their results; and its settings.
 
-Times are milliseconds of wall time at full minutes. An entry has windows, never a recurrence rule: whoever
-submits it expands the rule (windows.py), since members may have different time zone files.
+Times are milliseconds of wall time at full minutes. An entry has windows, never a recurrence rule: the member
+that submits it expands the rule (windows.py), since members may have different time zone files.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Slots = Annotated[int, Meta(ge=1, le=MAX_SLOTS)]
 Windows = Annotated[tuple[Window, ...], Meta(max_length=MAX_WINDOWS)]
-Placement = tuple[tuple[str, int], ...]  # (zone, slots), ordered by zone name
+Placement = tuple[tuple[str, int], ...]  # (zone, slots) pairs, ordered by zone name.
 
 
 class Spread(Struct, frozen=True, array_like=True):
-    """How a gang's slots are spread.
+    """How a gang's slots are spread over zones and workers.
 
-    `per_worker` is the most slots on one worker, 0 for no limit. With `zones` 1 all slots are in one zone,
-    with 2 they are in at least two.
+    `per_worker` is the largest number of slots on one worker, 0 for no limit. With `zones` 1 all slots are in
+    one zone, with 2 they are in at least two zones.
     """
 
     per_worker: Annotated[int, Meta(ge=0, le=MAX_SLOTS)] = 0
@@ -76,7 +76,7 @@
 
 
 class Offer(Struct, frozen=True, array_like=True):
-    """A window that is held for the tenant until `held_until`, in place of a refused one."""
+    """A window that is held for the tenant until `held_until`, in place of a refused window."""
 
     number: int
     window: Window
@@ -85,7 +85,7 @@
 
 
 class Booked(Struct, frozen=True, array_like=True, tag=True):
-    """The request was booked. `placements` has the slots in each zone, for each window."""
+    """The request was booked. `placements` has, for each window, the slots in each zone."""
 
     number: int
     windows: tuple[Window, ...]
@@ -109,7 +109,8 @@
 class Capacity(Struct, frozen=True):
     """The capacity of one kind of workers in a zone.
 
-    At most `slots - reserve - floor` slots can be booked. Of the `workers`, `reserve_workers` may be lost.
+    At most `slots - reserve - floor` slots can be booked: `reserve` and `floor` are two numbers of slots that
+    are kept out of the calendar. `reserve_workers` of the `workers` may be lost.
     """
 
     zone: str
--- a/yewrill/reservations/book.py
+++ b/yewrill/reservations/book.py
@@ -1,6 +1,7 @@
-"""The book of all bookings and held offers: a state machine of the replicated log (leases/states.py). No I/O.
+"""The book of all bookings and held offers: a state machine of the replicated log (leases/states.py).
 
-Results are part of the replicated state, so their texts must not differ between voters of different builds.
+It does no I/O. Results are part of the replicated state, so their texts must not differ between voters of
+different builds.
 """
 
 from __future__ import annotations
@@ -28,10 +29,12 @@
 from yewrill.reservations.windows import MINUTE, Window
 
 HOUR = 3_600_000
-MAX_OPEN_WINDOWS = 50_000  # of all bookings and held offers
-MAX_HELD_OFFERS = 9  # per tenant
-MAX_CLOSED_IDS = 1024  # per tenant: request ids that are remembered after their booking has ended
-MAX_STARTS_TRIED = 16  # start times that one search examines
+# Limit on the windows that have not ended, of all bookings and held offers together.
+MAX_OPEN_WINDOWS = 50_000
+MAX_HELD_OFFERS = 9  # limit on the held offers of one tenant
+# Limit on the request ids that are remembered per tenant after their booking has ended.
+MAX_CLOSED_IDS = 1024
+MAX_STARTS_TRIED = 16  # limit on the start times that one search examines
 
 
 class Booking(Struct, array_like=True):
@@ -78,7 +81,7 @@
         self.restore(b"")
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by one that `pack` returned; b"" is the initial state."""
+        """Replaces the state by one that `pack` returned; b"" is the initial state."""
         state = _read_state(data) if data else State(0, 1, [], [], [])
         self.at, self.next_number = state.at, state.next_number
         self.timelines = {
@@ -91,12 +94,12 @@
             (capacity.zone, capacity.kind): capacity.workers - capacity.reserve_workers
             for capacity in self.config.capacity
         }
-        self.open_bookings: SortedDict = SortedDict()  # number -> Booking
-        # (when a booking's first window ends or an offer expires, number)
+        self.open_bookings: SortedDict = SortedDict()  # booking number -> Booking
+        # (time when a booking's first window ends or a held offer expires, booking number).
         self.expirations: SortedSet = SortedSet()
-        # Slots times milliseconds of each tenant's bookings that have not ended.
+        # By tenant: slots times milliseconds of the bookings that have not ended.
         self.used_slot_ms: dict[str, int] = {}
-        self.held_offers: dict[str, int] = {}  # number of held offers by tenant
+        self.held_offers: dict[str, int] = {}  # by tenant: number of held offers
         self.open_windows = 0
         for booking in state.open_bookings:
             self._add_booking(booking, allow_over_ceiling=True)
@@ -104,7 +107,7 @@
         self.closed_ids = {tenant: dict.fromkeys(ids) for tenant, ids in state.closed_ids}
 
     def pack(self) -> bytes:
-        """The whole state, for a snapshot."""
+        """Returns the whole state, for a snapshot."""
         return asking.encode(
             State(
                 self.at,
@@ -119,7 +122,7 @@
         )
 
     def apply(self, at: int, data: bytes) -> bytes:
-        """Apply one entry and return its encoded result.
+        """Applies one entry and returns its encoded result.
 
         Windows that have ended and offers that have expired by `at` are removed first. A request id that was
         applied before returns its earlier result.
@@ -140,7 +143,7 @@
         if entry.id in results:
             return results[entry.id]
         result = self._book(entry) if isinstance(entry, Ask) else self._change_booking(entry)
-        self._expire()  # a released window may end at once
+        self._expire()  # a window that was released may end at once
         results[entry.id] = data = asking.encode(result)
         if not isinstance(result, Booked):
             self._record_closed_id(entry.tenant, entry.id)
@@ -152,9 +155,8 @@
         for window, placement in zip(booking.windows, booking.placements, strict=True):
             for zone, slots in placement:
                 timeline = self.timelines.get((zone, booking.kind))
-                if (
-                    timeline is None
-                ):  # booked before the zone and kind were removed from the settings
+                # The booking was made before its zone and kind were removed from the settings.
+                if timeline is None:
                     timeline = self.timelines[zone, booking.kind] = Timeline(0)
                     self.workers[zone, booking.kind] = 0
                 timeline.add(window.start, window.end, slots, allow_over_ceiling)
@@ -174,7 +176,7 @@
         (self.expirations.add if sign > 0 else self.expirations.discard)(expiration)
 
     def _shrink_booking(self, booking: Booking, windows: list[Window | None]) -> None:
-        """Shorten each window of a booking to the part that is kept, from its start on; None drops it."""
+        """Shortens each window of a booking to the part that is kept, from its start on; None drops it."""
         self._update_totals(booking, -1)
         kept = []
         for old, new, placement in zip(booking.windows, windows, booking.placements, strict=True):
@@ -296,16 +298,16 @@
     def _place(
         self, kind: str, slots: int, spread: Spread, window: Window | None
     ) -> Placement | None:
-        """The slots in each zone for a window, or as if nothing were booked if there is no window.
+        """Returns the slots in each zone for a window, None if they don't fit.
 
-        None if they don't fit.
+        Without a window, returns the slots as if nothing were booked.
         """
         return _split(self._free_slots_by_zone(kind, spread, window), slots, spread)
 
     def _free_slots_by_zone(
         self, kind: str, spread: Spread, window: Window | None
     ) -> list[tuple[int, str]]:
-        """(slots that one gang may use, zone), ascending."""
+        """Returns pairs (slots that one gang may use, zone), in ascending order."""
         free_slots = []
         for (zone, timeline_kind), timeline in self.timelines.items():
             if timeline_kind == kind:
@@ -319,10 +321,11 @@
     def _find_start(
         self, ask: Ask, first: int, last: int, length: int, backwards: bool = False
     ) -> int | None:
-        """The first start time that fits, or the last one if `backwards`; None if none is found.
+        """Returns the first start time at which the request fits, or the last one if `backwards`.
 
-        For a length within one zone the search is exact. Otherwise it examines at most MAX_STARTS_TRIED
-        windows; from one that does not fit it moves on to where some zone has more free slots.
+        The result is None if no start time is found. For a length within one zone the search is exact.
+        Otherwise it examines at most MAX_STARTS_TRIED windows; from one that does not fit it moves on to the
+        time at which some zone has more free slots.
         """
         if ask.length_ms and ask.spread.zones == 1:
             per_worker = ask.spread.per_worker
@@ -357,9 +360,10 @@
         return None
 
     def _make_offers(self, ask: Ask) -> tuple[Offer, ...]:
-        """Hold offers in place of a refused window.
+        """Holds offers in place of a refused window.
 
-        They are the nearest earlier and later window, and as many slots as fit in the requested window.
+        The offers are the nearest earlier and the nearest later window, and as many slots as fit in the
+        requested window.
         """
         window = ask.windows[0]
         length = window.end - window.start
--- a/yewrill/reservations/timeline.py
+++ b/yewrill/reservations/timeline.py
@@ -12,11 +12,11 @@
 
 
 class Timeline:
-    """The reserved slots of one zone and kind, at most `ceiling` at any moment."""
+    """The reserved slots of one kind of workers in a zone, at most `ceiling` at any moment."""
 
     def __init__(self, ceiling: int):
         self.ceiling = ceiling
-        # Moment -> slots reserved from it on; 0 before the first.
+        # Moment -> number of slots reserved from that moment on; 0 before the first moment.
         self.steps: SortedDict = SortedDict()
 
     def _slots_at(self, moment: int) -> int:
@@ -30,15 +30,16 @@
             yield moment, self.steps[moment]
 
     def max_reserved(self, start: int, end: int) -> int:
-        """The highest number of slots reserved at once in the span."""
+        """Returns the highest number of slots reserved at once in the span."""
         moments = self.steps.irange(start, end, inclusive=(False, False))
         return max(self._slots_at(start), max(map(self.steps.__getitem__, moments), default=0))
 
     def peak_span(self, start: int, end: int) -> tuple[int, int, int]:
-        """The highest number of slots reserved at once in the span, when it is first reached and last left.
+        """Returns the highest number of slots reserved at once, and two times.
 
-        The two times lie within the span. A later span of the same length has more free slots only if it
-        begins at or after the second time, an earlier one only if it ends at or before the first.
+        The times are when that number is first reached and when it is last left, both within the span. A
+        later span of the same length has more free slots only if it begins at or after the second time, an
+        earlier one only if it ends at or before the first.
         """
         moments = [start, *self.steps.irange(start, end, inclusive=(False, False)), end]
         slots = [self._slots_at(start), *map(self.steps.__getitem__, moments[1:-1])]
@@ -48,12 +49,14 @@
         return max_reserved, moments[first], moments[-1 - slots.index(max_reserved)]
 
     def free_slots(self, start: int, end: int) -> int:
-        """The slots that are free during the whole span; negative if the ceiling was lowered below what is
-        reserved."""
+        """Returns the slots that are free during the whole span.
+
+        The result is negative if the ceiling was lowered below the reserved slots.
+        """
         return self.ceiling - self.max_reserved(start, end)
 
     def add(self, start: int, end: int, slots: int, allow_over_ceiling: bool = False) -> None:
-        """Reserve slots for a span. Raises ValueError, and changes nothing, if that exceeds the ceiling.
+        """Reserves slots for a span. Raises ValueError, and changes nothing, if that exceeds the ceiling.
 
         `allow_over_ceiling` is for slots that were reserved under an earlier, higher ceiling.
         """
@@ -63,7 +66,7 @@
         self._change(start, end, slots)
 
     def remove(self, start: int, end: int, slots: int) -> None:
-        """Undo an `add`, or a part of its span. Raises ValueError if fewer slots are reserved."""
+        """Undoes an `add`, or a part of its span. Raises ValueError if fewer slots are reserved there."""
         _check(start, end, slots)
         if min(held for _, held in self.levels(start, end)) < slots:
             raise ValueError(f"fewer than {slots} slots are reserved")
@@ -78,14 +81,15 @@
         for moment, slots in list(self.levels(start, end)):
             steps[moment] = slots + difference
         steps[end] = slots_after
-        # All steps within the span change by the same amount, so only those at its ends can become redundant.
+        # All steps within the span change by the same amount, so only the steps at its ends can become
+        # redundant.
         if steps[start] == slots_before:
             del steps[start]
         if self._slots_at(end - 1) == slots_after:
             del steps[end]
 
     def first_fit(self, length: int, slots: int, earliest: int, latest: int) -> int | None:
-        """The first start, `earliest` to `latest`, at which the slots fit for the whole length, or None."""
+        """Returns the first start, from `earliest` to `latest`, at which the slots fit, or None."""
         max_reserved = self.ceiling - slots
         if max_reserved < 0 or earliest > latest:
             return None
--- a/yewrill/reservations/windows.py
+++ b/yewrill/reservations/windows.py
@@ -1,7 +1,8 @@
 """Windows of wall time, and the windows of a recurrence rule in a named time zone.
 
 A local time that doesn't exist because the clocks go forward is moved later by the same amount; a local time
-that occurs twice is the first of the two. A window's length is elapsed time. Reads time zone files only.
+that occurs twice is the first of the two. A window's length is elapsed time. The only I/O of this module is
+reading time zone files.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 from dateutil.rrule import rrule, rrulestr
 from msgspec import Struct
 
-MINUTE = 60_000  # milliseconds; all windows begin and end at full minutes
+MINUTE = 60_000  # milliseconds in a minute; all windows begin and end at full minutes
 MAX_RULE_CHARACTERS = 512
 _SUBDAY_KEYWORDS = ("SECONDLY", "MINUTELY", "HOURLY", "BYSECOND", "BYMINUTE", "BYHOUR")
 
 
 class Window(Struct, frozen=True, array_like=True):
-    """[start, end), milliseconds of wall time since 1970."""
+    """A span [start, end) in milliseconds of wall time since 1970."""
 
     start: int
     end: int
@@ -33,10 +34,11 @@
     latest_end_ms: int,
     max_windows: int,
 ) -> tuple[Window, ...]:
-    """The windows of an RFC 5545 rule from `first_local` (no zone) on that end by `latest_end_ms`, ascending.
+    """Returns the windows of an RFC 5545 rule, in ascending order.
 
-    Raises ValueError if the rule or the zone can't be read, the rule repeats within a day, it gives no window
-    or more than `max_windows`, or a window begins before the one before it ends.
+    The first window begins at `first_local` (a local time without zone) or later, and the last one ends by
+    `latest_end_ms`. Raises ValueError if the rule or the zone can't be read, the rule repeats within a day,
+    it gives no window or more than `max_windows`, or a window begins before the one before it ends.
     """
     if length_ms < MINUTE or length_ms % MINUTE or first_local.second or first_local.microsecond:
         raise ValueError("a window has to begin at a full minute and last full minutes")
