--- a/yewrill/membership/context.py
+++ b/yewrill/membership/context.py
@@ -18,13 +18,13 @@
 class MembershipCounters:
     """Event counts since the process started, for metrics."""
 
-    suspected: int = 0  # suspicions raised by probes of this member
+    suspected: int = 0  # number of suspicions raised by probes of this member
     refuted: int = 0
-    attested: int = 0  # suspicion probes ended by an ack of a third member
-    died: int = 0  # members declared dead by this member
-    late: int = 0  # pauses of this process that delayed the protocol
-    dropped: int = 0  # claims that were invalid, or beyond the limit on the table's size
-    isolated: int = 0  # periods in which no message arrived from anybody
+    attested: int = 0  # number of suspicion probes ended by an ack of a third member
+    died: int = 0  # number of members that this member declared dead
+    late: int = 0  # number of pauses of this process that delayed the protocol
+    dropped: int = 0  # number of claims that were invalid, or beyond the limit on the table's size
+    isolated: int = 0  # number of periods in which no message arrived from any member
 
 
 @dataclass(slots=True)
--- a/yewrill/membership/detector.py
+++ b/yewrill/membership/detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: how unlikely a member's silence is, and when it is inconclusive.
+"""The failure detector: how unlikely a member's silence is, and when the silence is inconclusive.
 
 No I/O and no clock; times are in seconds.
 """
@@ -15,12 +15,12 @@
 
 
 class FailureDetector:
-    """Judges members by their answers to probes; time on a link is measured in ended probes."""
+    """Judges members by their answers to probes; the silence of a link is measured in ended probes."""
 
     def __init__(self, table: MemberTable, config: SwimConfig):
         self._table = table
         self._config = config
-        # Answered first pings of all probes, by the number of the ping.
+        # Arrivals of acks to the first pings of all probes. The unit of time is one first ping.
         self._answers = ArrivalHistory(1.0)
         self._answers.begin(0.0)
         self._first_ping_count = 0.0
@@ -39,7 +39,7 @@
         entry.probes_ended += 1.0
 
     def record_message(self, entry: MemberEntry, now: float, *, is_answer: bool) -> None:
-        """Records a message that a member itself sent; `is_answer`: an ack of a ping from here."""
+        """Records a message that a member itself sent; `is_answer`: it is an ack of this process's ping."""
         entry.last_received = entry.last_received_adjusted = now
         if entry.link is None:
             entry.link = PeerLink(1.0, entry.probes_ended)
--- a/yewrill/membership/evidence.py
+++ b/yewrill/membership/evidence.py
@@ -7,11 +7,11 @@
 The phi-accrual detector (Hayashibara 2004) uses the mean and the deviation of the recent gaps and the tail of
 a normal distribution. Its threshold is a probability, independent of the network, but it does not model loss:
 at 30% loss, gaps of 1, 2 and 3 intervals merge into one wide distribution, whose tail makes five losses in a
-row look impossible. It also judges one direction only. Here a gap of about k intervals counts as one interval
-and k - 1 lost messages. The probability of a silence is a sum over the number of messages lost in a row: each
-term is the probability of that number at the estimated loss, times the probability that the next message is
-later still. The loss is estimated by the rule of succession (one lost and one received message in advance),
-so that a new peer is not suspected after its first few losses.
+row look impossible. It also judges one direction only. In this module, a gap of about k intervals counts as
+one interval and k - 1 lost messages. The probability of a silence is a sum over the number of messages lost
+in a row: each term is the probability of that number at the estimated loss, times the probability that the
+next message is later still. The loss is estimated by the rule of succession (one lost and one received
+message in advance), so that a new peer is not suspected after its first few losses.
 
 The caller chooses the unit of time: the views use seconds; membership uses ended probes, so that a peer that
 was not probed is not silent. A history holds at most WINDOW_GAPS gaps, and recording an arrival takes
@@ -24,9 +24,10 @@
 from collections import deque
 from enum import IntEnum
 
-# Gaps between arrivals that a history keeps.
+# Number of gaps between arrivals that a history keeps.
 WINDOW_GAPS = 32
-# More lost messages in one gap are an outage, not loss, and must not raise the estimated loss further.
+# Limit on the lost messages counted in one gap: a longer gap is an outage, not loss, and must not raise the
+# estimated loss further.
 MAX_LOST_PER_GAP = 8
 # Largest distance of a gap from a whole number of intervals at which the gap is counted as loss.
 ROUNDING_TOLERANCE_INTERVALS = 0.25
@@ -45,7 +46,7 @@
     HEALTHY = 0
     # No message arrives from the peer, but a third member exchanges messages with it.
     INBOUND_LOSS = 1
-    # Messages arrive from the peer, but messages from here do not reach it.
+    # Messages arrive from the peer, but messages from this process do not reach it.
     OUTBOUND_LOSS = 2
     # No message arrives from the peer, and no third member reports that it exchanges messages with it.
     PARTITIONED = 3
@@ -61,7 +62,7 @@
 
 
 class ArrivalHistory:
-    """Recent gaps between the arrivals from one peer, one expected per `interval`, and phi of its silence."""
+    """Recent gaps between arrivals from a peer that sends once per `interval`, and phi of its silence."""
 
     __slots__ = (
         "_has_arrival",
@@ -149,7 +150,7 @@
         """Returns -log10 of the probability of a silence of that length, at most MAX_PHI.
 
         The probability is the sum, over the number of messages lost before the next arrival, of the
-        probability that exactly so many are lost and that the arrival is later than the silence.
+        probability that exactly that number is lost and that the arrival is later than the silence.
         """
         # Two gaps are counted in advance, one half an interval too short and one half an interval too long.
         count = len(self._gaps) + 2.0
@@ -199,7 +200,7 @@
     def record_report(
         self, now: float, peer_received_ago: float | None, interval: float | None = None
     ) -> None:
-        """Records a message that reports how long ago the peer last received one from here (None: never)."""
+        """Records a message that tells how long ago the peer last received one of ours (None: never)."""
         self._inbound.record_arrival(now, interval)
         if peer_received_ago is None:
             return
@@ -215,7 +216,7 @@
                 )
 
     def record_message(self, now: float) -> None:
-        """Records a message that does not report whether the peer receives messages from here."""
+        """Records a message that does not tell whether the peer receives messages from this process."""
         self._inbound.record_arrival(now)
 
     def record_relay(self, now: float) -> None:
@@ -227,11 +228,11 @@
         self._relayed_at = -math.inf
 
     def receives(self, now: float, threshold: float = 8.0, max_silence: float = 10.0) -> bool:
-        """Returns whether messages from the peer arrive here."""
+        """Returns whether messages from the peer arrive at this process."""
         return self._inbound.silence(now) <= max_silence and self._inbound.phi(now) < threshold
 
     def received_by(self, now: float, threshold: float = 8.0, max_silence: float = 10.0) -> bool:
-        """Returns whether messages from here reach the peer, by its reports, which age like its messages."""
+        """Returns whether messages from this process reach the peer, by the recent reports of the peer."""
         return self._outbound.silence(now) <= max_silence and self._outbound.phi(now) < threshold
 
     def state(self, now: float, threshold: float = 8.0, max_silence: float = 10.0) -> LinkState:
@@ -255,7 +256,7 @@
 
     @property
     def answers(self) -> ArrivalHistory:
-        """Arrivals, at the peer, of messages from here, as the peer reports them."""
+        """Arrivals, at the peer, of messages from this process, as the peer reports them."""
         return self._outbound
 
     def exclude_pause(self, duration: float) -> None:
--- a/yewrill/membership/facade.py
+++ b/yewrill/membership/facade.py
@@ -23,11 +23,12 @@
 
     listen: tuple[str, int]
     peers: tuple[tuple[str, int], ...]
-    keys: tuple[str, ...]  # hexadecimal; the first key signs, all are accepted
+    # Hexadecimal keys of the datagrams' authentication: the first one signs, all are accepted.
+    keys: tuple[str, ...]
     name: str
     zone: str
     region: str
-    bytes_per_s: float  # in each direction
+    bytes_per_s: float  # byte budget per second, in each direction
     interval: float  # seconds between two probes
 
 
@@ -37,7 +38,8 @@
 
     living: tuple[Claim, ...]
     suspected: frozenset[str] = field(default_factory=frozenset)
-    local_health_score: int = 0  # 0 is healthy, MAX_HEALTH_SCORE is the worst
+    # Health score of this member: 0 is healthy, MAX_HEALTH_SCORE is the worst.
+    local_health_score: int = 0
 
     @property
     def count(self) -> int:
@@ -105,14 +107,14 @@
         return self._link
 
     async def changed(self) -> None:
-        """Waits until the member list changes. Only once `opened` is set."""
+        """Waits until the member list changes. Must be called only once `opened` is set."""
         assert self._link is not None
         await self._link.list_changed.wait()
 
     def status(self) -> dict[str, Any]:
         """Returns the status for operators, as JSON values.
 
-        For each other member, `link` is the state of the link to it and `heard` whether that is healthy.
+        For each other member, `link` is the state of the link to it and `heard` whether the link is healthy.
         """
         link = self._link
         if link is None:
--- a/yewrill/membership/format.py
+++ b/yewrill/membership/format.py
@@ -5,9 +5,10 @@
 holds, among others, the sender's name, the sender's run (a random number chosen when the process starts), the
 run of the receiver that the datagram was made for, and a counter.
 
-A receiver accepts only datagrams made for its own run, by the sender's latest run, with a counter that it has
-not seen. Datagrams recorded earlier or elsewhere can therefore not be replayed to it, and no clock is needed.
-A sender that does not know the receiver's run is told by a `hello` and sends its message again.
+A receiver accepts only datagrams made for its own run, by the sender's latest run, with a counter that the
+receiver has not seen. Datagrams recorded earlier or elsewhere can therefore not be replayed to it, and no
+clock is needed. A sender that does not know the receiver's run is told by a `hello` and sends its message
+again.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 class DatagramRejected(Exception):
-    """A datagram that is not accepted. The text is the reason, by which rejected datagrams are counted."""
+    """A datagram that is rejected. Its text is the reason, by which rejected datagrams are counted."""
 
 
 def parse_key(text: str) -> bytes:
@@ -98,7 +99,7 @@
 
     def __init__(self, name: str, run: int, keys: list[bytes], max_peers: int = 4096):
         self.name, self.run = name, run
-        # Reversed, so that of keys with the same id the first one counts.
+        # The keys are reversed so that, of two keys with the same id, the first one counts.
         self._keys = {_key_id(key): key for key in reversed(keys)}
         self._signing_key = keys[0]
         self._peers: dict[str, _Peer] = {}
@@ -196,8 +197,8 @@
     def hello(self, to: Address, run: int) -> bytes:
         """Returns a datagram that only tells this process's run to a sender of the given run.
 
-        The datagram that is answered may be a replay. Its run is therefore used for this one answer only, and
-        a sender that has another run by now rejects the answer.
+        The datagram that is answered may be a replay. The run in it is therefore used for this one answer
+        only, and a sender that has another run by now rejects the answer.
         """
         known = self._runs.get(to)
         self._runs[to] = run
--- a/yewrill/membership/gossip.py
+++ b/yewrill/membership/gossip.py
@@ -1,4 +1,4 @@
-"""The gossip queue: updates that are piggybacked on the next messages, least-sent first."""
+"""The gossip queue: updates that are piggybacked on the next messages, those sent least often first."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 @dataclass(slots=True)
 class _Update:
     claim: Claim
-    sequence: int  # of updates sent equally often, the one published last goes first
+    # Order of publication: of updates sent equally often, the one published last goes first.
+    sequence: int
     sent: int = 0
 
 
--- a/yewrill/membership/intake.py
+++ b/yewrill/membership/intake.py
@@ -34,7 +34,7 @@
     """A token bucket that gains `rate` units per second and holds at most BURST_SECONDS of them."""
 
     rate: float
-    tokens: float = -1.0  # -1: full
+    tokens: float = -1.0  # present content of the bucket; -1 stands for a full one
     updated_at: float = 0.0
 
     def take(self, now: float, units: float, reserve: float = 0.0) -> bool:
--- a/yewrill/membership/link.py
+++ b/yewrill/membership/link.py
@@ -46,9 +46,8 @@
         self._socket = socket
         self._changed = trio.Event()
         self._next_tick = 0.0
-        self.list_changed = (
-            trio.Event()
-        )  # set, and replaced by a new one, when the member list changes
+        # Set, and replaced by a new event, when the member list changes.
+        self.list_changed = trio.Event()
         self._stopped = False
         self._turn_seconds = min(
             MAX_TURN_SECONDS, self.machine.config.timeout * TURN_FRACTION_OF_TIMEOUT
--- a/yewrill/membership/machine.py
+++ b/yewrill/membership/machine.py
@@ -1,12 +1,13 @@
-"""The membership protocol as a state machine: messages and the time in, messages out.
+"""The membership protocol as a state machine: it takes messages and the time, and returns messages.
 
 It does no I/O, and the caller supplies the clock and the random generator. The protocol is SWIM (Das, Gupta,
 Motivala, 2002) with the refinements of Lifeguard and some of its own:
 
 - *Probing* (`probe.py`). Once per interval a member pings another, first directly, then through others.
 - *Suspicion probes* (`tracker.py`). A member that did not answer is pinged repeatedly, and others are asked
-  about it, until a message from it arrives or its silence is unlikely (`detector.py`). Silence is measured in
-  probes; the loss is that of all local probes, or that of the link to the member if it is higher.
+  about it, until a message from it arrives or its silence is unlikely for a live member (`detector.py`).
+  Silence is measured in probes; the loss is that of all local probes, or that of the link to the member if it
+  is higher.
 - *Suspicion* (`suspicion.py`) lasts for some time, which confirmations by others shorten, before a member is
   declared dead.
 - *Evidence of life outweighs suspicion.* Any message from a member itself ends its suspicion probe, and so
@@ -269,7 +270,8 @@
             else:
                 self._tracker.investigate(claim, sender, address, self.now, out)
         elif claim.by == sender and self._changed_recently(entry):
-            # The local member has come to the same finding recently: this nack confirms the sender's.
+            # The local member has recently found the same member silent: the nack confirms the sender's
+            # suspicion.
             out.append((address, Message("nack", 0, claim.name)))
 
     def _changed_recently(self, entry: MemberEntry) -> bool:
--- a/yewrill/membership/messages.py
+++ b/yewrill/membership/messages.py
@@ -44,7 +44,7 @@
     """
 
     kind: str
-    # Number of the request, repeated in its answer; in a list request the digest of the asker's list, or 0.
+    # Number of the request, repeated in its answer; in a list request the digest of the sender's list, or 0.
     number: int = 0
     # The member that the message is about; in a ping the member that it is meant for.
     about: str = ""
--- a/yewrill/membership/probe.py
+++ b/yewrill/membership/probe.py
@@ -2,9 +2,9 @@
 
 Once per interval a member pings the next member of a shuffled list. If no ack arrives in time, it asks a few
 others to ping that member, and each of them sends a nack if it gets no ack either. If the nacks are missing
-too, the fault is probably on the local side, and the local health score worsens. With each probe a random
-member is asked for a page of its list. From time to time a dead member or an unknown seed is pinged, so that
-the halves of a partitioned group find each other again. No I/O and no clock; times are in seconds.
+too, the fault is probably at this member, and the local health score worsens. With each probe a random member
+is asked for a page of its list. From time to time a dead member or an unknown seed is pinged, so that the
+halves of a partitioned group find each other again. No I/O and no clock; times are in seconds.
 """
 
 from __future__ import annotations
@@ -17,24 +17,25 @@
 from yewrill.membership.table import MemberEntry
 from yewrill.membership.tracker import SuspicionTracker
 
-# Seeds that a member without any listed members pings per interval.
+# Number of seeds that a member without any listed members pings per interval.
 SEEDS_PER_INTERVAL = 2
-# Additional members that an isolated member pings per interval.
+# Number of additional members that an isolated member pings per interval.
 PINGS_WHILE_ISOLATED = 2
-# Up to this many other members, the sender of a page is asked for the next page; above, any member is.
+# In a group of up to this many other members, the sender of a page is asked for the next page; in a larger
+# group, a random member is.
 SMALL_GROUP_SIZE = 8
 
 
 @dataclass(slots=True)
 class Probe:
-    """The regular probe under way."""
+    """The regular probe that has not ended yet."""
 
     name: str
     number: int
     began: float
-    direct_until: float  # deadline of the direct ack
+    direct_until: float  # deadline of the ack to the direct ping
     until: float
-    is_indirect: bool = False  # whether other members have been asked to ping it
+    is_indirect: bool = False  # whether other members have been asked to ping the probed one
     indirect_probes: int = 0
     nacks: int = 0
 
@@ -48,7 +49,7 @@
 class IndirectProbe:
     """A ping on behalf of another member."""
 
-    number: int  # request number of the asking member
+    number: int  # request number that the asking member chose
     asker: Address
     about: str
     until: float
@@ -118,7 +119,7 @@
         listed = list(context.table.listed())
         scale = context.health.timeout_multiplier()
         if self._handle_isolation(now, listed, out):
-            # Others that receive these pings must not take an isolated member for dead.
+            # The other members that receive these pings must not take an isolated member for dead.
             scale = 1.0
         self._next_probe = now + config.interval * scale
         if not listed:
@@ -139,7 +140,7 @@
     def _handle_isolation(
         self, now: float, listed: list[Claim], out: list[OutgoingMessage]
     ) -> bool:
-        """Pings more members while isolated and drops reports of third members; returns whether isolated."""
+        """While isolated, pings more members and drops reports of third members; returns whether isolated."""
         context = self._context
         isolated = context.table.is_isolated(now)
         if isolated:
@@ -160,7 +161,7 @@
             out.append((address, context.gossip.message("ping")))
 
     def _next_target(self, listed: list[Claim]) -> str:
-        """Returns the next member of the round that has no suspicion probe; a new round is shuffled."""
+        """Returns the next member of the round without a suspicion probe; each round has a random order."""
         names = {claim.name for claim in listed}
         candidates = names - self._tracker.probes.names() or names
         while True:
@@ -183,7 +184,7 @@
             self._probe_indirectly(entry, probe, now, out)
         if self.probe is not None and now >= probe.until:
             self.probe = None
-            # A missing nack suggests that the fault is on the local side.
+            # A missing nack suggests that the fault is at this member.
             change = probe.indirect_probes - probe.nacks if probe.indirect_probes else 0
             self._context.health.adjust(change)
 
@@ -282,7 +283,7 @@
         out.append((context.rng.choice(listed).address, question))
 
     def ask_next_page(self, after: str, address: Address, out: list[OutgoingMessage]) -> None:
-        """Asks for the page after one that held unknown members, in a large group from a random member."""
+        """Asks for the page that follows one with unknown members, in a large group from a random member."""
         context = self._context
         listed = list(context.table.listed())
         if len(listed) > SMALL_GROUP_SIZE:
--- a/yewrill/membership/suspicion.py
+++ b/yewrill/membership/suspicion.py
@@ -13,14 +13,14 @@
 
 from yewrill.membership.messages import Address, Claim
 
-# Timeouts grow up to nine times.
+# Worst local health score; timeouts grow with the score, by a factor of up to nine.
 MAX_HEALTH_SCORE = 8
 # Independent confirmations after which a suspicion has its shortest duration.
 CONFIRMATIONS_FOR_MINIMUM = 3
 
 
 def min_suspicion_seconds(members: int, interval: float, factor: float) -> float:
-    """Returns the shortest suspicion: time for its update to reach all and for the refutation to return."""
+    """Returns the shortest duration of a suspicion: its update must reach all, and the refutation return."""
     return factor * max(1.0, math.log10(max(1, members))) * interval
 
 
@@ -31,7 +31,8 @@
     since: float
     minimum: float
     maximum: float
-    accusers: set[str] = field(default_factory=set)  # members whose own probes raised the suspicion
+    # Members whose own probes raised the suspicion.
+    accusers: set[str] = field(default_factory=set)
 
     def expires_at(self) -> float:
         """Returns the time at which the suspicion ends, unless it is refuted before."""
@@ -51,15 +52,16 @@
 
     number: int  # request number of the pings and of the indirect probes
     since: float
-    next_at: float  # when the member is pinged again
-    reported: Claim | None = None  # the suspicion of another member that this probe checks
-    findings: dict[str, str] = field(
-        default_factory=dict
-    )  # reporter: the member that found it silent
+    next_at: float  # time at which the member is pinged again
+    # The suspicion, reported by another member, that this probe checks.
+    reported: Claim | None = None
+    # By reporter: the member whose probes found the probed member silent.
+    findings: dict[str, str] = field(default_factory=dict)
     death_reporters: set[str] = field(default_factory=set)
-    # Members to which it sends messages, although it does not answer their pings.
+    # Members that receive messages from the probed member, although it does not answer their pings.
     receivers: set[str] = field(default_factory=set)
-    subscribers: set[Address] = field(default_factory=set)  # notified if it turns out to be alive
+    # Addresses that are notified if the member turns out to be alive.
+    subscribers: set[Address] = field(default_factory=set)
     forwarded: bool = False  # whether the reported suspicion was passed on
 
 
--- a/yewrill/membership/table.py
+++ b/yewrill/membership/table.py
@@ -24,13 +24,16 @@
     """One other member."""
 
     claim: Claim
-    since: float  # when the latest claim was applied
-    last_received: float = NEVER  # when its last message arrived
-    last_received_adjusted: float = NEVER  # the same, moved forward by pauses of this process
-    probes_ended: float = 0.0  # number of finished probes of it, the time unit of `link`
+    since: float  # time at which the latest claim was applied
+    last_received: float = NEVER  # time at which the member's last message arrived
+    # `last_received`, moved forward by pauses of this process.
+    last_received_adjusted: float = NEVER
+    # Number of finished probes of the member, the unit of time of `link`.
+    probes_ended: float = 0.0
     link: PeerLink | None = None
-    relay: str = ""  # the member that last relayed an ack of it to this member
-    has_outbound_loss: bool = False  # its messages arrive, but messages from here do not reach it
+    relay: str = ""  # the other member that last relayed an ack of this one to the local member
+    # Whether the member's messages arrive, but messages from this process do not reach it.
+    has_outbound_loss: bool = False
     suspicion_probe: SuspicionProbe | None = None
     suspicion: Suspicion | None = None
 
@@ -41,7 +44,7 @@
 
     @property
     def is_listed(self) -> bool:
-        """Whether it counts as a member: alive or suspect."""
+        """Whether the member is listed: alive or suspect."""
         return self.claim.state in (ALIVE, SUSPECT)
 
     def apply(self, claim: Claim, now: float) -> None:
@@ -60,11 +63,13 @@
     def __init__(self, me: Claim, config: SwimConfig, now: float):
         self.me = me
         self.entries: dict[str, MemberEntry] = {}
-        self.changes: list[Claim] = []  # changes of state that the reader has not taken yet
+        # Changes of state that the reader of this list has not taken yet.
+        self.changes: list[Claim] = []
         self.changed_at = now
-        self.last_received = now  # from any member, moved forward by pauses of this process
+        # Time of the last message from any member, moved forward by pauses of this process.
+        self.last_received = now
         self._config = config
-        self._digest = 0  # 0: must be computed
+        self._digest = 0  # digest of the listed members; 0 if it must be computed again
 
     def listed(self) -> Iterator[Claim]:
         """Returns the claims about other members that are alive or suspect."""
@@ -82,7 +87,7 @@
         ]
 
     def is_isolated(self, now: float) -> bool:
-        """Returns whether several members are listed but none sends: this side is probably at fault."""
+        """Returns whether several members are listed but none sends, probably for a fault of the local one."""
         silence = now - self.last_received
         return (
             silence > self._config.isolated_after_intervals * self._config.interval
--- a/yewrill/membership/tracker.py
+++ b/yewrill/membership/tracker.py
@@ -1,9 +1,9 @@
-"""Suspicion tracking: from an unanswered ping, through suspicion probes, to death or refutation.
+"""Suspicion tracking: follows an unanswered ping until the member is declared dead or is known to be alive.
 
 A suspicion probe pings a member repeatedly, and asks others about it, until a message from it arrives or its
-silence is unlikely (`detector.py`). The member is suspected when phi reaches `suspect_phi`. It is declared
-dead when the suspicion has lasted long enough, enough other members have confirmed it, and the local phi
-together with the confirmations reaches `death_phi`. No I/O and no clock; times are in seconds.
+silence is unlikely for a live member (`detector.py`). The member is suspected when phi reaches `suspect_phi`.
+It is declared dead when the suspicion has lasted long enough, enough other members have confirmed it, and the
+local phi together with the confirmations reaches `death_phi`. No I/O and no clock; times are in seconds.
 """
 
 from __future__ import annotations
@@ -118,7 +118,7 @@
     def _ask_another(
         self, entry: MemberEntry, probe: SuspicionProbe, now: float, out: list[OutgoingMessage]
     ) -> None:
-        """Asks another member about it; before a suspicion, the one that last relayed an ack of it."""
+        """Asks another member about the probed one; before a suspicion, the one that last relayed its ack."""
         context = self._context
         relay = context.table.entries.get(entry.relay)
         if probe.reported is None and entry.suspicion is None and relay is not None:
@@ -170,7 +170,10 @@
         )
 
     def record_finding(self, entry: MemberEntry, reporter: str, finder: str) -> None:
-        """Records who found a member silent: one finding per reporter, its own before one that it relays."""
+        """Records which member found another one silent.
+
+        A reporter counts once; its own finding replaces one that it relayed.
+        """
         probe = entry.suspicion_probe
         if probe is not None and (finder == reporter or reporter not in probe.findings):
             probe.findings[reporter] = finder
@@ -181,7 +184,7 @@
     def investigate(
         self, claim: Claim, reporter: str, address: Address, now: float, out: list[OutgoingMessage]
     ) -> None:
-        """Checks the suspicion of another member: contradicts it, or begins a suspicion probe."""
+        """Checks a suspicion that another member reported: contradicts it, or begins a suspicion probe."""
         entry = self._context.table.entries[claim.name]
         finder = claim.by or reporter
         can_attest = self._detector.can_attest(entry, now)
@@ -195,7 +198,8 @@
                 out.append((address, answer))
             return
         if entry.suspicion_probe is None:
-            # The finder suspects after two unanswered pings, so the silence has lasted two timeouts at least.
+            # The member that reported the silence did so after two unanswered pings, so the silence has
+            # lasted at least two timeouts.
             since = max(entry.last_received, now - 2.0 * self._context.config.timeout)
             self.begin(entry, now, out, since=since, reported=claim)
         if (probe := entry.suspicion_probe) is not None:
@@ -220,7 +224,7 @@
         out += [(address, Message("ack", 0, entry.name)) for address in sorted(subscribers)]
 
     def _end(self, entry: MemberEntry, now: float) -> None:
-        """Ends a suspicion probe of a member that is alive, or that can't be judged at present."""
+        """Ends the suspicion probe of a member that is alive or can't be judged at present."""
         entry.suspicion_probe = None
         self.probes.discard(entry.name)
         if entry.claim.state == SUSPECT:
--- a/yewrill/membership/transport.py
+++ b/yewrill/membership/transport.py
@@ -1,4 +1,4 @@
-"""The membership's datagrams without a socket: encodes, decodes and budgets what the protocol exchanges.
+"""The membership's datagrams without a socket: encodes and decodes them, and enforces the byte budgets.
 
 `Transport` combines a protocol machine, the datagram codec and both byte budgets. It takes bytes and the time
 and returns datagrams, which the owner of the socket (`link.py`) or a virtual network sends. Other subsystems
@@ -65,8 +65,9 @@
         self._inbound = InboundBudget(bytes_per_s)
         self._inbound.set_members(list(machine.seeds))
         self._forgot_at = machine.now
-        self.handlers: dict[int, PayloadHandler] = {}  # by the first byte of the payload
-        self.refused: Counter[str] = Counter()  # rejected datagrams by reason
+        # Handlers of payloads, by the first byte of the payload.
+        self.handlers: dict[int, PayloadHandler] = {}
+        self.refused: Counter[str] = Counter()  # number of rejected datagrams, by reason
         self.sent = self.received = self.held_back = 0
         self.held_back_by: Counter[Priority] = Counter()
         self.traffic = Traffic()
