--- a/yewrill/views/__init__.py
+++ b/yewrill/views/__init__.py
@@ -9,6 +9,7 @@
 `machine.py` is the state machine of one process and `view_member.py` its part in one view: `agreement.py`
 votes on the next view, `lease_renewal.py` renews the lease, `cut.py` detects faulty members, `attestation.py`
 tells proposers who attests which joiners, `admission.py` orders the joiners, `bootstrap.py` forms the first
-view, `timing.py` has the timing and the evidence about one edge, and `format.py` is the wire format. None of
-these does I/O; `facade.py` is the subsystem of the service. The design is explained in docs/views-design.md.
+view, `timing.py` has the timing and the evidence about one edge (a pair of members that monitor each other),
+and `format.py` is the wire format. None of these does I/O; `facade.py` is the subsystem of the service. The
+design is explained in docs/views-design.md.
 """
--- a/yewrill/views/admission.py
+++ b/yewrill/views/admission.py
@@ -1,4 +1,5 @@
-"""Admission order: which joiners are admitted first, and how often each sends join requests. It does no I/O.
+"""Admission order: which joiners (processes that ask to join a view) are admitted first, and how often each
+sends join requests. It does no I/O.
 
 A member attests a few joiners at a time, and a joiner needs the attestations of most of its observers within
 one view. All members therefore prefer the same joiners, in an order that each computes by itself. A joiner
@@ -14,9 +15,10 @@
 from collections.abc import Collection
 from functools import lru_cache
 
-MIN_BATCH_SIZE = 8  # at least this many joiners send requests at the full rate
-MAX_SLOWDOWN = 16  # limit of the factor by which the request interval grows
-CHANGE_SENDER_SHARE = 3  # one in this many members includes the last change in its join responses
+MIN_BATCH_SIZE = 8  # smallest number of joiners that send requests at the full rate
+MAX_SLOWDOWN = 16  # largest factor by which a joiner's request interval grows
+# One member in this number includes the last change in its join responses to a given joiner.
+CHANGE_SENDER_SHARE = 3
 
 
 @lru_cache(maxsize=8192)
--- a/yewrill/views/agreement.py
+++ b/yewrill/views/agreement.py
@@ -1,21 +1,21 @@
 """One member's side of the vote on the change that follows a view, as a mergeable state. It does no I/O.
 
-Single-decree Paxos (Lamport, "The part-time parliament", 1998) among the members of the view, each
-identified by its rank. The whole vote is one `VoteState`, for the highest known ballot: which members have
-promised it, the highest ballot that any of them had accepted before, the opener's proposal, and which members
-have accepted that. States merge (bitmaps are united, a higher ballot replaces a lower one), so any member may
-pass a state on, over any path and in any order, and a state received twice changes nothing.
+Single-decree Paxos (Lamport, "The part-time parliament", 1998) among the members of the view, each identified
+by its rank. The whole vote is one `VoteState`, for the highest known ballot: the members that have promised
+it, the highest ballot that any of them had accepted before, the opener's proposal, and the members that have
+accepted that proposal. States merge (bitmaps are united, a higher ballot replaces a lower one), so any member
+may pass a state on, over any path and in any order, and a state received twice changes nothing.
 
 A member sets its promise bit and adds what it accepted last in one step. A state with promises of a majority
-therefore has the highest value that any of them accepted. Votes are in memory only: a process that restarts
-is another entry and does not vote in this view again.
+therefore has the highest value that any of them accepted. Votes are kept in memory only: a process that
+restarts is another entry of the view and does not vote in the old view again.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-Ballot = tuple[int, int]  # number, and rank of the member that opened it
+Ballot = tuple[int, int]  # number of the ballot, and rank of the member that opened it
 NO_BALLOT: Ballot = (0, -1)
 # Ballots with higher numbers are rejected: after an arbitrarily high one, nobody could open a higher ballot.
 MAX_BALLOT_NUMBER = 1_000_000
@@ -26,9 +26,10 @@
 
     ballot: Ballot = NO_BALLOT
     promised: int = 0
-    highest_accepted: Ballot = NO_BALLOT  # before, by a member that promised
+    # The highest ballot that a member had accepted when it promised `ballot`; its value is `highest_value`.
+    highest_accepted: Ballot = NO_BALLOT
     highest_value: bytes = b""
-    proposal: bytes = b""  # b"": none yet
+    proposal: bytes = b""  # the value that the opener proposes; b"" while there is none
     accepted: int = 0
 
 
@@ -38,9 +39,8 @@
     def __init__(self, rank: int, size: int):
         self.rank, self.size = rank, size
         self.state = VoteState()
-        self.accepted: tuple[Ballot, bytes] | None = (
-            None  # by this member; persisted before sending
-        )
+        # Ballot and value that this member accepted last; persisted before they are sent.
+        self.accepted: tuple[Ballot, bytes] | None = None
         self.decided: bytes | None = None
         self._own_proposal = b""
 
@@ -50,7 +50,7 @@
         return self.size // 2 + 1
 
     def open_ballot(self) -> None:
-        """Opens a ballot above all known ones."""
+        """Opens a ballot with a higher number than all known ones."""
         self._promise(VoteState((self.state.ballot[0] + 1, self.rank)))
         self._advance()
 
@@ -62,7 +62,9 @@
         self._advance()
 
     def merge(self, other: VoteState) -> bool:
-        """Merges another member's state. Returns whether ours has changed, so that it has to be passed on.
+        """Merges another member's state; returns whether this member's state has changed.
+
+        A changed state must be passed on.
 
         Raises ValueError for a state that no correct member can send.
         """
@@ -86,7 +88,7 @@
         return self.state != before
 
     def _check(self, vote_state: VoteState) -> None:
-        """Raises ValueError if a state is invalid or has another proposal than ours for the same ballot."""
+        """Raises ValueError if a state is invalid, or has another proposal for this member's ballot."""
         ours = self.state
         conflicting_proposal = (
             vote_state.ballot == ours.ballot
--- a/yewrill/views/attestation.py
+++ b/yewrill/views/attestation.py
@@ -1,8 +1,12 @@
-"""Attestations: who attests which joiners, sent only to the members that propose next. It does no I/O.
+"""Attestations: the joiners that each member attests, sent only to the members that propose next.
+
+A member attests a joiner (a process that asks to join the view) when messages arrive in both directions
+between them. This module does no I/O.
 
 A list of joiners is long and changes often, and a proposal by one member is enough. The list therefore goes
-directly to the few members that propose next, rather than along the edges to all members as registers do. If
-these don't propose, further members receive it after a while.
+directly to the few members that propose next, rather than along the edges to all members, as a member's
+register (its report of faulty edges) does. If these members don't propose, further members receive the list
+after a while.
 """
 
 from __future__ import annotations
@@ -10,13 +14,13 @@
 from yewrill.views.view import Entry, View
 
 PROPOSERS = 3  # number of proposers that receive attestations at a time
-SHIFT_SECONDS = 6.0  # time after which the next proposers receive them as well
+SHIFT_SECONDS = 6.0  # time after which the next proposers receive attestations as well
 REPEAT_HEARTBEATS = 3.0  # heartbeat intervals between two messages with the same content
 MIN_GAP_HEARTBEATS = 1.0  # heartbeat intervals between any two messages
 
 
 class Attestations:
-    """The attestations that one member knows of in one view."""
+    """The attestations that one member knows of in one view, its own included."""
 
     def __init__(self, view: View, rank: int, interval: float):
         self._view, self._rank, self._interval = view, rank, interval
@@ -24,7 +28,7 @@
         self._by_rank: dict[int, tuple[Entry, ...]] = {}
         self._last_sent: tuple[Entry, ...] = ()
         self._last_sent_at = -1e18
-        self._attesting_since = -1e18  # start of the present series of attestations
+        self._attesting_since = -1e18  # time since when this member has had joiners to attest
 
     def record(self, rank: int, joiners: tuple[Entry, ...]) -> bool:
         """Records which joiners a member attests. Returns whether they have changed."""
@@ -36,7 +40,7 @@
     def proposers(self, now: float, out: frozenset[int]) -> list[int]:
         """Returns the ranks of the present recipients: the first proposers, and later others as well.
 
-        `out`: ranks of the faulty members, which are left out.
+        `out`: ranks of the faulty members, which receive nothing.
         """
         ranks = [rank for rank in self._proposal_order if rank not in out]
         shift = PROPOSERS * int((now - self._attesting_since) / SHIFT_SECONDS) % max(1, len(ranks))
@@ -62,7 +66,7 @@
         return self._by_rank.get(self._rank, ())
 
     def attesters(self) -> dict[Entry, set[int]]:
-        """Returns the known ranks of the members that attest each joiner."""
+        """Returns, for each joiner, the ranks of the members that are known to attest it."""
         found: dict[Entry, set[int]] = {}
         for rank, joiners in self._by_rank.items():
             for entry in joiners:
--- a/yewrill/views/bootstrap.py
+++ b/yewrill/views/bootstrap.py
@@ -1,12 +1,14 @@
 """Bootstraps the first view, or the first one after all members have stopped. It does no I/O.
 
 Only the founders form such a view, and all of them have to take part. A process in no view tells the founders
-so, with the number of the view that it persisted last. Once every founder is present, and a majority of the
-members of the highest persisted view if there is one, each founder agrees to one number and list, which it
-persists before it says so. A founder that hears that all founders agree to the same one has the view.
-
-A founder that knows of no view may agree to another list later. The earlier view can then no longer be
-formed, except by a founder that has seen all agree to it; that one is in a view and agrees to no other.
+that, with the number of the view that it persisted last. Once every founder is present, and a majority of the
+members of the highest persisted view if there is one, each founder agrees to a view (its number and its list
+of founders), and persists that view before it tells the others. A founder that hears that all founders agree
+to the same view enters it.
+
+A founder that is in no view and knows of none may agree to another list later, for example after another
+founder has restarted. The view agreed to earlier can then no longer be formed, except by a founder that has
+already seen all founders agree to it. Such a founder is in that view and agrees to no other.
 """
 
 from __future__ import annotations
@@ -41,7 +43,8 @@
     """One founder's part in the bootstrap, while it is in no view.
 
     `request_lifetime`: seconds for which a join request counts. `min_presence(size)`: seconds for which all
-    must be present before a view follows a persisted one of this size, so that leases in it have expired.
+    needed processes must be present before a view follows a persisted one of this size, so that leases in the
+    persisted view have expired.
     """
 
     def __init__(
@@ -62,10 +65,11 @@
         self._known_views: dict[int, PersistedView] = (
             {} if persisted is None else {persisted.number: persisted}
         )
-        self._all_present_since = -1.0  # negative while some are missing
+        # Time since when all needed processes have been present; negative while some are missing.
+        self._all_present_since = -1.0
         self.accept: tuple[int, bytes] = (0, b"")
         self.missing: tuple[str, ...] = self.founders
-        self.wanted_number = 0  # number of a persisted view whose names are needed, 0: none
+        self.wanted_number = 0  # number of a persisted view whose names are needed; 0 if none is
 
     @property
     def is_founder(self) -> bool:
@@ -81,7 +85,7 @@
             self._known_views = {request.names.number: request.names}
 
     def tick(self, now: float) -> tuple[PersistedView | None, View | None]:
-        """Returns what must be persisted before anything is sent, and the view once all founders agree."""
+        """Returns a view that must be persisted before anything is sent, and the view once all agree."""
         if not self.is_founder:
             return None, None
         self._requests = {
--- a/yewrill/views/facade.py
+++ b/yewrill/views/facade.py
@@ -25,10 +25,10 @@
 
 log = logging.getLogger("yewrill.views")
 
-# Datagrams that wait while the store is written; more are dropped, as a network may do.
+# Limit on the datagrams that wait while the store is written; more are dropped, as a network may do.
 MAX_QUEUED_DATAGRAMS = 512
 PERSISTED_KEY = b"views/kept"
-LEAVE_TIMEOUT_SECONDS = 0.5  # for announcing the departure at the end
+LEAVE_TIMEOUT_SECONDS = 0.5  # time for announcing the departure when the process ends
 
 
 class Views:
@@ -47,7 +47,7 @@
         self._wakeup = trio.Event()
         self._watchers: list[Callable[[], None]] = []
         self._notified_state: tuple[int, bool] = (0, False)
-        # Number of the last message, by which its fragments are told apart from others.
+        # Number of the last message, by which its fragments are told apart from those of other messages.
         self._message_number = random.SystemRandom().getrandbits(40)
         self._dropped = self._malformed = self._persist_failures = 0
 
@@ -74,7 +74,7 @@
         return 0 if view is None else view.number
 
     def watch(self, wake: Callable[[], None]) -> None:
-        """Registers a callback for when a view is installed, or its lease is lost or regained."""
+        """Registers a callback that is called when a view is installed, or its lease is lost or regained."""
         self._watchers.append(wake)
 
     # -- running
@@ -141,7 +141,8 @@
                 await self._wakeup.wait()
             self._wakeup = trio.Event()
             now = trio.current_time()
-            # Ticks first: the machine detects a pause before it processes what arrived meanwhile.
+            # The machine ticks first: it must detect a pause before it processes messages that arrived
+            # meanwhile.
             if now >= machine.due:
                 await self._carry_out(link, machine.tick(now))
             queue, self._queue = self._queue, []
@@ -157,7 +158,7 @@
             self._notify(machine)
 
     async def _carry_out(self, link: MembershipLink, step: Step) -> None:
-        """Persists, then sends. Messages may depend on what an earlier step had to persist."""
+        """Persists a step's view, then sends its messages. They may depend on the view of an earlier step."""
         if step.persist is not None:
             self._unpersisted = step.persist
         if self._unpersisted is not None and not await self._persist(self._unpersisted):
@@ -168,7 +169,10 @@
             await link.send_payloads(VIEWS, parts, priority_of(message))
 
     async def _persist(self, persisted: PersistedView) -> bool:
-        """Persists a view; returns whether that succeeded. A poisoned store is reopened next time."""
+        """Persists a view; returns whether that succeeded.
+
+        A store that rejects all writes after a disk error is closed, and opened again at the next attempt.
+        """
         try:
             if self._store is None:
                 self._store = await trio.to_thread.run_sync(Store, self._config.dir)
--- a/yewrill/views/format.py
+++ b/yewrill/views/format.py
@@ -19,21 +19,22 @@
 from yewrill.views.view import MAX_CHANGE_BYTES, MAX_ENTRIES, Entry, Number, PersistedView, Rank
 
 VERSION = 2  # version of the heartbeat format
-# Joiners in one register. Version 2 sends joiners as attestations instead, and none in registers.
+# Limit on the joiners in one register. Version 2 sends joiners as attestations instead, and none in
+# registers.
 MAX_JOINERS = 8
-MAX_ATTESTED = 16  # joiners that one member attests at a time
-PAGE_ENTRIES = 10  # entries of a view's list in one page
+MAX_ATTESTED = 16  # limit on the joiners that one member attests at a time
+PAGE_ENTRIES = 10  # number of entries of a view's list in one page
 
 Digest = Annotated[bytes, Meta(min_length=8, max_length=8)]
 Bits = Annotated[bytes, Meta(max_length=MAX_ENTRIES // 8 + 1)]
 Value = Annotated[bytes, Meta(max_length=MAX_CHANGE_BYTES + 3 * MAX_ENTRIES)]
 Opener = Annotated[int, Meta(ge=-1, lt=MAX_ENTRIES)]
 Ballot = tuple[Annotated[int, Meta(ge=0, le=MAX_BALLOT_NUMBER)], Opener]
-Millis = Annotated[int, Meta(ge=-1, le=3_600_000)]  # -1: never
+Millis = Annotated[int, Meta(ge=-1, le=3_600_000)]  # milliseconds; -1 stands for "never"
 
 
 class Register(Struct, frozen=True, array_like=True):
-    """Report of one observer: its faulty edges, the joiners that it attests, and whether it leaves.
+    """Report of one member: its faulty edges, the joiners that it attests, and whether it leaves.
 
     `faulty` has a bit for each edge, in the order of ranks. A register with a higher number replaces one with
     a lower number.
@@ -68,7 +69,10 @@
 
 
 class WireTally(Struct, frozen=True, array_like=True):
-    """The state of a vote for a receiver that holds the proposal: `proposal` is a digest of it."""
+    """A tally: the state of a vote for a receiver that already holds the proposal.
+
+    `proposal` is a digest of the proposal.
+    """
 
     ballot: Ballot
     promised: Bits
@@ -80,10 +84,10 @@
     """A heartbeat along an edge, or a push between two heartbeats.
 
     `interval`: ms to the next heartbeat, 0 in a push. `received_ago_ms`: ms since the sender last received a
-    message of the receiver. `registers_checksum`: over all registers. `last_change`: the change that led to
-    this view, while the receiver may not have it. `version`: the format that the sender understands; version
-    1 ignores the fields after it. `attested`: joiners that the sender attests, in a message to the next
-    proposers, which may come from a member without a common edge.
+    message of the receiver. `registers_checksum`: checksum of all registers that the sender has.
+    `last_change`: the change that led to this view, while the receiver may not have it. `version`: the format
+    that the sender understands; version 1 ignores the fields after it. `attested`: joiners that the sender
+    attests, in a message to the next proposers, which may come from a member without a common edge.
     """
 
     number: Number
@@ -161,7 +165,7 @@
 
 
 def pack(message: Message, number: int = 0) -> list[bytes]:
-    """Encodes a message, in fragments of under 999 bytes; `number` identifies it among the sender's."""
+    """Encodes a message in fragments of under 999 bytes; `number` is unique among the sender's messages."""
     return split_payload(_ENCODER.encode(message), number)
 
 
@@ -264,12 +268,12 @@
 
 
 def digest_of(proposal: bytes) -> bytes:
-    """Returns the digest that stands for a proposal in a tally."""
+    """Returns the digest that stands for a proposal in a tally (`WireTally`)."""
     return hashlib.blake2b(proposal, digest_size=8, person=b"view-proposal").digest()
 
 
 def encode_tally(vote_state: VoteState, size: int) -> WireTally:
-    """Encodes the state of a vote for a peer that holds the proposal."""
+    """Encodes the state of a vote as a tally, for a peer that already holds the proposal."""
     return WireTally(
         vote_state.ballot,
         encode_bitmap(vote_state.promised, size),
@@ -279,7 +283,7 @@
 
 
 def decode_tally(tally: WireTally, ours: VoteState, size: int) -> VoteState | None:
-    """Returns the vote state that a tally stands for, None if our proposal is another one.
+    """Returns the vote state that a tally stands for, None if this member holds another proposal.
 
     Raises MalformedPayload if a bitmap does not fit a view of this size.
     """
--- a/yewrill/views/lease_renewal.py
+++ b/yewrill/views/lease_renewal.py
@@ -1,4 +1,4 @@
-"""Lease renewal by rounds, as in a quorum read: they prove recent contact with a majority in both directions.
+"""Lease renewal by rounds, which prove recent contact with a majority in both directions.
 
 Rounds are numbered; each member adds its bit to the current round and passes it on. A member that has the
 bits of a majority opens the next round, which includes the bitmap of the previous one as the opener knew it.
@@ -19,11 +19,12 @@
 from typing import NamedTuple
 
 NEVER = -1e18
-MAX_SIGNED_ROUNDS = 16  # recent rounds for which the time of this member's bit is kept
+# Number of recent rounds for which the time at which this member added its bit is kept.
+MAX_SIGNED_ROUNDS = 16
 
 
 class Round(NamedTuple):
-    """A round: its number, its opener and the previous opener as ranks (-1: none), and the members in it.
+    """A round: its number, the ranks of its opener and of the previous opener (-1: none), and its members.
 
     `bits` is the bitmap of the members in this round, `bits_before` that of the previous round as this opener
     knew it.
@@ -57,17 +58,20 @@
         self._interval = interval
         self._min_round_seconds = max(2.0 * interval, min_round_seconds)
         self._max_round_seconds = max(max_round_seconds, min_round_seconds)
-        self.frozen = False  # set once the next view is accepted: no more bits are added
+        # Set once this member has accepted the next view: it adds its bit to no further round.
+        self.frozen = False
         self.round = Round()
         self.round_since = now
-        self.complete = False  # a round had all members, so all have installed this view
-        self.proven_at = NEVER  # time of this member's last bit that a majority has confirmed
+        # Set once a round had the bits of all members: then all have installed this view.
+        self.complete = False
+        # The latest time at which this member added a bit that a majority has confirmed.
+        self.proven_at = NEVER
         self._signed_at: dict[tuple[int, int], float] = {}
         self._sign(now)
         self._update_proof()
 
     def merge(self, now: float, other: Round) -> bool:
-        """Merges another member's round. Returns whether ours has changed."""
+        """Merges another member's round. Returns whether this member's round has changed."""
         ours = self.round
         if other[:2] > ours[:2]:
             self.round, self.round_since = other, now
@@ -85,9 +89,10 @@
         r, age = self.round, now - self.round_since
         if self.frozen or r.bits.bit_count() < self.majority:
             return False
-        # The opener of this round opens the next one; others do so later, if it does not. It waits for all
-        # members for a while, since otherwise one many hops away would never be in a round. Until there is a
-        # proof in this view, rounds are short, to renew the lease carried over from the previous view soon.
+        # The opener of this round opens the next one; other members do so later if it does not. The opener
+        # waits for all members for a while, since otherwise a member many hops away would never be in a
+        # round. Until a majority has confirmed a bit of this member in this view, rounds are short, so that
+        # the lease carried over from the previous view is renewed soon.
         min_round_seconds = (
             self._min_round_seconds if self.proven_at > NEVER else 2.0 * self._interval
         )
--- a/yewrill/views/machine.py
+++ b/yewrill/views/machine.py
@@ -1,19 +1,21 @@
 """State machine of one process in the agreed views. It does no I/O: messages and the time go in, the view to
 persist and the messages to send come out.
 
-In a view, the process sends heartbeats along its edges, publishes a register of its faulty edges, votes on
-the next view, and takes part in the rounds that renew its lease. Outside a view, it bootstraps the first one
-together with the other founders, or sends join requests to the members of one until enough of them attest
-it. See docs/views-design.md. Times are seconds of one monotonic clock.
+In a view, the process sends heartbeats along its edges, publishes a register (a report of its faulty edges),
+votes on the next view, and takes part in the rounds that renew its lease. Outside a view, it bootstraps the
+first one together with the other founders, or sends join requests to the members of a view until enough of
+them attest this process (state that they exchange messages with it). See docs/views-design.md. Times are
+seconds of one monotonic clock.
 
 - *Local pauses.* A tick or message that comes late shows that this process was paused. The pause is left out
-  of the evidence about every link, and nothing is proposed before others have been heard again. The lease
-  still expires by the clock.
+  of the evidence about every link, and this process proposes nothing before it has received messages again.
+  The lease still expires by the clock.
 - *Persist before send.* A `Step` is persisted before its messages are sent, because they tell others that
   this member has accepted the next view.
 - *At most one view behind.* A lease is carried over into the next view. A member that has accepted the next
-  view adds no bit to further rounds of this one, and a view is followed by another only once all its members
-  have installed it, or once a lease has expired: so nobody acts by the view before the previous one.
+  view adds no bit to further renewal rounds of this view (`lease_renewal.py`), and a view is followed by
+  another only once all its members have installed it, or once a lease has expired: so nobody acts by the view
+  before the previous one.
 """
 
 from __future__ import annotations
@@ -40,20 +42,22 @@
 
 Address = tuple[str, int]
 MAX_TRACKED_JOINERS = 64
-# Entries of `changes` that are kept until the caller takes them.
+# Number of entries of `changes` that are kept until the caller takes them.
 MAX_UNREAD_CHANGES = 64
 # A process that knows of no view sends its join requests at an interval that grows with the list of members,
-# so that those it asks get about this many requests per heartbeat interval, up to the slowdown.
+# so that the processes that it asks get about REQUESTS_PER_INTERVAL_NEW requests per heartbeat interval. The
+# interval grows by a factor of at most MAX_SLOWDOWN_NEW.
 REQUESTS_PER_INTERVAL_NEW = 16.0
 MAX_SLOWDOWN_NEW = 12.0
-# A list of members of up to this size does not delay join requests by its growth.
+# Size of the member list up to which its growth does not delay join requests.
 SMALL_FLEET_MEMBERS = 32
-# A list that has not grown by this factor for this time is taken for complete.
+# A list of members that has not grown by this factor for this time is taken for complete.
 LIST_GROWTH_FACTOR = 1.1
 LIST_STABLE_SECONDS = 1.0
-# A joiner with a higher slowdown does not fetch the view: it joins a later one.
+# Largest slowdown (see admission.py) at which a joiner fetches the view; with a higher one it joins a later
+# view.
 MAX_FETCH_SLOWDOWN = 2
-# Time without a page after which a list is fetched anew.
+# Time without a received page after which the list of a view is fetched anew.
 PAGE_RETRY_SECONDS = 2.0
 # The limits of REQUESTS_PER_INTERVAL_NEW and MAX_SLOWDOWN_NEW for a process that has persisted a view. It
 # is slowed down less: the founders wait for such processes and count recent requests only.
@@ -63,7 +67,7 @@
 
 @dataclass(slots=True)
 class Step:
-    """What the caller has to persist, and the messages to send after that."""
+    """The view that the caller has to persist, and the messages to send after that."""
 
     persist: PersistedView | None = None
     messages: list[tuple[Address, Message]] = field(default_factory=list)
@@ -103,9 +107,11 @@
         self.counters = ViewCounters()
         # Time and view of each installation, None where this process was removed; the caller clears it.
         self.changes: list[tuple[float, View | None]] = []
-        self.stopped = ""  # the reason, once the machine has stopped for good: "left" or "conflict"
+        # Why the machine has stopped for good, "left" or "conflict"; "" while it runs.
+        self.stopped = ""
         self._known_members: dict[str, Address] = {}
-        self._members_grew_at = NEVER  # when the list last grew by LIST_GROWTH_FACTOR
+        # Time at which the list of members last grew by LIST_GROWTH_FACTOR.
+        self._members_grew_at = NEVER
         # By name: number of recent removals, and time of the last one.
         self._removals: dict[str, tuple[int, float]] = {}
         self._member: ViewMember | None = None
@@ -114,7 +120,8 @@
         self._next_heartbeat_at = now + rng.random() * self.timing.interval
         self._leaving = False
         self._joiners: dict[str, Edge] = {}
-        self._notified_at: dict[Address, float] = {}  # when an outdated peer was last notified
+        # Time at which each outdated peer was last told of the newer view.
+        self._notified_at: dict[Address, float] = {}
         self._fetch: _Fetch | None = None
         self._persist: PersistedView | None = None
         self._outgoing: list[tuple[Address, Message]] = []
@@ -147,7 +154,7 @@
 
     @property
     def due(self) -> float:
-        """Time at which `tick` has something to do."""
+        """Time at which `tick` must be called next."""
         if self.stopped:
             return float("inf")
         return min(
@@ -252,7 +259,7 @@
         return self._collect_step()
 
     def _advance_clock(self, now: float) -> None:
-        """Records the time. Running late means that this process was paused, which counts against no peer."""
+        """Records the time. A late call means that this process was paused, which counts against no peer."""
         paused_seconds = now - max(self.due, self._last_run)
         self._now, self._last_run = max(now, self._now), now
         if paused_seconds > max(0.5, self.interval):
@@ -284,8 +291,9 @@
     def _reset_outside_view(self, known_view: View | None) -> None:
         """Resets to being in no view; `known_view`: the latest one that this process knows of."""
         self._member, self._known_view, self._refusal, self._fetch = None, known_view, "", None
-        self._reported_view_size = 0  # size of the view according to join responses
-        self._responded_at: dict[Address, float] = {}  # time of the last join response
+        self._reported_view_size = 0  # size of the view, as join responses report it
+        # Time of the last join response from each address.
+        self._responded_at: dict[Address, float] = {}
         self._bootstrap = Bootstrap(
             self.me,
             self.founders,
@@ -297,7 +305,7 @@
     def _enter_view(self, view: View, rank: int, last_change: bytes | None) -> None:
         """Enters the next view. The lease is carried over if the change that led to it is known."""
         before, now = self._member, self._now
-        # Without knowing the change, stale leases in the previous view have to be assumed. The first view
+        # If the change is not known, some process may still hold a lease in the previous view. The first view
         # has no previous one.
         lease_until, stale_leases, edges = NEVER, view.number > 1, {}
         if before is not None and last_change is not None:
@@ -344,7 +352,7 @@
             self.persisted = self._persist = persisted
 
     def _apply_vote(self) -> None:
-        """Persists the view that this member has accepted, and adopts the one that is decided."""
+        """Requires the view that this member has accepted to be persisted, and adopts a decided view."""
         member = self._member
         if member.vote.accepted is not None:
             self._require_persisted(member.view.next_view(member.vote.accepted[1]))
@@ -371,7 +379,7 @@
         )
 
     def _adopt_view(self, view: View, last_change: bytes | None) -> None:
-        """Follows a higher view: enters it, or resets if this process is not in it."""
+        """Follows a view with a higher number: enters it, or resets if this process is not in it."""
         rank = view.find(self.me.name, self.me.incarnation)
         if rank is not None:
             self._enter_view(view, rank, last_change)
@@ -439,7 +447,8 @@
     def _attested_joiners(self) -> tuple[Entry, ...]:
         """Returns the joiners that this member attests, in the order that all members share.
 
-        Joiners that the others have not attested in time go to the end, so that they don't hold up the rest.
+        Joiners that other members have not attested in time go to the end, so that they don't hold up the
+        others.
         """
         now = self._now
         for joiner in self._joiners.values():
@@ -514,7 +523,7 @@
         )
 
     def _has_room_for(self, name: str) -> bool:
-        """Returns whether a new joiner can be tracked, in place of the last one in the order if need be."""
+        """Returns whether a new joiner can be tracked, perhaps in place of the last in admission order."""
         if len(self._joiners) < MAX_TRACKED_JOINERS:
             return True
         last = max(self._joiners, key=admission.sort_key)
@@ -543,7 +552,9 @@
             self._now - self._members_grew_at < LIST_STABLE_SECONDS
             and not self._bootstrap.is_founder
         ):
-            return  # a whole fleet may be starting: the place in the order is not known yet
+            # A whole fleet may be starting, so this process does not know its place in the admission order
+            # yet.
+            return
         known_view, known_members = self._known_view, self._known_members
         targets: dict[Address, None] = {}
         if known_view is not None:
@@ -628,7 +639,7 @@
     def _learn_of_view(
         self, number: int, digest: bytes, last_change: bytes | None, address: Address
     ) -> None:
-        """Adopts a newer view if its change is included and fits the known view; else fetches its list."""
+        """Adopts a newer view by its change, if that fits the known view; else fetches the view's list."""
         ours = self.installed or self._known_view
         if ours is not None:
             if number <= ours.number:
@@ -642,7 +653,8 @@
         newer = fetch is None or number > fetch.number
         if newer or self._now - fetch.progress_at > PAGE_RETRY_SECONDS:
             self._fetch = _Fetch(number, address, self._now)
-            # The view right after ours usually arrives as a change, with which the lease is carried over.
+            # The view that follows the known one usually arrives as a change, with which the lease is carried
+            # over.
             follows = ours is not None and number == ours.number + 1
             if (not newer or not follows) and self._may_fetch():
                 self._send(address, PageRequest(number, 0))
@@ -680,7 +692,7 @@
         ):
             return
         if page.number != fetch.number or page.digest != fetch.digest:
-            # Joiners are appended to the list, so full pages of an older view are likely to be the same.
+            # Joiners are appended to the list, so full pages of an older view are likely to be unchanged.
             fetch.received = {
                 index: entries
                 for index, entries in fetch.received.items()
--- a/yewrill/views/timing.py
+++ b/yewrill/views/timing.py
@@ -1,4 +1,4 @@
-"""Timing of the views, counters of a member, and the evidence about one edge. It does no I/O."""
+"""Timing of the views, counters of a member, and the evidence about one edge. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -27,27 +27,31 @@
     small_view_size: int = 100
     min_lease: float = 3.0
     min_silence: float = 1.75  # shortest silence after which an edge is faulty
-    min_silence_heartbeats: float = 3.5  # the same in heartbeat intervals, whichever is longer
-    phi_threshold: float = 6.0  # phi of the accrual failure detector, without a unit
+    # Shortest silence in heartbeat intervals; the longer one of this and `min_silence` applies.
+    min_silence_heartbeats: float = 3.5
+    # Threshold for phi of the accrual failure detector: -log10 of the probability of a silence.
+    phi_threshold: float = 6.0
     max_silence: float = 10.0
-    cut_stable_heartbeats: float = (
-        2.0  # heartbeat intervals for which a change is stable before it is proposed
-    )
-    join_interval: float = 0.3  # between two join requests of a process that knows of a view
-    join_batch_delay: float = 1.2  # after the first joiner, so that others join with it
-    proposer_delay: float = 0.3  # between the turns of two proposers
-    ballot_timeout: float = (
-        1.0  # without progress, after which a ballot is given up and another may follow
-    )
-    unstable_timeout: float = (
-        10.0  # for which unstable members, or joiners not admitted, hold up others
-    )
-    push_interval: float = 0.05  # between two pushes, at the shortest heartbeat interval
-    push_edges: int = 4  # number of edges for one push of long messages
-    min_round_share: float = 0.2  # shortest renewal round, as a fraction of the lease
-    min_rejoin_delay: float = 2.0  # after the first removal; doubles with each further one
+    # Number of heartbeat intervals for which a change must be stable before it is proposed.
+    cut_stable_heartbeats: float = 2.0
+    join_interval: float = 0.3  # time between two join requests of a process that knows of a view
+    # Time from the first joiner to a proposal, so that further joiners are admitted with it.
+    join_batch_delay: float = 1.2
+    proposer_delay: float = 0.3  # time between the turns of two members to propose
+    # Time without progress after which a ballot is given up and another one may follow.
+    ballot_timeout: float = 1.0
+    # Time for which unstable members, or joiners that are not admitted, hold up other changes.
+    unstable_timeout: float = 10.0
+    # Time between two pushes, at the shortest heartbeat interval. A push sends changes between heartbeats.
+    push_interval: float = 0.05
+    push_edges: int = 4  # limit on the edges along which one push sends long messages
+    min_round_share: float = 0.2  # shortest renewal round, as a fraction of the lease duration
+    # Time after its first removal during which a process may not join again; doubles with each further
+    # removal.
+    min_rejoin_delay: float = 2.0
     max_rejoin_delay: float = 300.0
-    removal_retention: float = 600.0  # after which a removal no longer counts for the delay
+    # Time after which a removal no longer counts for the rejoin delay.
+    removal_retention: float = 600.0
 
     def interval_for(self, size: int) -> float:
         """Returns the seconds between two heartbeats, so that a member's sending rate falls with the size."""
@@ -69,10 +73,11 @@
 
     installed: int = 0
     proposed: int = 0
-    removed: int = 0  # times that this process was removed from a view
-    pauses: int = 0  # local pauses, detected by late timers
-    conflicts: int = 0  # other lists under the number of our view
-    rejected: int = 0  # messages that are malformed or don't fit the view
+    removed: int = 0  # number of times that this process was removed from a view
+    pauses: int = 0  # number of pauses of this process, detected by late timers
+    # Number of times that a peer had another list of members under the number of this member's view.
+    conflicts: int = 0
+    rejected: int = 0  # number of messages that were malformed or did not fit the view
 
 
 class Edge:
@@ -82,20 +87,20 @@
         self.entry, self.interval = entry, interval
         self.link = PeerLink(interval, now)
         self.last_received = now
-        self.last_received_by_peer = now  # when the peer last received a message from this process
+        # Time at which the peer last received a message from this process.
+        self.last_received_by_peer = now
         self.messages_received = 0
-        self.checksum_mismatches = 0  # heartbeats in a row whose registers differed from ours
-        self.view_number = 0  # highest view that the peer was in
+        # Number of consecutive heartbeats of the peer whose checksum of the registers differed from this
+        # member's.
+        self.checksum_mismatches = 0
+        self.view_number = 0  # highest number of a view that the peer is known to have been in
         self.format_version = 1  # version of the heartbeat format that the peer understands
-        self.register_numbers: dict[
-            int, int
-        ] = {}  # by rank, the registers that the peer has or was sent
-        self.known_proposal: tuple[Ballot, bytes] | None = (
-            None  # ballot and proposal that the peer holds
-        )
-        self.attested_since: float | None = (
-            None  # since when this process attests the peer, a joiner
-        )
+        # By rank, the number of the latest register that the peer has or was sent.
+        self.register_numbers: dict[int, int] = {}
+        # Ballot and proposal that the peer holds.
+        self.known_proposal: tuple[Ballot, bytes] | None = None
+        # If the peer is a joiner: time since when this process attests it.
+        self.attested_since: float | None = None
 
     def record_message(self, now: float, received_ago_ms: int, interval: int) -> None:
         """Records a message of the peer.
@@ -113,7 +118,7 @@
         self.messages_received += 1
 
     def begin_view(self) -> None:
-        """Forgets what the peer holds of the previous view."""
+        """Forgets which registers and proposal of the previous view the peer holds."""
         self.checksum_mismatches, self.register_numbers, self.known_proposal = 0, {}, None
 
     def faulty(self, now: float, timing: ViewTiming, min_silence: float) -> bool:
@@ -124,7 +129,7 @@
         )
 
     def exclude_pause(self, duration: float) -> None:
-        """Leaves a local pause out of the silences."""
+        """Leaves a pause of this process out of the silences of the link."""
         self.link.exclude_pause(duration)
         self.last_received += duration
         self.last_received_by_peer += duration
--- a/yewrill/views/view.py
+++ b/yewrill/views/view.py
@@ -19,7 +19,8 @@
 RINGS = 4
 MAX_FULL_MESH = 2 * RINGS + 1
 MAX_ENTRIES = 4096
-MAX_CHANGE_BYTES = 1500  # joiners that do not fit into a change wait for the next view
+# Limit on the size of an encoded change; joiners that do not fit wait for the next view.
+MAX_CHANGE_BYTES = 1500
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Number = Annotated[int, Meta(ge=0, le=2**48)]
--- a/yewrill/views/view_member.py
+++ b/yewrill/views/view_member.py
@@ -1,4 +1,6 @@
-"""One member's part in one view: edges, register, the vote on the next view, the lease. It does no I/O.
+"""One member's part in one view: its edges, its register (report of faulty edges), its vote and its lease.
+
+This module does no I/O.
 
 `ViewMachine` takes the process from one view to the next. Heartbeats spread what all members have to know;
 changes are also pushed at once, along each edge at most once per push interval.
@@ -32,9 +34,10 @@
 from yewrill.views.view import Entry, View, encode_change
 
 MAX_REGISTERS_PER_HEARTBEAT = 16
-# Heartbeats with a different checksum of the registers after which the peer is sent all registers again.
+# Number of heartbeats with a different checksum of the registers after which the peer is sent all registers
+# again.
 MAX_CHECKSUM_MISMATCHES = 3
-# For this many heartbeats, the last change is sent to this share of the new members only.
+# For this many heartbeat intervals, the last change is sent to this share of the new members only.
 LAST_CHANGE_SAMPLED_HEARTBEATS = 1.0
 LAST_CHANGE_SAMPLE_SHARE = 0.3
 Ranks = frozenset[int]
@@ -53,7 +56,7 @@
 
 
 class Push(Flag):
-    """What has changed since the last push."""
+    """The kinds of data that have changed since the last push."""
 
     REGISTERS = auto()
     VOTE = auto()
@@ -106,9 +109,10 @@
             edge.begin_view()
         self.registers: dict[int, Register] = {}
         self.leaving = False
-        self.leaving_names: set[str] = set()  # members that leave voluntarily
+        self.leaving_names: set[str] = set()  # names of the members that leave voluntarily
         self.vote = Agreement(rank, len(view))
-        self.cut: tuple[Ranks, Ranks] = frozenset(), frozenset()  # faulty and unstable ranks
+        # Ranks of the faulty and of the unstable members.
+        self.cut: tuple[Ranks, Ranks] = frozenset(), frozenset()
         self.propose_at = float("inf")
         min_round_seconds = timing.min_round_share * self.lease_seconds
         self._renewal = LeaseRenewal(
@@ -126,7 +130,8 @@
         self._push_interval = timing.push_interval_for(len(view))
         self._requested_change, self._requested_since, self._first_requested_at = b"", now, now
         self._vote_changed_at, self._opened_at = now, NEVER
-        self._unstable_since: dict[int, float] = {}  # by rank, the time since when it is unstable
+        # By rank of an unstable member: the time since when it is unstable.
+        self._unstable_since: dict[int, float] = {}
 
     @property
     def due(self) -> float:
@@ -144,13 +149,14 @@
     # -- sending
 
     def push_messages(self, now: float) -> list[tuple[Edge, Heartbeat]]:
-        """Returns the messages that push what has changed, if they are due."""
+        """Returns the messages that push changed registers, vote or round, if a push is due."""
         if not self._push or now < self._pushed_at + self._push_interval:
             return []
         reasons, self._push = self._push, Push(0)
         self._pushed_at = now
         edges, max_edges = list(self.edges.values()), self.timing.push_edges
-        # Long messages go to a few edges at a time: until the next push, the others may get them elsewhere.
+        # Long messages go to a few edges at a time: by the next push, the other peers may have received them
+        # from someone else.
         incomplete = [edge for edge in edges if self._lacks_data(edge)]
         if len(incomplete) > max_edges:
             incomplete = self._rng.sample(incomplete, max_edges)
@@ -257,7 +263,8 @@
         for index, edge in enumerate(self.edges.values()):
             faulty |= edge.faulty(now, self.timing, min_silence) << index
         if 4 * faulty.bit_count() > 3 * len(self.edges) and len(self.edges) > 1:
-            faulty = 0  # the cause is this member's own connectivity, not all its peers
+            # The cause is probably this member's own connectivity rather than all its peers.
+            faulty = 0
         self.publish(faulty)
         self.attestations.record(self.rank, joiners[:MAX_ATTESTED])
 
@@ -347,7 +354,8 @@
         )
         self.propose_at = float("inf")
         if not unfinished and (not value or now >= self.lease_until):
-            return  # without a lease, no majority hears this member, and its evidence is outdated
+            # Without a lease, no majority receives this member's messages, and its evidence is outdated.
+            return
         out = self.cut[0]
         delay = timing.proposer_delay * [
             rank for rank in self._proposal_order if rank not in out or rank == self.rank
@@ -454,9 +462,11 @@
             and not ours.proposal
             and now - self._opened_at > self.timing.ballot_timeout
         ):
-            return  # late promises for an outdated change; the next proposal opens a new ballot
+            # These promises are late, for an outdated change; the next proposal opens a new ballot.
+            return
         if self.vote.merge(vote_state):
             self._vote_changed_at = now
             self._vote_changed()
         elif vote_state != ours:
-            self._push |= Push.VOTE  # the peer knows less than this member
+            # The peer knows less about the vote than this member, so this member's state is pushed.
+            self._push |= Push.VOTE
