--- a/yewrill/dispatch/clock.py
+++ b/yewrill/dispatch/clock.py
@@ -1,4 +1,4 @@
-"""The decision engine's monotonic clock, in ms, and the timers that the decision module sets on it."""
+"""The decision engine's monotonic clock, in ms, and the timers that the policy module sets on it."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from yewrill.dispatch.start_times import StartTimes
 
 # The clock does not start at 0: a worker that started shortly before this process must have a positive start
-# time, because the decision module takes 0 for "long ago".
+# time, because the policy module takes 0 for "long ago".
 CLOCK_START_MS = 1_000_000.0
 
 
 class Clock:
-    """A monotonic clock based on the event loop's clock. Also converts workers' start times to it."""
+    """A monotonic clock based on the event loop's clock, to which it also converts workers' start times."""
 
     def __init__(self) -> None:
         self._base = trio.current_time() - CLOCK_START_MS / 1000.0
@@ -41,7 +41,7 @@
     def worker_start(self, worker: str, started_ms: float) -> float:
         """Converts a worker's start from wall clock time to this clock; 0 means long ago.
 
-        The decision module takes any change of this value for a restart of the worker."""
+        The policy module takes any change of this value for a restart of the worker."""
         started = self._starts.monotonic_start(worker, started_ms, self.now())
         return 0.0 if started is None else max(1.0, started)
 
--- a/yewrill/dispatch/endpoint.py
+++ b/yewrill/dispatch/endpoint.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A worker's id, address and state. Zone, kind and cell are indexes into the settings' lists."""
+    """A worker's id, address and state. Zone, machine kind and cell are indexes into the settings' lists."""
 
     id: str
     address: tuple[str, int]
@@ -19,10 +19,10 @@
     cell: int = 0
     state: WorkerState = WorkerState.RUNNING
     weight: float = 1.0
-    started_ms: float = 0.0  # wall clock time of the worker's start; 0: unknown
+    started_ms: float = 0.0  # wall clock time of the worker's start in ms; 0: unknown
 
     def worker_entry(self, clock: Clock) -> WorkerEntry:
-        """Returns the decision module's form of this entry, with the start time on the engine's clock."""
+        """Returns the policy module's form of this entry, with the start time on the engine's clock."""
         launched = clock.worker_start(self.id, self.started_ms)
         return WorkerEntry(
             self.id, self.zone, self.kind, self.cell, self.state, self.weight, launched
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -1,8 +1,9 @@
-"""The decision engine: connects the decision module to trio tasks, a clock, timers and health checks.
+"""The decision engine: connects the policy module to trio tasks, a clock, timers and health checks.
 
 The network code asks for the next choice of a request, reports how attempts ended, and reports other events.
-`run` collects these events, passes them to the decision module in batches, and executes the module's actions.
-The module's events and actions are not used outside this file. Times are milliseconds on the engine's clock.
+`run` collects these events, passes them to the policy module in batches, and executes the actions that the
+module returns. The module's events and actions are not used outside this file. Times are milliseconds on the
+engine's clock.
 
 The file is longer than most, because the calls of the network code, the batches and the actions all change
 the same requests.
@@ -30,13 +31,13 @@
 
 log = logging.getLogger(__name__)
 
-# How long `pick` waits past a request's deadline for the decision module before it decides without it. This
-# guards against a module that lost the request; the module's own deadline is always earlier.
+# How long `pick` waits past a request's deadline for the policy module before it decides without it. This
+# guards against a policy module that lost the request; its own deadline for an answer is always earlier.
 DECISION_GRACE_MS = 10.0
 
 
 class DecisionEngine:
-    """Runs one decision module. Not thread-safe."""
+    """Runs one policy module. Not thread-safe."""
 
     def __init__(self, settings: api.Settings, seed: int):
         self._module = Dispatcher(settings, seed)
@@ -48,7 +49,8 @@
         self._health_checks = HealthChecks(self._on_health_checked)
         self._events: list[api.Event] = []
         self._requests: dict[str, Request] = {}
-        self._live: dict[str, Attempt] = {}  # by request key, including attempts of closed requests
+        # Running attempts by request key, including attempts of closed requests.
+        self._live: dict[str, Attempt] = {}
         self._submitted_count = 0
         self._rejection_watch = RejectionWatch()
         self._wake = trio.Event()
@@ -89,7 +91,9 @@
         return self._module.fleet.slots_by_zone()
 
     def stuck_attempts(self, after: float) -> dict[int, int]:
-        """Counts, by zone, the attempts at workers that run none of ours and started none for `after` ms."""
+        """Counts, by zone, the unstarted attempts at stalled workers.
+
+        A stalled worker runs none of this dispatcher's attempts and has started none for `after` ms."""
         return self._module.fleet.stuck_attempts(self.now(), after)
 
     def ejected(self) -> set[str]:
@@ -97,20 +101,20 @@
         return self._module.ejected(self.now())
 
     def admission_report(self) -> AdmissionReport:
-        """Returns the current estimates and state of the decision module's admission control."""
+        """Returns the current estimates and state of the policy module's admission control."""
         return self._module.admission.report()
 
     # -- requests and attempts
 
     def submit(self, request: Request) -> None:
-        """Submits a request to the decision module; does nothing if it was submitted before.
+        """Submits a request to the policy module; does nothing if it was submitted before.
 
         Call it without a checkpoint after the lookup of the request's class and tenant: new settings may
         change their indexes."""
         if request.key:
             return
         self._submitted_count += 1
-        # The client's id cannot be the key: two clients may send the same one.
+        # The request id of the client cannot be the key: two clients may send the same id.
         request.key = str(self._submitted_count)
         self._requests[request.key] = request
         spec = self._classes[request.request_class]
@@ -136,7 +140,7 @@
         )
 
     async def pick(self, request: Request) -> Choice | None:
-        """Waits for the decision module's next choice for a request; returns None once its client has left.
+        """Waits for the policy module's next choice for a request; returns None once its client has left.
 
         On cancellation the request stays open, and a choice already made is kept for the next call."""
         expired = self.now() >= request.deadline
@@ -156,9 +160,9 @@
         return choice
 
     def _answer_without_decision(self, request: Request, expired: bool) -> Rejection | Failure:
-        """Returns the final answer if the module made no decision in time: a rejection if a retry is safe.
+        """Returns the final answer if the policy module makes no decision: a rejection if a retry is safe.
 
-        `expired`: the deadline had passed before the module could be asked, so the module is not at fault."""
+        `expired`: the deadline had passed before the policy module could be asked, so it is not at fault."""
         retry_is_safe = request.ran_at is None or request.idempotency is api.Idempotency.IDEMPOTENT
         answer = Rejection(0.0, "its time is up") if retry_is_safe else Failure("no decision")
         if not request.closed:
@@ -233,7 +237,7 @@
             return
         self._close(request, notify=True)
         choice = request.choice
-        if isinstance(choice, Attempt):  # chosen, but not picked up by `pick`
+        if isinstance(choice, Attempt):  # an attempt was chosen, but not yet returned by `pick`
             request.choice = None
             self.report(choice, AttemptOutcome.NOT_SENT)
         if request.live is not None and request.live.sent and not request.live.written:
@@ -259,7 +263,7 @@
         self._queue_event(api.SettingsChanged(settings))
 
     def set_zone_weights(self, weights: Mapping[int, float]) -> None:
-        """Sets the share of its normal new work that each zone gets; a zone not named gets all of it."""
+        """Sets the fraction of its normal new requests that each zone gets; a zone not named gets all."""
         self._queue_event(api.ZoneTrafficWeights(dict(weights)))
 
     def update_endpoints(
@@ -295,14 +299,14 @@
                 with trio.move_on_at(self.loop_time(self._timers.next_at)):
                     await self._wake.wait()
                 # One more turn of the event loop: events from other sockets that became readable at the same
-                # time join this batch, and one call of the module is cheaper than several.
+                # time join this batch, and one call of the policy module is cheaper than several.
                 await trio.lowlevel.checkpoint()
                 self._wake = trio.Event()
                 self.tick()
                 self._health_checks.start(nursery, prober)
 
     def tick(self) -> None:
-        """Passes all queued events and due timers to the module as one batch, and executes its actions."""
+        """Passes queued events and due timers to the policy module as one batch, and executes its actions."""
         now = self.now()
         events, self._events = self._events, []
         events += [api.TimerFired(token) for token in self._timers.pop_due(now)]
@@ -332,7 +336,7 @@
         self._wake.set()
 
     def _fail_requests_of(self, events: list[api.Event]) -> None:
-        """Fails the requests of a batch in which the module raised: it may never decide about them."""
+        """Fails the requests of a batch in which the policy module raised: it may never answer them."""
         for event in events:
             request = self._requests.get(getattr(event, "request_id", ""))
             if request is not None and request.choice is None and request.live is None:
@@ -377,7 +381,7 @@
             self._queue_event(
                 api.AttemptEnded(request.key, attempt.number, action.worker, not_sent, 0.0)
             )
-        elif request.closed:  # closed since the module's last batch
+        elif request.closed:  # the request was closed after the policy module's last batch
             self.report(attempt, AttemptOutcome.NOT_SENT)
         else:
             self._set_choice(request, attempt)
@@ -389,7 +393,7 @@
         self._answer(action, Rejection(action.retry_after, action.reason))
 
     def _watch_rejection(self, request: Request, reason: str, now: float) -> None:
-        """Logs a class of which every request is rejected while slots are idle."""
+        """Logs a request class of which every request is rejected while slots are idle."""
         shut_out = self._rejection_watch.rejected(request.class_name, now)
         if shut_out is None:
             return
@@ -430,7 +434,7 @@
         self._health_checks.request(action.worker)
 
     def _cancel(self, action: api.Cancel, now: float) -> None:
-        attempt = self._live.get(action.request_id)  # the request may be closed already
+        attempt = self._live.get(action.request_id)  # None if the attempt has ended already
         if attempt is not None and attempt.number == action.attempt:
             attempt.withdraw(AttemptOutcome.CANCELLED)
 
@@ -440,13 +444,13 @@
     # -- requests
 
     def _close(self, request: Request, notify: bool = False) -> None:
-        """Marks a request as closed; `notify`: the module does not know it yet."""
+        """Marks a request as closed; `notify`: the policy module does not know yet that it is closed."""
         if request.closed:
             return
         request.closed = True
         if notify:
-            # The request stays registered until the module has processed the event: until then the module may
-            # still return actions for it.
+            # The request stays registered until the policy module has processed the event: until then the
+            # module may still return actions for the request.
             self._queue_event(api.ClientLeft(request.key))
         else:
             self._requests.pop(request.key, None)
--- a/yewrill/dispatch/health_checks.py
+++ b/yewrill/dispatch/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of ejected workers, made on request of the decision module."""
+"""Health checks of ejected workers, made on request of the policy module."""
 
 from __future__ import annotations
 
--- a/yewrill/dispatch/lifecycle.py
+++ b/yewrill/dispatch/lifecycle.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """The final answer of a request that a worker completed, with the worker's result."""
+    """The final answer of a request that a worker served, with the worker's result."""
 
     result: Any
 
@@ -41,7 +41,8 @@
             try:
                 outcome, result = await run_attempt(choice)
             except Exception:
-                # An exception ends this attempt only; the policy has to assume that it may have run.
+                # An exception ends this attempt only; the policy module must assume that the request may have
+                # run.
                 log.exception(
                     "attempt_raised request=%s worker=%s outcome=internal_error",
                     request.id,
--- a/yewrill/dispatch/outcome.py
+++ b/yewrill/dispatch/outcome.py
@@ -1,4 +1,4 @@
-"""The outcomes of an attempt and of its connection, and their mapping to the policy's outcomes."""
+"""The outcomes of an attempt and of its connection, and their mapping to the policy module's outcomes."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
     UNREACHABLE = "unreached"
     # The connection broke, or the worker reported that it lost the request, after the last byte was written.
     RESET = "reset"
-    # The same two on a reused connection, without a byte of a response: the connection may have been stale.
+    # UNREACHABLE and RESET on a reused connection, without a byte of a response: the connection may have been
+    # stale.
     STALE_UNREACHABLE = "worn, unreached"
     STALE_RESET = "worn, reset"
     TIMED_OUT = "timed out"
-    # Cancelled by the policy or by the shutdown of the dispatcher.
+    # Cancelled by the policy module or by the shutdown of the dispatcher.
     CANCELLED = "called off"
     # Withdrawn by the dispatcher before its first byte was written.
     NOT_SENT = "not sent"
@@ -36,12 +37,12 @@
 
     @property
     def policy_outcome(self) -> PolicyOutcome:
-        """The policy's outcome to which this one maps."""
+        """The outcome by which the policy module knows this one."""
         return _POLICY_OUTCOMES[self]
 
     @property
     def stale_connection(self) -> bool:
-        """Whether a stale connection, rather than the worker, may be the cause."""
+        """Whether the cause of this outcome may be a stale connection rather than the worker."""
         return self in (AttemptOutcome.STALE_UNREACHABLE, AttemptOutcome.STALE_RESET)
 
 
--- a/yewrill/dispatch/rejection_watch.py
+++ b/yewrill/dispatch/rejection_watch.py
@@ -1,16 +1,16 @@
 """Detects request classes of which every request is rejected.
 
-The caller passes the time, in milliseconds; nothing here reads a clock.
+The caller passes the time, in milliseconds; this module reads no clock.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# A class counts as shut out after so many rejections in a row that span at least this time.
+# A class counts as shut out after this number of rejections in a row that span at least this time.
 MIN_REJECTIONS = 10
 SHUT_OUT_MS = 3000.0
-# Time between two reports of the same class.
+# Least time between two reports of the same class.
 REPEAT_MS = 10000.0
 
 
--- a/yewrill/dispatch/request.py
+++ b/yewrill/dispatch/request.py
@@ -19,38 +19,40 @@
 class Request:
     """A client's request. Only the frontend interprets `payload`."""
 
-    id: str  # chosen by the client, not unique
+    id: str  # request id chosen by the client, not unique
     request_class: int
     deadline: float
     tenant: int = 0
-    width: float = 1.0  # slots that it occupies
-    memory: float = 0.0  # memory that it occupies
-    hint: float = 0.0  # expected work; 0: unknown
-    retry: bool = False  # the client marked it as a retry
-    # Affinity key: workers cache what requests of the same subject need.
+    width: float = 1.0  # number of slots that the request occupies
+    memory: float = 0.0  # memory that the request occupies
+    hint: float = 0.0  # expected work as stated by the client; 0: unknown
+    retry: bool = False  # the client marked the request as a retry
+    # Affinity key: requests with the same subject need the same data, which workers cache.
     subject: str = ""
     payload: Any = None
     client_left: bool = False
-    # An attempt by an earlier process that may have run: how long ago it was sent, and where. -1: none.
+    # An attempt by an earlier process that may have run: how many milliseconds ago it was sent, and the zone
+    # and cell of its worker. -1: there was none.
     ran_ago: float = -1.0
     ran_zone: int = -1
     ran_cell: int = -1
     class_name: str = ""
-    # Input of the safety rules: idempotency and deduplication window of the request class, and when the first
-    # attempt that may have run was sent.
+    # Input of the safety rules: idempotency and deduplication window of the request class, and the send time
+    # of the first attempt that may have run.
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     window: float = 0.0
     ran_at: float | None = None
     on_progress: Callable[[Attempt, float], None] | None = None
-    has_left: Callable[[], bool] | None = None  # polls the connection: whether the client has left
+    # Polls the connection and returns whether the client has left.
+    has_left: Callable[[], bool] | None = None
     trace: Any = None
-    # Internal to the decision engine.
-    key: str = ""  # unique; empty until the request is submitted
+    # The fields below are internal to the decision engine.
+    key: str = ""  # unique key of the request; empty until it is submitted
     attempt_count: int = 0
     live: Attempt | None = None
     choice: Attempt | Rejection | Failure | None = None
     choice_ready: trio.Event | None = None
-    closed: bool = False  # the final answer is decided, or none is due any more
+    closed: bool = False  # whether the final answer is decided, or none is due any more
 
 
 @dataclass(eq=False, slots=True)
@@ -60,13 +62,15 @@
     request: Request
     number: int
     worker: str
-    until: float  # when the dispatcher stops waiting for the worker
-    trace: Any = None  # None if tracing is off
-    sent: float = 0.0  # when its first byte was written
-    written: bool = False  # its last byte was written; the worker may run it from then on
-    started_at: float = 0.0  # when the worker reported its start; set only if attempts are logged
+    until: float  # time at which the dispatcher stops waiting for the worker
+    trace: Any = None  # trace of the attempt; None if tracing is off
+    sent: float = 0.0  # time at which the attempt's first byte was written
+    # Whether the last byte was written; the worker may run the request from then on.
+    written: bool = False
+    # Time at which the worker reported the start of the attempt; set only if attempts are logged.
+    started_at: float = 0.0
     withdrawn: AttemptOutcome | None = None
-    load: Any = None  # the load report that came with its outcome, not validated
+    load: Any = None  # the worker's load report that came with the outcome, not validated
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     def withdraw(self, outcome: AttemptOutcome) -> None:
@@ -77,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Not served; a retry is safe, preferably after `retry_after` milliseconds (0: no advice)."""
+    """The final answer "not served": a retry is safe, preferably after `retry_after` ms (0: no advice)."""
 
     retry_after: float
     reason: str = ""
@@ -85,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Failed; the request may or may not have run."""
+    """The final answer "failed": the request may or may not have run."""
 
     text: str = "failed"
     reason: str = ""
--- a/yewrill/dispatch/safety.py
+++ b/yewrill/dispatch/safety.py
@@ -17,9 +17,9 @@
 
 log = logging.getLogger(__name__)
 
-# Tolerance that the protocol grants for requests over sockets.
+# Tolerance for the end of a deduplication window; the protocol grants it for requests over sockets.
 WINDOW_SLACK_MS = 50.0
-# The time-out sent to a worker is rounded to whole milliseconds.
+# Tolerance for the time-out sent to a worker, which is rounded to whole milliseconds.
 TIMEOUT_SLACK_MS = 1.0
 
 
@@ -48,17 +48,18 @@
     """Why a client's connection ends. The values appear in metrics, as `closed.<value>`."""
 
     CLIENT_ENDED = "client_ended"
-    EVICTED = "evicted"  # idle, and closed to make room for a new connection
-    DRAINED = "drained"  # closed by a drain, while idle or after its answer
-    CUT = "cut"  # had no complete request when draining ended
-    LAST_ANSWER = "last_answer"  # closed after an answer, as the protocol or the answer requires
+    EVICTED = "evicted"  # the connection was idle and made room for a new one
+    DRAINED = "drained"  # a drain closed the connection, while idle or after its answer
+    CUT = "cut"  # the connection had no complete request when draining ended
+    # The connection was closed after an answer, as the protocol or the answer requires.
+    LAST_ANSWER = "last_answer"
     BAD_REQUEST = "bad_request"
     FAULT = "fault"
 
 
 @dataclass(frozen=True, slots=True)
 class SendFacts:
-    """The state just before an attempt's first byte is written. Times in ms on the engine's clock."""
+    """The facts just before an attempt's first byte is written. Times in ms on the engine's clock."""
 
     now: float
     until: float
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFacts:
-    """The state when an attempt is chosen. `ran_at`: when the first attempt that may have run was sent."""
+    """The facts when an attempt is chosen. `ran_at`: when the first attempt that may have run was sent."""
 
     now: float
     idempotency: Idempotency
--- a/yewrill/dispatch/start_times.py
+++ b/yewrill/dispatch/start_times.py
@@ -15,13 +15,13 @@
 
 # A larger difference between two observed offsets means that the wall clock was stepped.
 MIN_STEP_MS = 250.0
-# Offsets remembered, including the current one.
+# Number of remembered offsets, including the current one.
 MAX_OFFSETS = 4
 # How long after a step a listed start may still have been recorded before that step.
 OFFSET_RETENTION_MS = 60_000.0
 # A start may lie this far in the future: clocks are slewed, and clocks of different machines differ.
 MAX_AHEAD_MS = 10_000.0
-# Workers whose start is remembered.
+# Number of workers whose start is remembered.
 MAX_STARTS = 20_000
 
 
@@ -29,10 +29,11 @@
     """Converts start times of workers; remembers at most `MAX_STARTS` of them."""
 
     def __init__(self, wall: float, monotonic: float):
-        # Offsets, the latest last, and until which monotonic time each but the last one is still used.
+        # Remembered offsets, the latest last. `_valid_until` holds, for each but the latest, the monotonic
+        # time until which it is still used.
         self._offsets: list[float] = [wall - monotonic]
         self._valid_until: list[float] = []
-        self._known: dict[str, tuple[float, float]] = {}  # by worker: wall, monotonic
+        self._known: dict[str, tuple[float, float]] = {}  # start by worker: wall clock, monotonic
 
     @property
     def offset(self) -> float:
@@ -43,7 +44,7 @@
         """Updates the offset from the current time of both clocks, and detects steps of the wall clock."""
         offset = wall - monotonic
         if abs(offset - self._offsets[-1]) <= MIN_STEP_MS:
-            self._offsets[-1] = offset  # the clock is being slewed
+            self._offsets[-1] = offset  # the wall clock is being slewed, not stepped
             return
         self._offsets.append(offset)
         self._valid_until.append(monotonic + OFFSET_RETENTION_MS)
--- a/yewrill/service/hot_restart.py
+++ b/yewrill/service/hot_restart.py
@@ -26,7 +26,7 @@
 # How long an old process that does not answer, or a leftover socket file, may delay a start.
 PEER_TIMEOUT_SECONDS = 0.5
 MAX_LINE_BYTES = 4 * 1024 * 1024
-# A peer that does not read is disconnected when more than this is waiting for it.
+# A peer that does not read is disconnected when more than this number of bytes waits to be sent to it.
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
 MAX_LINKS = 4
 # A Unix socket address holds at most 107 bytes.
@@ -59,7 +59,7 @@
 
 
 class _PendingReply:
-    """A numbered message's reply, which may not have arrived yet."""
+    """The reply to a numbered message, which may not have arrived yet."""
 
     def __init__(self) -> None:
         self.event = trio.Event()
@@ -72,10 +72,10 @@
     def __init__(self, connection: Connection, old_process: bool):
         self.connection = connection
         self.old_process = old_process  # whether the peer is the old process
-        self.state_received = False  # whether an old process has sent its state
-        self.ready = False  # whether a new process serves
+        self.state_received = False  # whether the peer is an old process and has sent its state
+        self.ready = False  # whether the peer is a new process that serves
         self.open_ids: set[str] = set()  # ids of the requests open at the peer
-        # Numbered messages that the peer has not confirmed yet.
+        # Replies awaited for numbered messages, by number.
         self.pending: dict[int, _PendingReply] = {}
         self._unsent = bytearray()
         self._has_unsent = trio.Event()
@@ -103,7 +103,7 @@
         """Writes sent messages to the socket until cancelled. Raises OSError."""
         while True:
             await self._has_unsent.wait()
-            await trio.lowlevel.checkpoint()  # messages sent in the same turn join the write
+            await trio.lowlevel.checkpoint()  # further messages of this event loop iteration join
             self._has_unsent = trio.Event()
             data, self._unsent = bytes(self._unsent), bytearray()
             await self.connection.send(data)
@@ -132,7 +132,7 @@
         """Applies a snapshot or a change from the other process."""
 
     def disconnected(self) -> None:
-        """Is called when no other process is left."""
+        """Handles the end of the last link: no other process is left."""
 
 
 class HotRestart:
@@ -148,11 +148,11 @@
         It returns whether the record was stored."""
         self._path = path
         self._store_for_new_process = store_for_new_process
-        self._peer_state: PeerState  # set by `run`
+        self._peer_state: PeerState  # assigned by `run`
         self._links: set[_Link] = set()
         self._own_file_identity: tuple[int, ...] = ()  # identity of the socket file of this process
         self._sock: socket.socket | None = None
-        # Set when there is no old process, or when it has sent its state or timed out.
+        # Set when there is no old process, or when the old process has sent its state or timed out.
         self.joined = trio.Event()
         self._nursery: trio.Nursery
 
@@ -192,7 +192,8 @@
         self._peer_state = peer_state
         async with trio.open_nursery() as self._nursery:
             if self.joined.is_set():
-                # `run` was started again after an exception: a process that has the path now is not older.
+                # `run` was started again after an exception: a process that owns the socket path now is not
+                # older than this one.
                 self._close_socket()
                 self.claim_path()
             elif (connection := await self._connect_to_old_process()) is None:
@@ -212,7 +213,7 @@
         try:
             with _address_of(self._path) as address:
                 sock.connect(address)
-        except OSError:  # no old process, a leftover file, or a process that is too busy
+        except OSError:  # no old process uses the file, if any, or it is too busy
             connection.close()
             return None
         return connection
@@ -242,7 +243,7 @@
         if link.old_process:
             self.joined.set()
         if not link.old_process and not any(not other.old_process for other in self._links):
-            self.claim_path()  # the new process may have removed the path
+            self.claim_path()  # the new process may have removed the socket file
         if not self._links:
             self._peer_state.disconnected()
 
@@ -269,7 +270,7 @@
             if "state" in message:
                 link.open_ids.update(map(str, message["state"].get("ids", ())))
             self._peer_state.receive(message)
-        except Exception:  # may be a message of another version: the link stays open
+        except Exception:  # the message may be of another version: the link stays open
             log.exception("hot_restart_message_failed")
         if "number" in message:
             link.send({"noted": message["number"]})
@@ -284,15 +285,15 @@
                 kept = await self._store_for_new_process(
                     str(message["keep"]), str(message["value"])
                 )
-        except Exception:  # may be a message of another version
+        except Exception:  # the message may be of another version
             log.exception("hot_restart_message_failed")
         link.send({"noted": message.get("number"), "kept": kept})
 
     async def ready(self) -> None:
         """Announces that this process serves.
 
-        New processes can connect from then on. It waits for the old process's confirmation, so that the old
-        process knows of the new one before it is stopped.
+        New processes can connect from then on. The call waits for the old process's confirmation, so that
+        the old process knows of the new one before it is stopped.
         """
         self.claim_path()
         for link in list(self._links):
@@ -300,10 +301,10 @@
                 with trio.move_on_after(PEER_TIMEOUT_SECONDS):
                     await link.send_and_confirm({"ready": True})
             elif link.old_process:
-                link.send({"ready": True})  # it timed out before, so don't wait again
+                link.send({"ready": True})  # the old process did not answer before, so don't wait
 
     def claim_path(self) -> None:
-        """Listens for new processes at the path, unless this process does already."""
+        """Listens for new processes at the socket path, unless this process does already."""
         try:
             if self._sock is None:
                 self._listen()
@@ -317,8 +318,8 @@
             log.warning("hot_restart_unavailable %s: a new process starts without our state", error)
 
     def _listen(self) -> None:
-        # Bound to a temporary path and renamed: the path always exists, and a file that an old process left
-        # there is replaced.
+        # The socket is bound to a temporary path, which is then renamed: the path always exists, and a file
+        # that an old process left there is replaced.
         temporary = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         with suppress(FileNotFoundError):
             temporary.unlink()
@@ -350,7 +351,7 @@
             self._nursery.start_soon(self._await_hello, Connection(new_process))
 
     async def _await_hello(self, connection: Connection) -> None:
-        """Waits for the hello of a new process within the time-out, then handles the link."""
+        """Waits for the first message of a new process within the time-out, then handles the link."""
         with trio.move_on_after(PEER_TIMEOUT_SECONDS), suppress(OSError):
             if (await connection.receive()).startswith(b'{"hello"'):
                 log.info("new_process_connected")
--- a/yewrill/service/metrics_report.py
+++ b/yewrill/service/metrics_report.py
@@ -63,7 +63,7 @@
         }
 
     def _reason_counts(self) -> dict[str, int]:
-        """Counts why attempts were held back and connections closed, and how often system calls failed."""
+        """Returns counters of held back attempts and closed connections by reason, and of failed calls."""
         held_back = self._worker_client.held_back
         closes = self._listener.closes
         return {
@@ -75,7 +75,7 @@
 
 
 def _admission_counts(admission: AdmissionReport) -> dict[str, int]:
-    """Counts requests that were not served, by class and reason. Only reasons that occurred are listed."""
+    """Returns counters of requests that were not served, by class and by reasons that occurred."""
     counts = {"load_level_changes": admission.level_changes}
     for request_class in admission.classes:
         for reason, count in request_class.not_served.items():
--- a/yewrill/service/operator_drain.py
+++ b/yewrill/service/operator_drain.py
@@ -44,7 +44,7 @@
         return self._state.active
 
     def set(self, on: bool) -> None:
-        """Starts or ends the drain; does nothing if it is in that state already."""
+        """Starts or ends the drain; does nothing if the drain is in that state already."""
         if on == self._state.active:
             return
         self._state.active = on
--- a/yewrill/service/request_handler.py
+++ b/yewrill/service/request_handler.py
@@ -51,7 +51,8 @@
         self._front = front
         self._engine = engine
         self._endpoints = endpoints
-        self._context = context  # subsystems may have wrapped its `run_attempt`
+        # A subsystem may have replaced the `run_attempt` of the context by a wrapper.
+        self._context = context
         self._run_state = run_state
         self._operator_drain = operator_drain
         self._open_requests = open_requests
@@ -61,7 +62,7 @@
         self._tracing_hooks = tracing_hooks
 
     async def handle(self, client: ClientConnection, http_request: HttpRequest) -> bool:
-        """Answers one request. Returns whether the connection may carry another.
+        """Answers one request. Returns whether the connection may carry another request.
 
         Raises BadRequest, for which the listener sends the reply. On cancellation the request is closed as
         if its client had left.
@@ -73,7 +74,7 @@
         now = self._engine.now() - (trio.current_time() - http_request.arrived) * 1000.0
         request = self._front.reader.read_request(http_request, now)
         if request.id in self._open_requests:
-            # The client or a worker still has a request of this id and could not tell the two apart.
+            # The client or a worker still has a request of this id and could not tell the two requests apart.
             raise BadRequest(409, "X-Request-ID is in use")
         if (early_reply := self._front.early_reply(http_request)) is not None:
             await client.send(client.http.encode_reply(early_reply, close=True))
@@ -113,7 +114,7 @@
 
     def _finish(self, client: ClientConnection, request: Request) -> None:
         client.request = None
-        if not request.closed:  # the policy must not wait for an exchange that has ended
+        if not request.closed:  # the policy module must not wait for an exchange that has ended
             self._engine.client_left(request)
         self._open_requests.discard(request.id)
         if self._persistent_state is not None:
@@ -151,7 +152,7 @@
         )
 
     def _readiness(self) -> Reply:
-        # Once a new process has taken over, the dispatcher is up, whichever of the two processes is asked.
+        # Once a new process has taken over, the dispatcher is ready, whichever of the two processes is asked.
         if self._run_state.refuses_requests:
             return Reply(503, b"draining\n")
         if self._operator_drain.active:
--- a/yewrill/service/service.py
+++ b/yewrill/service/service.py
@@ -60,8 +60,8 @@
 
 # How long a new process waits for discovery before it serves with the old process's endpoint list.
 FIRST_LIST_TIMEOUT_SECONDS = 1.0
-# Turns of the event loop at the end in which pending signals are still received: two until they are
-# delivered, one for each of the three signals, and some to spare.
+# Number of event loop iterations at the end of the process in which pending signals are still received: two
+# until they are delivered, one for each of the three signals, and some to spare.
 FINAL_SIGNAL_TURNS = 10
 
 
@@ -256,7 +256,7 @@
         signal_nursery: trio.Nursery | None,
         task_status: trio.TaskStatus[Service],
     ) -> None:
-        """`signal_nursery`: where signals are received, until everything else is closed too."""
+        """`signal_nursery`: runs the task that receives signals, until everything else is closed."""
         async with trio.open_nursery() as nursery:
             self.tasks.nursery = nursery
             await self._start_tasks(restored)
@@ -314,7 +314,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 50)
-        gc.enable()  # `python -m yewrill` disables it during the start
+        gc.enable()  # `python -m yewrill` disables the garbage collector during the start
 
     async def _close(self) -> None:
         self.worker_connections.close()
@@ -333,7 +333,8 @@
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
             task_status.started()
             for early_signal in (signal.SIGHUP, signal.SIGTERM):
-                if take_recorded_signal(early_signal):  # recorded while the process started
+                # The signal arrived while the process started.
+                if take_recorded_signal(early_signal):
                     self._on_signal(early_signal)
             async for number in received:
                 self._on_signal(signal.Signals(number))
--- a/yewrill/service/shutdown.py
+++ b/yewrill/service/shutdown.py
@@ -21,8 +21,8 @@
 
 # How long before the end of the grace period the service stops accepting requests.
 REQUEST_MARGIN_MS = 900.0
-# How long before the end of the grace period open requests fail. The rest of the time is for clients to
-# read their answers (up to 0.2 s), for closing the stores and for the exit of the process.
+# How long before the end of the grace period requests that are still open fail. The rest of the time is for
+# clients to read their answers (up to 0.2 s), for closing the stores and for the exit of the process.
 ANSWER_MARGIN_MS = 400.0
 
 
@@ -46,7 +46,7 @@
         self._tracing_hooks = tracing_hooks
 
     async def run(self) -> None:
-        """Becomes unready, accepts connections for a while longer, and serves the open ones as time permits.
+        """Becomes unready, accepts connections for a while longer, and serves clients as time permits.
 
         The requests that are still open then fail, before the platform kills the process.
         """
--- a/yewrill/service/socket_budget.py
+++ b/yewrill/service/socket_budget.py
@@ -5,12 +5,12 @@
 from yewrill.net.listener import Listener
 from yewrill.net.worker_connections import WorkerConnectionPool
 
-# Shares of the descriptors that are not reserved.
+# Fractions of the unreserved descriptors for client and for worker connections.
 CLIENT_SHARE = 0.55
 WORKER_SHARE = 0.45
-# Descriptors for the log, discovery, the listener and the event loop.
+# Number of descriptors for the log, discovery, the listener and the event loop.
 RESERVED_SOCKETS = 40
-# Minimum for each of the two processes of a hot restart.
+# Minimum number of descriptors for each of the two processes of a hot restart.
 MIN_SOCKETS = RESERVED_SOCKETS + 24
 
 
@@ -37,7 +37,7 @@
         self._set(max(MIN_SOCKETS, sockets))
 
     def use_all(self) -> None:
-        """Uses all descriptors, when no other process is left."""
+        """Allows this process all descriptors, because no other process is left."""
         self._set(self._total)
 
     def share_with_new_process(self) -> int:
--- a/yewrill/service/state_exchange.py
+++ b/yewrill/service/state_exchange.py
@@ -63,7 +63,9 @@
         self._socket_budget.use_all()
 
     def apply(self, state: dict[str, Any]) -> None:
-        """Applies operators' orders and an endpoint list from another process. `back` holds ages in ms."""
+        """Applies operators' orders and an endpoint list from another process.
+
+        `back` maps each worker that operators have reattached to the time since then, in ms."""
         self._operator_drain.set(bool(state["lame"]))
         for name in state["out"]:
             self._endpoints.detach(name, listed=False)
--- a/yewrill/service/state_startup.py
+++ b/yewrill/service/state_startup.py
@@ -19,7 +19,7 @@
 
 
 class StateStartup:
-    """Opens the store, restores the state from it, and starts the writing of changes."""
+    """Opens the store, restores the state from it, and starts the task that writes changes."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._state_exchange = state_exchange
         self._operator_drain = operator_drain
         self._tasks = tasks
-        self._may_wait = may_wait  # an old process may still hold the store
+        self._may_wait = may_wait  # whether an old process may still hold the store
 
     async def restore(self) -> dict[str, Any] | None:
         """Reads the state that the last process wrote. Returns None if an old process still holds the store.
@@ -53,23 +53,26 @@
         return (await trio.to_thread.run_sync(self._persistent_state.restore)).as_message()
 
     def begin(self, restored: dict[str, Any] | None) -> None:
-        """Applies the restored state, and starts the writing of every change."""
+        """Applies the restored state, and starts the task that writes every change."""
         if restored is None:
             self._tasks.start_supervised(self._take_over_store)
         else:
             try:
                 if restored["list"]:
                     self._endpoints.apply(restored["list"], cached=True)
-            except ConfigError as error:  # a format of another version, for example
+            except ConfigError as error:  # the stored list may have the format of another version
                 log.error("persistent_state_unreadable records=list: %s", error)
             self._state_exchange.apply({**restored, "list": None})
         self._endpoints.subscribe_to_lists(self._persistent_state.endpoint_list_changed)
         if len(self._endpoints) and not (restored and restored["list"]):
-            self._persistent_state.endpoint_list_changed()  # the list from the configuration
+            # The list that the configuration supplied is stored.
+            self._persistent_state.endpoint_list_changed()
         self._tasks.start_supervised(self._persistent_state.run)
 
     async def _take_over_store(self) -> None:
-        """Waits for the store. The old process sent the operators' orders, but no records of attempts."""
+        """Waits until the old process releases the store, then writes the operators' orders that it sent.
+
+        The old process does not send records of attempts."""
         await self._persistent_state.take_over_store()
         await self._persistent_state.rewrite_settings(self._operator_drain.active)
         log.info("persistent_state_taken_over")
--- a/yewrill/service/subsystems.py
+++ b/yewrill/service/subsystems.py
@@ -27,7 +27,8 @@
     engine: DecisionEngine
     endpoints: EndpointList
     run_attempt: AttemptRunner
-    subsystems: dict[str, Subsystem] = field(default_factory=dict)  # those created before, by name
+    # Subsystems created before this one, by configuration key.
+    subsystems: dict[str, Subsystem] = field(default_factory=dict)
 
 
 class Subsystem(Protocol):
@@ -39,7 +40,7 @@
     calls: Mapping[str, Callable[[str], Awaitable[bool]]]
 
     def attach(self, context: SubsystemContext) -> None:
-        """Receives the context, before `run`. It contains the subsystems created earlier."""
+        """Receives the context, before `run`. The context contains the subsystems created earlier."""
 
     async def run(self, *, task_status: trio.TaskStatus[None]) -> None:
         """Runs until cancelled; on cancellation, final messages are sent."""
@@ -51,7 +52,8 @@
         """Returns counters by metric name, without the prefix."""
 
 
-# Module and class by configuration key, in the order of creation: a subsystem may use those before it.
+# Module and class of each subsystem by configuration key, in the order of creation: a subsystem may use those
+# created before it.
 _SUBSYSTEMS = {
     "members": ("yewrill.membership", "Members"),
     "views": ("yewrill.views.facade", "Views"),
@@ -61,7 +63,7 @@
 
 
 def create_subsystems(config: Config, context: SubsystemContext) -> list[Subsystem]:
-    """Creates the subsystems that the configuration names, each after those that it may use."""
+    """Creates the subsystems that the configuration names, each after the subsystems that it may use."""
     for key, (package, name) in _SUBSYSTEMS.items():
         if getattr(config, key) is not None:
             subsystem = getattr(importlib.import_module(package), name)(getattr(config, key))
--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -47,7 +47,7 @@
     def __init__(self, config: Config):
         assert config.tracing is not None
         self._config = config.tracing
-        # Seeded by the system, so that two dispatchers don't generate the same trace ids.
+        # The system seeds this generator, so that two dispatchers don't generate the same trace ids.
         rng = random.Random()
         self.tracer = Tracer(
             _sampling_config(self._config), clock=trio.current_time, wall=time.time, rng=rng
@@ -81,7 +81,9 @@
             self.tracer.on_record_queued()
 
     def reconfigure(self, config: TracingConfig) -> TracingConfig:
-        """Applies the sampling share and the bounds; other keys need a restart. Returns the new settings."""
+        """Applies the sampling ratio and the limits of kept records; other keys need a restart.
+
+        Returns the new settings."""
         self.tracer.reconfigure(_sampling_config(config))
         self._config = replace(
             self._config, share=config.share, queue=config.queue, honoured=config.honoured
--- a/yewrill/simulator/codec.py
+++ b/yewrill/simulator/codec.py
@@ -1,4 +1,4 @@
-"""Codec of the simulator's protocol: messages to the decision module's events, actions to messages."""
+"""Codec of the simulator's protocol: messages to the policy module's events, actions to messages."""
 
 from __future__ import annotations
 
@@ -124,7 +124,7 @@
 
 
 def decode_event(what: str, message: dict[str, Any]) -> api.Event | None:
-    """Decodes a message to an event; returns None for messages that the decision module does not use.
+    """Decodes a message to an event; returns None for messages that the policy module does not use.
 
     Raises `WireError` for an unknown event or value, and `KeyError` for a missing field."""
     decode = _DECODERS.get(what)
