--- a/yewrill/observability/logs.py
+++ b/yewrill/observability/logs.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 MAX_QUEUED_LINES = 4096
-MAX_LINES_PER_SECOND = 50  # of each event
+MAX_LINES_PER_SECOND = 50  # maximum number of lines of each event
 _PLACEHOLDER = re.compile(r"%(?:\.\d+)?[a-z]")
 _KEY_VALUE = re.compile(r"([A-Za-z_][\w-]*)=(.*)")
 # Id and trace of the request that the current task handles.
@@ -76,7 +76,8 @@
     ):
         super().__init__()
         self._max_per_second, self._clock = max_per_second, clock
-        # By event: start of the current second, lines in it, lines suppressed since the last that passed.
+        # State by event: start of the current second, number of lines in that second, number of lines
+        # suppressed since the last line that passed.
         self._seen: dict[str, tuple[float, int, int]] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
@@ -171,7 +172,7 @@
 
     class StructuredFormatter(structlog.stdlib.ProcessorFormatter):
         def format(self, record: logging.LogRecord) -> str:
-            # Parsed here, because structlog passes the processors the formatted text without the arguments.
+            # The event is parsed here, because structlog passes the processors the formatted text without the arguments.
             record.parsed = parse_event(record)
             return super().format(record)
 
--- a/yewrill/observability/metrics.py
+++ b/yewrill/observability/metrics.py
@@ -7,7 +7,8 @@
 PREFIX = "app"
 SUCCESS, OVERLOAD, ERROR = "success", "overload", "error"
 _STATUSES = (SUCCESS, OVERLOAD, ERROR)
-_ESCAPED = str.maketrans(":|@\n\r ", "______")  # characters that delimit fields or lines
+# These characters delimit fields or lines of the text format.
+_ESCAPED = str.maketrans(":|@\n\r ", "______")
 
 
 class Metrics:
