--- a/yewrill/frontends/platform.py
+++ b/yewrill/frontends/platform.py
@@ -17,10 +17,11 @@
 from yewrill.policy.interface import Settings
 
 RunToAnswer = Callable[[], Awaitable[Answer | None]]
-ClosesAfterAnswer = Callable[[], bool]  # whether the connection is to be closed after its answer
+# Tells whether the connection is to be closed after its answer.
+ClosesAfterAnswer = Callable[[], bool]
 
 MAX_TARGET_CHARS = 2048
-MAX_SUBJECT_CHARS = 128  # of the value of the cookie `user`
+MAX_SUBJECT_CHARS = 128  # maximum length of the value of the cookie `user`
 # The headers that are forwarded to workers, and the pattern that each must match. A worker closes the
 # connection on input that it can't parse, which would count against the worker; so only these are sent.
 _ID = re.compile(r"[A-Za-z0-9._~:/+=@-]{1,128}")
@@ -50,7 +51,7 @@
 
 def _number(text: str, field: str, low: float, high: float) -> float:
     value = float(text) if _NUMBER.fullmatch(text) else math.nan
-    if not low <= value <= high:  # also rejects NaN
+    if not low <= value <= high:  # false for NaN, which is rejected too
         raise BadRequest(400, f"bad number in {field}")
     return value
 
@@ -62,14 +63,14 @@
         self.reconfigure(settings, margin)
 
     def reconfigure(self, settings: Settings, margin: float) -> None:
-        """Apply settings; `margin` is the part of a client's timeout reserved for the answer, in ms."""
+        """Applies settings; `margin` is the part of a client's timeout reserved for the answer, in ms."""
         self.settings = settings
         self.margin = margin
         self._classes = {c.name: i for i, c in enumerate(settings.classes)}
         self._tenants = {t.name: i for i, t in enumerate(settings.tenants)}
 
     def request_class(self, http_request: HttpRequest) -> int:
-        """Return the index of the request class in the path. Raises BadRequest.
+        """Returns the index of the request class in the path. Raises BadRequest.
 
         Unknown paths (404) and methods (405) are rejected before the headers are read.
         """
@@ -90,9 +91,9 @@
         return self._classes[path_class]
 
     def read_request(self, http_request: HttpRequest, now: float) -> Request:
-        """Validate and build a request. Raises BadRequest.
+        """Validates an HTTP request and builds the dispatcher's request. Raises BadRequest.
 
-        `now` is when its first byte was read, by the decision engine's clock, in ms.
+        `now` is the time at which its first byte was read, in ms of the decision engine's clock.
         """
         request_class = self.request_class(http_request)
         http_request.forwarded_headers = self._forwarded_headers(http_request)
@@ -120,7 +121,7 @@
         return Request(
             id,
             request_class,
-            # The margin takes at most half of the timeout.
+            # The margin for the answer takes at most half of the timeout.
             now + max(timeout - self.margin, timeout * 0.5),
             tenant,
             width=attributes.get("width", attributes.get("slots", 1.0)),
@@ -135,7 +136,7 @@
 
     @staticmethod
     def _forwarded_headers(http_request: HttpRequest) -> list[tuple[bytes, bytes]]:
-        """Return the headers to forward to a worker. Raises BadRequest if one is repeated or malformed."""
+        """Returns the headers to forward to a worker. Raises BadRequest if one is repeated or malformed."""
         forwarded = []
         for name, pattern in _FORWARDED_HEADERS.items():
             value = http_request.single_header(name)
@@ -147,7 +148,7 @@
 
     @staticmethod
     def _subject(cookies: str | None) -> str:
-        """Return the value of the cookie `user`, the request's subject; empty if absent or too long."""
+        """Returns the value of the cookie `user`, the request's affinity key; empty if absent or too long."""
         for cookie in (cookies or "").split(";"):
             name, _, value = cookie.strip().partition("=")
             if name == "user":
@@ -165,7 +166,7 @@
                 raise BadRequest(400, "malformed X-Attrs")
             if name in ("width", "slots", "memory", "expected"):
                 attributes[name] = _number(value, f"X-Attrs {name}", 0, 1e9)
-            else:  # not used by the policy, but possibly by the worker
+            else:  # the dispatcher does not use it, but the worker may
                 attributes[name] = _number(value, f"X-Attrs {name}", -1e18, 1e18)
         return attributes
 
@@ -173,7 +174,7 @@
 def forwarded_request(
     attempt: Attempt, wait_ms: int, accept: str = ""
 ) -> tuple[str, str, list[tuple], bytes]:
-    """Return the request to a worker: validated client headers unchanged, all other headers set here."""
+    """Returns the request to a worker: validated client headers unchanged, the other headers are new."""
     http_request: HttpRequest = attempt.request.payload
     headers: list[tuple] = [("Host", "destination")]
     headers += http_request.forwarded_headers
@@ -187,7 +188,7 @@
 
 
 def parse_worker_message(text: bytes | str) -> WorkerMessage:
-    """Parse one JSON object of a worker's answer. Raises MalformedResponse."""
+    """Parses one JSON object of a worker's answer. Raises MalformedResponse."""
     try:
         message = ujson.loads(text)
         share = message.get("share", 0.0)
@@ -198,8 +199,8 @@
             or not isinstance(share, (int, float))
         ):
             raise MalformedResponse("field state or share of the wrong type")
-        if not 0.0 <= share <= 1.0:  # also rejects NaN
-            raise MalformedResponse("share not between 0 and 1")
+        if not 0.0 <= share <= 1.0:  # false for NaN, which is rejected too
+            raise MalformedResponse("field share not between 0 and 1")
         if state == "done":
             encode_result(message["result"])  # raises if the result can't be encoded for the client
         return WorkerMessage(
@@ -210,7 +211,7 @@
 
 
 def encode_result(result: Any) -> bytes:
-    """Encode a result for the client. Raises ValueError or OverflowError if JSON can't represent it."""
+    """Encodes a result for the client. Raises ValueError or OverflowError if JSON can't represent it."""
     return (
         result.encode()
         if isinstance(result, str)
@@ -219,7 +220,7 @@
 
 
 def format_retry_after(answer: Rejection) -> str:
-    """Return the value of the header Retry-After, in seconds."""
+    """Returns the value of the header Retry-After, in seconds."""
     return f"{answer.retry_after / 1000.0:.3f}".rstrip("0").rstrip(".")
 
 
@@ -232,7 +233,7 @@
         self._incomplete = b""
 
     def feed(self, data: bytes) -> list[WorkerMessage]:
-        """Decode the next bytes; returns the messages they complete. Raises MalformedResponse."""
+        """Decodes the next bytes; returns the messages they complete. Raises MalformedResponse."""
         *lines, self._incomplete = (self._incomplete + data).split(b"\n")
         if len(self._incomplete) > MAX_BODY_BYTES:
             raise MalformedResponse("line too long")
@@ -249,15 +250,15 @@
         self.reader = reader
 
     def encode_request(self, attempt: Attempt, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
-        """Return method, target, headers and body of the request to a worker."""
+        """Returns method, target, headers and body of the request to a worker."""
         return forwarded_request(attempt, wait_ms)
 
     def decoder(self) -> _JsonLinesDecoder:
-        """Return a new decoder for one answer."""
+        """Returns a new decoder for one answer."""
         return _JsonLinesDecoder()
 
     def early_reply(self, http_request: HttpRequest) -> Reply | None:
-        """Return None: every valid request is run."""
+        """Returns None: every valid request is run."""
         return None
 
     async def respond(
@@ -267,7 +268,7 @@
         run_to_answer: RunToAnswer,
         closes_after_answer: ClosesAfterAnswer,
     ) -> bool:
-        """Run a request and send the reply. Returns whether the connection may carry another."""
+        """Runs a request and sends the reply. Returns whether the connection may carry another request."""
         answer = await run_to_answer()
         if answer is None or client.disconnected:
             return False
@@ -275,7 +276,7 @@
         return await client.send(client.http.encode_reply(self.reply(answer), close)) and not close
 
     def reply(self, answer: Answer) -> Reply:
-        """Return the HTTP reply for a final answer."""
+        """Returns the HTTP reply for a final answer."""
         if isinstance(answer, Served):
             return Reply(200, encode_result(answer.result), content_type="application/octet-stream")
         if isinstance(answer, Rejection):
--- a/yewrill/frontends/progress.py
+++ b/yewrill/frontends/progress.py
@@ -44,7 +44,7 @@
 
 
 def encode_event(type: str, data: object, id: str = "") -> bytes:
-    """Encode one event. Its data is JSON on a single line, so that it can't be mistaken for other fields."""
+    """Encodes one event. Its data is JSON on a single line, so that it can't be mistaken for other fields."""
     head = f"event: {type}\n" + (f"id: {id}\n" if id else "")
     return f"{head}data: {ujson.dumps(data, escape_forward_slashes=False, allow_nan=False)}\n\n".encode()
 
@@ -64,7 +64,7 @@
         self._id = ""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Parse the next bytes; returns the events they complete. Raises MalformedResponse."""
+        """Parses the next bytes; returns the events they complete. Raises MalformedResponse."""
         buffer = self._incomplete + data
         if not self._bom_checked:
             if len(buffer) < 3 and b"\xef\xbb\xbf".startswith(buffer):
@@ -76,7 +76,7 @@
         line_start = 0
         for end in self._LINE_ENDS.finditer(buffer):
             if end.group() == b"\r" and end.end() == len(buffer):
-                break  # may be the first byte of CR LF
+                break  # this CR may be the first byte of CR LF
             self._line(buffer[line_start : end.start()].decode("utf-8", "replace"), events)
             line_start = end.end()
         self._incomplete = buffer[line_start:]
@@ -113,12 +113,12 @@
         self._parser = EventStreamParser()
 
     def feed(self, data: bytes) -> list[WorkerMessage]:
-        """Decode the next bytes; returns the messages they complete. Raises MalformedResponse."""
+        """Decodes the next bytes; returns the messages they complete. Raises MalformedResponse."""
         return [parse_worker_message(event.data) for event in self._parser.feed(data)]
 
 
 class _ProgressBuffer:
-    """The progress to send to a client; keeps only the latest, so that a slow reader uses no more memory."""
+    """The latest progress to send to a client; older progress is dropped, so slow readers cost no memory."""
 
     def __init__(self, request: Request):
         self._request = request
@@ -128,18 +128,18 @@
         self.answer: Answer | None = None
 
     def progress(self, attempt: Attempt, share: float) -> None:
-        """Store the share of an attempt's work that is done."""
+        """Stores the share of an attempt's work that is done."""
         self._latest = (attempt, share)
         self._changed.set()
 
     def end(self, answer: Answer | None) -> None:
-        """Store the final answer, None if the client has left; progress ends."""
+        """Stores the final answer, None if the client has left; progress ends."""
         self.answer = answer
         self._ended = True
         self._changed.set()
 
     async def next(self) -> tuple[int, float] | None:
-        """Wait for the next progress; returns attempt number and share, or None at the end."""
+        """Waits for the next progress; returns attempt number and share, or None at the end."""
         while not self._ended:
             latest, self._latest = self._latest, None
             # Progress of an attempt that has ended is out of date, even if it was never sent.
@@ -160,15 +160,15 @@
         self.reader = reader
 
     def encode_request(self, attempt: Attempt, wait_ms: int) -> tuple[str, str, list[tuple], bytes]:
-        """Return method, target, headers and body of the request to a worker."""
+        """Returns method, target, headers and body of the request to a worker."""
         return forwarded_request(attempt, wait_ms, accept=CONTENT_TYPE)
 
     def decoder(self) -> _EventStreamDecoder:
-        """Return a new decoder for one answer."""
+        """Returns a new decoder for one answer."""
         return _EventStreamDecoder()
 
     def early_reply(self, http_request: HttpRequest) -> Reply | None:
-        """Return 204 for a reconnecting reader, else None.
+        """Returns 204 for a reconnecting reader, else None.
 
         An EventSource reconnects by repeating its request; status 204 tells it to stop.
         """
@@ -181,7 +181,7 @@
         run_to_answer: RunToAnswer,
         closes_after_answer: ClosesAfterAnswer,
     ) -> bool:
-        """Run a request and stream its progress and final event. The connection closes after that."""
+        """Runs a request and streams its progress and final event. The connection closes after that."""
         head = client.http.encode_head(200, RESPONSE_HEADERS, close=True)
         if not await client.send(head + client.http.encode_body_part(b": taken\n\n")):
             client.disconnect()
@@ -208,7 +208,8 @@
                 "progress", {"id": request.id, "attempt": number, "share": share}, f"{events_sent}"
             )
             if not await client.send(client.http.encode_body_part(event)):
-                # Disconnected or not reading: no event can follow one that was only partly written.
+                # The client has disconnected or does not read: no event can follow one that was only partly
+                # written.
                 client.disconnect()
                 return
         if buffer.answer is not None and not client.disconnected:
@@ -219,7 +220,7 @@
 
 
 def final_event(request: Request, answer: Answer, id: str) -> bytes:
-    """Return the final event of a stream."""
+    """Returns the final event of a stream."""
     if isinstance(answer, Served):
         return encode_event("served", {"id": request.id, "result": answer.result}, id)
     if isinstance(answer, Rejection):
--- a/yewrill/net/backlog.py
+++ b/yewrill/net/backlog.py
@@ -22,11 +22,11 @@
 
 from yewrill.net.connection import poll_events
 
-# The pause after a failed accept.
+# Bounds and growth of the pause after a failed accept.
 INITIAL_PAUSE_SECONDS = 0.002
 MAX_PAUSE_SECONDS = 0.05
 PAUSE_GROWTH = 2.0
-# One iteration of the event loop can take this long; a shorter time in the backlog is not counted as a wait.
+# One iteration of the event loop can take this long; a shorter time in the backlog is counted as no wait.
 MIN_COUNTED_WAIT_SECONDS = 0.005
 # struct tcp_info of linux/tcp.h: eight bytes of flags, then 32-bit words; tcpi_last_data_recv is the twelfth
 # word, in milliseconds.
@@ -56,22 +56,22 @@
         self._listener = listener
         # A connection cannot have waited for longer than the socket has been listening.
         self._waiting_since: float | None = -math.inf if already_listening else trio.current_time()
-        self.pause = INITIAL_PAUSE_SECONDS  # seconds to wait after a failed accept
+        self.pause = INITIAL_PAUSE_SECONDS  # pause after a failed accept, in seconds
 
     def note_readable(self) -> None:
-        """Note that the event loop has reported the socket as readable."""
+        """Notes that the event loop has reported the socket as readable."""
         if self._waiting_since is None:
             self._waiting_since = trio.current_time()
 
     def has_waiting(self) -> bool:
-        """Return whether a connection is waiting now; another process on the socket may still accept it."""
+        """Returns whether a connection is waiting now; another process on the socket may still accept it."""
         is_waiting = bool(poll_events(self._listener.sock, select.POLLIN))
         if not is_waiting:
             self._waiting_since = None
         return is_waiting
 
     def accept(self) -> Accepted | None:
-        """Return the next connection, or None if the backlog is empty.
+        """Returns the next connection, or None if the backlog is empty.
 
         Raises OSError if `accept` fails otherwise; `pause` has then been lengthened.
         """
@@ -98,7 +98,7 @@
 
 
 def seconds_since_last_data(sock: socket.socket) -> float:
-    """Return the seconds since a connection last received data or was opened; infinite if unknown."""
+    """Returns the seconds since a connection last received data or was opened; infinite if unknown."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
         return struct.unpack_from("=I", info, _LAST_DATA_RECEIVED_OFFSET)[0] / 1000.0
--- a/yewrill/net/client_connection.py
+++ b/yewrill/net/client_connection.py
@@ -17,7 +17,7 @@
 from yewrill.net.connection import Connection
 from yewrill.net.http import MAX_BODY_BYTES, BadRequest, HttpRequest, ServerSide, check_framing
 
-SEND_TIMEOUT_SECONDS = 5.0  # for one write to a client
+SEND_TIMEOUT_SECONDS = 5.0  # time limit of one write to a client
 # The pause between two reads from a client whose input buffer is full: at least the minimum, longer the more
 # such clients there are. Their further input is read only to notice a disconnect, and discarded.
 MIN_OVERRUN_PAUSE_SECONDS = 0.02
@@ -27,7 +27,7 @@
 class ClientConnection:
     """A client's connection. Times are the event loop's, in seconds."""
 
-    overrunning_clients = 0  # over all connections: clients whose input buffer is full
+    overrunning_clients = 0  # number of connections, over all clients, whose input buffer is full
 
     def __init__(self, connection: Connection):
         self.connection = connection
@@ -36,17 +36,17 @@
         self.on_left: Callable[[Request], None] = lambda request: None
         self.disconnected = False
         self.close_reason: CloseReason | None = None
-        self.answering = False  # a complete request is being processed or answered
-        # Part of the pipelined input was discarded, so no later request can be parsed.
+        self.answering = False  # whether a complete request is being processed or answered
+        # Whether part of the pipelined input was discarded, so that no later request can be parsed.
         self.input_dropped = False
-        self.has_sent_request = False  # at least one valid request
+        self.has_sent_request = False  # whether the client has sent at least one valid request
         self.idle_since = self.opened_at = trio.current_time()
-        self.first_byte = 0.0  # when the next request began to arrive; 0 if it has not
-        self.closing = False  # further input is discarded
-        self._idle_wait = trio.CancelScope()  # of the wait for the next request
+        self.first_byte = 0.0  # time at which the next request began to arrive; 0 if none has
+        self.closing = False  # whether the connection is closing and further input is discarded
+        self._idle_wait = trio.CancelScope()  # scope of the wait for the next request
 
     def note_backlog_wait(self, accepted: Accepted) -> None:
-        """Date the first request back to its arrival in the backlog, if its data is already here."""
+        """Dates the first request back to its arrival in the backlog, if its data can be read already."""
         if accepted.earliest_arrival < self.opened_at and self.connection.has_unread():
             self.first_byte = accepted.earliest_arrival
 
@@ -60,7 +60,7 @@
             reading_ended.set()
 
     async def _watch_overrun(self) -> None:
-        """Watch for the disconnect of a client that has filled its input buffer before its answer."""
+        """Watches for the disconnect of a client that has filled its input buffer before its answer."""
         ClientConnection.overrunning_clients += 1
         try:
             while not self.disconnected:
@@ -95,20 +95,20 @@
 
     @property
     def has_pipelined_input(self) -> bool:
-        """Whether the client has sent more before its answer, which the protocol does not allow."""
+        """Whether the client has sent more input before its answer, which the protocol does not allow."""
         return bool(len(self.connection.inbound) or self.http.parser.trailing_data[0].strip())
 
     def has_left(self) -> bool:
-        """Return whether the client has disconnected, by the socket itself.
+        """Asks the socket whether the client has disconnected.
 
-        When many clients disconnect at once, the end of this connection may not have been read yet.
+        When many clients disconnect at once, the reading task may not have noticed this one's end yet.
         """
         if not self.disconnected and self.connection.ended():
             self.disconnect()
         return self.disconnected
 
     def disconnect(self, reason: CloseReason = CloseReason.CLIENT_ENDED) -> None:
-        """Close immediately, because the client has disconnected or for another reason."""
+        """Closes the connection immediately, because the client has disconnected or for another reason."""
         if not self.disconnected:
             self.disconnected = True
             self.close_reason = reason
@@ -127,7 +127,7 @@
         return not self.answering and not self.first_byte and not self.closing
 
     async def wait_for_request(self) -> bool:
-        """Wait for the next request to begin; returns False if the connection is to be closed instead."""
+        """Waits for the next request to begin; returns False if the connection is to be closed instead."""
         self._idle_wait = trio.CancelScope()
         with self._idle_wait:
             if not self.closing:
@@ -135,7 +135,7 @@
         return not self.closing
 
     def close_gracefully(self) -> None:
-        """Take no more requests. A connection that has had an answer is closed by its own task.
+        """Takes no more requests. The task of a connection that has had an answer closes it.
 
         Closing the socket while input arrives would reset the connection, and the client could lose its last
         answer.
@@ -148,17 +148,17 @@
         self._idle_wait.cancel()
 
     async def wait_readable(self) -> None:
-        """Wait until input is available or the client has disconnected."""
+        """Waits until input is available or the client has disconnected."""
         while not len(self.connection.inbound) and not self.disconnected:
             await self._fill()
 
     async def receive(self) -> bytes:
-        """Return the next bytes, empty once the client has disconnected."""
+        """Returns the next bytes, empty once the client has disconnected."""
         await self.wait_readable()
         return b"" if self.disconnected else self.connection.inbound.take()
 
     async def read_request(self) -> HttpRequest | None:
-        """Return the next complete request, None if the client has disconnected. Raises BadRequest."""
+        """Returns the next complete request, None if the client has disconnected. Raises BadRequest."""
         http_request: HttpRequest | None = None
         body = bytearray()
         while True:
@@ -194,19 +194,20 @@
 
     @asynccontextmanager
     async def reading_ahead(self, nursery: trio.Nursery) -> AsyncIterator[None]:
-        """Read ahead while the context is open."""
+        """Reads ahead while the context is open."""
         scope, reading_ended = trio.CancelScope(), trio.Event()
         nursery.start_soon(self._read_ahead, scope, reading_ended)
         try:
             yield
         finally:
             scope.cancel()
-            # Brief, and shielded: two tasks must not read the connection at once.
+            # The wait is brief, and shielded from cancellation: two tasks must not read the connection at
+            # once.
             with trio.CancelScope(shield=True):
                 await reading_ended.wait()
 
     def next_cycle(self) -> None:
-        """Prepare for the next request, after the answer has been sent."""
+        """Prepares for the next request, after the answer has been sent."""
         self.http.parser.start_next_cycle()
         self.answering = False
         self.idle_since = trio.current_time()
@@ -214,7 +215,7 @@
         self.first_byte = self.idle_since if len(self.connection.inbound) else 0.0
 
     async def send(self, data: bytes) -> bool:
-        """Send within SEND_TIMEOUT_SECONDS; returns False if the client has disconnected or does not read."""
+        """Sends within SEND_TIMEOUT_SECONDS; returns False if the client disconnects or does not read."""
         if self.disconnected:
             return False
         with trio.move_on_after(SEND_TIMEOUT_SECONDS) as scope:
--- a/yewrill/net/connection.py
+++ b/yewrill/net/connection.py
@@ -31,11 +31,11 @@
 TRANSIENT_ERRORS = frozenset({errno.ENOBUFS, errno.ENOMEM, errno.EINTR})
 # Waiting for a socket could not be set up (epoll_ctl failed); the socket itself is unchanged.
 WAIT_SETUP_ERRORS = frozenset({errno.ENOMEM, errno.ENOSPC})
-# The pause before a failed read or write is retried.
+# Bounds and growth of the pause before a failed read or write is retried.
 INITIAL_PAUSE_SECONDS = 0.002
 MAX_PAUSE_SECONDS = 0.02
 PAUSE_GROWTH = 2.0
-MAX_RETRY_SECONDS = 1.0  # of uninterrupted failures, after which the error is raised
+MAX_RETRY_SECONDS = 1.0  # duration of uninterrupted failures after which the error is raised
 
 
 class IdleCheck(Enum):
@@ -47,7 +47,7 @@
 
 
 def poll_events(sock: socket.socket, wanted: int) -> int:
-    """Return the wanted `select.poll` events that a socket has now, with any error or hang-up."""
+    """Returns the wanted `select.poll` events that a socket has now, with any error or hang-up."""
     poll = select.poll()  # select() does not support descriptors above 1023
     poll.register(sock, wanted)
     return next((events for _, events in poll.poll(0)), 0)
@@ -56,14 +56,14 @@
 class Retries:
     """Retries a read or write that fails with a transient error, with growing pauses, for a limited time."""
 
-    total = 0  # over all connections of the process
+    total = 0  # number of retries over all connections of the process
 
     def __init__(self) -> None:
         self._pause = INITIAL_PAUSE_SECONDS
         self._since: float | None = None
 
     async def pause_after(self, error: OSError) -> None:
-        """Wait before the next try. Raises the error if it is not transient or has lasted too long."""
+        """Waits before the next try. Raises the error if it is not transient or has lasted too long."""
         now = trio.current_time()
         if self._since is None:
             self._since = now
@@ -78,12 +78,12 @@
         self._pause = min(MAX_PAUSE_SECONDS, self._pause * PAUSE_GROWTH)
 
     def elapsed(self) -> float:
-        """Return the seconds since the first failure, 0 if there was none."""
+        """Returns the seconds since the first failure, 0 if there was none."""
         return 0.0 if self._since is None else trio.current_time() - self._since
 
 
 class Connection:
-    """A non-blocking TCP socket with its buffers. Cancellation does not close it; its user does."""
+    """A non-blocking TCP socket with its buffers. Cancellation does not close it; its owner does."""
 
     __slots__ = ("sock", "inbound", "outbound", "closed", "unsent", "retried_for")
 
@@ -95,12 +95,13 @@
         self.inbound = RingBuffer(ring_bytes)
         self.outbound = RingBuffer(ring_bytes)
         self.closed = False
-        self.unsent = 0  # bytes of the current `send` that the kernel has not accepted
-        self.retried_for = 0.0  # seconds that the last read was retried before it succeeded
+        self.unsent = 0  # number of bytes of the current `send` that the kernel has not accepted
+        # Seconds for which the last read was retried before it succeeded.
+        self.retried_for = 0.0
 
     @classmethod
     async def open(cls, address: tuple[str, int], ring_bytes: int = RING_BYTES) -> Connection:
-        """Connect to an address. Raises OSError; on cancellation the socket is closed."""
+        """Connects to an address. Raises OSError; on cancellation the socket is closed."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         connection = cls(sock, ring_bytes)
         try:
@@ -122,16 +123,17 @@
         try:
             await wait(self.sock)
         except trio.ClosedResourceError:
-            # Another task closed it meanwhile: the waiting task handles that like any lost connection.
+            # Another task closed the socket meanwhile: the waiting task handles that like any lost
+            # connection.
             raise OSError("connection closed locally") from None
         except OSError as error:
             if error.errno not in WAIT_SETUP_ERRORS:
                 raise
-            # Pause in place of the wait; the caller then tries its call again.
+            # A pause takes the place of the wait; the caller then tries its call again.
             await trio.sleep(MAX_PAUSE_SECONDS)
 
     async def fill(self) -> int:
-        """Read available data into the inbound buffer; returns the byte count, 0 at the end of the stream."""
+        """Reads available data into the inbound buffer; returns the byte count, 0 at the stream's end."""
         retries: Retries | None = None
         while True:
             try:
@@ -157,7 +159,7 @@
         return count
 
     def discard_now(self) -> int | None:
-        """Read and discard up to 64 KiB; returns the byte count, 0 at the end, None without data."""
+        """Reads and discards up to 64 KiB; returns the byte count, 0 at the end, None without data."""
         if self.closed:
             raise OSError("connection closed locally")
         try:
@@ -170,13 +172,13 @@
             raise
 
     async def receive(self) -> bytes:
-        """Return the next bytes, empty at the end of the stream."""
+        """Returns the next bytes, empty at the end of the stream."""
         if not len(self.inbound):
             await self.fill()
         return self.inbound.take()
 
     async def send(self, data: bytes) -> None:
-        """Send all of `data`. Raises OSError; `unsent` then counts the bytes not handed to the kernel."""
+        """Sends all of `data`. Raises OSError; `unsent` then counts the bytes not handed to the kernel."""
         view = memoryview(data)
         done = 0
         retries: Retries | None = None
@@ -202,7 +204,7 @@
             self.unsent -= count
 
     def check_idle(self) -> IdleCheck:
-        """Return whether an idle connection is still usable, has been closed, or has unexpected input."""
+        """Returns whether an idle connection is still usable, has been closed, or has unexpected input."""
         if len(self.inbound):
             return IdleCheck.STRAY
         try:
@@ -210,33 +212,33 @@
         except BlockingIOError:
             return IdleCheck.IDLE
         except OSError as error:
-            # The state is unknown: STRAY prevents both reuse of the connection and its eviction.
+            # The state of the connection is unknown: STRAY prevents both its reuse and its eviction.
             return IdleCheck.STRAY if error.errno in TRANSIENT_ERRORS else IdleCheck.ENDED
 
     def has_unread(self) -> bool:
-        """Return whether the kernel holds unread bytes or the end of the stream."""
+        """Returns whether the kernel holds unread bytes or the end of the stream."""
         return bool(poll_events(self.sock, select.POLLIN))
 
     def unacknowledged_bytes(self) -> int:
-        """Return the number of bytes handed to the kernel that the peer has not acknowledged."""
+        """Returns the number of bytes handed to the kernel that the peer has not acknowledged."""
         try:
             return struct.unpack("i", fcntl.ioctl(self.sock, termios.TIOCOUTQ, bytes(4)))[0]
         except OSError:
             return 0
 
     def ended(self) -> bool:
-        """Return whether the peer has closed or reset the connection, even if unread bytes precede that."""
+        """Returns whether the peer has closed or reset the connection, even if unread bytes precede that."""
         if self.closed:
             return True
         return bool(poll_events(self.sock, select.POLLRDHUP) & HANGUP_EVENTS)
 
     def shutdown_write(self) -> None:
-        """Shut down the sending side; data sent before is still delivered."""
+        """Shuts down the sending side; data sent before is still delivered."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Close the socket immediately; never raises."""
+        """Closes the socket immediately; never raises."""
         if not self.closed:
             self.closed = True
             trio.lowlevel.notify_closing(self.sock)
--- a/yewrill/net/discovery.py
+++ b/yewrill/net/discovery.py
@@ -18,27 +18,34 @@
 log = logging.getLogger("yewrill.discovery")
 
 HOSTS_PATH = "/discovery/hosts"
-# A change must be known here within 6 s of the time when discovery has it and is reachable, whatever happened
-# to earlier calls. So the time between two chances to learn of a change never exceeds that: a call without an
-# answer is given up after the hold time and the grace; a rejected call is repeated after RETRY_PAUSE_SECONDS
-# plus at most MAX_PAUSE_SECONDS; the next call after such an end, the recovery call, is answered or given up
-# within RECOVERY_TIMEOUT_SECONDS.
+# A change must be known to this dispatcher within 6 s of the time when discovery has it and is reachable,
+# whatever happened to earlier calls. So the time between two chances to learn of a change never exceeds 6 s:
+# a call without an answer is given up after the hold time and the grace; a rejected call is repeated after
+# RETRY_PAUSE_SECONDS plus at most MAX_PAUSE_SECONDS; the next call after such an end, the recovery call, is
+# answered or given up within RECOVERY_TIMEOUT_SECONDS. The hold time is the time for which discovery waits
+# for a change before it answers.
 HOLD_MS = 4000
-ANSWER_GRACE_SECONDS = 0.8  # beyond the hold time, before discovery counts as silent
-# Not shorter: an abandoned call still takes its turn in discovery's queue.
+# Time beyond the hold time after which a call without an answer is given up.
+ANSWER_GRACE_SECONDS = 0.8
+# The time limit of a recovery call is not shorter, since a call that was given up still takes its turn in
+# discovery's queue.
 RECOVERY_TIMEOUT_SECONDS = 3.0
-# Short, so that an answer soon shows that discovery is reachable, with or without a change.
+# The hold time of a recovery call is short, so that an answer soon shows that discovery is reachable, with or
+# without a change.
 RECOVERY_HOLD_MS = 1000
-CONNECT_TIMEOUT_SECONDS = 0.5  # the kernel retransmits a lost SYN only after 1 s
-RETRY_PAUSE_SECONDS = 0.1  # after a failed call; a gap of up to 200 ms does not interrupt a watch
+CONNECT_TIMEOUT_SECONDS = 0.5  # Shorter than 1 s, after which the kernel retransmits a lost SYN
+# Pause after a failed call; a gap of up to 200 ms between calls does not interrupt a watch.
+RETRY_PAUSE_SECONDS = 0.1
 # Discovery rejects calls when a whole fleet calls at once. So each dispatcher retries at a random time within
-# REJECTED_PAUSE_SECONDS per caller, a range that grows with each rejection. An overloaded discovery that many
-# dispatchers call may also reset connections: then only the first pause in a row is short.
+# a range of REJECTED_PAUSE_SECONDS for each dispatcher that calls, which grows with each rejection. An
+# overloaded discovery that many dispatchers call may also reset connections: then only the first of several
+# consecutive pauses is short.
 REJECTED_PAUSE_SECONDS = 0.3
 PAUSE_GROWTH = 1.5
-MAX_PAUSE_SECONDS = 2.7  # of the random part of a pause
-MAX_COUNTED_FAILURES = 10  # in a row; by then the pause has reached its maximum
-MAX_LIST_BYTES = 4 * 1024 * 1024  # enough for about ten thousand endpoints
+MAX_PAUSE_SECONDS = 2.7  # upper bound of the random part of a pause
+# Number of consecutive failures that are counted; by then the pause has reached its maximum.
+MAX_COUNTED_FAILURES = 10
+MAX_LIST_BYTES = 4 * 1024 * 1024  # size limit of a list, enough for about ten thousand endpoints
 INPUT_BUFFER_BYTES = 65536
 
 
@@ -47,7 +54,7 @@
 
 
 def retry_pause(failures: int, callers: int, jitter: float) -> float:
-    """Return the seconds to wait before the next call, after `failures` earlier failures in a row.
+    """Returns the seconds to wait before the next call, after `failures` earlier consecutive failures.
 
     `callers` is the number of dispatchers that call this discovery, `jitter` a random number from 0 to 1. If
     a whole fleet retried at once, it would keep discovery's queue full and all calls would fail.
@@ -62,10 +69,10 @@
 
     address: tuple[str, int]
     http: ClientSide | None = None
-    needs_full_list: bool = True  # a list known from before may be out of date
-    recovering: bool = True  # the previous call was not answered
-    unavailable: bool = False  # logged as unavailable
-    failures: int = 0  # in a row
+    needs_full_list: bool = True  # whether a known list, if any, may be out of date
+    recovering: bool = True  # whether the previous call was not answered
+    unavailable: bool = False  # whether discovery has been logged as unavailable
+    failures: int = 0  # number of consecutive failed calls
 
     def close(self) -> None:
         if self.http is not None:
@@ -74,7 +81,7 @@
 
 
 class DiscoveryWatch:
-    """Keeps the endpoint list up to date, also while discovery is silent, unreachable, malformed or moved."""
+    """Keeps the endpoint list up to date; handles a discovery that is silent, unreachable or moved."""
 
     def __init__(
         self, address: tuple[str, int], endpoints: EndpointList, seed: int = 0, callers: int = 1
@@ -83,19 +90,20 @@
         self.address = address
         self.callers = callers
         self._endpoints = endpoints
-        self._list_source = address  # the discovery whose version numbers apply to the list
+        # Address of the discovery whose version numbers apply to the list.
+        self._list_source = address
         self._rng = random.Random(seed)
         self._scope = trio.CancelScope()
         self.answered = trio.Event()  # set when discovery has returned a list
 
     def move(self, address: tuple[str, int]) -> None:
-        """Switch to another address immediately, even during a call, and fetch the full list there."""
+        """Switches to another address immediately, even during a call, and fetches the full list there."""
         if address != self.address:
             self.address = address
             self._scope.cancel()
 
     async def run(self) -> None:
-        """Poll discovery until cancelled."""
+        """Polls discovery until cancelled."""
         while True:
             self._scope = trio.CancelScope()
             with self._scope:
@@ -122,7 +130,7 @@
             session.close()
 
     async def _poll(self, session: _Session) -> None:
-        """Make one call and apply its answer. Raises on any failure."""
+        """Makes one call and applies its answer. Raises on any failure."""
         full = session.needs_full_list
         timeout = HOLD_MS / 1000.0 + ANSWER_GRACE_SECONDS
         with trio.fail_after(RECOVERY_TIMEOUT_SECONDS if session.recovering else timeout):
@@ -153,7 +161,7 @@
             session.unavailable = False
 
     def _note_failure(self, session: _Session, error: Exception) -> float:
-        """Record a failed call; returns the seconds to wait before the next one."""
+        """Records a failed call; returns the seconds to wait before the next one."""
         session.recovering = True
         if not session.unavailable:
             log.warning(
@@ -176,7 +184,7 @@
         return pause
 
     async def _call(self, http: ClientSide, full: bool, hold_ms: int) -> tuple[h11.Response, bytes]:
-        """Request the full list, or changes, which discovery waits for up to `hold_ms`."""
+        """Requests the full list, or changes, for which discovery waits up to `hold_ms`."""
         target = (
             HOSTS_PATH if full else f"{HOSTS_PATH}?from={self._endpoints.version}&hold_ms={hold_ms}"
         )
@@ -185,7 +193,7 @@
         return response, await http.body(MAX_LIST_BYTES)
 
     def _apply(self, response: h11.Response, body: bytes, full: bool) -> None:
-        """Apply an answer to the endpoint list. Raises CallRejected, ConfigError or ValueError."""
+        """Applies an answer to the endpoint list. Raises CallRejected, ConfigError or ValueError."""
         if response.status_code in (429, 503):
             raise CallRejected(f"status {response.status_code}")
         if response.status_code != 200:
--- a/yewrill/net/endpoint_list.py
+++ b/yewrill/net/endpoint_list.py
@@ -13,7 +13,7 @@
 from yewrill.policy import interface as api
 
 MAX_DETACHED = 10_000
-# For this time after a worker was attached again, a new process is informed of that.
+# For this time after a worker was attached again, a new process of a hot restart is informed of that.
 REATTACHED_RETENTION_SECONDS = 60.0
 
 
@@ -24,8 +24,10 @@
         self._engine = engine
         self.topology = topology
         self._known: dict[str, Endpoint] = {}
-        self._detached: set[str] = set()  # by operators; may hold names that are not listed
-        self._attached_at: dict[str, float] = {}  # recently attached again; engine clock, ms
+        # Workers detached by operators; may hold names that are not listed.
+        self._detached: set[str] = set()
+        # When a worker was attached again, if recently, in ms of the engine's clock.
+        self._attached_at: dict[str, float] = {}
         self.version = 0
         self._change_subscribers: list[Callable[[Endpoint | None, str], None]] = []
         self._list_subscribers: list[Callable[[], None]] = []
@@ -34,11 +36,11 @@
         return len(self._known)
 
     def subscribe_to_changes(self, callback: Callable[[Endpoint | None, str], None]) -> None:
-        """Register a callback for each changed endpoint and its name; the endpoint is None if removed."""
+        """Registers a callback for each changed endpoint and its name; the endpoint is None if removed."""
         self._change_subscribers.append(callback)
 
     def subscribe_to_lists(self, callback: Callable[[], None]) -> None:
-        """Register a callback for each change of the list."""
+        """Registers a callback for each change of the list."""
         self._list_subscribers.append(callback)
 
     @property
@@ -47,11 +49,11 @@
         return list(self._known)
 
     def get(self, name: str) -> Endpoint | None:
-        """Return the endpoint of this name, None if it is not listed."""
+        """Returns the endpoint of this name, None if it is not listed."""
         return self._known.get(name)
 
     def may_send(self, name: str) -> bool:
-        """Return whether an endpoint may get new attempts: it is listed, running and not detached."""
+        """Returns whether an endpoint may get new attempts: it is listed, running and not detached."""
         endpoint = self._known.get(name)
         return (
             endpoint is not None
@@ -76,7 +78,7 @@
         return {name: now - at for name, at in self._attached_at.items()}
 
     def detach(self, name: str, listed: bool = True) -> bool:
-        """Stop sending to a worker, whatever discovery lists, until it is attached again.
+        """Stops sending to a worker, whatever discovery lists, until it is attached again.
 
         Returns False if `listed` is set and the worker is not listed, or if too many are detached.
         """
@@ -89,7 +91,7 @@
         return True
 
     def attach(self, name: str, age_ms: float = 0.0) -> bool:
-        """Undo `detach`, as of `age_ms` ago; returns False if the worker is unknown.
+        """Undoes `detach`, as of `age_ms` ago; returns False if the worker is unknown.
 
         The worker may have been restarted since it was detached.
         """
@@ -112,13 +114,13 @@
             callback(endpoint, name)
 
     def _as_seen_by_policy(self, endpoint: Endpoint) -> Endpoint:
-        """Return the endpoint as the policy sees it: a detached one is draining."""
+        """Returns the endpoint as the policy module sees it: a detached one is draining."""
         if endpoint.id in self._detached and endpoint.state == api.WorkerState.RUNNING:
             return replace(endpoint, state=api.WorkerState.DRAINING)
         return endpoint
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the list in discovery's format, for another process of this dispatcher."""
+        """Returns the list in discovery's format, for another process of this dispatcher."""
         return {
             "version": self.version,
             "full": True,
@@ -138,7 +140,7 @@
         }
 
     def apply(self, answer: dict[str, Any], cached: bool = False) -> None:
-        """Apply an answer of discovery. Raises ConfigError if it is malformed; the list is then unchanged."""
+        """Applies an answer of discovery. Raises ConfigError, without a change, if it is malformed."""
         endpoints = read_endpoints(answer, "discovery", self.topology)
         version, full = answer["version"], cached or bool(answer.get("full"))
         before = dict(self._known)
--- a/yewrill/net/http.py
+++ b/yewrill/net/http.py
@@ -13,7 +13,7 @@
 
 
 class BadRequest(Exception):
-    """A request that is rejected with an HTTP status before it reaches the policy."""
+    """A request that is rejected with an HTTP status before it reaches the policy module."""
 
     def __init__(self, status: int, text: str, headers: tuple[tuple[str, str], ...] = ()):
         super().__init__(text)
@@ -34,12 +34,12 @@
     target: str
     headers: list[tuple[bytes, bytes]]
     body: bytes = b""
-    arrived: float = 0.0  # when its first byte was read, in event loop time
+    arrived: float = 0.0  # time at which the first byte was read, in event loop time
     # The validated headers that are forwarded to the worker.
     forwarded_headers: list[tuple[bytes, bytes]] = field(default_factory=list)
 
     def single_header(self, name: bytes) -> str | None:
-        """Return a header's value, None if absent. Raises BadRequest if it is repeated or not ASCII."""
+        """Returns a header's value, None if absent. Raises BadRequest if it is repeated or not ASCII."""
         found = [value for key, value in self.headers if key == name]
         if len(found) > 1:
             raise BadRequest(400, f"duplicate header {name.decode()}")
@@ -49,7 +49,7 @@
             raise BadRequest(400, f"header {name.decode()} is not plain ASCII") from None
 
     def header_values(self, name: bytes) -> list[str]:
-        """Return all values of a header. Never raises, whatever bytes they hold."""
+        """Returns all values of a header. Never raises, whatever bytes they hold."""
         return [value.decode("latin-1") for key, value in self.headers if key == name]
 
 
@@ -68,7 +68,7 @@
 
 
 def check_framing(event: h11.Request) -> None:
-    """Reject ambiguous framing (raises BadRequest), which could smuggle a second request in the body."""
+    """Rejects ambiguous framing (raises BadRequest), which could smuggle a second request in the body."""
     if event.http_version not in (b"1.0", b"1.1"):
         raise BadRequest(505, "unsupported HTTP version")
     names = {name for name, _ in event.headers}
@@ -89,11 +89,11 @@
         self.parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
 
     def feed(self, data: bytes) -> None:
-        """Pass received bytes to the parser."""
+        """Passes received bytes to the parser."""
         self.parser.receive_data(data)
 
     def next_event(self):
-        """Return the next event of the request, h11.NEED_DATA or h11.PAUSED. Raises BadRequest."""
+        """Returns the next event of the request, h11.NEED_DATA or h11.PAUSED. Raises BadRequest."""
         try:
             return self.parser.next_event()
         except h11.RemoteProtocolError as error:
@@ -102,23 +102,23 @@
             raise BadRequest(status, f"malformed HTTP: {error}") from None
 
     def encode_reply(self, reply: Reply, close: bool) -> bytes:
-        """Encode a complete reply with its Content-Length."""
+        """Encodes a complete reply with its Content-Length."""
         headers = [("Content-Type", reply.content_type), ("Content-Length", str(len(reply.body)))]
         head = self.encode_head(reply.status, headers + reply.headers, close)
         return head + self.encode_body_part(reply.body) + self.encode_end()
 
     def encode_head(self, status: int, headers: list[tuple[str, str]], close: bool) -> bytes:
-        """Encode the head of a reply."""
+        """Encodes the head of a reply."""
         if close:
             headers = [*headers, ("Connection", "close")]
         return self.parser.send(h11.Response(status_code=status, headers=headers))
 
     def encode_body_part(self, data: bytes) -> bytes:
-        """Encode one chunk of a reply's body."""
+        """Encodes one chunk of a reply's body."""
         return self.parser.send(h11.Data(data=data)) or b""
 
     def encode_end(self) -> bytes:
-        """Encode the end of a reply's body."""
+        """Encodes the end of a reply's body."""
         return self.parser.send(h11.EndOfMessage()) or b""
 
     @property
@@ -142,7 +142,7 @@
         self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
 
     def encode(self, method: str, target: str, headers: list[tuple], body: bytes = b"") -> bytes:
-        """Encode a whole request."""
+        """Encodes a whole request."""
         if self.parser.our_state is h11.DONE:
             self.parser.start_next_cycle()
         send = self.parser.send
@@ -152,7 +152,7 @@
         return data + (send(h11.EndOfMessage()) or b"")
 
     async def event(self):
-        """Return the next event of the response. Raises h11.RemoteProtocolError, OSError or PeerEnded."""
+        """Returns the next event of the response. Raises h11.RemoteProtocolError, OSError or PeerEnded."""
         while True:
             event = self.parser.next_event()
             if event is h11.NEED_DATA:
@@ -170,14 +170,14 @@
         return self.parser.their_state is h11.SEND_BODY and self.parser.their_http_version == b"1.0"
 
     async def response(self) -> h11.Response:
-        """Wait for the head of the response. Raises the errors of `event`."""
+        """Waits for the head of the response. Raises the errors of `event`."""
         while True:
             event = await self.event()
             if isinstance(event, h11.Response):
                 return event
 
     async def body(self, max_bytes: int = MAX_BODY_BYTES) -> bytes:
-        """Read the body. Raises the errors of `event`, h11.RemoteProtocolError also over `max_bytes`."""
+        """Reads the body. Raises the errors of `event`, h11.RemoteProtocolError also over `max_bytes`."""
         parts = bytearray()
         while True:
             event = await self.event()
@@ -188,7 +188,7 @@
                 raise h11.RemoteProtocolError("response body too long")
 
     def exchange_complete(self) -> bool:
-        """Return whether both sides of the exchange are complete, so that the connection can be reused.
+        """Returns whether both sides of the exchange are complete, so that the connection can be reused.
 
         Reads the rest of the response as far as it is available. Raises OSError or h11.RemoteProtocolError.
         """
--- a/yewrill/net/listener.py
+++ b/yewrill/net/listener.py
@@ -22,14 +22,15 @@
 log = logging.getLogger("yewrill.clients")
 
 BACKLOG_SIZE = 1024
-# Time limit for a complete request from its first byte, and for a connection's first request from the accept:
-# a client that sends nothing or an incomplete request has its error reply or its close within 3 s.
+# Time limit for a complete request from its first byte, and for a connection's first request from the accept.
+# A client that sends nothing or an incomplete request gets an error reply or is disconnected within 3 s.
 REQUEST_TIMEOUT_SECONDS = 2.5
-# A connection without a request so far may be evicted for a new one after this time.
+# A connection that has not sent a request may be evicted for a new one after this time.
 MIN_EVICTION_AGE_SECONDS = 0.2
-# Input that is read and discarded after the last reply so that the reply arrives; the rest is left unread.
+# Amount of input that is read and discarded after the last reply, so that the reply arrives; the rest is left
+# unread.
 LINGER_MAX_BYTES = 64 * 1024
-LINGER_TIMEOUT_SECONDS = 0.2  # for a client to read its last reply and close
+LINGER_TIMEOUT_SECONDS = 0.2  # time that a client has to read its last reply and close
 # The pause after a failed wait for the socket, and the longest wait for a free place before a new eviction.
 ACCEPT_PAUSE_SECONDS = 0.05
 
@@ -38,7 +39,7 @@
 
 
 def _adopt_socket(descriptor: int) -> socket.socket:
-    """Return the listening socket of an inherited descriptor.
+    """Returns the listening socket of an inherited descriptor.
 
     Other processes accept on it too, so it is closed but never shut down. Raises OSError.
     """
@@ -85,8 +86,8 @@
         self._max_clients = max_clients
         self.clients: set[ClientConnection] = set()
         self._capacity_freed = trio.Event()
-        self._failed_accepts = 0  # in a row
-        self._full_logged = False  # that no client can be evicted
+        self._failed_accepts = 0  # number of consecutive failed accepts
+        self._full_logged = False  # whether it was logged that no client can be evicted
         self._nursery: trio.Nursery
         self.accept_failures = 0
         self.closes: Counter[CloseReason] = Counter()
@@ -94,20 +95,21 @@
         self._closed_unanswered = closed_unanswered
         self.accepting = True
         self._closed = trio.Event()  # set when the listening socket is closed
-        self.stopping = False  # idle connections are closed, the others after their answer
+        # Whether idle connections are closed, and the others after their answer.
+        self.stopping = False
 
     async def run(self) -> None:
-        """Accept until the listening socket is closed, then return when every client has been served."""
+        """Accepts until the listening socket is closed, then returns when every client has been served."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            self._backlog.has_waiting()  # an empty backlog resets the time counted as waited
+            self._backlog.has_waiting()  # if the backlog is empty, no wait before now is counted
             while self.accepting:
                 try:
                     await trio.lowlevel.wait_readable(self.sock)
                 except trio.ClosedResourceError:
                     break
                 except OSError as error:
-                    # The wait could not be set up: poll the socket instead.
+                    # The wait could not be set up: the socket is polled instead.
                     self._accept_failed(error)
                     await trio.sleep(ACCEPT_PAUSE_SECONDS)
                 self._backlog.note_readable()
@@ -115,7 +117,7 @@
             await self._closed.wait()
 
     async def _accept_waiting(self) -> None:
-        """Accept until the backlog is empty."""
+        """Accepts until the backlog is empty."""
         while self.accepting:
             full = len(self.clients) >= self._max_clients
             if full and not self._backlog.has_waiting():
@@ -142,12 +144,12 @@
             )
             self._full_logged = True
         self._capacity_freed = trio.Event()
-        # By then further silent connections may have reached the eviction age.
+        # After this pause, further connections without a request may have reached the eviction age.
         with trio.move_on_after(ACCEPT_PAUSE_SECONDS):
             await self._capacity_freed.wait()
 
     def _accept_one(self) -> bool:
-        """Accept one client; returns False if none was waiting. Raises OSError if `accept` fails."""
+        """Accepts one client; returns False if none was waiting. Raises OSError if `accept` fails."""
         accepted = self._backlog.accept()
         if self._failed_accepts and accepted is not None:
             log.info("%s_accept_recovered failed=%d", self._log_name, self._failed_accepts)
@@ -161,7 +163,7 @@
         return True
 
     def _accept_failed(self, error: OSError) -> None:
-        """Count and log a failed accept. Waiting clients stay in the backlog, the others are still served."""
+        """Counts and logs a failed accept. Waiting clients stay in the backlog, others are still served."""
         self._failed_accepts += 1
         self.accept_failures += 1
         if self._failed_accepts == 1:
@@ -176,7 +178,7 @@
             self._evict()
 
     def _evict(self) -> bool:
-        """Close connections without a request in progress to make room; returns whether any was closed.
+        """Closes connections without a request in progress to make room; returns whether any was closed.
 
         Connections that never sent a request are closed first, several at once and after a minimum age,
         because a connection flood consists of them. Otherwise the one that has been idle longest is closed,
@@ -193,7 +195,7 @@
             [c for c in silent if c.idle_since < newest_evictable], max(1, self._max_clients // 32)
         )
         if not evicted and len(silent) > self._max_clients // 8:
-            return False  # new clients wait until these have reached the eviction age
+            return False  # new clients wait until silent ones reach the eviction age
         if not evicted:
             evicted = self._longest_idle(
                 [
@@ -212,7 +214,7 @@
 
     @staticmethod
     def _longest_idle(clients: list[ClientConnection], count: int) -> list[ClientConnection]:
-        """Return the `count` longest idle clients without unread bytes in the kernel.
+        """Returns the `count` longest idle clients without unread bytes in the kernel.
 
         A client whose bytes have been read has sent only part of a request, and counts as idle.
         """
@@ -228,12 +230,12 @@
         self._capacity_freed.set()
 
     def limit(self, max_clients: int) -> None:
-        """Change the maximum number of clients; connected clients stay connected."""
+        """Changes the maximum number of clients; connected clients stay connected."""
         self._max_clients = max_clients
         self._capacity_freed.set()
 
     async def drain_backlog(self, deadline: float) -> None:
-        """Accept all waiting clients, then close the listening socket.
+        """Accepts all waiting clients, then closes the listening socket.
 
         Failing calls are retried, and capacity is awaited, until `deadline` (event loop time). Clients that
         still wait then are reset, and connect to another dispatcher.
@@ -256,7 +258,7 @@
         self._close_socket()
 
     def stop_accepting(self) -> None:
-        """Close the listening socket now. Another process on it, if any, accepts the waiting clients."""
+        """Closes the listening socket now. Another process on it, if any, accepts the waiting clients."""
         self.accepting = False
         if not self._closed.is_set():
             self._close_socket()
@@ -268,25 +270,25 @@
         self._capacity_freed.set()
 
     async def wait_until_empty(self) -> None:
-        """Wait until no client is connected."""
+        """Waits until no client is connected."""
         while self.clients:
             self._capacity_freed = trio.Event()
             await self._capacity_freed.wait()
 
     def close(self) -> None:
-        """Close idle connections now, and each of the others after its answer."""
+        """Closes idle connections now, and each other connection after its answer."""
         self.stopping = True
         for client in list(self.clients):
             self._close_if_idle(client)
 
     def close_without_request(self) -> None:
-        """Close connections without a complete request or a pending reply; an answer would be too late."""
+        """Closes connections without a complete request or a pending reply; an answer would be too late."""
         for client in list(self.clients):
             if not client.answering and not client.closing:
                 client.disconnect(CloseReason.CUT)
 
     def close_idle(self, age: float) -> None:
-        """Close connections that have been idle for `age` seconds; new ones are still accepted."""
+        """Closes connections that have been idle for `age` seconds; new ones are still accepted."""
         before = trio.current_time() - age
         for client in list(self.clients):
             if client.idle_since <= before:
@@ -314,7 +316,7 @@
             self._forget(client)
 
     async def _serve_requests(self, client: ClientConnection) -> CloseReason:
-        """Serve a client's requests; returns why the connection is closed."""
+        """Serves a client's requests; returns why the connection is closed."""
         reason: CloseReason | None = None
         while reason is None:
             try:
@@ -330,7 +332,7 @@
         return reason
 
     async def _exchange(self, client: ClientConnection) -> CloseReason | None:
-        """Serve one request; returns None if another may follow, else the close reason. Raises BadRequest."""
+        """Serves one request; returns the close reason, None if another may follow. Raises BadRequest."""
         http_request = await self._next_request(client)
         if http_request is None:
             if not client.closing:
@@ -376,13 +378,14 @@
         raise BadRequest(408, "the request took too long")
 
     async def _linger(self, client: ClientConnection, valid_request: bool = True) -> None:
-        """Wait after the last reply until the client has it: closing with unread input resets the connection.
+        """Waits after the last reply until the client has it: a close with unread input is a reset.
 
         `valid_request`: the reply answers a valid request. In a flood only such a reply is waited for.
         """
         client.connection.shutdown_write()
         if not valid_request and len(self.clients) > self._max_clients // 2:
-            # In a flood descriptors matter more than this reply. Only input that is already here is read.
+            # In a flood of connections, descriptors matter more than this reply. Only input that can be read
+            # at once is read.
             with suppress(OSError):
                 client.connection.discard_now()
             return
--- a/yewrill/net/management.py
+++ b/yewrill/net/management.py
@@ -10,8 +10,9 @@
 from yewrill.net.http import BadRequest, HttpRequest, Reply
 from yewrill.net.listener import Listener
 
-MAX_CONCURRENT_CALLS = 24  # taken from the reserved descriptors
-REQUEST_TIMEOUT_SECONDS = 1.0  # for a complete call to arrive
+# Number of calls served at a time; their sockets are taken from the reserved descriptors.
+MAX_CONCURRENT_CALLS = 24
+REQUEST_TIMEOUT_SECONDS = 1.0  # time within which a complete call must arrive
 NAME_PARAMETER = "name"  # the query parameter that names the worker, zone or role concerned
 
 
@@ -43,12 +44,12 @@
         return self._listener.address
 
     async def run(self) -> None:
-        """Serve calls until `close`."""
+        """Serves calls until `close`."""
         await self._listener.run()
 
     def close(self) -> None:
-        """Accept no more calls."""
-        self._listener.stop_accepting()  # waiting calls are not drained: nothing would serve them
+        """Accepts no more calls."""
+        self._listener.stop_accepting()  # calls in the backlog are not accepted: nothing would serve them
 
     async def _handle(self, client: ClientConnection, http_request: HttpRequest) -> bool:
         await client.send(client.http.encode_reply(await self._reply(http_request), close=True))
--- a/yewrill/net/management_client.py
+++ b/yewrill/net/management_client.py
@@ -8,7 +8,7 @@
 
 import click
 
-TIMEOUT_SECONDS = 3.0  # for connecting and for each read
+TIMEOUT_SECONDS = 3.0  # time limit for connecting and for each read
 MAX_CONCURRENT_CALLS = 32
 
 addresses_option = click.option(
@@ -23,7 +23,7 @@
 
 
 def call(address: str, method: str, target: str) -> tuple[int, bytes]:
-    """Return the status and the body, or 0 and the reason if there is no answer."""
+    """Returns the status and the body, or 0 and the reason if there is no answer."""
     connection = http.client.HTTPConnection(address, timeout=TIMEOUT_SECONDS)
     try:
         connection.request(method, target)
@@ -36,12 +36,12 @@
 
 
 def call_all(addresses: Sequence[str], method: str, target: str) -> list[tuple[str, int, bytes]]:
-    """Make the same call at all addresses at once; returns address, status and body for each."""
+    """Makes the same call at all addresses at once; returns address, status and body for each."""
     with ThreadPoolExecutor(MAX_CONCURRENT_CALLS) as pool:
         answers = pool.map(lambda address: call(address, method, target), addresses)
         return [(address, *answer) for address, answer in zip(addresses, answers, strict=True)]
 
 
 def describe_failure(address: str, status: int, body: bytes) -> str:
-    """Return an error line for a management listener that did not carry out a call."""
+    """Returns an error line for a management listener that did not carry out a call."""
     return f"{address}: {status or 'no answer'}: {body.decode(errors='replace').strip()}"
--- a/yewrill/net/ring.py
+++ b/yewrill/net/ring.py
@@ -23,26 +23,26 @@
         return len(self._data) - self._size
 
     def space(self) -> memoryview:
-        """Return the next contiguous free region; after writing into it, call `filled`."""
+        """Returns the next contiguous free region; after writing into it, call `filled`."""
         capacity = len(self._data)
         tail = (self._head + self._size) % capacity
         return self._view[tail : tail + min(self.room, capacity - tail)]
 
     def filled(self, count: int) -> None:
-        """Add the bytes that were written into `space`."""
+        """Adds the bytes that were written into `space`."""
         self._size += count
 
     def pending(self) -> memoryview:
-        """Return the oldest contiguous bytes; after reading them, call `used`."""
+        """Returns the oldest contiguous bytes; after reading them, call `used`."""
         return self._view[self._head : self._head + min(self._size, len(self._data) - self._head)]
 
     def used(self, count: int) -> None:
-        """Remove the bytes that were read from `pending`."""
+        """Removes the bytes that were read from `pending`."""
         self._size -= count
         self._head = (self._head + count) % len(self._data) if self._size else 0
 
     def put(self, data: bytes | memoryview) -> int:
-        """Copy in as many bytes as fit; returns their number."""
+        """Copies in as many bytes as fit; returns their number."""
         done = 0
         while done < len(data) and self.room:
             space = self.space()
@@ -53,7 +53,7 @@
         return done
 
     def take(self) -> bytes:
-        """Remove and return all bytes."""
+        """Removes and returns all bytes."""
         first = bytes(self.pending())
         self.used(len(first))
         if self._size:
--- a/yewrill/net/worker_client.py
+++ b/yewrill/net/worker_client.py
@@ -51,7 +51,7 @@
 
 
 class _ConnectFailed(Exception):
-    """No connection could be had for an attempt; carries the attempt's outcome."""
+    """No connection was available for an attempt; carries the attempt's outcome."""
 
     def __init__(self, outcome: AttemptOutcome):
         super().__init__(outcome)
@@ -82,11 +82,11 @@
         self._connections = connections
         self._on_written = on_written
         self.record_attempt = record_attempt
-        # Counts attempts that were not sent, by reason.
+        # Number of chosen attempts that were not sent, by reason.
         self.held_back: Counter[rules.HeldBack] = Counter()
 
     async def run_attempt(self, attempt: Attempt) -> tuple[AttemptOutcome, Any]:
-        """Run an attempt to its outcome. Its connection is closed or back in the pool on return.
+        """Runs an attempt to its outcome. Its connection is closed or back in the pool on return.
 
         Cancelling the attempt's own scope ends it with an outcome; other cancellations propagate.
         """
@@ -99,8 +99,8 @@
             return answer
         if attempt.written:
             return attempt.withdrawn or AttemptOutcome.TIMED_OUT, None
-        # Cancelled before its last byte was written, so the worker does not run it. That counts against the
-        # worker only if it was slow to read.
+        # The attempt was cancelled before its last byte was written, so the worker does not run it. That
+        # counts against the worker only if it was slow to read.
         if not attempt.sent or attempt.withdrawn is AttemptOutcome.NOT_SENT:
             return AttemptOutcome.NOT_SENT, None
         return AttemptOutcome.UNREACHABLE, None
@@ -122,7 +122,7 @@
             attempt.trace.connected = trio.current_time()
         reusable = False
         try:
-            # Connecting took time: check again directly before the first byte.
+            # Connecting took time: the rules are checked again directly before the first byte.
             if (held_back := self._check_may_send(attempt)) is not None:
                 reusable = True
                 return held_back
@@ -136,7 +136,7 @@
                 self._connections.discard(connection)
 
     async def _connection(self, endpoint: Endpoint) -> WorkerConnection:
-        """Return an idle connection or open one. Raises _ConnectFailed."""
+        """Returns an idle connection or opens one. Raises _ConnectFailed."""
         connection = self._connections.take_idle(endpoint)
         if connection is not None:
             return connection
@@ -202,7 +202,7 @@
     def _check_may_send(
         self, attempt: Attempt, record_kept: bool = True
     ) -> tuple[AttemptOutcome, None] | None:
-        """Return None if the attempt may be sent now, else its outcome, which is counted and logged."""
+        """Returns None if the attempt may be sent now, else its outcome, which is counted and logged."""
         reason = rules.may_send(
             rules.SendFacts(
                 self._engine.now(),
@@ -226,7 +226,7 @@
         return AttemptOutcome.NOT_SENT, None
 
     def _check_stated_time(self, attempt: Attempt, wait_ms: int) -> None:
-        """Count a violation if the worker is given more time than the client has."""
+        """Counts a violation if the worker is given more time than the client has."""
         broken = rules.check_timeout(wait_ms, attempt.sent, attempt.request.deadline)
         if broken is not None:
             self._engine.violations.note(
@@ -261,7 +261,7 @@
             raise MalformedResponse("unexpected Content-Type of the response")
 
     def _take_message(self, attempt: Attempt, message: WorkerMessage) -> AttemptOutcome | None:
-        """Return the attempt's outcome if a message is final, else None. Raises MalformedResponse."""
+        """Returns the attempt's outcome if a message is final, else None. Raises MalformedResponse."""
         if message.id != attempt.request.id:
             raise MalformedResponse(f"answer to another request: id {str(message.id)[:64]!r}")
         if message.state == "started":
@@ -276,15 +276,15 @@
         return outcome
 
     async def probe(self, worker: str) -> tuple[AttemptOutcome, Any]:
-        """Check a worker's health, and read its load report if it sends one.
+        """Checks a worker's health, and reads its load report if it sends one.
 
-        A probe that was not sent counts as REJECTED, which the policy treats as no information; any other
-        failure would keep the worker ejected.
+        A probe that was not sent counts as REJECTED, which the policy module treats as no information; any
+        other failure would keep the worker ejected.
         """
         endpoint = self._endpoints.get(worker)
         if endpoint is None or not self._endpoints.may_send(worker):
             return AttemptOutcome.REJECTED, None
-        # On a new connection, because the state of an old one says little about the worker.
+        # The check uses a new connection, because the state of an old one says little about the worker.
         connection: WorkerConnection | None = None
         reusable = False
         load = None
@@ -293,7 +293,7 @@
                 if not self._connections.make_room():
                     return AttemptOutcome.REJECTED, None
                 connection = await self._connections.connect(endpoint)
-                if not self._endpoints.may_send(worker):  # may have changed while connecting
+                if not self._endpoints.may_send(worker):  # the state may have changed meanwhile
                     return AttemptOutcome.REJECTED, None
                 path = LOAD_PATH if self._engine.reports_load else PROBE_PATH
                 await connection.http.connection.send(
@@ -324,7 +324,7 @@
 
 
 def _outcome_of_status(attempt: Attempt, response: h11.Response) -> AttemptOutcome:
-    """Return the outcome for a status other than 200; keeps a load report found in the headers."""
+    """Returns the outcome for a status other than 200; keeps a load report found in the headers."""
     for name, value in response.headers:
         if name == b"x-server-load":
             attempt.load = load_report.from_header(value.decode("latin-1"))
--- a/yewrill/net/worker_connections.py
+++ b/yewrill/net/worker_connections.py
@@ -17,11 +17,14 @@
 
 log = logging.getLogger("yewrill.destinations")
 
-IDLE_LIMIT_SHARE = 0.7  # idle connections are closed after this share of the workers' idle limit
-# After a stale connection a worker gets only new ones for this time, which doubles with each further one.
+# Idle connections are closed after this fraction of the idle time after which workers close them.
+IDLE_LIMIT_SHARE = 0.7
+# After a stale connection, only new connections to the worker are used for this time, which doubles with each
+# further stale one up to the maximum.
 MIN_REUSE_PAUSE_SECONDS = 5.0
 MAX_REUSE_PAUSE_SECONDS = 60.0
-MESSAGE_END_TIMEOUT_SECONDS = 0.25  # from the last line of an answer to the end of its HTTP message
+# Time limit from the last line of an answer to the end of its HTTP message.
+MESSAGE_END_TIMEOUT_SECONDS = 0.25
 SWEEP_INTERVAL_SECONDS = 0.1
 
 
@@ -32,8 +35,8 @@
     http: ClientSide
     address: tuple[str, int]
     idle_since: float = 0.0
-    reused: bool = False  # it has been in the pool before
-    reusable_from: float = 0.0  # not reused before this time
+    reused: bool = False  # whether the connection has been in the pool before
+    reusable_from: float = 0.0  # time before which the connection is not reused
 
 
 class _ReusePause(NamedTuple):
@@ -73,12 +76,12 @@
         endpoints.subscribe_to_changes(self._endpoint_changed)
 
     def reconfigure(self, connect_timeout: float, idle_limit: float) -> None:
-        """Set the connect timeout and the idle time after which workers close connections, in seconds."""
+        """Sets the connect timeout and the idle time after which workers close connections, in seconds."""
         self._connect_timeout = connect_timeout
         self._max_idle = idle_limit * IDLE_LIMIT_SHARE
 
     async def connect(self, endpoint: Endpoint) -> WorkerConnection:
-        """Open a connection; call `make_room` first. Raises OSError or trio.TooSlowError."""
+        """Opens a connection; call `make_room` first. Raises OSError or trio.TooSlowError."""
         self.open += 1
         try:
             with trio.fail_after(self._connect_timeout):
@@ -89,9 +92,10 @@
         return WorkerConnection(ClientSide(connection), endpoint.address)
 
     def take_idle(self, endpoint: Endpoint) -> WorkerConnection | None:
-        """Return the most recently used idle connection that is still usable, None if there is none.
+        """Returns the most recently used idle connection that is still usable, None if there is none.
 
-        It must be within the idle limit, without unread input, and to the endpoint's current address.
+        A usable connection is within the idle limit, has no unread input, and leads to the endpoint's current
+        address.
         """
         if self._unfinished and not self._idle.get(endpoint.id):
             self._collect_ended()
@@ -112,7 +116,7 @@
         return None
 
     def pause_reuse(self, worker: str) -> None:
-        """Close all idle connections to a worker, after one was stale, and keep none for a while."""
+        """Closes all idle connections to a worker, after one was stale, and keeps none for a while."""
         now = trio.current_time()
         until, duration = self._reuse_pauses.get(worker, (0.0, 0.0))
         if now >= until:
@@ -128,7 +132,7 @@
         )
 
     def release(self, worker: str, connection: WorkerConnection) -> None:
-        """Take back a connection whose exchange is over; closes it if it can't be reused."""
+        """Takes back a connection whose exchange is over; closes it if it can't be reused."""
         try:
             complete = connection.http.exchange_complete()
         except (OSError, h11.RemoteProtocolError):
@@ -151,19 +155,19 @@
             self.discard(connection)
 
     def discard(self, connection: WorkerConnection) -> None:
-        """Close a connection, if it is not closed already."""
+        """Closes a connection, if it is not closed already."""
         if not connection.http.connection.closed:
             connection.http.connection.close()
             self.open -= 1
 
     def limit(self, max_open: int) -> None:
-        """Change the maximum number of connections; idle ones above it are closed."""
+        """Changes the maximum number of connections; idle ones above it are closed."""
         self._max_open = max_open
         while self.open > max_open and self.make_room():
             pass
 
     def make_room(self) -> bool:
-        """Return whether one more connection may be opened, closing the oldest idle one if necessary."""
+        """Returns whether one more connection may be opened, closing the oldest idle one if necessary."""
         if self.open < self._max_open:
             return True
         oldest = min(
@@ -177,7 +181,7 @@
         return True
 
     def _endpoint_changed(self, endpoint: Endpoint | None, worker: str) -> None:
-        """Close the idle connections to a worker that was removed, is draining or has another address."""
+        """Closes the idle connections to a worker that was removed, is draining or has another address."""
         if endpoint is None:
             self._reuse_pauses.pop(worker, None)
         for connection in self._idle.get(worker, ()):
@@ -197,7 +201,7 @@
                 del self._idle[worker]
 
     def sweep(self) -> None:
-        """Close idle connections before the workers do, and reuse those whose message is now complete."""
+        """Closes idle connections before workers do, and reuses those whose message is now complete."""
         self._collect_ended()
         now = trio.current_time()
         for worker, connections in list(self._idle.items()):
@@ -216,7 +220,7 @@
                 del self._idle[worker]
 
     def _collect_ended(self) -> None:
-        """Put connections whose HTTP message is now complete back into the pool; close overdue ones."""
+        """Puts connections whose HTTP message is now complete back into the pool; closes overdue ones."""
         now = trio.current_time()
         unfinished, self._unfinished = self._unfinished, []
         for message in unfinished:
@@ -232,13 +236,13 @@
             self.discard(message.connection)
 
     async def keep_tidy(self, interval_seconds: float = SWEEP_INTERVAL_SECONDS) -> None:
-        """Call `sweep` at intervals until cancelled."""
+        """Calls `sweep` at intervals until cancelled."""
         while True:
             await trio.sleep(interval_seconds)
             self.sweep()
 
     def close(self) -> None:
-        """Close every connection that is not in use by an attempt."""
+        """Closes every connection that is not in use by an attempt."""
         for connections in self._idle.values():
             for connection in connections:
                 self.discard(connection)
