--- a/yewrill/__main__.py
+++ b/yewrill/__main__.py
@@ -7,13 +7,14 @@
 
 import gc
 
-# Nearly all objects created at startup live as long as the process, so collections would be wasted work.
-# `Service.run` collects once and enables the collector.
+# Nearly all objects created at startup live as long as the process, so garbage collections would be wasted
+# work. `Service.run` collects once and enables the collector.
 gc.disable()
 
 from yewrill.service.early_signals import record_reload_signals  # noqa: E402
 
-record_reload_signals()  # before the slow imports, since a reload signal may arrive at any time
+# A reload signal may arrive at any time, so this precedes the slow imports.
+record_reload_signals()
 
 import os  # noqa: E402
 import sys  # noqa: E402
--- a/yewrill/cli.py
+++ b/yewrill/cli.py
@@ -18,7 +18,7 @@
 from yewrill.config.schema import FRONTS
 from yewrill.extras import not_installed
 
-MAX_BAD_ROWS_SHOWN = 20  # further bad rows are only counted
+MAX_BAD_ROWS_SHOWN = 20  # number of bad rows that are printed; further ones are only counted
 
 
 @click.group()
--- a/yewrill/config/cluster_trace.py
+++ b/yewrill/config/cluster_trace.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-# Run times are kept as a uniform sample of this size, since the full trace has millions of rows.
+# Number of run times kept of each class, as a uniform sample, since the full trace has millions of rows.
 MAX_RUN_TIMES_PER_CLASS = 50_000
 COLUMNS = (
     "task_name",
@@ -53,8 +53,9 @@
     name: str
     arrivals: int = 0
     finished: int = 0
-    run_times: list[float] = field(default_factory=list)  # a uniform sample
-    slots: float = 0.0  # sum over all arrivals
+    # Uniform sample of the run times of its tasks.
+    run_times: list[float] = field(default_factory=list)
+    slots: float = 0.0  # sum of the slots of all arrivals
 
     def quantile(self, q: float) -> float:
         """Returns a quantile of the run times by nearest rank. `q` is from 0 to 1."""
@@ -72,7 +73,7 @@
     """Request classes of a trace, and counts of its rows."""
 
     classes: dict[str, TraceClass] = field(default_factory=dict)
-    first_start: float = math.inf  # start times are in seconds since the start of the trace
+    first_start: float = math.inf  # earliest start, in seconds since the start of the trace
     last_start: float = -math.inf
     rows: int = 0
     bad: int = 0
@@ -193,7 +194,7 @@
     if len(trace_class.run_times) < MAX_RUN_TIMES_PER_CLASS:
         trace_class.run_times.append(run_time)
     else:
-        index = rng.randrange(trace_class.finished)  # reservoir sampling
+        index = rng.randrange(trace_class.finished)  # reservoir sampling keeps the sample uniform
         if index < MAX_RUN_TIMES_PER_CLASS:
             trace_class.run_times[index] = run_time
 
--- a/yewrill/config/reading.py
+++ b/yewrill/config/reading.py
@@ -41,8 +41,10 @@
     "discovery": "BALANCER_DISCOVERY",
     "mgmt": "BALANCER_MGMT",
 }
-ENV_INHERITED = "BALANCER_INHERITED_FD"  # descriptor of a listening socket opened by the platform
-ENV_TEMPORARY = "TMPDIR"  # a directory shared by the old and the new process of a hot restart
+# Environment variable with the descriptor of a listening socket that the platform has opened.
+ENV_INHERITED = "BALANCER_INHERITED_FD"
+# Environment variable with a directory that the old and the new process of a hot restart share.
+ENV_TEMPORARY = "TMPDIR"
 REQUIRED_KEYS = ("listen", "discovery", "settings")
 KNOWN_KEYS = {
     *REQUIRED_KEYS,
--- a/yewrill/config/schema.py
+++ b/yewrill/config/schema.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TopologyNames:
-    """Names of zones and machine kinds in endpoint lists. The policy refers to them by position."""
+    """Names of zones and machine kinds in endpoint lists. The policy module refers to them by position."""
 
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
@@ -134,15 +134,15 @@
     topology: TopologyNames = field(default_factory=TopologyNames)
     known: Mapping[str, Any] | None = None
     stated: frozenset[str] = frozenset()  # paths of the keys present in the file
-    inherited_fd: int | None = None  # listening socket for hot restarts
+    inherited_fd: int | None = None  # descriptor of an inherited listening socket, for hot restarts
     link_dir: str | None = None  # directory of the socket between the processes of a hot restart
-    mgmt: Address | None = None  # management listener
+    mgmt: Address | None = None  # address of the management listener
     state: StateConfig | None = None
     tracing: TracingConfig | None = None
     members: MembersConfig | None = None
     ownership: OwnershipConfig | None = None
     zones: ZonesConfig | None = None
-    views: Any = None  # yewrill.views.config.ViewsConfig, imported only where it is used
+    views: Any = None  # a yewrill.views.config.ViewsConfig, which is imported only where it is used
     front: str = "platform"
     answer_margin_ms: float = 20.0  # final answers are sent this long before the client's timeout
     linger_ms: float = 700.0  # how long new connections are accepted after SIGTERM
--- a/yewrill/config/settings.py
+++ b/yewrill/config/settings.py
@@ -1,4 +1,4 @@
-"""Reads and checks the settings of the policy (the section `settings`)."""
+"""Reads and checks the settings of the policy module (the section `settings`)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from yewrill.policy import interface as api
 from yewrill.policy.settings_codec import SettingsError, decode_settings
 
-# Optional numbers: path, minimum, and whether the minimum itself is allowed.
+# Optional numeric settings: path, minimum, and whether the minimum itself is allowed.
 NUMERIC_SETTINGS = (
     ("limits.try_limit", 1.0, True),
     ("limits.connect_timeout", 0.0, False),
--- a/yewrill/config/writing.py
+++ b/yewrill/config/writing.py
@@ -10,7 +10,7 @@
 from yewrill.config.reading import read_config
 from yewrill.config.settings import check_consistency
 
-# Defaults for a small fleet on one network.
+# Default limits and rules for a small fleet on one network.
 DEFAULT_LIMITS = {
     "try_limit": 3,
     "connect_timeout": 150.0,
@@ -67,8 +67,8 @@
 def classes_from_options(items: tuple[str, ...]) -> tuple[list[dict[str, Any]], list[float]]:
     """Parses the values of `--class`. Raises ConfigError.
 
-    Returns the request classes, and the run factors of their latency objectives, which are a separate list
-    in the settings (`specifics.class_stretch`).
+    Returns the request classes, and for each the factor by which its run time extends its latency objective.
+    The factors are a separate list in the settings (`specifics.class_stretch`).
     """
     classes, run_factors = [], []
     for item in items:
@@ -84,8 +84,8 @@
     """Derives one request class from each task type of a trace. `scale` multiplies all times.
 
     The latency objective is twice the run time plus the distance from the median to the 95th percentile, the
-    deadline twice the 99th percentile. Returns the classes, the run factors of their latency objectives, and
-    the statistics by class that both are derived from.
+    deadline twice the 99th percentile. Returns the classes, for each the factor by which its run time
+    extends its latency objective, and the statistics by class from which both are derived.
     """
     classes, run_factors, derived = [], [], {}
     for name, trace_class in trace.classes.items():
--- a/yewrill/tracing/context.py
+++ b/yewrill/tracing/context.py
@@ -15,19 +15,20 @@
 _HEX = re.compile(r"[0-9a-f]{1,14}")
 SAMPLED = 1
 MAX_MEMBERS = 32
-MAX_STATE_LENGTH = 512  # characters of `tracestate` that are propagated
+MAX_STATE_LENGTH = 512  # number of characters of `tracestate` that are propagated
 _OTEL_MEMBER = "ot"
 
 
 @dataclass(slots=True)
 class Context:
-    """A request's position in a trace: the trace id and the parent span ("" if the trace begins here).
+    """A request's position in a trace: the trace id and the parent span.
 
-    Never changed after creation. Not a frozen dataclass, since those are slower to create.
+    An instance is never changed. The class is not a frozen dataclass, since those are slower to create.
     """
 
-    trace: str  # 32 hexadecimal digits
-    parent: str = ""  # 16 hexadecimal digits
+    trace: str  # trace id of 32 hexadecimal digits
+    # Id of the parent span, 16 hexadecimal digits; empty if the trace begins at this dispatcher.
+    parent: str = ""
     sampled: bool = False  # the caller's sampled flag
     state: tuple[tuple[str, str], ...] = ()  # members of tracestate other than `ot`
     threshold: str | None = None  # `th` of `ot`: the sampling threshold of an earlier hop
--- a/yewrill/tracing/export.py
+++ b/yewrill/tracing/export.py
@@ -29,8 +29,8 @@
 
 BATCH_DELAY_SECONDS = 0.5  # how long finished records are collected before a batch is exported
 MAX_BATCH_RECORDS = 512
-MAX_RESPONSE_BYTES = 64 * 1024  # body of a collector's response
-FLUSH_TIMEOUT_SECONDS = 1.0  # for the last batches at shutdown
+MAX_RESPONSE_BYTES = 64 * 1024  # size limit of the body of a collector's response
+FLUSH_TIMEOUT_SECONDS = 1.0  # time limit for exporting the last batches at shutdown
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     file: str = ""
     file_mb: float = 64.0
     files: int = 4
-    timeout: float = 10.0  # seconds for a collector's response
+    timeout: float = 10.0  # time limit for a collector's response, in seconds
     headers: tuple[tuple[str, str], ...] = ()
     retry_policy: retry.RetryPolicy = field(default_factory=retry.RetryPolicy)
 
@@ -204,7 +204,7 @@
         self._collector = OtlpCollector(target) if target.url else None
         self._wake = trio.Event()
         self._failing_targets: set[str] = set()
-        # Records taken from the queue but not yet accepted by the collector.
+        # Records taken from the queue that the collector has not yet accepted.
         self._undelivered: list[Mapping[str, Any]] = []
         self.counts = dict.fromkeys(("exported", "rejected", "spooled", "retries"), 0)
         tracer.on_record_queued = self._wake_up
@@ -222,7 +222,7 @@
                 pass
 
     async def _export_oldest(self) -> bool:
-        """Exports the oldest batch. Returns whether there may be more."""
+        """Exports the oldest batch. Returns whether there may be more batches."""
         if (
             self._collector is not None
             and self.spool is not None
@@ -295,7 +295,7 @@
 
         Without `with_retries` it tries only once.
         """
-        from yewrill.tracing import otlp  # imports protobuf, which is needed only for a collector
+        from yewrill.tracing import otlp  # this imports protobuf, which only a collector needs
 
         body = await trio.to_thread.run_sync(
             lambda: gzip.compress(otlp.request(records, self._resource, self._version), 1)
--- a/yewrill/tracing/otlp.py
+++ b/yewrill/tracing/otlp.py
@@ -179,7 +179,8 @@
     trace_id: bytes, root_id: bytes, state: str, begin: int, end: int, reason: str, next_span: str
 ) -> pb.Span:
     """Returns the span of the time for which the dispatcher held a request before `next_span`."""
-    # The id is that of `next_span` with one bit flipped, so that a retried export encodes the same bytes.
+    # The span's id is that of `next_span` with one bit flipped, so that a retried export encodes the same
+    # bytes.
     span_id = (int(next_span, 16) ^ 1 << 63).to_bytes(8, "big")
     span = _SPAN(
         trace_id=trace_id,
--- a/yewrill/tracing/record.py
+++ b/yewrill/tracing/record.py
@@ -23,9 +23,9 @@
 class AttemptTrace:
     """Timestamps of one attempt; 0 for a stage that it has not reached.
 
-    The policy decides on the attempt (`chosen`); the dispatcher begins it (`begin`), has a connection
-    (`connected`) and has written the request (`written`); the worker reports the start (`started`) and its
-    progress (`progressed`); the attempt ends (`end`).
+    The stages are: the policy module decides on the attempt (`chosen`); the dispatcher begins it (`begin`),
+    has a connection (`connected`) and has written the request (`written`); the worker reports the start
+    (`started`) and its progress (`progressed`); the attempt ends (`end`).
     """
 
     __slots__ = (
@@ -51,12 +51,12 @@
         self.number = number
         self.worker = worker
         self.among = among  # number of workers that were considered
-        self.held = held  # why the attempt was not sent earlier
+        self.held = held  # reason why the attempt was not sent earlier
         self.chosen = chosen
         self.begin = self.connected = self.written = self.started = self.progressed = self.end = 0.0
         self.share = 0.0
         self.outcome = ""
-        self.headers: list[tuple[str, str]] = []  # trace context for the worker
+        self.headers: list[tuple[str, str]] = []  # trace context headers for the worker
 
     def note_progress(self, at: float, share: float) -> None:
         """Records the latest progress report; `share` is a fraction from 0 to 1."""
@@ -117,14 +117,14 @@
         self.start, self.taken = start, taken
         self.decided = 0.0
         self.answer = self.reason = ""
-        self.retry_after = 0.0  # ms
+        self.retry_after = 0.0  # Retry-After of a rejection, in ms
         self.attempts: list[AttemptTrace] = []
         self.events: list[tuple[float, str, str]] = []
 
     def begin_attempt(
         self, number: int, worker: str, among: int, held: str, at: float
     ) -> AttemptTrace:
-        """Opens the trace of an attempt that the policy has just decided on."""
+        """Opens the trace of an attempt that the policy module has just decided on."""
         attempt = AttemptTrace(self._tracer.new_span(), number, worker, among, held, at)
         attempt.headers = self._tracer.headers(self.context, attempt.span)
         self.attempts.append(attempt)
--- a/yewrill/tracing/report.py
+++ b/yewrill/tracing/report.py
@@ -13,7 +13,7 @@
 
 PERCENTILES = (50.0, 90.0, 99.0)
 MAX_WORST = 20
-# Durations kept for each class and part. When the number is reached, every second one is dropped.
+# Maximum number of durations kept for each class and part. When it is reached, every second one is dropped.
 MAX_VALUES = 100_000
 _COLOURS = {
     "receiving": "#9aa5b1",
--- a/yewrill/tracing/retry.py
+++ b/yewrill/tracing/retry.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 RETRYABLE_STATUSES = frozenset({429, 502, 503, 504})
-NO_RESPONSE = 0  # in place of a status
+NO_RESPONSE = 0  # status of a try without a response
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,8 +22,9 @@
     max_pause: float = 30.0
     factor: float = 2.0
     jitter: float = 0.5  # maximum change of a pause in either direction, as a fraction of it
-    max_tries: int = 8  # a batch is dropped after so many
-    max_retry_after: float = 120.0  # a longer Retry-After is cut to this
+    max_tries: int = 8  # number of tries after which a batch is dropped
+    # Longest pause that a Retry-After can cause; a longer one is shortened to it.
+    max_retry_after: float = 120.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/yewrill/tracing/sampling.py
+++ b/yewrill/tracing/sampling.py
@@ -15,7 +15,8 @@
 # Causes for which a record is kept; their values are written to the trace files.
 LATE, REFUSED, FAILED, RETRIED, LEFT = "late", "refused", "failed", "retried", "left"
 BAD = (LATE, REFUSED, FAILED, RETRIED, LEFT)
-ASKED, SAMPLED = "asked", "sampled"  # kept for the caller's sampled flag, or by the sampling ratio
+# ASKED: kept for the caller's sampled flag. SAMPLED: kept by the sampling ratio.
+ASKED, SAMPLED = "asked", "sampled"
 
 
 def threshold(ratio: float) -> int:
--- a/yewrill/tracing/tracer.py
+++ b/yewrill/tracing/tracer.py
@@ -17,8 +17,8 @@
     """Limits on the number of kept records."""
 
     ratio: float = 0.01  # fraction of ordinary records that are kept
-    queue: int = 10_000  # finished records that may wait for export
-    caller_sampled_per_second: float = 10.0  # records a second kept for the caller's sampled flag
+    queue: int = 10_000  # number of finished records that may wait for export
+    caller_sampled_per_second: float = 10.0  # number of records a second kept for the caller's sampled flag
 
 
 class Tracer:
@@ -99,7 +99,7 @@
         sampled = request_context.sampled or request_context.random >= self._sampling_threshold
         headers = [("traceparent", context.parent_header(request_context.trace, span, sampled))]
         if not request_context.parent:
-            return headers  # the trace begins here: no tracestate to propagate
+            return headers  # the trace begins at this dispatcher: no tracestate
         state = context.state_header(request_context, request_context.threshold)
         return [*headers, ("tracestate", state)] if state else headers
 
