--- a/yewrill/net/backlog.py
+++ b/yewrill/net/backlog.py
@@ -73,7 +73,7 @@
     def accept(self) -> Accepted | None:
         """Returns the next connection, or None if the backlog is empty.
 
-        Raises OSError if `accept` fails otherwise; `pause` has then been lengthened.
+        Raises OSError if `accept` fails for another reason; `pause` has then been lengthened.
         """
         self.note_readable()
         try:
--- a/yewrill/net/client_connection.py
+++ b/yewrill/net/client_connection.py
@@ -135,7 +135,7 @@
         return not self.closing
 
     def close_gracefully(self) -> None:
-        """Takes no more requests. The task of a connection that has had an answer closes it.
+        """Takes no more requests. A connection that has had an answer is then closed by its own task.
 
         Closing the socket while input arrives would reset the connection, and the client could lose its last
         answer.
--- a/yewrill/net/connection.py
+++ b/yewrill/net/connection.py
@@ -148,7 +148,7 @@
             await self._wait_ready(trio.lowlevel.wait_readable)
 
     def fill_now(self) -> int | None:
-        """Like `fill` without waiting; returns None if no data is available."""
+        """Reads like `fill`, but without waiting; returns None if no data is available."""
         if self.closed:
             raise OSError("connection closed locally")
         try:
--- a/yewrill/net/discovery.py
+++ b/yewrill/net/discovery.py
@@ -33,7 +33,7 @@
 # The hold time of a recovery call is short, so that an answer soon shows that discovery is reachable, with or
 # without a change.
 RECOVERY_HOLD_MS = 1000
-CONNECT_TIMEOUT_SECONDS = 0.5  # Shorter than 1 s, after which the kernel retransmits a lost SYN
+CONNECT_TIMEOUT_SECONDS = 0.5  # shorter than 1 s, after which the kernel retransmits a lost SYN
 # Pause after a failed call; a gap of up to 200 ms between calls does not interrupt a watch.
 RETRY_PAUSE_SECONDS = 0.1
 # Discovery rejects calls when a whole fleet calls at once. So each dispatcher retries at a random time within
@@ -81,7 +81,9 @@
 
 
 class DiscoveryWatch:
-    """Keeps the endpoint list up to date; handles a discovery that is silent, unreachable or moved."""
+    """Keeps the endpoint list up to date.
+
+    Discovery may be silent or unreachable, give malformed answers, or move to another address."""
 
     def __init__(
         self, address: tuple[str, int], endpoints: EndpointList, seed: int = 0, callers: int = 1
--- a/yewrill/net/endpoint_list.py
+++ b/yewrill/net/endpoint_list.py
@@ -91,7 +91,7 @@
         return True
 
     def attach(self, name: str, age_ms: float = 0.0) -> bool:
-        """Undoes `detach`, as of `age_ms` ago; returns False if the worker is unknown.
+        """Undoes `detach`, with effect from `age_ms` ago; returns False if the worker is unknown.
 
         The worker may have been restarted since it was detached.
         """
@@ -140,7 +140,7 @@
         }
 
     def apply(self, answer: dict[str, Any], cached: bool = False) -> None:
-        """Applies an answer of discovery. Raises ConfigError, without a change, if it is malformed."""
+        """Applies an answer of discovery. Raises ConfigError if it is malformed; the list then stays."""
         endpoints = read_endpoints(answer, "discovery", self.topology)
         version, full = answer["version"], cached or bool(answer.get("full"))
         before = dict(self._known)
--- a/yewrill/net/worker_connections.py
+++ b/yewrill/net/worker_connections.py
@@ -55,7 +55,7 @@
 
 
 class WorkerConnectionPool:
-    """Holds idle connections by worker and counts all open ones."""
+    """Holds idle connections by worker and counts all open connections."""
 
     def __init__(
         self,
--- a/yewrill/policy/dispatcher.py
+++ b/yewrill/policy/dispatcher.py
@@ -33,7 +33,7 @@
 MIN_RETRY_RUN_TIMES = 0.5
 # Base of the pause before the endpoint list is requested again, doubled for each consecutive failed call.
 LIST_RETRY_MS = 300.0
-MAX_LIST_FAILURES = 5  # Number of consecutive failed calls after which the pause no longer grows
+MAX_LIST_FAILURES = 5  # number of consecutive failed calls after which the pause no longer grows
 MAX_PROBE_CREDIT = 4.0  # number of probes that may be saved up; each request adds one
 PROBE_DRAWS = 2  # number of workers drawn at random as candidates for a probe
 
--- a/yewrill/policy/ejection.py
+++ b/yewrill/policy/ejection.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 MAX_FAILURES = 5  # number of consecutive failures after which the backoff no longer grows
-MAX_REJECTIONS = 6  # Number of consecutive rejections after which the ejection time no longer grows
+MAX_REJECTIONS = 6  # number of consecutive rejections after which the ejection time no longer grows
 BACKOFF_MS = 125.0  # base of the backoff, doubled for each consecutive failure
 
 
--- a/yewrill/service/management_calls.py
+++ b/yewrill/service/management_calls.py
@@ -1,7 +1,7 @@
 """Management calls of a running dispatcher, one method for each path of the management listener.
 
-Imported only if `mgmt` is set. An operator's order applies to both processes of a hot restart. Its reply says
-whether the order is persisted, so that it survives a restart.
+This module is imported only if `mgmt` is set. An operator's order applies to both processes of a hot
+restart. The reply to an order says whether the order is persisted, so that it survives a restart.
 """
 
 from __future__ import annotations
--- a/yewrill/service/operator_drain.py
+++ b/yewrill/service/operator_drain.py
@@ -26,7 +26,7 @@
     """The state of the drain, as requests and the readiness check see it."""
 
     active: bool = False
-    closing_connections: bool = False  # client connections are closed after their answer
+    closing_connections: bool = False  # whether client connections are closed after their answer
 
 
 class OperatorDrain:
--- a/yewrill/service/run_state.py
+++ b/yewrill/service/run_state.py
@@ -9,11 +9,11 @@
 class RunState:
     """Flags set by the start (`serving`) and by the graceful shutdown (all others); none is ever cleared."""
 
-    # The start is complete, with the state of the old process, if there is one.
+    # Whether the start is complete, with the state of the old process, if there is one.
     serving: bool = False
-    draining: bool = False  # the graceful shutdown has begun
-    handed_over: bool = False  # a new process accepts all new connections
-    closing_connections: bool = False  # client connections are closed after their answer
+    draining: bool = False  # whether the graceful shutdown has begun
+    handed_over: bool = False  # whether a new process accepts all new connections
+    closing_connections: bool = False  # whether client connections are closed after their answer
 
     @property
     def refuses_requests(self) -> bool:
--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -1,6 +1,6 @@
 """Connects the service to `yewrill.tracing`, which receives plain values instead of requests and answers.
 
-Imported only if `tracing` is set.
+This module is imported only if `tracing` is set.
 """
 
 from __future__ import annotations
--- a/yewrill/tracing/tracer.py
+++ b/yewrill/tracing/tracer.py
@@ -18,7 +18,7 @@
 
     ratio: float = 0.01  # fraction of ordinary records that are kept
     queue: int = 10_000  # number of finished records that may wait for export
-    caller_sampled_per_second: float = 10.0  # number of records a second kept for the caller's sampled flag
+    caller_sampled_per_second: float = 10.0  # records a second kept for the caller's sampled flag
 
 
 class Tracer:
