--- a/yewrill/net/discovery.py
+++ b/yewrill/net/discovery.py
@@ -37,9 +37,9 @@
 # Pause after a failed call; a gap of up to 200 ms between calls does not interrupt a watch.
 RETRY_PAUSE_SECONDS = 0.1
 # Discovery rejects calls when a whole fleet calls at once. So each dispatcher retries at a random time within
-# a range of REJECTED_PAUSE_SECONDS for each dispatcher that calls, which grows with each rejection. An
-# overloaded discovery that many dispatchers call may also reset connections: then only the first of several
-# consecutive pauses is short.
+# a range of REJECTED_PAUSE_SECONDS times the number of dispatchers that call; the range grows with each
+# rejection. An overloaded discovery that many dispatchers call may also reset connections: then only the
+# first of several consecutive pauses is short.
 REJECTED_PAUSE_SECONDS = 0.3
 PAUSE_GROWTH = 1.5
 MAX_PAUSE_SECONDS = 2.7  # upper bound of the random part of a pause
--- a/yewrill/net/listener.py
+++ b/yewrill/net/listener.py
@@ -380,7 +380,7 @@
     async def _linger(self, client: ClientConnection, valid_request: bool = True) -> None:
         """Waits after the last reply until the client has it: a close with unread input is a reset.
 
-        `valid_request`: the reply answers a valid request. In a connection flood, no other reply is waited for.
+        `valid_request`: the reply answers a valid request. In a connection flood no other is waited for.
         """
         client.connection.shutdown_write()
         if not valid_request and len(self.clients) > self._max_clients // 2:
--- a/yewrill/observability/logs.py
+++ b/yewrill/observability/logs.py
@@ -172,8 +172,8 @@
 
     class StructuredFormatter(structlog.stdlib.ProcessorFormatter):
         def format(self, record: logging.LogRecord) -> str:
-            # The event is parsed before structlog, which passes the formatted text without the arguments to
-            # the processors.
+            # The event is parsed before structlog, which passes only the formatted text, without the
+            # arguments, to the processors.
             record.parsed = parse_event(record)
             return super().format(record)
 
