--- a/yewrill/frontends/platform.py
+++ b/yewrill/frontends/platform.py
@@ -51,7 +51,7 @@
 
 def _number(text: str, field: str, low: float, high: float) -> float:
     value = float(text) if _NUMBER.fullmatch(text) else math.nan
-    if not low <= value <= high:  # false for NaN, which is rejected too
+    if not low <= value <= high:  # a NaN fails this comparison too
         raise BadRequest(400, f"bad number in {field}")
     return value
 
@@ -199,7 +199,7 @@
             or not isinstance(share, (int, float))
         ):
             raise MalformedResponse("field state or share of the wrong type")
-        if not 0.0 <= share <= 1.0:  # false for NaN, which is rejected too
+        if not 0.0 <= share <= 1.0:  # a NaN fails this comparison too
             raise MalformedResponse("field share not between 0 and 1")
         if state == "done":
             encode_result(message["result"])  # raises if the result can't be encoded for the client
--- a/yewrill/policy/trial_requests.py
+++ b/yewrill/policy/trial_requests.py
@@ -21,10 +21,10 @@
 MAX_CAPACITY_FRACTION = 0.1
 MIN_PAUSE_MS = 100.0
 MAX_PAUSE_MS = 500.0
-# Number of run times as which the estimate counts when the run time of a trial is averaged into it. With 3,
+# Number of measured run times that the estimate counts for when a trial's run time is averaged in. With 3,
 # three trials with short runs reduce the estimate to less than half.
 CONFIDENCE = 3
-# Number of run times as which the estimate counts if none was measured for STALE_EVIDENCE_MS.
+# Like CONFIDENCE, for an estimate without a measured run time for STALE_EVIDENCE_MS.
 STALE_CONFIDENCE = 1
 
 
@@ -54,7 +54,7 @@
         return True
 
     def confidence(self, now: float) -> int:
-        """Returns the number of run times as which the estimate counts against the run time of a trial."""
+        """Returns how many measured run times the estimate counts for when a trial's run time is averaged in."""
         return STALE_CONFIDENCE if self._is_stale(now) else CONFIDENCE
 
     def record_evidence(self, now: float) -> None:
--- a/yewrill/policy/worker_selection.py
+++ b/yewrill/policy/worker_selection.py
@@ -24,7 +24,7 @@
 MIN_ERROR_RATE = 0.05  # lower error rates cost nothing
 # After this time a reattached worker gets a request even if the answer will be late.
 REATTACHED_WAIT_MS = 1500.0
-# A reattached worker that does not start this first request gets the next one after this time.
+# A reattached worker that does not start the first request sent to it gets the next one after this time.
 REATTACHED_RETRY_MS = 500.0
 # Bonus that selects a reattached worker before all others, as it is larger than any expected finish. Without
 # it a worker that warms up would get no request before the others are full.
