--- a/yewrill/policy/trial_requests.py
+++ b/yewrill/policy/trial_requests.py
@@ -54,7 +54,7 @@
         return True
 
     def confidence(self, now: float) -> int:
-        """Returns how many measured run times the estimate counts for when a trial's run time is averaged in."""
+        """Returns how many measured run times the estimate counts for when a trial's is averaged in."""
         return STALE_CONFIDENCE if self._is_stale(now) else CONFIDENCE
 
     def record_evidence(self, now: float) -> None:
