--- a/yewrill/membership/table.py
+++ b/yewrill/membership/table.py
@@ -87,7 +87,7 @@
         ]
 
     def is_isolated(self, now: float) -> bool:
-        """Returns whether several members are listed but none sends, probably for a fault of the local one."""
+        """Returns whether several members are listed but none sends: probably a fault of the local member."""
         silence = now - self.last_received
         return (
             silence > self._config.isolated_after_intervals * self._config.interval
