--- a/yewrill/lab/cluster/__init__.py
+++ b/yewrill/lab/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""Test rig: real dispatcher processes, simulated workers and clients, faults between them, and an auditor.
+"""Test rig: a cluster of real dispatcher processes, simulated workers and clients, faults, and an auditor.
 
 The dispatchers are the unmodified program. One clock times the history of every party. The auditor reads
 histories only and reports each breach with the lines that contradict each other; it is tested against
--- a/yewrill/lab/cluster/audit.py
+++ b/yewrill/lab/cluster/audit.py
@@ -1,4 +1,4 @@
-"""Audits the history of an installation: reports each broken rule with the lines that contradict each other.
+"""Audits the history of a test cluster: reports each broken rule with the lines that contradict each other.
 
 The audit does no I/O: it reads history lines only.
 """
@@ -19,22 +19,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """The limits that the settings of an installation allow. Times are in seconds."""
+    """The limits that the settings of a test cluster allow. Times are in seconds."""
 
-    # Kinds of jobs that must not run twice.
+    # Kinds of requests that must not run twice.
     run_once_kinds: frozenset[str] = frozenset()
-    # Time after a drain or a detachment during which new attempts may still begin.
+    # Time after the drain or detachment of a worker during which new attempts may still begin there.
     drain_grace: float = 1.0
     # Time after a client's timeout from which an answer counts as late; covers delays of a busy machine.
     answer_slack: float = 1.0
-    # Slow start: budget of work in one window, as a multiple of the worker's capacity in it.
+    # Slow start: largest amount of work that begins at a cold worker in one window, as a multiple of the work
+    # that it can do in that window.
     cold_multiple: float = 3.0
     cold_window: float = 1.0
-    # Time after a zone has recovered during which dispatchers may still leave it for that failure.
+    # Time after a zone has recovered during which dispatchers may still leave it because of the earlier
+    # failure.
     zone_recovery_slack: float = 4.0
-    # Time for which a dispatcher that was removed from the view may not know it.
+    # Time for which a dispatcher that was removed from the view may not know of its removal.
     view_lease: float = 3.0
-    # Time after a fault of a dispatcher during which it may be removed from the view for it.
+    # Time after a fault of a dispatcher during which the view may remove the dispatcher because of that
+    # fault.
     fault_recovery: float = 30.0
 
 
@@ -74,8 +77,8 @@
 
 
 def _check_answers(lines: list[Line], terms: Terms) -> Iterable[Breach]:
-    """Each request gets one answer in time, unless its dispatcher was killed, stopped or paused."""
-    # Faults by dispatcher, and the spans (begin, end) of its pauses.
+    """Checks that each request has one timely answer, unless its dispatcher was killed, stopped or paused."""
+    # By dispatcher: its faults, and the spans (begin, end) of its pauses.
     faults: dict[str, list[Line]] = defaultdict(list)
     pauses: dict[str, list[list[float]]] = defaultdict(list)
     for line in lines:
@@ -106,7 +109,7 @@
 
 
 def _check_attempts(lines: list[Line], terms: Terms) -> Iterable[Breach]:
-    """Attempts of a job do not overlap, and a job that must not run twice has one attempt."""
+    """Checks that a request's attempts don't overlap; a request that must not run twice has only one."""
     for job, job_lines in _lines_by_job(lines, "begin", "end").items():
         running: list[Line] = []
         begun: list[Line] = []
@@ -118,7 +121,8 @@
                 running = [other for other in running if other is not first]
                 continue
             for other in running:
-                # The earlier attempt must have ended first, apart from the time to detect its close.
+                # The earlier attempt must have ended first, except for the time that a worker needs to detect
+                # the close of its connection.
                 closing = next(
                     (
                         later
@@ -140,7 +144,7 @@
 
 
 def _check_drains(lines: list[Line], terms: Terms) -> Iterable[Breach]:
-    """A draining worker gets no new attempt once the grace period is over."""
+    """Checks that a draining worker gets no new attempt once the grace period is over."""
     drained: dict[str, Line] = {}
     for line in lines:
         if line["what"] == "drain":
@@ -160,7 +164,10 @@
 
 
 def _check_detached_workers(lines: list[Line], terms: Terms) -> Iterable[Breach]:
-    """A dispatcher that confirmed the detachment of a worker sends it nothing more, even after a crash."""
+    """Checks that a dispatcher sends nothing to a worker after it confirmed the worker's detachment.
+
+    The rule also holds over a crash of the dispatcher.
+    """
     detached: dict[tuple[str, str], Line] = {}
     for line in lines:
         if line["what"] == "taken-out":
@@ -179,7 +186,7 @@
 
 
 def _check_lease_owners(lines: list[Line]) -> Iterable[Breach]:
-    """Each fencing number of a lease is granted once, and the numbers only grow."""
+    """Checks that each fencing number of a lease is granted once, and that the numbers only grow."""
     last: dict[str, Line] = {}
     for line in lines:
         if line["what"] == "owns":
@@ -198,7 +205,10 @@
 
 
 def _check_view_numbers(lines: list[Line]) -> Iterable[Breach]:
-    """All members install the same view under a number, and no member goes back, not even over a restart."""
+    """Checks that all members install the same view under a number, and that none goes back.
+
+    The numbers of a member's views must grow even over its restart.
+    """
     by_number: dict[int, Line] = {}
     last: dict[str, Line] = {}
     for line in lines:
@@ -219,9 +229,9 @@
 
 
 def _check_outdated_views(lines: list[Line], terms: Terms) -> Iterable[Breach]:
-    """A dispatcher gives up a view within its lease once others have installed one without it.
+    """Checks that a dispatcher gives up a view within its lease once others have installed one without it.
 
-    It gives up any view once two later views have been installed.
+    The dispatcher must give up any view once two later views have been installed.
     """
     in_view: dict[str, Line] = {}
     newest: dict[int, Line] = {}
@@ -231,12 +241,13 @@
         if what == "view":
             in_view[member] = line
             newest.setdefault(line["number"], line)
+        # A paused process does not act on its view.
         elif what in (
             "no-view",
             "exit",
             "kill",
             "start",
-            "pause",  # a paused process does not act on its view
+            "pause",
         ):
             in_view.pop(member, None)
         for name, held in in_view.items():
@@ -260,8 +271,9 @@
 
 
 def _check_removals(lines: list[Line], terms: Terms) -> Iterable[Breach]:
-    """A member without a recent fault is not removed from the view."""
-    removable_until: dict[str, float] = {}  # member: until when it may be removed
+    """Checks that no member without a recent fault is removed from the view."""
+    # By member: the time until which the view may remove it.
+    removable_until: dict[str, float] = {}
     views: dict[int, Line] = {}
     for line in lines:
         if line["what"] in ("kill", "stop", "pause", "resume", "exit"):
@@ -291,7 +303,7 @@
 
 
 def _check_slow_starts(lines: list[Line], terms: Terms) -> Iterable[Breach]:
-    """The work that begins at a cold worker within one window stays within its slow start budget.
+    """Checks that the work that begins at a cold worker in one window stays within its slow start budget.
 
     The budget is that for the worker's age at the end of the window.
     """
@@ -317,9 +329,10 @@
 
 
 def _check_zone_plans(lines: list[Line], terms: Terms) -> Iterable[Breach]:
-    """Plan numbers of a dispatcher only grow, plans leave no working zone, and in the end all agree."""
+    """Checks that a dispatcher's plan numbers grow, plans leave no working zone, and in the end all agree."""
     held: dict[str, Line] = {}
-    may_be_left_until: dict[str, float] = {}  # zone: until when it may be left
+    # By zone: the time until which dispatchers may leave it.
+    may_be_left_until: dict[str, float] = {}
     for line in lines:
         if line["what"] == "zone-fails":
             may_be_left_until[line["zone"]] = float("inf")
@@ -334,7 +347,8 @@
                 yield Breach("old-plan", text, (before, line))
             for zone, share in line["shares"].items():
                 was = 1.0 if before is None else before["shares"].get(zone, 1.0)
-                # While a zone returns step by step, a dispatcher may adopt a step behind its own.
+                # While a zone returns step by step, a dispatcher may adopt a plan that is a step behind its
+                # own.
                 if zone in line.get("back", ()):
                     continue
                 if (
--- a/yewrill/lab/cluster/commands.py
+++ b/yewrill/lab/cluster/commands.py
@@ -1,4 +1,4 @@
-"""`yewrill lab cluster ...`: runs scenarios with real processes, or one installation until it is stopped."""
+"""`yewrill lab cluster ...`: runs scenarios with real processes, or one test cluster until it is stopped."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from yewrill.lab.cluster.scenarios import SCENARIOS, run_in_rig
 from yewrill.lab.soak.commands import soak
 
-SCENARIO_LIMIT_SECONDS = 150.0  # far more than a scenario takes
+SCENARIO_LIMIT_SECONDS = 150.0  # time limit of a scenario; a scenario takes far less
 
 
 @click.group()
@@ -35,7 +35,7 @@
 
 @cluster.command(name="list")
 def names() -> None:
-    """Lists the scenarios."""
+    """List the scenarios."""
     for name, scenario in SCENARIOS.items():
         click.echo(f"{name:<30} {(scenario.run.__doc__ or '').splitlines()[0]}")
 
@@ -45,10 +45,11 @@
 
 
 def run_scenario(name: str, directory: Path, seed: int) -> list[Breach]:
-    """Runs a scenario, a second time if it does not run to its end, and returns what the auditor found.
+    """Runs a scenario, a second time if it does not run to its end, and returns the auditor's findings.
 
-    Run one at a time in a process: all traffic between the parties passes through it, and two installations
-    would slow down each other's networks. Raises Unfinished if the second run does not end either.
+    Only one scenario may run at a time in a process: all traffic between the parties passes through the
+    process, and two test clusters would slow down each other's networks. Raises Unfinished if the second run
+    does not end either.
     """
     scenario = SCENARIOS[name]
 
@@ -82,7 +83,8 @@
             return result
         if may_repeat:
             click.echo(f"{result}: played once more", err=True)
-            with suppress(FileNotFoundError):  # keeps the history of the first run
+            # The history of the first run is kept under another name.
+            with suppress(FileNotFoundError):
                 (directory / "history.jsonl").rename(directory / "history-unfinished.jsonl")
     assert isinstance(result, Unfinished)
     raise result
@@ -106,7 +108,7 @@
     help="Directory for the histories; a new one by default.",
 )
 def run(scenario: str, seed: int, seeds: int, keep: str | None) -> None:
-    """Runs a scenario, or all, and audits the history."""
+    """Run a scenario, or all, and audit the history."""
     base = Path(keep or tempfile.mkdtemp(prefix="yewrill-lab-"))
     exit_status = 0
     for name in SCENARIOS if scenario == "all" else [scenario]:
@@ -127,7 +129,7 @@
 @cluster.command(name="audit")
 @click.argument("directory", type=click.Path(exists=True, file_okay=False))
 def read_again(directory: str) -> None:
-    """Audits a saved history."""
+    """Audit a saved history."""
     lines = read_history(Path(directory) / "history.jsonl")
     recorded = next(
         (line for line in lines if line["what"] == "terms"),
@@ -154,7 +156,7 @@
     help="Requests per second for each dispatcher; 0: none.",
 )
 def up(dispatchers: int, zones: int, rate: float) -> None:
-    """Runs a small installation until Ctrl-C."""
+    """Run a small test cluster until Ctrl-C."""
 
     async def serve_until_cancelled() -> None:
         spec = InstallationSpec(dispatchers=dispatchers, zones=zones, rate=rate)
--- a/yewrill/lab/cluster/entry.py
+++ b/yewrill/lab/cluster/entry.py
@@ -53,7 +53,7 @@
 
 
 def scale_clocks(pace: float, since: float) -> None:
-    """Scales all clocks of this process and the event loop's; reports to the rig when the loop is late."""
+    """Scales all clocks of this process and its event loop; reports lateness of the loop to the rig."""
     clock, run = ScaledClock(pace, since), trio.run
     time.monotonic, time.time = clock.current_time, clock.wall
     # One write per report, so that a report is one whole line.
@@ -134,7 +134,7 @@
     RealFiles.open = open_with_faults
 
 
-# -- rules broken on purpose, to test that the auditor reports each
+# -- rules broken on purpose, to test that the auditor reports each breach
 
 
 def _overlap_attempts() -> None:
@@ -194,9 +194,8 @@
     from yewrill.zone_failover.machine import FailoverMachine
 
     def adopt_any(self: Any, plan: Any, sender: str, out: list) -> None:
-        if (
-            plan.version != self.plan.version
-        ):  # a plan that is held already would be passed on for ever
+        # A plan that the dispatcher holds already would be passed on for ever.
+        if plan.version != self.plan.version:
             self._adopt(plan, "received")
 
     def tick_back(self: Any, now: float) -> list:
@@ -223,7 +222,7 @@
 
 
 def _accept_minority() -> None:
-    """Takes any two members for a majority of a view."""
+    """Treats any two members as a majority of a view."""
     from yewrill.views.agreement import Agreement
     from yewrill.views.lease_renewal import LeaseRenewal
     from yewrill.views.view import View
@@ -240,7 +239,7 @@
 
 
 def _accuse_member() -> None:
-    """Reports d1 as unreachable, whatever is received from it."""
+    """Reports the dispatcher d1 as unreachable, whatever is received from it."""
     from yewrill.views.timing import Edge
 
     bad = Edge.faulty
--- a/yewrill/lab/cluster/history.py
+++ b/yewrill/lab/cluster/history.py
@@ -1,4 +1,4 @@
-"""The history of an installation: what each party saw, timed by the one clock of the rig."""
+"""The history of a test cluster: the events that each party saw, timed by the one clock of the rig."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self._changed = trio.Event()
 
     def note(self, by: str, what: str, **more: Any) -> None:
-        """Records an event and wakes those who wait in `wait_until`."""
+        """Records an event and wakes the tasks that wait in `wait_until`."""
         self.put(by, what, **more)
         self._changed.set()
 
--- a/yewrill/lab/cluster/links.py
+++ b/yewrill/lab/cluster/links.py
@@ -1,4 +1,4 @@
-"""Links between parties on loopback with faults per direction: relays for TCP, a hub for UDP.
+"""Links between parties on loopback, with faults per direction: TCP passes through relays, UDP through a hub.
 
 A party is a dispatcher or a simulated worker, known by its name.
 """
@@ -24,17 +24,17 @@
 class LinkFaults:
     """The faults of one direction between two parties."""
 
-    # Seconds. The jitter is the mean of an exponential delay of datagrams, on top of the fixed delay.
+    # The delay in seconds, and the mean of a random (exponential) further delay of datagrams.
     delay: float = 0.0
     jitter: float = 0.0
-    # Fractions of the datagrams; connections are not affected.
+    # The fractions of the datagrams that are lost or duplicated; connections are not affected.
     loss: float = 0.0
     duplication: float = 0.0
-    # Bytes per second on a connection; 0 is unlimited.
+    # Limit on a connection in bytes per second; 0 is unlimited.
     rate: float = 0.0
-    # Data is discarded.
+    # Whether all data is discarded.
     cut: bool = False
-    # Data is held until the fault is cleared.
+    # Whether all data is held until the fault is cleared.
     stalled: bool = False
 
 
@@ -57,7 +57,7 @@
 
 
 class Links:
-    """All links between the parties of one installation."""
+    """All links between the parties of one test cluster."""
 
     def __init__(self, nursery: trio.Nursery, seed: int = 0):
         self._nursery = nursery
@@ -65,7 +65,8 @@
         self._faults: dict[tuple[str, str], LinkFaults] = {}
         self._changed = trio.Event()
         self._open_streams: dict[tuple[str, str], set[trio.SocketStream]] = {}
-        self._party_at: dict[Address, str] = {}  # for datagrams
+        # For datagrams: the party that sends from an address.
+        self._party_at: dict[Address, str] = {}
         self._hub: trio.socket.SocketType | None = None
 
     # -- faults
@@ -149,7 +150,8 @@
                 if not faults.cut:
                     await sink.send_all(data)
             if (faults := self.faults_of(a, b)).cut or faults.stalled:
-                # The end of the stream is not passed on either; the other direction closes both connections.
+                # The end of the stream is not passed on either; the relay of the other direction closes both
+                # connections.
                 return
             with suppress(trio.BrokenResourceError):
                 await sink.send_eof()
@@ -175,7 +177,7 @@
             try:
                 data, source = await self._hub.recvfrom(CHUNK_BYTES)
             except OSError:
-                continue  # an ICMP error caused by an earlier datagram
+                continue  # the exception is an ICMP error caused by an earlier datagram
             target, data = unwrap_datagram(data)
             a, b = self._party_at.get(source[:2]), self._party_at.get(target)
             if a is None or b is None:
--- a/yewrill/lab/cluster/pace.py
+++ b/yewrill/lab/cluster/pace.py
@@ -1,6 +1,6 @@
-"""A scaled clock for installations on a busy machine, and runs that are repeated when they were starved.
+"""A scaled clock for test clusters on a busy machine, and repetition of runs that were starved of CPU time.
 
-All processes of an installation, the test rig and its dispatchers, use a clock that runs slower than real
+All processes of a test cluster (the test rig and its dispatchers) use a clock that runs slower than real
 time by one factor, the pace, which is measured before the run. Timeouts, settings and the auditor's limits
 are unchanged, but a busy machine gets more real time for them. The event loops report when they are late. A
 run that failed and whose loops were late by too much was starved of CPU time and is repeated, slower.
@@ -18,25 +18,26 @@
 
 from yewrill.lab.cluster.history import Line
 
-# Real time that `measured_slowdown` takes on an idle machine.
+# Real time that the work of `measured_slowdown` takes on an idle machine.
 IDLE_MACHINE_SECONDS = 0.13
 # The slowest pace, in real seconds per second of the scaled clock.
 MAX_PACE = 64.0
-# A machine counts as idle up to this multiple of IDLE_MACHINE_SECONDS.
+# A machine counts as idle if the work takes up to this multiple of IDLE_MACHINE_SECONDS.
 IDLE_TOLERANCE = 1.3
-# An event loop reports its lateness from here on.
+# Shortest lateness that an event loop reports.
 REPORTED_LATENESS_SECONDS = 0.1
-# An installation was starved if one loop was this late once, or if all were this late in total.
+# A test cluster was starved of CPU time if one loop was late by the first limit once, or if the lateness of
+# all loops reached the second limit in total.
 STARVED_AT_ONCE_SECONDS = 0.4
 STARVED_IN_TOTAL_SECONDS = 2.5
-# A run is aborted once its loops were this late in total.
+# A run is aborted once the lateness of all its loops has reached this total.
 ABORT_LATENESS_SECONDS = 10.0
-# Limit on the pace of a first run: one short measurement may be far too high.
+# Limit on the pace of a first run, because one short measurement may be far too high.
 MAX_FIRST_PACE = 4.0
 # Margin on the measured slowdown of a shared machine, whose load varies.
 SHARED_MACHINE_FACTOR = 1.5
 MAX_RUNS = 5
-# Precedes the seconds in a dispatcher's report on standard error.
+# The text before the seconds in a dispatcher's report on standard error.
 LATENESS_PREFIX = "rig-late "
 
 
@@ -51,7 +52,7 @@
         self._monotonic, self._wall = time.monotonic, time.time
 
     def start_clock(self) -> None:
-        """Has nothing to do: the clock always runs."""
+        """Does nothing: the clock always runs. trio calls this when the event loop starts."""
         pass
 
     def current_time(self) -> float:
@@ -82,21 +83,21 @@
         self._woke_at: float | None = None
 
     def before_io_wait(self, timeout: float) -> None:
-        """Reports how long the loop ran since it woke up, if that was too long."""
+        """Reports how long the loop ran since it woke up, if longer than REPORTED_LATENESS_SECONDS."""
         now = self._clock.current_time()
         if self._woke_at is not None and now - self._woke_at > REPORTED_LATENESS_SECONDS:
             self._report(now - self._woke_at)
         self._wake_due = now + timeout / self._clock.pace
 
     def after_io_wait(self, timeout: float) -> None:
-        """Reports how much later than planned the loop woke up, if that was too late."""
+        """Reports by how much the loop woke up late, if more than REPORTED_LATENESS_SECONDS."""
         self._woke_at = now = self._clock.current_time()
         if now - self._wake_due > REPORTED_LATENESS_SECONDS:
             self._report(now - self._wake_due)
 
 
 class Starved(Exception):
-    """An installation did not get enough CPU time."""
+    """The test cluster did not get enough CPU time."""
 
 
 async def abort_when_starved(lines: list[Line]) -> None:
@@ -107,7 +108,7 @@
 
 
 def starved_seconds(history: Iterable[Line]) -> float:
-    """Returns by how many seconds the loops of an installation were late in total; 0.0 if it was not starved.
+    """Returns the total lateness of a test cluster's loops in seconds; 0.0 if it was not starved.
 
     Lateness is ignored before the first request, when processes start, and right after a process was resumed
     from a pause that the scenario ordered.
@@ -151,7 +152,7 @@
     return 1.0 if slower < IDLE_TOLERANCE else min(MAX_FIRST_PACE, SHARED_MACHINE_FACTOR * slower)
 
 
-# The pace that earlier installations of this process were found to need.
+# The pace that earlier test clusters of this process were found to need.
 _min_pace = 1.0
 
 
--- a/yewrill/lab/cluster/rig.py
+++ b/yewrill/lab/cluster/rig.py
@@ -1,4 +1,4 @@
-"""A small installation: dispatcher processes with simulated workers, discovery and clients, and faults."""
+"""A small test cluster: dispatcher processes with simulated workers, discovery and clients, and faults."""
 
 from __future__ import annotations
 
@@ -48,33 +48,34 @@
 
 @dataclass
 class InstallationSpec:
-    """The size, load and settings of an installation."""
+    """The size, load and settings of a test cluster."""
 
     dispatchers: int = 6
     zones: int = 3
     workers_per_zone: int = 2
     # Requests per second for each dispatcher.
     rate: float = 12.0
-    # Run time of a job at a warm worker, and slots of a worker.
+    # Run time of a request at a warm worker, and slots of a worker.
     run_seconds: float = 0.04
     slots: int = 4
-    # Weights of the request classes.
+    # Share of the requests of each class.
     kinds: dict[str, float] = field(default_factory=lambda: {"tour": 0.8, "once": 0.2})
-    # Seconds between membership probes, and the times of the zone failover: see the settings of these names.
+    # Seconds between membership probes; two durations of the zone failover. The dispatchers' settings of the
+    # corresponding names explain them.
     members_interval: float = 0.15
     zone_hold: float = 0.8
     zone_step: float = 0.4
-    # Budget of a slow start, as a multiple of the worker's capacity.
+    # Budget of a slow start, as a multiple of the work that the worker can do in the window.
     cold_multiple: float = 3.0
-    # Dispatchers keep persistent state.
+    # Whether the dispatchers keep persistent state.
     keep_state: bool = False
-    # Dispatchers that vote on leases; 0 turns leases off.
+    # Number of dispatchers that vote on leases; 0 turns leases off.
     voters: int = 0
-    # Dispatchers agree on views.
+    # Whether the dispatchers agree on views.
     views: bool = False
 
 
-# Starts at a place that depends on the process id, so that concurrent processes rarely try the same ports.
+# The first port depends on the process id, so that concurrent processes rarely try the same ports.
 _ports = itertools.cycle(range(20_000 + os.getpid() * 997 % 9000, 31_000))
 
 
@@ -94,7 +95,7 @@
 
 @dataclass(eq=False)
 class Dispatcher:
-    """One dispatcher: its addresses, its process, and what its log last said of plan and view."""
+    """One dispatcher: its addresses, its process, and the plan and view that its log last reported."""
 
     name: str
     zone: str
@@ -107,7 +108,8 @@
     process: subprocess.Popen | None = None
     ready: bool = False
     plan: dict[str, Any] = field(default_factory=lambda: {"number": 0, "shares": {}})
-    view: tuple[int, frozenset[str]] | None = None  # number and members
+    # Number and members of the view in which the dispatcher holds a lease, if any.
+    view: tuple[int, frozenset[str]] | None = None
 
 
 class ManagementCallRejected(Exception):
@@ -115,7 +117,7 @@
 
 
 class Rig:
-    """The installation that a scenario acts on: injects faults and waits for their effects."""
+    """The test cluster that a scenario acts on: injects faults and waits for their effects."""
 
     def __init__(self, spec: InstallationSpec, seed: int, directory: Path, nursery: trio.Nursery):
         self.spec, self.seed, self.directory = spec, seed, directory
@@ -170,7 +172,7 @@
                 options.get(name, options.get("all", ())),
             )
             self.dispatchers[name] = dispatcher
-            # State of an earlier run in this directory.
+            # This directory may hold the state of an earlier run.
             for kept in ("state", "owns", "views"):
                 shutil.rmtree(self.directory / f"{name}.{kept}", ignore_errors=True)
             self.links.register(name, dispatcher.members)
@@ -375,7 +377,8 @@
     async def call_management(self, name: str, path: str, method: str = "GET") -> Any:
         """Calls a dispatcher's management listener; returns the JSON or the text of the answer.
 
-        A call that timed out there (408) is repeated. Raises ManagementCallRejected on any other status.
+        A call that timed out at the dispatcher (408) is repeated. Raises ManagementCallRejected on any other
+        status.
         """
         while True:
             status, body = await self._call(name, path, method)
@@ -402,7 +405,7 @@
     def start_traffic(self, names: Iterable[str] | None = None) -> None:
         """Starts clients for dispatchers, all by default."""
         for name in self.dispatchers if names is None else names:
-            # hash() would differ between processes.
+            # The seed does not use hash(), which would differ between processes.
             seed = rendezvous.number(f"{self.seed}/{name}")
             clients = Clients(
                 name,
@@ -473,7 +476,7 @@
     def partition(
         self, group: Iterable[str], others: Iterable[str], *, both_directions: bool = True
     ) -> None:
-        """Cuts two groups of dispatchers off from each other; the view may lose members of either for it."""
+        """Cuts two groups of dispatchers off from each other; the view may lose members of either group."""
         group, others = list(group), list(others)
         self.history.note("rig", "unwell", names=[*group, *others])
         self.links.set_faults(group, others, both_directions=both_directions, cut=True)
@@ -488,7 +491,8 @@
     ) -> None:
         """Waits until dispatchers have installed one view whose members are exactly `names`.
 
-        `names` are all ready dispatchers by default; `among`: those who have to have it, `names` by default.
+        By default, `names` are all ready dispatchers. `among` are the dispatchers that must have installed
+        the view, by default `names`.
         """
         names = (
             frozenset(d.name for d in self.ready_dispatchers())
@@ -538,7 +542,7 @@
         await self.wait_until(lambda: self.plans_agree() and min(self.zone_shares(zone)) == 1.0)
 
     async def wait_until_served(self, count: int) -> None:
-        """Waits until this many more requests have been answered with 200."""
+        """Waits until the given number of further requests have been answered with 200."""
 
         def count_served() -> int:
             return sum(line["status"] == 200 for line in self.history.lines_of("answer"))
--- a/yewrill/lab/cluster/scenarios.py
+++ b/yewrill/lab/cluster/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of the test rig: each injects faults into an installation under traffic and waits for effects.
+"""Scenarios of the test rig: each injects faults into a test cluster under traffic and waits for effects.
 
 A scenario's function name, with hyphens, is its name on the command line.
 """
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A scenario: its function, the installation that it needs, and options of the dispatchers by name."""
+    """A scenario: its function, the test cluster that it needs, and options of the dispatchers by name."""
 
     run: Callable[[Rig], Awaitable[None]]
     spec: InstallationSpec
@@ -29,7 +29,8 @@
 
 
 # A zone is left once three dispatchers outside it see it fail at the same time. At a few requests per second
-# each sees it for a short time only, so scenarios in which some are dead or paused have nine dispatchers.
+# each dispatcher sees the failure for a short time only, so scenarios in which some dispatchers are dead or
+# paused have nine.
 SCENARIOS: dict[str, Scenario] = {}
 
 
@@ -66,13 +67,13 @@
 
 @scenario()
 async def zone_mute(rig: Rig) -> None:
-    """The workers of a zone accept jobs and do not run them."""
+    """The workers of a zone accept requests and do not run them."""
     await fail_and_recover_zone(rig, "z1", "mute")
 
 
 @scenario()
 async def zone_fails_jobs(rig: Rig) -> None:
-    """A zone reports at once that every job failed, and so looks idle.
+    """A zone reports at once that every request failed, and so looks idle.
 
     Dispatchers leave it by a plan or each on its own.
     """
@@ -107,7 +108,7 @@
 
 @scenario()
 async def discovery_lags(rig: Rig) -> None:
-    """One zone is missing from the endpoint lists of half of the dispatchers; no plan leaves it for that."""
+    """A zone is missing from the endpoint lists of half of the dispatchers; no plan leaves it for that."""
     for name in ("d0", "d1", "d2"):
         rig.dispatchers[name].discovery.hidden_zones.add("z1")
     rig.publish_endpoint_lists()
@@ -121,7 +122,7 @@
 
 @scenario()
 async def heard_by_nobody(rig: Rig) -> None:
-    """Datagrams of one dispatcher to the others are lost, not those to it, while a zone fails."""
+    """Datagrams from one dispatcher to the others are lost, but none to it, while a zone fails."""
     others = [name for name in rig.dispatchers if name != "d2"]
     rig.links.set_faults(["d2"], others, both_directions=False, cut=True)
     rig.fail_zone("z0")
@@ -197,7 +198,7 @@
 
 @scenario()
 async def a_profiler_drains(rig: Rig) -> None:
-    """A worker drains while a zone is left: no dispatcher sends it a new job."""
+    """A worker drains while a zone is left: no dispatcher sends the worker a new request."""
     rig.drain("p-z1-0")
     rig.fail_zone("z2")
     await rig.wait_until_zone_left("z2")
@@ -251,7 +252,7 @@
     rig.history.note("rig", "ordered")
     before = {worker.name: worker.jobs_done for worker in rig.workers_in("z1")}
     await rig.wait_until_served(120)
-    # Jobs in flight at the time of the order may still end there; no new ones may be sent.
+    # Requests in flight at the time of the order may still end in the zone; no new ones may be sent to it.
     more = sum(worker.jobs_done for worker in rig.workers_in("z1")) - sum(before.values())
     assert more <= 2 * len(rig.dispatchers) * rig.spec.slots
     for name in rig.dispatchers:
--- a/yewrill/lab/cluster/standins.py
+++ b/yewrill/lab/cluster/standins.py
@@ -70,15 +70,15 @@
 class SimulatedWorker:
     """A worker with slots and a FIFO queue, slow while it warms up.
 
-    `mode` is `well`, `mute` (accepts jobs and does not run them), `failing` (reports that every job failed)
-    or `gone` (resets every connection).
+    `mode` is `well`, `mute` (accepts requests and does not run them), `failing` (reports that every request
+    failed) or `gone` (resets every connection).
     """
 
     name: str
     zone: str
     history: History
     slots: int = 4
-    run: float = 0.04  # seconds of a job when warm
+    run: float = 0.04  # run time of a request in seconds when the worker is warm
     start_capacity: float = 0.3
     warm_after: float = 2.0
     mode: str = "well"
@@ -146,7 +146,7 @@
 
     @staticmethod
     async def _cancel_when_closed(stream: trio.SocketStream, scope: trio.CancelScope) -> None:
-        """Cancels the job once the dispatcher closes the connection; it sends nothing more before."""
+        """Cancels a run once the dispatcher closes the connection, on which it sends nothing more."""
         with suppress(*DISCONNECTED):
             await stream.receive_some(1)
         scope.cancel()
@@ -187,12 +187,15 @@
 
 
 class Discovery:
-    """Discovery as one dispatcher sees it: workers at the addresses of their relays, `delay_seconds` late."""
+    """Discovery as one dispatcher sees it: its list has the workers at the addresses of their relays.
+
+    A new version of the list is published `delay_seconds` late.
+    """
 
     def __init__(self, workers: Mapping[str, tuple[SimulatedWorker, Address]]):
         self._workers = workers
         self.version, self.delay_seconds = 1, 0.0
-        self.hidden_zones: set[str] = set()  # left out of the list
+        self.hidden_zones: set[str] = set()  # zones that are left out of the list
         self._changed = trio.Event()
 
     def publish(self) -> None:
@@ -278,7 +281,8 @@
                         if isinstance(event, h11.EndOfMessage):
                             note("client", "answer", job=job, status=status)
                             break
-                    with trio.move_on_after(0.05):  # a second answer
+                    # A second answer would be a fault of the dispatcher; it is recorded.
+                    with trio.move_on_after(0.05):
                         if extra := http.parser.trailing_data[0] or await stream.receive_some(
                             CHUNK_BYTES
                         ):
