--- a/yewrill/lab/soak/clients.py
+++ b/yewrill/lab/soak/clients.py
@@ -22,7 +22,7 @@
 CLIENT_TIMEOUT_WEIGHTS = (1, 1, 3, 6, 10, 10, 2, 1)
 KINDS = ("tour", "save", "once")
 KIND_WEIGHTS = (5, 2, 3)
-MAX_IDLE_CONNECTIONS = 12  # to one dispatcher
+MAX_IDLE_CONNECTIONS = 12  # limit on the idle connections that are kept to one dispatcher
 
 
 class Style(Enum):
@@ -68,7 +68,7 @@
 
 
 class ClientTraffic:
-    """Open-loop requests to one dispatcher."""
+    """Sends requests to one dispatcher, open-loop: at a rate that doesn't depend on its answers."""
 
     def __init__(
         self,
@@ -86,11 +86,12 @@
         self.style_weights = CALM_STYLE_WEIGHTS
         self.burst = 1.0
         self.in_flight = 0
-        # In seconds of the run; afterwards the load balancer in front uses open connections only.
+        # Time, in seconds since the run began, from which the simulated load balancer in front of the
+        # dispatcher opens no new connections.
         self.new_connections_until = math.inf
 
     async def run(self, nursery: trio.Nursery) -> None:
-        """Sends requests until cancelled; each continues in the nursery."""
+        """Sends requests until cancelled; each request runs as a task of the nursery."""
         while True:
             await trio.sleep(self._rng.expovariate(self._plan.rate * self.burst))
             kind = self._rng.choices(KINDS, KIND_WEIGHTS)[0]
@@ -111,7 +112,8 @@
             id, kind, key, client_timeout, style, on_new_connection=False
         )
         if request.end is RequestEnd.CLOSED and request.reused_connection and request.well_formed:
-            # The dispatcher closed the idle connection as the request was under way, unread: send it again.
+            # The dispatcher closed the idle connection without reading the request, which was already on its
+            # way: the client sends it again.
             request = await self._send_once(
                 id, kind, key, client_timeout, Style.WHOLE, on_new_connection=True, send_number=2
             )
@@ -126,7 +128,8 @@
             and request.end in (RequestEnd.CLOSED, RequestEnd.NOT_TAKEN)
             and self._plan.terms.persistent_state
         ):
-            # The process was killed. The restarted one knows the attempts in flight, so a repeat is safe.
+            # The process was killed. The restarted process knows which attempts were in flight, so it is safe
+            # to repeat the request.
             await self._ready_event_of(self.name).wait()
             await self._send_once(repeat_id, kind, key, 2.0, Style.WHOLE, on_new_connection=True)
 
--- a/yewrill/lab/soak/commands.py
+++ b/yewrill/lab/soak/commands.py
@@ -18,7 +18,7 @@
 from yewrill.lab.soak.play import Outcome, run_plan
 
 MAX_PROCESSES = 200
-MAX_LOG_LINES = 12  # for each breach in a report
+MAX_LOG_LINES = 12  # limit on the log lines that a report shows for each breach
 
 
 @dataclass(frozen=True)
@@ -70,7 +70,7 @@
 
 
 def summarize(seed: SeedRun, outcome: Outcome) -> Summary:
-    """Returns the figures of a run and, if a rule was broken, its report."""
+    """Returns the counts of a run and, if a rule was broken, the report on the breaches."""
     history, faults = outcome.history, outcome.plan.faults
     return Summary(
         seed,
@@ -121,7 +121,7 @@
 
 
 def minimize(seed: SeedRun) -> SeedRun:
-    """Leaves out faults as long as a rule is still broken."""
+    """Returns the run without the faults that its breach does not need, found by trial runs."""
     minimal = seed
     for number in range(len(draw(seed.seed, seed.dispatchers, seed.seconds).faults)):
         candidate = replace(minimal, leave_out=(*minimal.leave_out, number))
@@ -154,7 +154,7 @@
     keep: str,
     program: str,
 ) -> None:
-    """Runs real dispatchers with overlapping faults drawn from a seed. Exit status 1 on a breach."""
+    """Run real dispatchers with overlapping faults drawn from a seed. Exit status 1 on a breach."""
     if dispatchers * side_by_side > MAX_PROCESSES // 2:
         raise click.UsageError(f"at most {MAX_PROCESSES // 2} dispatchers at once")
     runs = [
--- a/yewrill/lab/soak/discovery.py
+++ b/yewrill/lab/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Simulated discovery: lists, long polls and faults. Two of them may publish the list of one fleet."""
+"""Simulated discovery: endpoint lists, long polls and faults. Two instances may serve one fleet's list."""
 
 from __future__ import annotations
 
--- a/yewrill/lab/soak/events.py
+++ b/yewrill/lab/soak/events.py
@@ -1,4 +1,4 @@
-"""Records of what the parties of a run saw, timed by the monotonic clock in seconds since the run began."""
+"""Records of the events that the parties of a run saw. Times are monotonic seconds since the run began."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Effect(Enum):
-    """The idempotency of a class, with the values that the settings use."""
+    """The idempotency of a request class, with the values that the settings use."""
 
     IDEMPOTENT = "pure"
     IDEMPOTENT_BY_KEY = "token"
@@ -19,7 +19,7 @@
     """How an attempt ended, as its worker saw it."""
 
     ANSWERED = "answered"
-    REJECTED = "turned away"  # by a response that says that the job has not run
+    REJECTED = "turned away"  # the worker's response says that the request has not run
     CLOSED = "closed by the dispatcher"
     BROKEN = "broken by the worker"
 
@@ -28,7 +28,8 @@
     """How a request ended, as its client saw it."""
 
     ANSWERED = "answered"
-    CLOSED = "closed without an answer"  # by the dispatcher, or by the end of its process
+    # The dispatcher closed the connection, or its process ended.
+    CLOSED = "closed without an answer"
     TIMED_OUT = "no answer in time"
     LEFT = "its client left"
     NOT_TAKEN = "no connection came up"
@@ -38,8 +39,9 @@
 class Request:
     """One request as its client saw it.
 
-    `sent` is the time of its last byte. `reused_connection`: it is not the first on its connection. A request
-    may be sent several times under one id; `send_number` counts them and is in the body that the worker gets.
+    `sent` is the time of its last byte. `reused_connection`: the request is not the first on its connection.
+    A request may be sent several times under one id; `send_number` counts the sends and is in the body that
+    the worker gets.
     """
 
     id: str
@@ -50,8 +52,9 @@
     begun_at: float
     reused_connection: bool = False
     sent: float | None = None
-    well_formed: bool = True  # else the dispatcher owes it an error or a close
-    stalls: bool = False  # its client stops sending in the middle and keeps the connection
+    # Whether the request is valid; if not, the dispatcher must answer with an error or close the connection.
+    well_formed: bool = True
+    stalls: bool = False  # whether its client stops sending in the middle and keeps the connection
     end: RequestEnd | None = None
     finished: float = 0.0
     status: int = 0
@@ -71,13 +74,14 @@
     key: str
     kind: str
     worker: str
-    announced_timeout: float  # in seconds, as the dispatcher sent it
+    announced_timeout: float  # the worker's time limit in seconds, as the dispatcher sent it
     begun_at: float
     received_at: float | None = None
     finished: float | None = None
     end: AttemptEnd | None = None
     send_number: int = 0
-    stale: bool = False  # the dispatcher had closed its connection before the worker read it
+    # Whether the dispatcher had closed the connection before the worker read the request.
+    stale: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +93,7 @@
 
 
 class ProcessState(Enum):
-    """What happened to a dispatcher's process."""
+    """A kind of event of a dispatcher's process."""
 
     STARTED = "started"
     READY = "ready"
@@ -129,11 +133,11 @@
     attempts: list[Attempt] = field(default_factory=list)
     slow_starts: list[SlowStart] = field(default_factory=list)
     process_events: list[ProcessEvent] = field(default_factory=list)
-    # Spans (begin, end) without a fault, long enough after the last one.
+    # Spans (begin, end) without a fault, which begin long enough after the last fault.
     calm_spans: list[tuple[float, float]] = field(default_factory=list)
-    # Violations that the dispatchers logged themselves.
+    # Violations of their own rules that the dispatchers logged.
     violations: list[str] = field(default_factory=list)
-    # Seconds by which the test's own event loop, or a dispatcher waiting for a CPU, was late at most.
+    # Longest time, in seconds, by which the test's event loop was late or a dispatcher waited for a CPU.
     max_lateness: float = 0.0
     began: float = field(default_factory=time.monotonic)
 
--- a/yewrill/lab/soak/nodes.py
+++ b/yewrill/lab/soak/nodes.py
@@ -22,13 +22,14 @@
 READY_MARK = b" ready name="
 VIOLATION_MARK = b" rule_violation "
 MEMBERSHIP_KEY = "7a" * 16
-START_COMMAND = "trap '' HUP; exec \"$0\" -m yewrill"  # as the platform starts a dispatcher
+# The shell command with which the platform starts a dispatcher.
+START_COMMAND = "trap '' HUP; exec \"$0\" -m yewrill"
 RELOADS_IN_A_ROW = 3
-MAX_SERIES_INTERVAL_SECONDS = 0.25  # between two signals of a series
+MAX_SERIES_INTERVAL_SECONDS = 0.25  # longest time between two signals of a series
 
 
 class Node:
-    """One dispatcher: the process that serves now, and perhaps an older one that drains."""
+    """One dispatcher: the process that serves at present, and perhaps an older process that drains."""
 
     def __init__(
         self, index: int, plan: Plan, directory: Path, history: History, nursery: trio.Nursery
@@ -50,7 +51,7 @@
         self.ready = trio.Event()
         self.restart_lock = trio.Lock()
         self._reloads = 0
-        self._paused_seconds = 0.0  # in total so far
+        self._paused_seconds = 0.0  # total time for which the process was paused by SIGSTOP
         self._rng = random.Random(f"{plan.seed}/{self.name}/signals")
 
     # -- configuration
@@ -58,7 +59,7 @@
     def configure(
         self, discovery: tuple[str, int], known: dict, peers: list[tuple[str, int]]
     ) -> None:
-        """Writes the configuration; the answer margin differs each time, so that a reload has a change."""
+        """Writes the configuration, with a new answer margin each time, so that a reload has a change."""
         self._reloads += 1
         raw = self._raw_config(discovery, known, peers)
         raw["timing"]["answer_margin_ms"] = 20.0 + self._reloads % 3
@@ -85,13 +86,14 @@
             }
             for name, idempotency in terms.effects.items()
         ]
+        # The default timing, and so the default grace period.
         raw = {
             "name": self.name,
             "listen": f"{self.address[0]}:{self.address[1]}",
             "discovery": f"{discovery[0]}:{discovery[1]}",
             "seed": f"{plan.seed + self._index:x}",
             "known": known,
-            "timing": {},  # with the default grace period
+            "timing": {},
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": plan.sockets},
             "settings": {
                 "areas": ["room"],
@@ -192,11 +194,11 @@
     def send(
         self, number: int, state: ProcessState, process: subprocess.Popen | None = None
     ) -> None:
-        """Sends a signal to the process that serves, or to the given one."""
+        """Sends a signal to the process that serves at present, or to the given process."""
         process = process or self.process
         if process is not None and process.poll() is None:
             if state is ProcessState.KILLED and self.ready.is_set():
-                self.ready = trio.Event()  # later waits are for the next process
+                self.ready = trio.Event()  # from now on, waits are for the next process
             self._note(process, state)
             process.send_signal(number)
 
@@ -205,7 +207,8 @@
     ) -> None:
         """Sends SIGTERM, and SIGKILL if the process has not ended by the end of the grace period.
 
-        Pauses meanwhile extend the period. `series`: SIGHUPs and more SIGTERMs follow until the process ends.
+        Pauses of the process extend the grace period. `series`: SIGHUPs and more SIGTERMs follow until the
+        process ends.
         """
         process = process or self.process
         if process is None or process.poll() is not None:
@@ -225,7 +228,7 @@
             await trio.sleep(0.005)
 
     def _send_random_signal(self, process: subprocess.Popen) -> None:
-        """Sends SIGHUP or SIGTERM to a process that drains already."""
+        """Sends SIGHUP or SIGTERM, at random, to a process that drains already."""
         if self._rng.random() < 0.5:
             self.send(signal.SIGHUP, ProcessState.RELOADED, process)
         else:
--- a/yewrill/lab/soak/oracle.py
+++ b/yewrill/lab/soak/oracle.py
@@ -1,4 +1,5 @@
-"""Checks the history of a run against the guarantees of a dispatcher. Pure: no I/O, no clock, no randomness.
+"""Checks the history of a run against the guarantees of a dispatcher. The oracle does no I/O, reads no clock
+and uses no random numbers.
 
 The only exceptions are those of the protocol: a request whose dispatcher was killed meanwhile, one whose
 client left, and one on a reused connection that was closed before any of it was forwarded (its client sends
@@ -25,16 +26,19 @@
     SlowStart,
 )
 
-ANSWER_SLACK_SECONDS = 0.5  # an answer may come so long after the client's timeout
-LEFT_SLACK_SECONDS = 0.1  # an attempt may begin so long after its client left
-DEADLINE_SLACK_SECONDS = (
-    0.15  # an announced timeout may exceed the client's remaining time by so much
-)
-STALL_LIMIT_SECONDS = 3.0  # a client that stops sending has an error or a close by then
+ANSWER_SLACK_SECONDS = 0.5  # time after the client's timeout until which an answer is in time
+# Time after a client has left during which an attempt of its request may still begin.
+LEFT_SLACK_SECONDS = 0.1
+# Largest amount by which the time limit sent to a worker may exceed the client's remaining time.
+DEADLINE_SLACK_SECONDS = 0.15
+# Time within which a client that stops sending must get an error or a close.
+STALL_LIMIT_SECONDS = 3.0
 CLOCK_SLACK_SECONDS = 0.06
-WINDOW_SLACK_SECONDS = 0.05  # that the protocol allows on sockets
+# Time after the idempotency window that the protocol allows for delays on sockets.
+WINDOW_SLACK_SECONDS = 0.05
 READY_LIMIT_SECONDS = 10.0
-SERVED_CLIENT_TIMEOUT_SECONDS = 0.6  # a healthy fleet serves every request with this timeout
+# Smallest client timeout with which a healthy fleet serves every request.
+SERVED_CLIENT_TIMEOUT_SECONDS = 0.6
 
 
 class Rule(Enum):
@@ -60,7 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A broken rule, the id of the request or the name of the process, and two contradicting observations."""
+    """A broken rule, two observations that contradict each other, and their subject.
+
+    `subject` is the id of a request or the name of a process.
+    """
 
     rule: Rule
     subject: str
@@ -117,7 +124,7 @@
         self.pauses = list(_pauses(history.process_events))
 
     def killed_during(self, request: Request) -> bool:
-        """Tells whether a process of the request's dispatcher was killed while the request was open.
+        """Returns whether a process of the request's dispatcher was killed while the request was open.
 
         SIGTERM is no excuse: a process that ends by it and leaves a request unanswered breaks a rule.
         """
@@ -203,7 +210,7 @@
 def _attempts_of(indexed: _IndexedHistory, request: Request) -> list[Attempt]:
     """Returns the attempts of one send of a request.
 
-    Attempts that were not received in full carry no send number: their time decides.
+    Attempts that were not received in full carry no send number: the time at which they began decides.
     """
     return [
         attempt
@@ -259,7 +266,8 @@
 def _check_keyed(indexed: _IndexedHistory) -> Iterator[Breach]:
     for attempts in _by_key(indexed, Effect.IDEMPOTENT_BY_KEY):
         for attempt in attempts[1:]:
-            # After the window the client may repeat its job under a new id; the dispatcher may not repeat it.
+            # After the window the client may repeat its request under a new id, but the dispatcher may not
+            # repeat it.
             same_request = [a for a in attempts if a.id == attempt.id]
             if (
                 attempt.begun_at - same_request[0].begun_at
@@ -278,7 +286,8 @@
         ):
             continue
         if indexed.terms.effects.get(request.kind) is Effect.IDEMPOTENT_BY_KEY:
-            continue  # workers discard repeats within the window
+            # Workers discard repetitions within the window, so an attempt that ran does no harm.
+            continue
         for attempt in indexed.attempts[request.id]:
             if _may_have_run(attempt) and attempt.begun_at <= request.finished:
                 yield Breach(Rule.REFUSED_RAN, request.id, _describe(request), _describe(attempt))
@@ -306,7 +315,7 @@
 
 
 def allowed_when_cold(terms: Terms, age: float) -> float:
-    """Returns how many requests all dispatchers may send a worker in one window that ends at this age."""
+    """Returns the number of requests that a cold worker may get in one window that ends at this age."""
     warm = terms.start_capacity + (1.0 - terms.start_capacity) * min(1.0, age / terms.warm_after)
     n = terms.cold_multiple * warm * terms.slots / terms.run * terms.cold_window
     return n + 3.0 * math.sqrt(n) + 3.0 if n < 30.0 else n + 2.0 * math.sqrt(n) + 2.0
--- a/yewrill/lab/soak/plan.py
+++ b/yewrill/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draws the plan of a run from its seed: the installation, and which faults occur when. Does no I/O."""
+"""Draws the plan of a run from its seed: the test cluster, and its faults with their times. Does no I/O."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
 from yewrill.lab.soak.oracle import Terms
 from yewrill.lab.soak.shim import Call, Origin, Rule
 
-INITIAL_CALM_SECONDS = 3.0  # of traffic before the first fault; the last two of them count as calm
-# After the last fault, for an objective of 0.4 s: call gapping admits a class again within two objectives.
+# Time of traffic before the first fault. Its last two seconds count as a calm span.
+INITIAL_CALM_SECONDS = 3.0
+# Time from the last fault to the final calm span, for a latency objective of 0.4 s. Call gapping admits a
+# class again within two objectives.
 RECOVERY_SECONDS = 5.0
 RECOVERY_OBJECTIVE_SECONDS = 0.4
 FINAL_CALM_SECONDS = 2.0
-KEYED_WINDOW = 3.0  # seconds
-# The grace period from SIGTERM to SIGKILL: the longest deadline, up to a bound, and a margin.
+KEYED_WINDOW = 3.0  # idempotency window, in seconds, of classes that are idempotent by key
+# The grace period from SIGTERM to SIGKILL is the longest deadline, up to this bound, and a margin.
 MAX_GRACE_DEADLINE_SECONDS = 3.0
 GRACE_AFTER_DEADLINE_SECONDS = 0.7
-# Limits on the sockets of a dispatcher; the lower one for runs in which idle clients exhaust it.
+# Limits on the sockets of a dispatcher. The lower one is for runs in which idle clients exhaust it.
 SOCKETS = 512
 CROWDED_SOCKETS = 160
-IDLE_CLIENTS = 200  # exhaust CROWDED_SOCKETS
+IDLE_CLIENTS = 200  # number of idle clients, enough to exhaust CROWDED_SOCKETS
 
 
 class Kind(Enum):
@@ -75,21 +77,21 @@
     dispatchers: tuple[int, ...] = ()
     workers: tuple[int, ...] = ()
     rules: tuple[Rule, ...] = ()
-    step: float = 0.0  # of the wall clock, in seconds
-    slow_factor: float = 1.0  # of run times
+    step: float = 0.0  # step of the wall clock in seconds, under CLOCK_STEP
+    slow_factor: float = 1.0  # factor on the run times of the affected workers, under WORKER_SLOW
 
     @property
     def until(self) -> float:
-        """The time at which it ends."""
+        """The time at which the fault ends."""
         return self.at + self.duration
 
 
 @dataclass(frozen=True, slots=True)
 class ClassTerms:
-    """The settings of every class: times in seconds, the quota in requests per second."""
+    """The settings that all request classes share: times in seconds, the quota in requests per second."""
 
     objective: float
-    objective_run_factor: float | None  # None: the settings do not name it
+    objective_run_factor: float | None  # None: the settings do not name this factor
     deadline: float
     quota: float
 
@@ -105,12 +107,13 @@
     rate: float  # requests per second for each dispatcher
     terms: Terms
     classes: ClassTerms
-    first_run_factor: float  # of each worker's first run
+    first_run_factor: float  # factor on the run time of each worker's first run
     sockets: int
-    inherited_sockets: bool  # the test holds the listening sockets and passes them on
-    membership: bool  # members and views are configured
+    # Whether the test holds the listening sockets and passes them on to the dispatchers.
+    inherited_sockets: bool
+    membership: bool  # whether members and views are configured
     faults: tuple[Fault, ...] = field(default=())
-    program: str = ""  # root of the checkout whose dispatchers run, this one by default
+    program: str = ""  # root of the checkout whose dispatchers run; "" is this checkout
 
     @property
     def recovery(self) -> float:
@@ -135,13 +138,15 @@
     (Call.SOCKET, Origin.ANY, (errno.ENFILE, errno.ENOBUFS)),
 )
 _MAX_CALL_FAULT_SECONDS = 1.0
+# A connection may fail if these calls fail for more than 0.1 s in a row.
 _BRIEF_CALLS = (
     Call.RECV,
     Call.SEND,
-)  # a connection may fail if these fail in a row for more than 0.1 s
+)
 
 
-# Faults in quick succession at one dispatcher that meet in code on which a rule depends.
+# Combinations of faults that follow each other quickly at one dispatcher. Each exercises code on which a rule
+# of the oracle depends.
 FAULT_COMBINATIONS = (
     (Kind.DISK_ERRS, Kind.KILL),
     (Kind.WORKER_HANGS, Kind.DISK_ERRS, Kind.KILL),
@@ -214,7 +219,8 @@
             )
             if fault.dispatchers:
                 fault = replace(fault, dispatchers=(main_dispatcher, *fault.dispatchers[1:]))
-            if fault.at < until:  # the run waits for the end of each fault
+            # The run waits for the end of each fault, so none may begin after the span of the faults.
+            if fault.at < until:
                 faults.append(fault)
         at += rng.uniform(0.5, 1.2)
     return Plan(
@@ -254,9 +260,8 @@
     if kind is Kind.CLIENTS_CROWD:
         return crowded
     if kind in (Kind.TERMINATE, Kind.KILL, Kind.RELOAD_INTO_DRAIN, Kind.SIGNALS_IN_SERIES):
-        return (
-            not inherited_sockets
-        )  # connections would wait in the backlog while no process accepts them
+        # With inherited sockets, connections would wait in the backlog while no process accepts them.
+        return not inherited_sockets
     return persistent_state or kind not in (Kind.DISK_ERRS, Kind.DISK_SLOW)
 
 
@@ -318,7 +323,7 @@
 
 
 def _draw_call_rules(rng: random.Random, kind: Kind) -> tuple[Rule, ...]:
-    """Returns the rules for system calls of the kinds of faults that have some."""
+    """Returns the rules for system calls of a kind of fault, none if the kind has none."""
     if kind is Kind.SHORT_CALLS:
         return tuple(Rule(call, max_bytes=rng.choice((1, 3, 50))) for call in _BRIEF_CALLS)
     if kind is Kind.DISK_SLOW:
@@ -334,7 +339,7 @@
 
 
 def overlapping(faults: Sequence[Fault]) -> Counter[tuple[str, str]]:
-    """Returns how often each pair of kinds of faults overlapped."""
+    """Returns the number of overlaps of each pair of kinds of faults."""
     return Counter(
         tuple(sorted((one.kind.name, other.kind.name)))
         for one, other in combinations(faults, 2)
--- a/yewrill/lab/soak/play.py
+++ b/yewrill/lab/soak/play.py
@@ -28,19 +28,19 @@
 )
 from yewrill.lab.soak.workers import Worker
 
-STARVED_SECONDS = (
-    0.08  # a run is void if the test or a dispatcher waited this long for a CPU at once
-)
-WATCH_INTERVAL_SECONDS = 0.02  # between checks of the test's own lateness
-NODE_WATCH_INTERVAL_SECONDS = 0.2  # between checks of the dispatchers' waits for a CPU
-CALM_START_SECONDS = 1.0  # after the start of traffic
+# A run is void if the test's event loop was late by this time at once, or a dispatcher waited this long for a
+# CPU.
+STARVED_SECONDS = 0.08
+WATCH_INTERVAL_SECONDS = 0.02  # time between two checks of the lateness of the test's event loop
+NODE_WATCH_INTERVAL_SECONDS = 0.2  # time between two checks of the dispatchers' waits for a CPU
+CALM_START_SECONDS = 1.0  # time from the start of traffic to the first calm span
 WORKER_DRAIN_SECONDS = 1.5
 BURST_FACTOR = 3.0
 PAUSE_SECONDS = 0.15
-# After SIGTERM the load balancer in front still opens new connections for a time in this range.
+# Range of the time after SIGTERM for which the simulated load balancer still opens new connections.
 NEW_CONNECTIONS_SECONDS = (0.2, 0.4)
-LIST_DELAY_SECONDS = 0.05  # from a change until discovery publishes it
-FIRST_VERSIONS = (100, 700)  # one for each discovery
+LIST_DELAY_SECONDS = 0.05  # time from a change of a worker until discovery publishes the change
+FIRST_VERSIONS = (100, 700)  # first version number of the list, for each discovery
 
 
 @dataclass
@@ -51,7 +51,8 @@
     history: History
     breaches: list[Breach] = field(default_factory=list)
     starved: bool = False
-    logs: dict[str, list[str]] = field(default_factory=dict)  # log lines by the subject of a breach
+    # Log lines of the dispatchers, by the subject of a breach.
+    logs: dict[str, list[str]] = field(default_factory=dict)
 
 
 class SoakRun:
@@ -66,7 +67,7 @@
             for i in range(plan.workers)
         ]
         self.discoveries = [Discovery(self.workers, first) for first in FIRST_VERSIONS]
-        self._discovery = 0  # index of the one that the dispatchers are configured with
+        self._discovery = 0  # index of the discovery that the dispatchers are configured with
         self.nodes = [
             Node(i, plan, directory, self.history, nursery) for i in range(plan.dispatchers)
         ]
@@ -108,7 +109,7 @@
             discovery.publish()
 
     async def run(self) -> None:
-        """Runs traffic and faults, then terminates all dispatchers, under traffic until they exit."""
+        """Runs traffic and faults, then terminates all dispatchers while the traffic continues."""
         self.nursery.start_soon(self._watch_own_lateness)
         self.nursery.start_soon(self._watch_nodes)
         async with trio.open_nursery() as requests:
@@ -127,7 +128,7 @@
         await trio.sleep(WATCH_INTERVAL_SECONDS)
 
     async def _terminate_node(self, node: Node, series: bool) -> None:
-        """Terminates a dispatcher; its clients soon use their open connections only."""
+        """Terminates a dispatcher; a little later, its clients use only the connections that are open."""
         traffic = next(each for each in self.traffic if each.name == node.name)
         traffic.new_connections_until = self.history.now() + self._rng.uniform(
             *NEW_CONNECTIONS_SECONDS
@@ -161,7 +162,7 @@
             self.history.max_lateness = max(self.history.max_lateness, time.monotonic() - due)
 
     async def _watch_nodes(self) -> None:
-        """Records how long dispatchers wait for a CPU: lateness for that reason is no fault of theirs."""
+        """Records how long dispatchers wait for a CPU: this lateness is not the dispatchers' fault."""
         before: dict[int, float] = {}
         while True:
             await trio.sleep(NODE_WATCH_INTERVAL_SECONDS)
@@ -275,7 +276,7 @@
             discovery.active_faults.remove(kind)
 
     async def _run_on_node(self, kind: Kind, node: Node) -> None:
-        """Runs a fault of a dispatcher; restarts one at a time, because they share its name and address."""
+        """Runs a fault of a dispatcher. Restarts run one at a time: they use the same name and address."""
         if kind in (Kind.PAUSE, Kind.RELOAD):
             await _NODE_FAULTS[kind](self, node)
             return
--- a/yewrill/lab/soak/shim.py
+++ b/yewrill/lab/soak/shim.py
@@ -110,7 +110,8 @@
         self._write()
 
     def _write(self) -> None:
-        struct.pack_into("=i", self._page, 8, 0)  # no rule applies during the update
+        # With a count of 0, no rule applies during the update.
+        struct.pack_into("=i", self._page, 8, 0)
         for number, rule in enumerate(self._rules):
             _RULE_LAYOUT.pack_into(
                 self._page,
--- a/yewrill/lab/soak/workers.py
+++ b/yewrill/lab/soak/workers.py
@@ -31,12 +31,12 @@
 
 
 def progress_line(id: str, state: str, **more: str) -> bytes:
-    """Encodes a line of the response that tells the progress of a job."""
+    """Encodes a line of the response that tells the progress of a request."""
     return chunk(ujson.dumps({"id": id, "from": "w", "state": state, **more}) + "\n")
 
 
 def is_closed(stream: trio.SocketStream) -> bool:
-    """Tells whether the other side has closed the connection. Nothing else may be waiting to be read."""
+    """Returns whether the other side has closed the connection. Nothing else may be waiting to be read."""
     try:
         return not stream.socket._sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -46,7 +46,7 @@
 
 
 def since_last_data(stream: trio.SocketStream) -> float:
-    """Returns the seconds since data last arrived (tcpi_last_data_recv of tcp_info in linux/tcp.h)."""
+    """Returns the seconds since data last arrived on a stream (tcp_info.tcpi_last_data_recv of Linux)."""
     info = stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 56)
     return struct.unpack_from("=I", info, 52)[0] / 1000.0
 
@@ -61,14 +61,14 @@
         self._rng = random.Random(f"{seed}/{name}")
         self.active_faults: list[Kind] = []
         self.state = "SERVING"
-        self.slow_factor = 1.0  # of run times, under WORKER_SLOW
+        self.slow_factor = 1.0  # factor on run times while the fault WORKER_SLOW is active
         self._first_run_factor = first_run_factor
         self.started_ms = 0.0
         self.address: tuple[str, int] = ("", 0)
         self._started_at: float | None = None
         self._streams: set[trio.SocketStream] = set()
         self._free_slots = trio.Semaphore(terms.slots)
-        self._readable = trio.Event()  # set unless under WORKER_UNREAD
+        self._readable = trio.Event()  # set unless the fault WORKER_UNREAD is active
 
     def restart(self, wall_ms: float) -> None:
         """Simulates a restart: the worker is cold, and its connections are reset."""
@@ -132,7 +132,7 @@
         if not data:
             return False
         begun_at = self._history.now()
-        if unread:  # the data arrived before it was read
+        if unread:  # the attempt began when its data arrived, before the data was read
             begun_at -= since_last_data(stream)
         parser.receive_data(data)
         found = await self._read_request(stream, parser, begun_at)
@@ -183,7 +183,10 @@
         return attempt
 
     async def _serve_job(self, stream: trio.SocketStream, attempt: Attempt) -> AttemptEnd:
-        """Runs a job; returns how it ended. Raises one of DISCONNECTED if the dispatcher closes it."""
+        """Runs a request; returns how the run ended.
+
+        Raises one of DISCONNECTED if the dispatcher closes the connection.
+        """
         if Kind.WORKER_BUSY in self.active_faults and self._rng.random() < 0.7:
             await stream.send_all(REJECTION)
             return AttemptEnd.REJECTED
@@ -247,7 +250,7 @@
 
 
 async def _cancel_when_closed(stream: trio.SocketStream, scope: trio.CancelScope) -> None:
-    """Cancels the job once the dispatcher closes the connection; it sends nothing more before."""
+    """Cancels a run once the dispatcher closes the connection, on which it sends nothing more."""
     with suppress(*DISCONNECTED):
         await stream.receive_some(1)
     scope.cancel()
