--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -1,8 +1,8 @@
-"""Simulation of a fleet: real decision modules and zone failover machines with simulated workers.
+"""Simulation of a fleet: real policy modules (yewrill/policy) and zone failover machines, simulated workers.
 
-It adds to `zonenet.py` what that leaves out: slots and queues, run times, slow starts, deadlines and retries.
-All decisions are made by the real module. Seeded, in virtual time. Times are seconds, except those passed to
-and from the decision module, which are milliseconds.
+It adds the parts that `zonenet.py` leaves out: slots and queues, run times, slow starts, deadlines and
+retries. All decisions are made by the real policy module. The simulation runs from a seed, in virtual time.
+Times are seconds, except those passed to and from the policy module, which are milliseconds.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from yewrill.zone_failover.facade import STUCK_ATTEMPT_MS
 from yewrill.zone_failover.machine import FailoverRules
 
-WORKER_DELAY_S = 0.0005  # from sending an attempt until it reaches its worker
+WORKER_DELAY_S = 0.0005  # time from sending an attempt until it reaches its worker
 LOST_OUTCOMES = (
     api.PolicyOutcome.TIMEOUT,
     api.PolicyOutcome.NO_CONNECTION,
@@ -54,7 +54,7 @@
     slots: int
     mode: str = "well"
     slow_start_at: float = -1e9
-    launched: float = 0.0  # time of its start, 0: long ago
+    launched: float = 0.0  # time at which the worker started, 0 for a start long ago
     running: set[Attempt] = field(default_factory=set)
     queue: deque[Attempt] = field(default_factory=deque)
     # Arrival time and work in seconds of each request received during the slow start.
@@ -65,7 +65,7 @@
 class Model:
     """Parameters of the workers and the requests. Times are seconds."""
 
-    workers: int = 4  # per zone
+    workers: int = 4  # number of workers in each zone
     slots: int = 5
     run: float = 0.2
     latency_objective: float = 0.6
@@ -77,7 +77,7 @@
 
 
 class Fleet(ZoneNet):
-    """Members with a decision module each; `load` is the offered load as a fraction of all slots."""
+    """Members with a policy module each; `load` is the offered load as a fraction of all slots."""
 
     def __init__(
         self,
@@ -100,7 +100,8 @@
         }
         self.modules: dict[str, Dispatcher] = {}
         self.requests: dict[tuple[str, str], dict[str, Any]] = {}
-        self.answered: list[tuple[float, str, float]] = []  # time, result, served weight
+        # For each answered request: time of the answer, result, weight that was served.
+        self.answered: list[tuple[float, str, float]] = []
         self.lost_at: dict[int, list[float]] = {z: [] for z in range(zones)}
         self.sent_at: dict[int, list[float]] = {z: [] for z in range(zones)}
         rate = load * zones * model.workers * model.slots / model.run / members
@@ -113,7 +114,7 @@
             self._schedule_arrival(member)
 
     def start(self, name: str, address: tuple[str, int], zone: str, rate: float) -> Member:
-        """Starts a member with a new decision module."""
+        """Starts a member with a new policy module."""
         model, index = self.model, len(self.modules)
         spec = api.RequestClass("job", 1e3 * model.latency_objective, 1e3 * model.deadline)
         settings = api.Settings(
@@ -142,7 +143,7 @@
         return {f"z{zone}": count for zone, count in found.items()}
 
     def begin(self) -> Fleet:
-        """Gives each module the number of dispatchers and the worker list."""
+        """Gives each policy module the number of dispatchers and the worker list."""
         for name, module in self.modules.items():
             settings = api.Settings(
                 **{
--- a/yewrill/lab/netsim.py
+++ b/yewrill/lab/netsim.py
@@ -45,8 +45,8 @@
     codec: Codec
     paused_until: float = -1.0
     dead: bool = False
-    sent: int = 0  # bytes
-    next_wakeup: float = math.inf  # when its machine is ticked next
+    sent: int = 0  # number of bytes that the member sent
+    next_wakeup: float = math.inf  # time at which the member's machine is ticked next
     inbox: list[tuple[bytes, tuple[str, int]]] = field(default_factory=list)
     # Replaces each message that the member sends, to simulate a faulty member.
     falsify: Callable[[Node, Message], Message] | None = None
@@ -75,8 +75,10 @@
         both: bool = True,
         heal_after: float = 0.0,
     ) -> None:
-        """Cuts the paths from one group to another, in both directions or one; heals them after `heal_after`
-        seconds unless that is 0.
+        """Cuts the paths from one group to another, in both directions or one.
+
+        The paths are healed after `heal_after` seconds, unless that is 0.
+
         """
         pairs = [(a, b) for a in group for b in others if a != b]
         pairs += [(b, a) for a, b in pairs] if both else []
@@ -101,7 +103,7 @@
     def until(
         self, condition: Callable[[], bool], limit: float, step: float = 0.25
     ) -> float | None:
-        """Runs until a condition holds; returns the seconds that took, or None if more than `limit`."""
+        """Runs until a condition holds; returns the seconds until then, None if more than `limit`."""
         began = self.now
         while not condition():
             if self.now - began > limit:
@@ -156,7 +158,8 @@
         self.config = config or SwimConfig()
         self.nodes: dict[str, Node] = {}
         self._nodes_by_address: dict[tuple[str, int], Node] = {}
-        # Time, member that declared the death, and running member that it declared dead.
+        # Wrong declarations of death: the time, the member that declared the death, and the running member
+        # that it declared dead.
         self.false_deaths: list[tuple[float, str, str]] = []
         addresses = [(f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}", 7000) for i in range(members)]
         for i, address in enumerate(addresses):
--- a/yewrill/lab/overload_world.py
+++ b/yewrill/lab/overload_world.py
@@ -1,8 +1,8 @@
-"""Simulation of one decision module and its workers in virtual time, with episodes of worker faults.
+"""Simulation of one policy module (yewrill/policy) and its workers in virtual time, with episodes of faults.
 
-Deterministic: the same arguments, including the seed, give the same history. Workers have slots and start
-waiting requests in order; a request whose attempt was cancelled or timed out still runs. Clients give up
-after their timeout and do not retry. Times are milliseconds.
+The simulation is deterministic: the same arguments, including the seed, give the same history. Workers have
+slots and start waiting requests in order; a request whose attempt was cancelled or timed out still runs.
+Clients give up after their timeout and do not retry. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from yewrill.policy import Dispatcher
 from yewrill.policy import interface as api
 
-ONE_WAY_MS = 0.5  # between the dispatcher and a worker
-START_MS = 1_000.0  # clock time at the start of a simulation
+ONE_WAY_MS = 0.5  # delay of a message between the dispatcher and a worker, in one direction
+START_MS = 1_000.0  # time of the virtual clock at the start of a simulation
 
 
 class Condition(Enum):
@@ -40,7 +40,7 @@
     begins: float
     ends: float
     workers: frozenset[int]
-    run_time_factor: float = 1.0  # for Condition.SLOW
+    run_time_factor: float = 1.0  # factor on the run times under Condition.SLOW
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,8 +51,8 @@
     run_time: float
     client_timeouts: Sequence[float]
     client_timeout_weights: Sequence[float] | None = None
-    hint: float = 0.0  # expected work as stated by the clients, 0 for none
-    spread: float = 0.3  # largest deviation of run times from the mean, as a fraction of it
+    hint: float = 0.0  # expected work of a request as its client states it, 0 for none
+    spread: float = 0.3  # largest deviation of a run time from the mean, as a fraction of the mean
 
 
 @dataclass(frozen=True, slots=True)
@@ -190,7 +190,7 @@
         self._deliver(api.RequestArrived(name, request_class, request.deadline, hint=traffic.hint))
 
     def _client_timeout(self, traffic: Traffic) -> float:
-        """Returns a random client timeout; the longest for the first client, so that its request ends."""
+        """Returns a random client timeout; the first client gets the longest, so that its request ends."""
         if not self.answers and not self._requests:
             return max(traffic.client_timeouts)
         return self.rng.choices(traffic.client_timeouts, traffic.client_timeout_weights)[0]
@@ -206,7 +206,7 @@
         for attempt in request.attempts:
             self._report_end(attempt, api.PolicyOutcome.TIMEOUT)
 
-    # -- decision module
+    # -- policy module
 
     def _deliver(self, event: api.Event) -> None:
         for action in self.dispatcher.handle(self.now, [event]):
@@ -220,7 +220,8 @@
             self._send(self._requests[action.request_id], self.workers[action.worker])
         elif isinstance(action, api.Reject | api.Fail):
             request = self._requests.get(action.request_id)
-            if request is not None:  # None: served at the same point in time
+            # The request is None if it was answered at the same point in time.
+            if request is not None:
                 self._answer(request, False, action.reason)
         elif isinstance(action, api.Probe):
             self._probe(self.workers[action.worker])
--- a/yewrill/lab/raftnet.py
+++ b/yewrill/lab/raftnet.py
@@ -42,7 +42,7 @@
 
     @property
     def raft(self) -> Raft:
-        """The machine of the current incarnation."""
+        """The Raft state machine of the voter's current incarnation."""
         return self.driver.raft
 
 
@@ -77,11 +77,11 @@
     # -- faults
 
     def kill(self, name: str) -> None:
-        """Stop a voter's process; its disk stays."""
+        """Stops a voter's process; its disk stays."""
         self.voters[name].up = False
 
     def restart(self, name: str, lose: int = 0) -> None:
-        """Start a voter again. Its disk loses the last `lose` states that were saved."""
+        """Starts a voter again. Its disk loses the last `lose` states that were saved."""
         voter = self.voters[name]
         voter.up = True
         voter.disk = voter.saved_states[max(0, len(voter.saved_states) - 1 - lose)]
@@ -93,7 +93,7 @@
         self._schedule(voter)
 
     def pause(self, name: str, span: float) -> None:
-        """Suspend a voter for `span` seconds."""
+        """Suspends a voter for `span` seconds."""
         self.voters[name].paused_until = self.now + span
 
     # -- time
@@ -152,12 +152,12 @@
     # -- the log
 
     def leader(self) -> Voter | None:
-        """The leader of the highest term, if there is one."""
+        """Returns the leader of the highest term, None if there is no leader."""
         leading = [v for v in self.voters.values() if v.up and v.raft.role == LEADER]
         return max(leading, key=lambda v: v.raft.term, default=None)
 
     def propose(self, data: bytes) -> bool:
-        """Propose a command to the leader; returns whether it was appended."""
+        """Proposes a command to the leader; returns whether it was appended."""
         voter = self.leader()
         if voter is None or self.now < voter.paused_until:
             return False
@@ -166,7 +166,7 @@
         return bool(index)
 
     def check(self) -> None:
-        """Raise Broken unless each acknowledged command is committed exactly once."""
+        """Raises Broken unless each acknowledged command is committed exactly once."""
         committed_data = [e.data for e in self.committed if e.kind == COMMAND]
         if not self.acknowledged <= set(committed_data) or len(committed_data) != len(
             set(committed_data)
--- a/yewrill/lab/viewcheck.py
+++ b/yewrill/lab/viewcheck.py
@@ -16,7 +16,7 @@
 from yewrill.lab.raftcheck import unrolled
 from yewrill.views.agreement import Agreement, VoteState
 
-# Vote state, accepted ballot and value, decided value, own proposal.
+# One member: vote state, accepted ballot with its value, decided value, own proposal.
 MemberState = tuple[VoteState, tuple | None, bytes | None, bytes]
 
 
@@ -26,8 +26,8 @@
 
     members: int = 3
     ballot_numbers: int = 2  # highest number of a ballot
-    ballots: int = 2  # ballots opened in total
-    messages: int = 4  # distinct messages in flight; the oldest is dropped beyond that
+    ballots: int = 2  # number of ballots opened in total
+    messages: int = 4  # number of distinct messages in flight; the oldest is dropped beyond it
     crashes: int = 1
     states: int = 400_000
 
@@ -39,7 +39,7 @@
     members: tuple[MemberState, ...]
     messages: tuple[VoteState, ...] = ()
     opened_ballots: int = 0
-    crashed: int = 0  # bitmap of ranks
+    crashed: int = 0  # bitmap of the ranks of crashed members
     decided: frozenset[bytes] = frozenset()
 
 
@@ -48,7 +48,7 @@
     """The outcome of an exploration; `trace` holds the events that lead to a violation."""
 
     states: int
-    exhaustive: bool  # all states within the bounds were visited
+    exhaustive: bool  # whether all states within the bounds were visited
     violation: str = ""
     trace: tuple[str, ...] = ()
 
--- a/yewrill/lab/viewnet.py
+++ b/yewrill/lab/viewnet.py
@@ -1,9 +1,10 @@
 """State machines of agreed views in a simulated network, in virtual time and reproducible by seed.
 
-Members are killed, paused, restarted with what they persisted, partitioned in one direction or both, and
-duplicated under one name. Each is told the live members at once, as the membership would after a while. At
-every installation of a view and at regular intervals, the network checks the safety properties: no two views
-have the same number, and leases are held in the same view or in two consecutive ones. Times are in seconds.
+Members are killed, paused, restarted with the view that they persisted, partitioned in one direction or both,
+and duplicated under one name. Each member is told the live members at once; the real membership would tell
+them after a while. At every installation of a view and at regular intervals, the network checks the safety
+properties: no two views have the same number, and leases are held in the same view or in two consecutive
+ones. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 # Bytes around the payload of a datagram: tag and authentication code, then name, runs and counter.
 DATAGRAM_HEADER_BYTES = 20 + 45
-CHECK_INTERVAL_SECONDS = 0.05  # between two checks of the leases
+CHECK_INTERVAL_SECONDS = 0.05  # time between two checks of the leases
 
 
 @dataclass(eq=False)
@@ -34,12 +35,12 @@
     disk: PersistedView | None = None
     paused_until: float = -1.0
     dead: bool = False
-    sent: int = 0  # bytes
+    sent: int = 0  # number of bytes that the member sent
     assembler: MessageAssembler = field(default_factory=MessageAssembler)
     inbox: list[tuple[str, tuple[str, int], bytes]] = field(default_factory=list)
-    messages_sent: int = 0  # numbers the fragmented messages
-    next_wakeup: float = float("inf")  # when its machine is ticked next
-    incarnations: set[int] = field(default_factory=set)  # of this process so far
+    messages_sent: int = 0  # number of messages that the member sent; tells their fragments apart
+    next_wakeup: float = float("inf")  # time at which the member's machine is ticked next
+    incarnations: set[int] = field(default_factory=set)  # the incarnations of this process so far
 
 
 class ViewNet(PausableNetwork):
@@ -64,11 +65,13 @@
         self.founders = tuple(f"m{i:04d}" for i in range(min(founders, members)))
         self.digests: dict[int, bytes] = {}
         self.views_by_number: dict[int, View] = {}
-        self.violations: list[str] = []  # of the safety properties
-        # Time, and healthy member that a view removed.
+        self.violations: list[str] = []  # descriptions of the violations of the safety properties
+        # Time of each removal of a healthy member from a view, and its name.
         self.false_removals: list[tuple[float, str]] = []
-        self.exempt: set[str] = set()  # members whose removal is expected
-        self.seconds_without_lease: dict[str, float] = {}  # of running members that are not exempt
+        # Names of members whose removal or loss of the lease is expected.
+        self.exempt: set[str] = set()
+        # Time that running members outside `exempt` have spent without a lease.
+        self.seconds_without_lease: dict[str, float] = {}
         self._killed: dict[int, float] = {}
         names = [f"m{i:04d}" for i in range(members)]
         for i, name in enumerate(names):
@@ -84,7 +87,7 @@
     # -- processes
 
     def start(self, name: str, address: tuple[str, int], disk: PersistedView | None = None) -> Node:
-        """Starts a process with what it has persisted."""
+        """Starts a process with the view that it has persisted, if any."""
         me = Entry(name, self.rng.getrandbits(47) + 1, address, "z0")
         machine = ViewMachine(
             me, self.founders, disk, random.Random(self.rng.getrandbits(64)), self.now, self.timing
@@ -98,7 +101,7 @@
 
     def _update_known_members(self) -> None:
         known = {name: node.address for name, node in self.nodes.items() if not node.dead}
-        if len(known) > 64:  # a member needs only a few addresses to start with
+        if len(known) > 64:  # a process needs only a few addresses to start with
             known = {name: known[name] for name in sorted(known)[:64]}
         for node in self.nodes.values():
             node.machine.set_known_members(known, self.now)
@@ -109,7 +112,7 @@
             self.nodes[name].dead = True
 
     def restart(self, name: str) -> Node:
-        """Kills a member and starts it again with what it persisted."""
+        """Kills a member and starts it again with the view that it persisted."""
         old = self.nodes[name]
         old.dead = True
         return self.start(name, old.address, old.disk)
@@ -243,7 +246,7 @@
         return self.nodes[name].machine.view(self.now)
 
     def agreed(self, among: Iterable[str] | None = None) -> bool:
-        """Returns whether the running members, or those of `among`, hold leases in one view of just these."""
+        """Returns whether the running members, or `among`, hold leases in one view of exactly these."""
         names = {node.name for node in self.living()} if among is None else set(among)
         views = [self.leased_view(name) for name in names]
         return all(
--- a/yewrill/lab/zonenet.py
+++ b/yewrill/lab/zonenet.py
@@ -24,20 +24,20 @@
     address: tuple[str, int]
     zone: str
     machine: FailoverMachine
-    rate: float  # attempts per second
+    rate: float  # attempts that end per second
     dead: bool = False
     paused_until: float = -1.0
     clock_offset: float = 0.0
     bytes_sent: int = 0
     next_step_at: float = 0.0
-    # When its plan changed, to which version, and the traffic weights from then on.
+    # For each change of the member's plan: the time, the new plan's version, and the new traffic weights.
     changes: list[tuple[float, tuple[int, str], dict[str, float]]] = field(default_factory=list)
     # Replaces each message that it sends, to simulate a faulty member.
     rewrite_message: Callable[[bytes], bytes] | None = None
 
 
 class ZoneNet(VirtualNetwork):
-    """The simulated fleet. `load` is the fraction of all slots in use; `plan`: members follow their plan."""
+    """The simulated fleet. `load`: fraction of all slots in use. `plan`: whether members follow plans."""
 
     def __init__(
         self,
@@ -57,13 +57,16 @@
         self.detection_delay = detection_delay
         self.with_plan = plan
         self.zones = [f"z{i}" for i in range(zones)]
-        self.loss = dict.fromkeys(self.zones, 0.0)  # fraction of the attempts lost in each zone
-        self.regions: dict[str, str] = {}  # by zone, for zones that have one
+        # By zone: the fraction of its attempts that are lost.
+        self.loss = dict.fromkeys(self.zones, 0.0)
+        # By zone: the name of its region. Zones without a region have no entry.
+        self.regions: dict[str, str] = {}
         # Pairs (zone of dispatchers, zone of workers) between which all attempts are lost.
         self.blocked_zone_pairs: set[tuple[str, str]] = set()
-        self.unaffected: set[str] = set()  # members whose attempts are never lost
+        self.unaffected: set[str] = set()  # names of members whose attempts are never lost
         self.capacity = dict.fromkeys(self.zones, members * rate * 0.2 / load / zones)
-        self.attempts: dict[str, list[float]] = {zone: [] for zone in self.zones}  # when they ended
+        # By zone: the times at which attempts ended.
+        self.attempts: dict[str, list[float]] = {zone: [] for zone in self.zones}
         self._membership_version = 0
         self._dead_at: dict[str, float] = {}
         self._seen_members: dict[str, tuple[int, list[Member]]] = {}
@@ -75,7 +78,7 @@
     # -- members
 
     def start(self, name: str, address: tuple[str, int], zone: str, rate: float) -> Dispatcher:
-        """Start a member, or restart it without its earlier state."""
+        """Starts a member, or restarts it without its earlier state."""
         machine = FailoverMachine(
             name,
             zone,
@@ -95,28 +98,28 @@
         return member
 
     def kill(self, *names: str) -> None:
-        """Stop members for good."""
+        """Stops members for good."""
         for name in names:
             self.members[name].dead = True
             self._dead_at[name] = self.now
         self.at(self.now + self.detection_delay, self._update_membership)
 
     def restart(self, name: str) -> Dispatcher:
-        """Kill a member and start it again at once, without its earlier state."""
+        """Kills a member and starts it again at once, without its earlier state."""
         old = self.members[name]
         old.dead = True
         return self.start(name, old.address, old.zone, old.rate)
 
     def pause(self, name: str, span: float) -> None:
-        """Suspend a member for `span` seconds."""
+        """Suspends a member for `span` seconds."""
         self.members[name].paused_until = self.now + span
 
     def members_of(self, *zones: str) -> list[str]:
-        """The names of the members in the zones."""
+        """Returns the names of the members in the zones."""
         return [m.name for m in self.members.values() if m.zone in zones]
 
     def partition(self, group: list[str], other_group: list[str], heal_after: float = 0.0) -> None:
-        """Cut two groups of members off from each other; the membership detects it after its delay."""
+        """Cuts two groups of members off from each other; the membership detects it after its delay."""
         self.cut(group, other_group, heal_after=heal_after)
         self.at(self.now + self.detection_delay, self._update_membership)
         if heal_after:
@@ -166,7 +169,7 @@
         self.at(member.next_step_at, lambda: self._step(member))
 
     def _generate_attempts(self, member: Dispatcher) -> None:
-        """The attempts that a member ended since its last step, spread over the zones by traffic weight."""
+        """Generates a member's attempts since its last step, spread over the zones by traffic weight."""
         traffic_weights = member.machine.traffic_weights() if self.with_plan else {}
         weights = [traffic_weights.get(zone, 1.0) for zone in self.zones]
         if not sum(weights):
@@ -190,7 +193,8 @@
         for address, data in outgoing:
             if member.rewrite_message is not None:
                 data = member.rewrite_message(data)
-            member.bytes_sent += len(data) + 60  # overhead of a membership datagram
+            # The sum includes the overhead of a membership datagram.
+            member.bytes_sent += len(data) + 60
             to = self._by_address.get(address)
             if to is not None:
                 self.deliver(
@@ -211,20 +215,20 @@
         self._reschedule_if_earlier(to)
 
     def _reschedule_if_earlier(self, member: Dispatcher) -> None:
-        """Move the member's next step forward if its machine has become due earlier."""
+        """Moves the member's next step forward if its machine has become due earlier."""
         if member.machine.due - member.clock_offset < member.next_step_at:
             self._schedule(member, member.machine.due - member.clock_offset)
 
     # -- what the members hold
 
     def living(self) -> list[Dispatcher]:
-        """The members that are neither dead nor suspended."""
+        """Returns the members that are neither dead nor suspended."""
         return [m for m in self.members.values() if not m.dead and self.now >= m.paused_until]
 
     def traffic_weight(self, zone: str) -> list[float]:
-        """The traffic weight of a zone at each living member."""
+        """Returns the traffic weight of a zone at each living member."""
         return [m.machine.traffic_weights().get(zone, 1.0) for m in self.living()]
 
     def agreed(self) -> bool:
-        """Whether all living members hold the same plan."""
+        """Returns whether all living members hold the same plan."""
         return len({m.machine.plan.version for m in self.living()}) == 1
