--- a/yewrill/lab/cluster/audit.py
+++ b/yewrill/lab/cluster/audit.py
@@ -27,17 +27,15 @@
     drain_grace: float = 1.0
     # Time after a client's timeout from which an answer counts as late; covers delays of a busy machine.
     answer_slack: float = 1.0
-    # Slow start: largest amount of work that begins at a cold worker in one window, as a multiple of the work
-    # that it can do in that window.
+    # Slow start: largest amount of work that may begin at a cold worker in one window,
+    # as a multiple of the work that the worker can do in that window.
     cold_multiple: float = 3.0
     cold_window: float = 1.0
-    # Time after a zone has recovered during which dispatchers may still leave it because of the earlier
-    # failure.
+    # Time after a zone's recovery during which dispatchers may still leave it for the earlier failure.
     zone_recovery_slack: float = 4.0
     # Time for which a dispatcher that was removed from the view may not know of its removal.
     view_lease: float = 3.0
-    # Time after a fault of a dispatcher during which the view may remove the dispatcher because of that
-    # fault.
+    # Time after a fault of a dispatcher during which the view may remove it because of that fault.
     fault_recovery: float = 30.0
 
 
@@ -121,8 +119,7 @@
                 running = [other for other in running if other is not first]
                 continue
             for other in running:
-                # The earlier attempt must have ended first, except for the time that a worker needs to detect
-                # the close of its connection.
+                # The earlier attempt must have ended, but a worker detects a closed connection late.
                 closing = next(
                     (
                         later
@@ -347,8 +344,7 @@
                 yield Breach("old-plan", text, (before, line))
             for zone, share in line["shares"].items():
                 was = 1.0 if before is None else before["shares"].get(zone, 1.0)
-                # While a zone returns step by step, a dispatcher may adopt a plan that is a step behind its
-                # own.
+                # While a zone returns step by step, a dispatcher may adopt a plan that is a step behind.
                 if zone in line.get("back", ()):
                     continue
                 if (
--- a/yewrill/lab/cluster/links.py
+++ b/yewrill/lab/cluster/links.py
@@ -150,8 +150,7 @@
                 if not faults.cut:
                     await sink.send_all(data)
             if (faults := self.faults_of(a, b)).cut or faults.stalled:
-                # The end of the stream is not passed on either; the relay of the other direction closes both
-                # connections.
+                # The end of the stream is not passed on; the other direction's relay closes both connections.
                 return
             with suppress(trio.BrokenResourceError):
                 await sink.send_eof()
--- a/yewrill/lab/cluster/pace.py
+++ b/yewrill/lab/cluster/pace.py
@@ -26,8 +26,8 @@
 IDLE_TOLERANCE = 1.3
 # Shortest lateness that an event loop reports.
 REPORTED_LATENESS_SECONDS = 0.1
-# A test cluster was starved of CPU time if one loop was late by the first limit once, or if the lateness of
-# all loops reached the second limit in total.
+# A test cluster was starved of CPU time if one event loop was late by the first limit once,
+# or if the lateness of all its event loops reached the second limit in total.
 STARVED_AT_ONCE_SECONDS = 0.4
 STARVED_IN_TOTAL_SECONDS = 2.5
 # A run is aborted once the lateness of all its loops has reached this total.
--- a/yewrill/lab/cluster/rig.py
+++ b/yewrill/lab/cluster/rig.py
@@ -60,8 +60,7 @@
     slots: int = 4
     # Share of the requests of each class.
     kinds: dict[str, float] = field(default_factory=lambda: {"tour": 0.8, "once": 0.2})
-    # Seconds between membership probes; two durations of the zone failover. The dispatchers' settings of the
-    # corresponding names explain them.
+    # Seconds between membership probes, and two durations of the zone failover in seconds.
     members_interval: float = 0.15
     zone_hold: float = 0.8
     zone_step: float = 0.4
@@ -525,7 +524,7 @@
         return [d.plan["shares"].get(zone, 1.0) for d in self.ready_dispatchers()]
 
     def plans_agree(self) -> bool:
-        """Tells whether all ready dispatchers have the same plan."""
+        """Returns whether all ready dispatchers have the same plan."""
         return len({d.plan["number"] for d in self.ready_dispatchers()}) == 1
 
     async def wait_until(self, condition: Callable[[], bool], limit_seconds: float = 60.0) -> None:
--- a/yewrill/lab/cluster/scenarios.py
+++ b/yewrill/lab/cluster/scenarios.py
@@ -29,8 +29,8 @@
 
 
 # A zone is left once three dispatchers outside it see it fail at the same time. At a few requests per second
-# each dispatcher sees the failure for a short time only, so scenarios in which some dispatchers are dead or
-# paused have nine.
+# each dispatcher sees the failure for a short time only.
+# Scenarios in which some dispatchers are dead or paused therefore have nine dispatchers.
 SCENARIOS: dict[str, Scenario] = {}
 
 
--- a/yewrill/lab/netsim.py
+++ b/yewrill/lab/netsim.py
@@ -158,8 +158,7 @@
         self.config = config or SwimConfig()
         self.nodes: dict[str, Node] = {}
         self._nodes_by_address: dict[tuple[str, int], Node] = {}
-        # Wrong declarations of death: the time, the member that declared the death, and the running member
-        # that it declared dead.
+        # Wrong declarations of death: time, member that declared the death, running member declared dead.
         self.false_deaths: list[tuple[float, str, str]] = []
         addresses = [(f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}", 7000) for i in range(members)]
         for i, address in enumerate(addresses):
--- a/yewrill/lab/soak/clients.py
+++ b/yewrill/lab/soak/clients.py
@@ -86,8 +86,7 @@
         self.style_weights = CALM_STYLE_WEIGHTS
         self.burst = 1.0
         self.in_flight = 0
-        # Time, in seconds since the run began, from which the simulated load balancer in front of the
-        # dispatcher opens no new connections.
+        # Time, in seconds of the run, from which the load balancer opens no new connections.
         self.new_connections_until = math.inf
 
     async def run(self, nursery: trio.Nursery) -> None:
@@ -112,8 +111,7 @@
             id, kind, key, client_timeout, style, on_new_connection=False
         )
         if request.end is RequestEnd.CLOSED and request.reused_connection and request.well_formed:
-            # The dispatcher closed the idle connection without reading the request, which was already on its
-            # way: the client sends it again.
+            # The dispatcher closed the idle connection without reading the request: it is sent again.
             request = await self._send_once(
                 id, kind, key, client_timeout, Style.WHOLE, on_new_connection=True, send_number=2
             )
@@ -128,8 +126,7 @@
             and request.end in (RequestEnd.CLOSED, RequestEnd.NOT_TAKEN)
             and self._plan.terms.persistent_state
         ):
-            # The process was killed. The restarted process knows which attempts were in flight, so it is safe
-            # to repeat the request.
+            # The process was killed. The new process knows the attempts in flight, so repeating is safe.
             await self._ready_event_of(self.name).wait()
             await self._send_once(repeat_id, kind, key, 2.0, Style.WHOLE, on_new_connection=True)
 
--- a/yewrill/lab/soak/oracle.py
+++ b/yewrill/lab/soak/oracle.py
@@ -266,8 +266,7 @@
 def _check_keyed(indexed: _IndexedHistory) -> Iterator[Breach]:
     for attempts in _by_key(indexed, Effect.IDEMPOTENT_BY_KEY):
         for attempt in attempts[1:]:
-            # After the window the client may repeat its request under a new id, but the dispatcher may not
-            # repeat it.
+            # After the window, a client may repeat its request under a new id, but a dispatcher may not.
             same_request = [a for a in attempts if a.id == attempt.id]
             if (
                 attempt.begun_at - same_request[0].begun_at
--- a/yewrill/lab/soak/plan.py
+++ b/yewrill/lab/soak/plan.py
@@ -16,8 +16,8 @@
 
 # Time of traffic before the first fault. Its last two seconds count as a calm span.
 INITIAL_CALM_SECONDS = 3.0
-# Time from the last fault to the final calm span, for a latency objective of 0.4 s. Call gapping admits a
-# class again within two objectives.
+# Time from the last fault to the final calm span, for a latency objective of 0.4 s.
+# Call gapping admits a class again within two objectives.
 RECOVERY_SECONDS = 5.0
 RECOVERY_OBJECTIVE_SECONDS = 0.4
 FINAL_CALM_SECONDS = 2.0
@@ -145,8 +145,7 @@
 )
 
 
-# Combinations of faults that follow each other quickly at one dispatcher. Each exercises code on which a rule
-# of the oracle depends.
+# Combinations of faults at one dispatcher, in quick succession, that exercise code which a rule depends on.
 FAULT_COMBINATIONS = (
     (Kind.DISK_ERRS, Kind.KILL),
     (Kind.WORKER_HANGS, Kind.DISK_ERRS, Kind.KILL),
--- a/yewrill/lab/soak/play.py
+++ b/yewrill/lab/soak/play.py
@@ -28,8 +28,7 @@
 )
 from yewrill.lab.soak.workers import Worker
 
-# A run is void if the test's event loop was late by this time at once, or a dispatcher waited this long for a
-# CPU.
+# A run is void if the test's event loop was late, or a dispatcher waited for a CPU, for this long at once.
 STARVED_SECONDS = 0.08
 WATCH_INTERVAL_SECONDS = 0.02  # time between two checks of the lateness of the test's event loop
 NODE_WATCH_INTERVAL_SECONDS = 0.2  # time between two checks of the dispatchers' waits for a CPU
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -58,8 +58,7 @@
         self._wake_up = trio.Event()
         self._wanted_roles: set[str] = set()
         self._machines: dict[str, StateMachine] = {}
-        # By submission number: an event that is set when the reply arrives. The node limits the number of
-        # submissions.
+        # By submission number: an event that is set when the reply arrives.
         self._reply_events: dict[int, trio.Event] = {}
         # Number of the last message, by which the fragments of a large message are told apart from others.
         self._datagram_number = random.SystemRandom().getrandbits(40)
@@ -187,8 +186,7 @@
     async def _open(self, store: Store, me: str) -> None:
         voters = self._config.voters
         self._disk, before = on_disk.read(store, voters)
-        # The incarnation is higher than any earlier one, even if the disk has lost the number of the last
-        # one.
+        # The incarnation must grow even if the disk has lost the number of the last one.
         self._incarnation = max(before + 1, time.time_ns() // 1_000_000)
         await store.awrite(on_disk.state_batch(None, self._disk, self._incarnation))
         rng = random.Random(random.SystemRandom().getrandbits(64))
--- a/yewrill/leases/raft.py
+++ b/yewrill/leases/raft.py
@@ -1,5 +1,6 @@
-"""The replicated log as a state machine: it takes events and returns what to store and what to send. No I/O,
-clock or randomness.
+"""The replicated log as a state machine: it takes events and returns what to store and what to send.
+
+It does no I/O, reads no clock and uses no random numbers.
 
 Theory of operation. Raft (Ongaro and Ousterhout, 2014; Ongaro's thesis, 2014) with pre-vote, check-quorum,
 single-step changes of voters, reads that a quorum confirms, and snapshots sent whole. The machine has no
@@ -57,8 +58,8 @@
         self.role, self.leader = FOLLOWER, ""
         self.commit_index = self.snapshot.index
         self.ready = Ready(installed=self.snapshot if self.snapshot.index else None)
-        # Recovery of this incarnation: the state at its start, the voters that have answered, whether this
-        # voter votes, and whether its disk lost the tail of the log.
+        # State of this incarnation's recovery: the state on disk at its start, the voters that have answered,
+        # whether this voter votes, and whether its disk lost the tail of the log.
         self.state_at_start = StateAtStart(self.term, self.vote, self.last_index)
         self.answered_by: set[str] = set()
         self.is_voting = trust_disk or len(self.voters()) <= 1
@@ -166,8 +167,8 @@
         if self.role != LEADER:
             return 0
         if kind == VOTERS:
-            # One change of one voter at a time, and only after an entry of this term is committed: otherwise
-            # two majorities without a common voter could form.
+            # Only one voter may change at a time, and only after an entry of this term is committed, because
+            # otherwise two majorities without a common voter could form.
             pending = any(
                 e.kind == VOTERS for e in self.log[self.commit_index - self.snapshot.index :]
             )
@@ -437,8 +438,8 @@
             message.index >= self.snapshot.index
             and self.term_at(message.index) != message.entry_term
         ):
-            # The logs differ at this index. Report the furthest index where they may match, so that the
-            # leader steps back no further than needed.
+            # The logs differ at this index. The reply has the furthest index where they may match, so that
+            # the leader steps back no further than needed.
             last_possible = min(self.last_index, message.index - 1)
             while (
                 last_possible > self.snapshot.index
--- a/yewrill/leases/raft_types.py
+++ b/yewrill/leases/raft_types.py
@@ -121,8 +121,8 @@
     number: int = 0
     index: int = 0
     entry_term: int = 0
-    # In a vote reply: the vote is granted. In an append reply: the entries match. In a recovery reply: the
-    # recovering voter had voted for the sender.
+    # In a vote reply: the vote is granted. In an append reply: the entries match.
+    # In a recovery reply: the recovering voter had voted for the sender.
     accepted: bool = False
     is_voting: bool = True  # in an append reply: the sender counts towards a majority
     commit_index: int = 0
--- a/yewrill/membership/evidence.py
+++ b/yewrill/membership/evidence.py
@@ -26,8 +26,8 @@
 
 # Number of gaps between arrivals that a history keeps.
 WINDOW_GAPS = 32
-# Limit on the lost messages counted in one gap: a longer gap is an outage, not loss, and must not raise the
-# estimated loss further.
+# Limit on the lost messages counted in one gap.
+# A longer gap is an outage, not loss, and must not raise the estimated loss further.
 MAX_LOST_PER_GAP = 8
 # Largest distance of a gap from a whole number of intervals at which the gap is counted as loss.
 ROUNDING_TOLERANCE_INTERVALS = 0.25
@@ -200,7 +200,7 @@
     def record_report(
         self, now: float, peer_received_ago: float | None, interval: float | None = None
     ) -> None:
-        """Records a message that tells how long ago the peer last received one of ours (None: never)."""
+        """Records a message that tells how long ago the peer last received one from us (None: never)."""
         self._inbound.record_arrival(now, interval)
         if peer_received_ago is None:
             return
--- a/yewrill/membership/link.py
+++ b/yewrill/membership/link.py
@@ -30,8 +30,8 @@
 
 log = logging.getLogger("yewrill.members")
 
-# Timers of all subsystems fire at common times, called turns, because waking the process costs more than the
-# work done then. The socket is read once per turn.
+# Timers of all subsystems fire at common times, called turns, because waking the process costs more than
+# the work done in a turn. The socket is read once per turn.
 MAX_TURN_SECONDS = 0.075
 # Longest turn as a fraction of the time in which a ping must be answered.
 TURN_FRACTION_OF_TIMEOUT = 0.375
--- a/yewrill/membership/machine.py
+++ b/yewrill/membership/machine.py
@@ -270,8 +270,7 @@
             else:
                 self._tracker.investigate(claim, sender, address, self.now, out)
         elif claim.by == sender and self._changed_recently(entry):
-            # The local member has recently found the same member silent: the nack confirms the sender's
-            # suspicion.
+            # The local member has recently found the same member silent: the nack confirms the suspicion.
             out.append((address, Message("nack", 0, claim.name)))
 
     def _changed_recently(self, entry: MemberEntry) -> bool:
--- a/yewrill/membership/messages.py
+++ b/yewrill/membership/messages.py
@@ -22,8 +22,8 @@
     region: str = ""
     incarnation: int = 0
     state: int = ALIVE
-    # The member whose own probes raised the suspicion; in a nack with an ALIVE claim, the member at which
-    # messages of the suspect arrive.
+    # The member whose own probes raised the suspicion.
+    # In a nack with an ALIVE claim: the member at which messages of the suspect arrive.
     by: str = ""
 
 
--- a/yewrill/membership/probe.py
+++ b/yewrill/membership/probe.py
@@ -21,8 +21,8 @@
 SEEDS_PER_INTERVAL = 2
 # Number of additional members that an isolated member pings per interval.
 PINGS_WHILE_ISOLATED = 2
-# In a group of up to this many other members, the sender of a page is asked for the next page; in a larger
-# group, a random member is.
+# In a group of up to this many other members, the sender of a page is asked for the next page.
+# In a larger group, a random member is asked.
 SMALL_GROUP_SIZE = 8
 
 
--- a/yewrill/membership/tracker.py
+++ b/yewrill/membership/tracker.py
@@ -31,8 +31,8 @@
 
 MAX_SUSPICION_PROBES = 64
 SUBSCRIBERS_PER_FANOUT = 4
-# A suspicion probe sends a ping per timeout in a group of up to this many members and with up to this many
-# suspicion probes under way. Above either limit the time between its pings grows in proportion.
+# Group size, and number of suspicion probes under way, up to which each probe sends a ping per timeout.
+# Above either limit the time between its pings grows in proportion.
 MEMBERS_AT_FULL_PACE = 24.0
 PROBES_AT_FULL_PACE = 4.0
 
@@ -198,8 +198,7 @@
                 out.append((address, answer))
             return
         if entry.suspicion_probe is None:
-            # The member that reported the silence did so after two unanswered pings, so the silence has
-            # lasted at least two timeouts.
+            # The reporter found two pings unanswered, so the silence has lasted at least two timeouts.
             since = max(entry.last_received, now - 2.0 * self._context.config.timeout)
             self.begin(entry, now, out, since=since, reported=claim)
         if (probe := entry.suspicion_probe) is not None:
--- a/yewrill/reservations/timeline.py
+++ b/yewrill/reservations/timeline.py
@@ -81,8 +81,7 @@
         for moment, slots in list(self.levels(start, end)):
             steps[moment] = slots + difference
         steps[end] = slots_after
-        # All steps within the span change by the same amount, so only the steps at its ends can become
-        # redundant.
+        # All steps within the span change by the same amount: only those at its ends can become redundant.
         if steps[start] == slots_before:
             del steps[start]
         if self._slots_at(end - 1) == slots_after:
--- a/yewrill/views/bootstrap.py
+++ b/yewrill/views/bootstrap.py
@@ -1,10 +1,10 @@
 """Bootstraps the first view, or the first one after all members have stopped. It does no I/O.
 
-Only the founders form such a view, and all of them have to take part. A process in no view tells the founders
-that, with the number of the view that it persisted last. Once every founder is present, and a majority of the
-members of the highest persisted view if there is one, each founder agrees to a view (its number and its list
-of founders), and persists that view before it tells the others. A founder that hears that all founders agree
-to the same view enters it.
+Only the founders form such a view, and all of them have to take part. A process in no view sends the
+founders join requests, with the number of the view that it persisted last. Once every founder is present, and
+a majority of the members of the highest persisted view if there is one, each founder agrees to a view (its
+number and its list of founders), and persists that view before it tells the others. A founder that hears that
+all founders agree to the same view enters it.
 
 A founder that is in no view and knows of none may agree to another list later, for example after another
 founder has restarted. The view agreed to earlier can then no longer be formed, except by a founder that has
--- a/yewrill/views/facade.py
+++ b/yewrill/views/facade.py
@@ -141,8 +141,7 @@
                 await self._wakeup.wait()
             self._wakeup = trio.Event()
             now = trio.current_time()
-            # The machine ticks first: it must detect a pause before it processes messages that arrived
-            # meanwhile.
+            # The machine ticks first, to detect a pause before it processes messages that arrived in it.
             if now >= machine.due:
                 await self._carry_out(link, machine.tick(now))
             queue, self._queue = self._queue, []
--- a/yewrill/views/format.py
+++ b/yewrill/views/format.py
@@ -19,8 +19,7 @@
 from yewrill.views.view import MAX_CHANGE_BYTES, MAX_ENTRIES, Entry, Number, PersistedView, Rank
 
 VERSION = 2  # version of the heartbeat format
-# Limit on the joiners in one register. Version 2 sends joiners as attestations instead, and none in
-# registers.
+# Limit on the joiners in one register, in format version 1; version 2 sends attestations instead.
 MAX_JOINERS = 8
 MAX_ATTESTED = 16  # limit on the joiners that one member attests at a time
 PAGE_ENTRIES = 10  # number of entries of a view's list in one page
--- a/yewrill/views/machine.py
+++ b/yewrill/views/machine.py
@@ -44,9 +44,9 @@
 MAX_TRACKED_JOINERS = 64
 # Number of entries of `changes` that are kept until the caller takes them.
 MAX_UNREAD_CHANGES = 64
-# A process that knows of no view sends its join requests at an interval that grows with the list of members,
-# so that the processes that it asks get about REQUESTS_PER_INTERVAL_NEW requests per heartbeat interval. The
-# interval grows by a factor of at most MAX_SLOWDOWN_NEW.
+# A process that knows of no view sends its join requests at an interval that grows with the list of members:
+# each receiver should get about REQUESTS_PER_INTERVAL_NEW requests per heartbeat interval.
+# MAX_SLOWDOWN_NEW limits the factor by which the interval grows.
 REQUESTS_PER_INTERVAL_NEW = 16.0
 MAX_SLOWDOWN_NEW = 12.0
 # Size of the member list up to which its growth does not delay join requests.
@@ -54,13 +54,12 @@
 # A list of members that has not grown by this factor for this time is taken for complete.
 LIST_GROWTH_FACTOR = 1.1
 LIST_STABLE_SECONDS = 1.0
-# Largest slowdown (see admission.py) at which a joiner fetches the view; with a higher one it joins a later
-# view.
+# Largest slowdown (see admission.py) at which a joiner fetches the view; a slower one joins a later view.
 MAX_FETCH_SLOWDOWN = 2
 # Time without a received page after which the list of a view is fetched anew.
 PAGE_RETRY_SECONDS = 2.0
-# The limits of REQUESTS_PER_INTERVAL_NEW and MAX_SLOWDOWN_NEW for a process that has persisted a view. It
-# is slowed down less: the founders wait for such processes and count recent requests only.
+# REQUESTS_PER_INTERVAL_NEW and MAX_SLOWDOWN_NEW, but for a process that has persisted a view.
+# Such a process is slowed down less: the founders wait for it and count recent requests only.
 REQUESTS_PER_INTERVAL_PERSISTED = 48.0
 MAX_SLOWDOWN_PERSISTED = 4.0
 
@@ -305,8 +304,8 @@
     def _enter_view(self, view: View, rank: int, last_change: bytes | None) -> None:
         """Enters the next view. The lease is carried over if the change that led to it is known."""
         before, now = self._member, self._now
-        # If the change is not known, some process may still hold a lease in the previous view. The first view
-        # has no previous one.
+        # If the change is not known, some process may still hold a lease in the previous view.
+        # The first view has no previous one.
         lease_until, stale_leases, edges = NEVER, view.number > 1, {}
         if before is not None and last_change is not None:
             lease_until, edges = (
@@ -552,8 +551,7 @@
             self._now - self._members_grew_at < LIST_STABLE_SECONDS
             and not self._bootstrap.is_founder
         ):
-            # A whole fleet may be starting, so this process does not know its place in the admission order
-            # yet.
+            # A whole fleet may be starting: this process does not know its place in the admission order yet.
             return
         known_view, known_members = self._known_view, self._known_members
         targets: dict[Address, None] = {}
@@ -653,8 +651,7 @@
         newer = fetch is None or number > fetch.number
         if newer or self._now - fetch.progress_at > PAGE_RETRY_SECONDS:
             self._fetch = _Fetch(number, address, self._now)
-            # The view that follows the known one usually arrives as a change, with which the lease is carried
-            # over.
+            # The view after the known one usually arrives as a change, with which the lease is carried over.
             follows = ours is not None and number == ours.number + 1
             if (not newer or not follows) and self._may_fetch():
                 self._send(address, PageRequest(number, 0))
--- a/yewrill/views/timing.py
+++ b/yewrill/views/timing.py
@@ -46,8 +46,7 @@
     push_interval: float = 0.05
     push_edges: int = 4  # limit on the edges along which one push sends long messages
     min_round_share: float = 0.2  # shortest renewal round, as a fraction of the lease duration
-    # Time after its first removal during which a process may not join again; doubles with each further
-    # removal.
+    # Time after a process's first removal in which it may not rejoin; doubles with each further removal.
     min_rejoin_delay: float = 2.0
     max_rejoin_delay: float = 300.0
     # Time after which a removal no longer counts for the rejoin delay.
@@ -90,8 +89,7 @@
         # Time at which the peer last received a message from this process.
         self.last_received_by_peer = now
         self.messages_received = 0
-        # Number of consecutive heartbeats of the peer whose checksum of the registers differed from this
-        # member's.
+        # Number of consecutive heartbeats whose checksum of the registers differed from this member's.
         self.checksum_mismatches = 0
         self.view_number = 0  # highest number of a view that the peer is known to have been in
         self.format_version = 1  # version of the heartbeat format that the peer understands
--- a/yewrill/views/view_member.py
+++ b/yewrill/views/view_member.py
@@ -34,8 +34,7 @@
 from yewrill.views.view import Entry, View, encode_change
 
 MAX_REGISTERS_PER_HEARTBEAT = 16
-# Number of heartbeats with a different checksum of the registers after which the peer is sent all registers
-# again.
+# Number of heartbeats with a wrong checksum of the registers after which the peer is sent all registers.
 MAX_CHECKSUM_MISMATCHES = 3
 # For this many heartbeat intervals, the last change is sent to this share of the new members only.
 LAST_CHANGE_SAMPLED_HEARTBEATS = 1.0
@@ -155,8 +154,7 @@
         reasons, self._push = self._push, Push(0)
         self._pushed_at = now
         edges, max_edges = list(self.edges.values()), self.timing.push_edges
-        # Long messages go to a few edges at a time: by the next push, the other peers may have received them
-        # from someone else.
+        # Long messages go to a few edges at a time: other peers may receive the data from someone else.
         incomplete = [edge for edge in edges if self._lacks_data(edge)]
         if len(incomplete) > max_edges:
             incomplete = self._rng.sample(incomplete, max_edges)
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -32,8 +32,9 @@
 # An attempt counts as stuck if it has waited this long at a worker that runs no attempt of this dispatcher.
 STUCK_ATTEMPT_MS = 1000.0
 
-# Outcomes that are no evidence about a zone: the worker rejected the request, a pooled connection was closed
-# before the worker read it, or the dispatcher didn't send it or had an error of its own.
+# Outcomes that are no evidence about a zone: the worker rejected the request,
+# a pooled connection was closed before the worker read the request,
+# or the dispatcher didn't send the request or had an error of its own.
 _INCONCLUSIVE_OUTCOMES = frozenset(
     {
         AttemptOutcome.REJECTED,
--- a/yewrill/zone_failover/machine.py
+++ b/yewrill/zone_failover/machine.py
@@ -68,8 +68,8 @@
 CONFIRMATION_SECONDS = 4.0
 # A plan whose number is further ahead than this is adopted only if a majority holds it.
 MAX_NUMBER_GAP = 64
-# Largest difference, in thousandths, between the weight of a received plan and the lowest weight that this
-# member would allow: members see different loads.
+# Largest difference, in thousandths, between the weight in a received plan and the lowest weight that
+# this member would allow. Members see different loads, so their lowest weights differ.
 WEIGHT_TOLERANCE = 150
 
 Address = tuple[str, int]
@@ -97,8 +97,8 @@
     failing_loss_ratio: float = 0.5
     # A zone that loses at most this fraction of its attempts is healthy.
     healthy_loss_ratio: float = 0.2
-    # A zone that loses this fraction of its attempts, or more, has its traffic lowered further if it was left
-    # in part and the other zones have gained capacity.
+    # A zone that loses this fraction of its attempts, or more, counts as serving nothing. If it was left in
+    # part, its traffic is lowered further once the other zones have gained capacity.
     dead_loss_ratio: float = 0.95
     min_poll_attempts: int = 6  # smallest number of attempts in a poll that is evidence
     max_attempts_per_member: int = 8  # limit on the weight of one member's attempts in a poll
@@ -257,8 +257,8 @@
         ]
         if len(counts) <= 2 or len(failing) * 2 <= len(counts):
             return False
-        # If most zones fail at once, the fault is more likely at this member, unless these zones make up
-        # exactly one other region.
+        # If most zones fail at once, the fault is more likely at this member,
+        # unless all failing zones lie in one region that is not this member's own.
         regions = self.regions()
         failing_regions = {regions.get(zone, "") for zone in failing}
         return len(failing_regions) != 1 or failing_regions <= {"", regions.get(self.zone, "")}
@@ -394,8 +394,8 @@
             for zone in zones
             if self.now - self._last_polled_at.get(zone, -1e9) >= rules.poll_timeout
         ]
-        # A faulty member can cause polls by unconfirmed plans and hints, so those are limited: one at a time
-        # for all zones together, and less often for each zone.
+        # A faulty member can cause polls by unconfirmed plans and hints. These polls are therefore limited to
+        # one at a time for all zones together, and are less frequent for each zone.
         if not candidates and self.now - self._last_unconfirmed_poll_at >= rules.poll_timeout:
             candidates = [
                 zone
