--- a/yewrill/lab/cluster/scenarios.py
+++ b/yewrill/lab/cluster/scenarios.py
@@ -98,7 +98,7 @@
 
 @scenario()
 async def cut_off_from_one(rig: Rig) -> None:
-    """The dispatchers of one zone cannot reach the workers of another; all others can."""
+    """The dispatchers of one zone cannot reach the workers of another zone; all other dispatchers can."""
     cut_off = [d.name for d in rig.dispatchers.values() if d.zone == "z1"]
     rig.links.set_faults(cut_off, [worker.name for worker in rig.workers_in("z0")], cut=True)
     await rig.wait_until_served(200)
@@ -328,7 +328,7 @@
 
 @scenario(replace(VIEWS, dispatchers=9))
 async def view_loses_a_rack(rig: Rig) -> None:
-    """Four of nine, two founders among them, are killed at once; the others go on; the four restart."""
+    """Four of nine dispatchers, two of them founders, are killed at once; later the four restart."""
     gone = ["d0", "d1", "d5", "d6"]
     for name in gone:
         rig.kill(name)
@@ -408,7 +408,7 @@
 
 @scenario(replace(VIEWS, dispatchers=5))
 async def view_after_all_were_killed(rig: Rig) -> None:
-    """All are killed at once and restarted: the next view has a higher number than any before."""
+    """All dispatchers are killed at once and restarted: the next view has a higher number than any before."""
     for name in rig.dispatchers:
         rig.kill(name)
     await rig.start_and_wait()
@@ -417,7 +417,7 @@
 
 @scenario(replace(VIEWS, dispatchers=7))
 async def view_rolls_over(rig: Rig) -> None:
-    """All, founders too, are restarted one after another."""
+    """All dispatchers, founders too, are restarted one after another."""
     for name in list(rig.dispatchers):
         rig.kill(name, signal.SIGTERM)
         await rig.wait_until(lambda name=name: rig.dispatchers[name].process.poll() is not None)
--- a/yewrill/lab/soak/clients.py
+++ b/yewrill/lab/soak/clients.py
@@ -26,7 +26,7 @@
 
 
 class Style(Enum):
-    """How a client sends a request."""
+    """The ways in which a client sends a request."""
 
     WHOLE = "whole"
     PIECES = "in pieces"
@@ -86,7 +86,7 @@
         self.style_weights = CALM_STYLE_WEIGHTS
         self.burst = 1.0
         self.in_flight = 0
-        # Time, in seconds of the run, from which the load balancer opens no new connections.
+        # Time, in seconds of the run, after which the simulated load balancer opens no new connections.
         self.new_connections_until = math.inf
 
     async def run(self, nursery: trio.Nursery) -> None:
--- a/yewrill/lab/soak/events.py
+++ b/yewrill/lab/soak/events.py
@@ -16,7 +16,7 @@
 
 
 class AttemptEnd(Enum):
-    """How an attempt ended, as its worker saw it."""
+    """The ways in which an attempt can end, as its worker sees it."""
 
     ANSWERED = "answered"
     REJECTED = "turned away"  # the worker's response says that the request has not run
@@ -25,7 +25,7 @@
 
 
 class RequestEnd(Enum):
-    """How a request ended, as its client saw it."""
+    """The ways in which a request can end, as its client sees it."""
 
     ANSWERED = "answered"
     # The dispatcher closed the connection, or its process ended.
--- a/yewrill/lab/soak/nodes.py
+++ b/yewrill/lab/soak/nodes.py
@@ -255,7 +255,7 @@
         await self.terminate(old)
 
     def cpu_wait(self) -> tuple[int, float] | None:
-        """Returns the process id and for how many seconds in total the process waited for a CPU."""
+        """Returns the process id, and the total time in seconds that the process waited for a CPU."""
         if self.process is None:
             return None
         try:
--- a/yewrill/lab/soak/oracle.py
+++ b/yewrill/lab/soak/oracle.py
@@ -139,7 +139,7 @@
         )
 
     def paused(self, dispatcher: str, since: float, until: float) -> float:
-        """Returns for how many seconds of a span a dispatcher was paused."""
+        """Returns the seconds of a span in which a dispatcher was paused."""
         return sum(
             max(0.0, min(until, end) - max(since, begin))
             for name, begin, end in self.pauses
--- a/yewrill/lab/soak/plan.py
+++ b/yewrill/lab/soak/plan.py
@@ -22,7 +22,7 @@
 RECOVERY_OBJECTIVE_SECONDS = 0.4
 FINAL_CALM_SECONDS = 2.0
 KEYED_WINDOW = 3.0  # idempotency window, in seconds, of classes that are idempotent by key
-# The grace period from SIGTERM to SIGKILL is the longest deadline, up to this bound, and a margin.
+# The grace period from SIGTERM to SIGKILL is the deadline, up to the first value, plus the second.
 MAX_GRACE_DEADLINE_SECONDS = 3.0
 GRACE_AFTER_DEADLINE_SECONDS = 0.7
 # Limits on the sockets of a dispatcher. The lower one is for runs in which idle clients exhaust it.
--- a/yewrill/lab/soak/shim.py
+++ b/yewrill/lab/soak/shim.py
@@ -35,7 +35,7 @@
 
 
 class Origin(IntEnum):
-    """How a socket was created: accepted from a client, or connected to a worker or to discovery."""
+    """The origin of a socket: accepted from a client, or connected to a worker or to discovery."""
 
     ANY = 0
     ACCEPTED = 1
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """How calls fail: with an error, after a delay, or after at most `max_bytes` bytes.
+    """A rule by which calls fail: with an error, after a delay, or after at most `max_bytes` bytes.
 
     Zero means no error, no delay and no limit. `chance` is the probability that the rule applies.
     """
--- a/yewrill/lab/zonenet.py
+++ b/yewrill/lab/zonenet.py
@@ -32,7 +32,7 @@
     next_step_at: float = 0.0
     # For each change of the member's plan: the time, the new plan's version, and the new traffic weights.
     changes: list[tuple[float, tuple[int, str], dict[str, float]]] = field(default_factory=list)
-    # Replaces each message that it sends, to simulate a faulty member.
+    # Replaces each message that the member sends, to simulate a faulty member.
     rewrite_message: Callable[[bytes], bytes] | None = None
 
 
--- a/yewrill/leases/commands.py
+++ b/yewrill/leases/commands.py
@@ -18,7 +18,7 @@
 
 
 def _fetch_status(addresses: tuple[str, ...]) -> tuple[dict[str, dict], bool]:
-    """The status of each dispatcher by address, and whether all have answered."""
+    """Returns the status of each dispatcher by address, and whether all have answered."""
     replies, complete = {}, True
     for address, status, body in at.call_all(addresses, "GET", "/_ownership"):
         if status == 200:
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -26,7 +26,7 @@
 
 log = logging.getLogger("yewrill.ownership")
 
-# Received messages that wait while the disk is written; further ones are dropped, as a network may do.
+# Limit on the messages that wait while the disk is written; more are dropped, as a network may do.
 MAX_QUEUED_MESSAGES = 512
 
 
--- a/yewrill/leases/lease_table.py
+++ b/yewrill/leases/lease_table.py
@@ -60,7 +60,7 @@
 
 @dataclass
 class LeaseTable:
-    """All leases. Deterministic: the same entries in the same order produce the same table."""
+    """The table of all leases. Deterministic: equal entries in the same order produce equal tables."""
 
     clock: int = 0
     # The highest fencing number granted for each role; these numbers only grow.
@@ -182,8 +182,7 @@
     refused: int = 0
 
     def admits(self, role: str, number: int) -> bool:
-        """Returns whether a command with this fencing number may be executed. Lower ones are refused
-        later."""
+        """Returns whether a command may be executed; remembers its fencing number as the highest if so."""
         if number < self.highest.get(role, 0):
             self.refused += 1
             return False
--- a/yewrill/leases/node.py
+++ b/yewrill/leases/node.py
@@ -419,7 +419,7 @@
             self._deliver(output, pending.requester, Reply(command.id, True, result), now)
 
     def _deliver(self, output: NodeOutput, name: str, message: LeaseMessage, now: float) -> None:
-        """Queues a message for its receiver; one to this member is handled at once."""
+        """Queues a message for its receiver; a message to this member is handled at once."""
         if name == self.me:
             nested = self.receive(now, message, self.me)
             output.save = nested.save or output.save
--- a/yewrill/leases/raft.py
+++ b/yewrill/leases/raft.py
@@ -210,7 +210,7 @@
     # -- messages
 
     def receive(self, message: RaftMessage) -> None:
-        """Handles one message. Those of an earlier incarnation of their sender are ignored."""
+        """Handles one message. Messages of an earlier incarnation of the sender are ignored."""
         if message.to != self.me or message.incarnation < self.incarnations.get(message.sender, 0):
             # The disk of the earlier incarnation may have lost what the message acknowledges.
             return
@@ -296,7 +296,7 @@
                 self._save()
 
     def _exceeds_state_at_start(self, reply: RaftMessage) -> bool:
-        """Whether a peer holds an acknowledgement of this voter that its disk no longer had at the start."""
+        """Returns whether a peer holds an acknowledgement that this voter's disk had lost at the start."""
         start = self.state_at_start
         if reply.entry_term != start.term:
             return reply.entry_term > start.term
@@ -393,7 +393,7 @@
         self.role, self.leader = LEADER, self.me
         self.match_index, self.active_followers, self.pending_reads = {}, set(), []
         self.next_index = dict.fromkeys(self._others(), self.last_index + 1)
-        # Entries of earlier terms are committed only together with this one of the current term.
+        # Entries of earlier terms are committed only together with this entry of the current term.
         self.log.append(LogEntry(self.term))
         self._save()
         self.send_heartbeats()
--- a/yewrill/membership/detector.py
+++ b/yewrill/membership/detector.py
@@ -9,7 +9,7 @@
 from yewrill.membership.evidence import ArrivalHistory, LinkState, PeerLink
 from yewrill.membership.table import MemberEntry, MemberTable
 
-# The probe under way counts as half of an unanswered one.
+# A probe that has not ended yet counts as this fraction of an unanswered probe.
 CURRENT_PROBE_FRACTION = 0.5
 MAX_LINK_SILENCE_PROBES = 20.0
 
--- a/yewrill/membership/format.py
+++ b/yewrill/membership/format.py
@@ -27,14 +27,14 @@
 MAC_BYTES = 16
 HEADER_BYTES = len(MAGIC) + 2
 MAX_DATAGRAM_BYTES = 1200
-# Longest name, zone, region or host.
+# Limit on the length of a name, zone, region or host.
 MAX_NAME_CHARACTERS = 64
 KINDS = ("hello", "ping", "ack", "nack", "help", "list", "news", "cargo")
-# Largest payload of another subsystem in one datagram.
+# Limit on another subsystem's payload in one datagram.
 MAX_PAYLOAD_BYTES = 1000
 # A counter this far below the highest one seen can't be told from a replay and is rejected.
 REPLAY_WINDOW_COUNTERS = 64
-# Earlier runs of a member whose datagrams are recognised and rejected.
+# Number of earlier runs of a member whose datagrams are recognised and rejected.
 MAX_EARLIER_RUNS = 8
 
 
@@ -103,9 +103,9 @@
         self._keys = {_key_id(key): key for key in reversed(keys)}
         self._signing_key = keys[0]
         self._peers: dict[str, _Peer] = {}
-        # Run of the process at each address.
+        # By address: the run (random number) of the process.
         self._runs: dict[Address, int] = {}
-        # Last message to each address whose run is not known yet.
+        # By address whose run is not known yet: the last message to it.
         self._undelivered: dict[Address, Message] = {}
         self._counter = 0
         self._max_peers = max_peers
--- a/yewrill/membership/probe.py
+++ b/yewrill/membership/probe.py
@@ -216,7 +216,7 @@
             self._context.health.adjust(-1)
 
     def record_nack(self, number: int) -> None:
-        """Counts a nack: a member that was asked got no answer from the probed one either."""
+        """Counts a nack: another member that pinged the probed one got no answer either."""
         if self.probe is not None and number == self.probe.number:
             self.probe.nacks += 1
 
--- a/yewrill/membership/suspicion.py
+++ b/yewrill/membership/suspicion.py
@@ -15,7 +15,7 @@
 
 # Worst local health score; timeouts grow with the score, by a factor of up to nine.
 MAX_HEALTH_SCORE = 8
-# Independent confirmations after which a suspicion has its shortest duration.
+# Number of independent confirmations after which a suspicion has its shortest duration.
 CONFIRMATIONS_FOR_MINIMUM = 3
 
 
--- a/yewrill/membership/transport.py
+++ b/yewrill/membership/transport.py
@@ -21,7 +21,7 @@
 PayloadHandler = Callable[[bytes, str, Address], list[tuple[Address, bytes]]]
 """Takes a payload, its sender's name and address; returns payloads to send, with their addresses."""
 
-# First byte of a payload: the subsystem that it belongs to.
+# First byte of a payload, which names the subsystem that the payload belongs to.
 ZONES, OWNERSHIP, VIEWS = 1, 2, 3
 SUBSYSTEM_NAMES = {ZONES: "zones", OWNERSHIP: "ownership", VIEWS: "views"}
 # Message kinds that are not listed have the priority of heartbeats.
@@ -119,7 +119,7 @@
     # -- sending
 
     def tick(self, now: float) -> list[Datagram]:
-        """Performs what is due; returns the datagrams to send."""
+        """Ticks the protocol machine; returns the datagrams to send."""
         return self.send(now, self.machine.tick(now)) if now >= self.machine.due else []
 
     def send_payloads(
--- a/yewrill/views/attestation.py
+++ b/yewrill/views/attestation.py
@@ -15,8 +15,8 @@
 
 PROPOSERS = 3  # number of proposers that receive attestations at a time
 SHIFT_SECONDS = 6.0  # time after which the next proposers receive attestations as well
-REPEAT_HEARTBEATS = 3.0  # heartbeat intervals between two messages with the same content
-MIN_GAP_HEARTBEATS = 1.0  # heartbeat intervals between any two messages
+REPEAT_HEARTBEATS = 3.0  # number of heartbeat intervals between two messages of equal content
+MIN_GAP_HEARTBEATS = 1.0  # number of heartbeat intervals between any two messages
 
 
 class Attestations:
@@ -47,7 +47,7 @@
         return list(dict.fromkeys([*ranks[:PROPOSERS], *ranks[shift : shift + PROPOSERS]]))
 
     def recipients(self, now: float, out: frozenset[int]) -> list[Entry]:
-        """Returns the members to send this member's list to, if that is due."""
+        """Returns the members to send this member's attestations to; none if that is not due."""
         ours = self._by_rank.get(self._rank, ())
         if not self._last_sent:
             self._attesting_since = now
--- a/yewrill/views/cut.py
+++ b/yewrill/views/cut.py
@@ -14,7 +14,7 @@
 
 
 def watermarks(degree: int) -> tuple[int, int]:
-    """Returns the low and the high watermark for a subject with this many edges."""
+    """Returns the low and the high watermark for a subject (a monitored member) by its number of edges."""
     high = max(math.ceil(0.75 * degree), degree // 2 + 1)
     return min(high, max(2, math.ceil(0.25 * degree))), high
 
@@ -22,7 +22,7 @@
 def detect_cut(
     edges: Callable[[int], tuple[int, ...]], alerts: Iterable[tuple[int, int]]
 ) -> tuple[frozenset[int], frozenset[int]]:
-    """Returns the ranks of the faulty and of the unstable members. `alerts`: observer and subject ranks."""
+    """Returns the ranks of the faulty and of the unstable members. `alerts`: pairs (observer, subject)."""
     accusers: dict[int, set[int]] = {}
     for observer, subject in alerts:
         accusers.setdefault(subject, set()).add(observer)
--- a/yewrill/views/facade.py
+++ b/yewrill/views/facade.py
@@ -41,7 +41,7 @@
         self._config = config
         self._machine: ViewMachine | None = None
         self._store: Store | None = None
-        # A view that is not on disk yet; nothing is sent until it is.
+        # A view that is not on disk yet; nothing is sent until it is on disk.
         self._unpersisted: PersistedView | None = None
         self._queue: list[tuple[bytes, str, Address]] = []
         self._wakeup = trio.Event()
--- a/yewrill/views/format.py
+++ b/yewrill/views/format.py
@@ -124,7 +124,7 @@
 
 
 class JoinResponse(Struct, frozen=True, array_like=True, tag=3):
-    """Response of a member of a view. `size`: number of members, 0 if not stated."""
+    """Response of a member of a view to a join request. `size`: number of members, 0 if not stated."""
 
     number: Number
     digest: Digest
--- a/yewrill/views/machine.py
+++ b/yewrill/views/machine.py
@@ -104,7 +104,7 @@
         self.me, self.founders, self.persisted = me, tuple(founders), persisted
         self.timing, self._rng = timing or ViewTiming(), rng
         self.counters = ViewCounters()
-        # Time and view of each installation, None where this process was removed; the caller clears it.
+        # Time and view of each installation, None for a removal of this process; the caller clears the list.
         self.changes: list[tuple[float, View | None]] = []
         # Why the machine has stopped for good, "left" or "conflict"; "" while it runs.
         self.stopped = ""
@@ -188,7 +188,7 @@
         self._known_members = dict(list(addresses.items())[:MAX_ENTRIES])
 
     def tick(self, now: float) -> Step:
-        """Runs whatever is due."""
+        """Performs what is due: heartbeats, proposals, pushes and join requests."""
         if self.stopped:
             return Step()
         self._advance_clock(now)
--- a/yewrill/views/view.py
+++ b/yewrill/views/view.py
@@ -29,7 +29,7 @@
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """One process in a view. `capabilities`: what it can do, as short words from its settings."""
+    """One process in a view. `capabilities`: its abilities, as short words from its settings."""
 
     name: Name
     incarnation: Number
@@ -48,7 +48,7 @@
 
 
 class PersistedView(Struct, frozen=True, array_like=True):
-    """What a member persists: number and names of the view that it accepted last."""
+    """The data that a member persists: number and names of the view that it accepted last."""
 
     number: Number
     names: Annotated[tuple[Name, ...], Meta(max_length=MAX_ENTRIES)]
--- a/yewrill/views/view_member.py
+++ b/yewrill/views/view_member.py
@@ -36,7 +36,7 @@
 MAX_REGISTERS_PER_HEARTBEAT = 16
 # Number of heartbeats with a wrong checksum of the registers after which the peer is sent all registers.
 MAX_CHECKSUM_MISMATCHES = 3
-# For this many heartbeat intervals, the last change is sent to this share of the new members only.
+# For this many heartbeat intervals after a change, only this share of the new members is sent the change.
 LAST_CHANGE_SAMPLED_HEARTBEATS = 1.0
 LAST_CHANGE_SAMPLE_SHARE = 0.3
 Ranks = frozenset[int]
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -190,7 +190,7 @@
             self._update_engine()
 
     def _take_ownership(self, machine: FailoverMachine, now: float) -> None:
-        """Tells the machine the holder of the lease on this role.
+        """Tells the machine the holder of the lease on the role of making plans.
 
         Without leases, any member may make plans.
         """
--- a/yewrill/zone_failover/machine.py
+++ b/yewrill/zone_failover/machine.py
@@ -426,7 +426,7 @@
             return
         self._poll = None
         if 2 * len(poll.answers) < len(poll.asked):
-            # So few answers mean that this member is cut off, rather than all the others.
+            # It is more likely that this member is cut off than that half of the others are.
             self.statistics.inconclusive_polls += 1
             return
         outside = [m for m in others if m.zone != poll.zone]
--- a/yewrill/zone_failover/plan.py
+++ b/yewrill/zone_failover/plan.py
@@ -15,7 +15,7 @@
 # Traffic weights of a recovering zone, one per step; the first is the trial.
 RECOVERY_RAMP = (50, 200, 500, FULL_WEIGHT)
 MAX_ZONES = 64
-# Number of plan numbers that belong to one lease: the first is the lease's fencing number times this.
+# Number of plan numbers that belong to one lease: the first is the fencing number times this.
 PLANS_PER_EPOCH = 2**24
 # The fraction of the other zones' capacity that may be in use once a zone is left.
 MAX_UTILIZATION = 0.95
