--- a/yewrill/lab/cluster/scenarios.py
+++ b/yewrill/lab/cluster/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of the test rig: each injects faults into an installation under traffic and waits for effects.
+"""Scenarios of the test rig: each injects faults into a test cluster under traffic and waits for effects.
 
 A scenario's function name, with hyphens, is its name on the command line.
 """
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A scenario: its function, the installation that it needs, and options of the dispatchers by name."""
+    """A scenario: its function, the test cluster that it needs, and options of the dispatchers by name."""
 
     run: Callable[[Rig], Awaitable[None]]
     spec: InstallationSpec
@@ -29,7 +29,8 @@
 
 
 # A zone is left once three dispatchers outside it see it fail at the same time. At a few requests per second
-# each sees it for a short time only, so scenarios in which some are dead or paused have nine dispatchers.
+# each dispatcher sees the failure for a short time only.
+# Scenarios in which some dispatchers are dead or paused therefore have nine dispatchers.
 SCENARIOS: dict[str, Scenario] = {}
 
 
@@ -66,13 +67,13 @@
 
 @scenario()
 async def zone_mute(rig: Rig) -> None:
-    """The workers of a zone accept jobs and do not run them."""
+    """The workers of a zone accept requests and do not run them."""
     await fail_and_recover_zone(rig, "z1", "mute")
 
 
 @scenario()
 async def zone_fails_jobs(rig: Rig) -> None:
-    """A zone reports at once that every job failed, and so looks idle.
+    """A zone reports at once that every request failed, and so looks idle.
 
     Dispatchers leave it by a plan or each on its own.
     """
@@ -97,7 +98,7 @@
 
 @scenario()
 async def cut_off_from_one(rig: Rig) -> None:
-    """The dispatchers of one zone cannot reach the workers of another; all others can."""
+    """The dispatchers of one zone cannot reach the workers of another zone; all other dispatchers can."""
     cut_off = [d.name for d in rig.dispatchers.values() if d.zone == "z1"]
     rig.links.set_faults(cut_off, [worker.name for worker in rig.workers_in("z0")], cut=True)
     await rig.wait_until_served(200)
@@ -107,7 +108,7 @@
 
 @scenario()
 async def discovery_lags(rig: Rig) -> None:
-    """One zone is missing from the endpoint lists of half of the dispatchers; no plan leaves it for that."""
+    """A zone is missing from the endpoint lists of half of the dispatchers; no plan leaves it for that."""
     for name in ("d0", "d1", "d2"):
         rig.dispatchers[name].discovery.hidden_zones.add("z1")
     rig.publish_endpoint_lists()
@@ -121,7 +122,7 @@
 
 @scenario()
 async def heard_by_nobody(rig: Rig) -> None:
-    """Datagrams of one dispatcher to the others are lost, not those to it, while a zone fails."""
+    """Datagrams from one dispatcher to the others are lost, but none to it, while a zone fails."""
     others = [name for name in rig.dispatchers if name != "d2"]
     rig.links.set_faults(["d2"], others, both_directions=False, cut=True)
     rig.fail_zone("z0")
@@ -197,7 +198,7 @@
 
 @scenario()
 async def a_profiler_drains(rig: Rig) -> None:
-    """A worker drains while a zone is left: no dispatcher sends it a new job."""
+    """A worker drains while a zone is left: no dispatcher sends the worker a new request."""
     rig.drain("p-z1-0")
     rig.fail_zone("z2")
     await rig.wait_until_zone_left("z2")
@@ -251,7 +252,7 @@
     rig.history.note("rig", "ordered")
     before = {worker.name: worker.jobs_done for worker in rig.workers_in("z1")}
     await rig.wait_until_served(120)
-    # Jobs in flight at the time of the order may still end there; no new ones may be sent.
+    # Requests in flight at the time of the order may still end in the zone; no new ones may be sent to it.
     more = sum(worker.jobs_done for worker in rig.workers_in("z1")) - sum(before.values())
     assert more <= 2 * len(rig.dispatchers) * rig.spec.slots
     for name in rig.dispatchers:
@@ -327,7 +328,7 @@
 
 @scenario(replace(VIEWS, dispatchers=9))
 async def view_loses_a_rack(rig: Rig) -> None:
-    """Four of nine, two founders among them, are killed at once; the others go on; the four restart."""
+    """Four of nine dispatchers, two of them founders, are killed at once; later the four restart."""
     gone = ["d0", "d1", "d5", "d6"]
     for name in gone:
         rig.kill(name)
@@ -407,7 +408,7 @@
 
 @scenario(replace(VIEWS, dispatchers=5))
 async def view_after_all_were_killed(rig: Rig) -> None:
-    """All are killed at once and restarted: the next view has a higher number than any before."""
+    """All dispatchers are killed at once and restarted: the next view has a higher number than any before."""
     for name in rig.dispatchers:
         rig.kill(name)
     await rig.start_and_wait()
@@ -416,7 +417,7 @@
 
 @scenario(replace(VIEWS, dispatchers=7))
 async def view_rolls_over(rig: Rig) -> None:
-    """All, founders too, are restarted one after another."""
+    """All dispatchers, founders too, are restarted one after another."""
     for name in list(rig.dispatchers):
         rig.kill(name, signal.SIGTERM)
         await rig.wait_until(lambda name=name: rig.dispatchers[name].process.poll() is not None)
--- a/yewrill/leases/raft.py
+++ b/yewrill/leases/raft.py
@@ -1,5 +1,6 @@
-"""The replicated log as a state machine: it takes events and returns what to store and what to send. No I/O,
-clock or randomness.
+"""The replicated log as a state machine: it takes events and returns what to store and what to send.
+
+It does no I/O, reads no clock and uses no random numbers.
 
 Theory of operation. Raft (Ongaro and Ousterhout, 2014; Ongaro's thesis, 2014) with pre-vote, check-quorum,
 single-step changes of voters, reads that a quorum confirms, and snapshots sent whole. The machine has no
@@ -57,8 +58,8 @@
         self.role, self.leader = FOLLOWER, ""
         self.commit_index = self.snapshot.index
         self.ready = Ready(installed=self.snapshot if self.snapshot.index else None)
-        # Recovery of this incarnation: the state at its start, the voters that have answered, whether this
-        # voter votes, and whether its disk lost the tail of the log.
+        # State of this incarnation's recovery: the state on disk at its start, the voters that have answered,
+        # whether this voter votes, and whether its disk lost the tail of the log.
         self.state_at_start = StateAtStart(self.term, self.vote, self.last_index)
         self.answered_by: set[str] = set()
         self.is_voting = trust_disk or len(self.voters()) <= 1
@@ -166,8 +167,8 @@
         if self.role != LEADER:
             return 0
         if kind == VOTERS:
-            # One change of one voter at a time, and only after an entry of this term is committed: otherwise
-            # two majorities without a common voter could form.
+            # Only one voter may change at a time, and only after an entry of this term is committed, because
+            # otherwise two majorities without a common voter could form.
             pending = any(
                 e.kind == VOTERS for e in self.log[self.commit_index - self.snapshot.index :]
             )
@@ -209,7 +210,7 @@
     # -- messages
 
     def receive(self, message: RaftMessage) -> None:
-        """Handles one message. Those of an earlier incarnation of their sender are ignored."""
+        """Handles one message. Messages of an earlier incarnation of the sender are ignored."""
         if message.to != self.me or message.incarnation < self.incarnations.get(message.sender, 0):
             # The disk of the earlier incarnation may have lost what the message acknowledges.
             return
@@ -295,7 +296,7 @@
                 self._save()
 
     def _exceeds_state_at_start(self, reply: RaftMessage) -> bool:
-        """Whether a peer holds an acknowledgement of this voter that its disk no longer had at the start."""
+        """Returns whether a peer holds an acknowledgement that this voter's disk had lost at the start."""
         start = self.state_at_start
         if reply.entry_term != start.term:
             return reply.entry_term > start.term
@@ -392,7 +393,7 @@
         self.role, self.leader = LEADER, self.me
         self.match_index, self.active_followers, self.pending_reads = {}, set(), []
         self.next_index = dict.fromkeys(self._others(), self.last_index + 1)
-        # Entries of earlier terms are committed only together with this one of the current term.
+        # Entries of earlier terms are committed only together with this entry of the current term.
         self.log.append(LogEntry(self.term))
         self._save()
         self.send_heartbeats()
@@ -437,8 +438,8 @@
             message.index >= self.snapshot.index
             and self.term_at(message.index) != message.entry_term
         ):
-            # The logs differ at this index. Report the furthest index where they may match, so that the
-            # leader steps back no further than needed.
+            # The logs differ at this index. The reply has the furthest index where they may match, so that
+            # the leader steps back no further than needed.
             last_possible = min(self.last_index, message.index - 1)
             while (
                 last_possible > self.snapshot.index
--- a/yewrill/views/facade.py
+++ b/yewrill/views/facade.py
@@ -41,7 +41,7 @@
         self._config = config
         self._machine: ViewMachine | None = None
         self._store: Store | None = None
-        # A view that is not on disk yet; nothing is sent until it is.
+        # A view that is not on disk yet; nothing is sent until it is on disk.
         self._unpersisted: PersistedView | None = None
         self._queue: list[tuple[bytes, str, Address]] = []
         self._wakeup = trio.Event()
@@ -141,8 +141,7 @@
                 await self._wakeup.wait()
             self._wakeup = trio.Event()
             now = trio.current_time()
-            # The machine ticks first: it must detect a pause before it processes messages that arrived
-            # meanwhile.
+            # The machine ticks first, to detect a pause before it processes messages that arrived in it.
             if now >= machine.due:
                 await self._carry_out(link, machine.tick(now))
             queue, self._queue = self._queue, []
