--- a/yewrill/store/catalog.py
+++ b/yewrill/store/catalog.py
@@ -34,9 +34,10 @@
     ):
         self.lock = threading.RLock()
         self.files = files
-        self.later_format = later_format  # names of files in a later format, which stay unchanged
+        # Names of files in a later version of the format; the store never changes them.
+        self.later_format = later_format
         self.read_only = read_only
-        # The disk error, such as a failed sync, after which no write is accepted.
+        # The disk error, such as a failed sync, that made the store reject all further writes.
         self.poisoned_by: Exception | None = None
         self.closed = False
         self.next_segment = next_segment
@@ -48,7 +49,7 @@
 
     @property
     def writable(self) -> bool:
-        """Whether the directory is writable and no disk error has ended writing."""
+        """Whether writes are accepted: the directory is writable and no disk error forbids them."""
         return not self.read_only and self.poisoned_by is None
 
     def rejection(self) -> StoreError | None:
@@ -69,7 +70,7 @@
         return fmt.SegmentName(number, self._salt() & SALT_MASK)
 
     def write_manifest(self, names: Sequence[fmt.SegmentName], next_seq: int) -> None:
-        """Writes a manifest that lists these segments, which makes them the store. Raises OSError."""
+        """Replaces the manifest: the store then consists of the segments with these names. Raises OSError."""
         with self.lock:
             manifest = fmt.Manifest(
                 tuple(sorted([*names, *self._later_names])), self.next_segment, next_seq
@@ -89,6 +90,6 @@
         try:
             self.files.sync_names()
         except OSError as error:
-            # It is unknown which file names are on disk, as after any failed sync.
+            # After a failed sync of the directory it is unknown which file names are on disk.
             self.poisoned_by = error
             raise
--- a/yewrill/store/commands.py
+++ b/yewrill/store/commands.py
@@ -24,7 +24,8 @@
 from yewrill.store.recovery import open_directory
 from yewrill.store.verification import Verification
 
-LOAD_BATCH_RECORDS = 256  # records that `load` writes in one batch
+# Number of records that the sub-command `load` writes in one batch.
+LOAD_BATCH_RECORDS = 256
 
 _directory = click.argument("directory", type=click.Path(exists=True, file_okay=False))
 _directory_new = click.argument("directory", type=click.Path(file_okay=False))
@@ -105,7 +106,7 @@
 
 
 def _printable(data: bytes) -> str:
-    """Returns printable UTF-8 as text, anything else in hexadecimal."""
+    """Returns bytes as text if they are printable UTF-8, else in hexadecimal."""
     try:
         text = data.decode()
     except UnicodeDecodeError:
@@ -126,7 +127,7 @@
 )
 
 
-# ------------------------------------------------------------------------------------------------ inspecting
+# -------------------------------------------------------------------------------- sub-commands that only read
 
 
 @store.command()
@@ -249,7 +250,7 @@
     return [finding.as_dict() for finding in verification.findings], verification.bytes_read
 
 
-# --------------------------------------------------------------------------------------------------- changing
+# ------------------------------------------------------------------------------------ sub-commands that write
 
 
 @store.command()
@@ -318,7 +319,8 @@
                     last = key + b"\0"
                     click.echo(ujson.dumps(_record(key, result.value, result.expires)))
                 break
-            except DamagedValue as error:  # reported, and the dump continues after this key
+            except DamagedValue as error:
+                # The damage is reported, and the dump continues after the key.
                 click.echo(f"yewrill store: {error}", err=True)
                 last, status = error.key + b"\0", 1
     sys.exit(status)
--- a/yewrill/store/compaction.py
+++ b/yewrill/store/compaction.py
@@ -23,7 +23,8 @@
 from yewrill.store.reserve import SpaceReserve
 from yewrill.store.segment import ENTRY, Segment
 
-OUTPUT_FRAME_BYTES = 128 * 1024  # operations are collected up to this size for one frame
+# Operations are collected into one frame of the output until they reach this size.
+OUTPUT_FRAME_BYTES = 128 * 1024
 
 
 @dataclass(slots=True)
@@ -31,8 +32,9 @@
     """The output segment of a compaction while it is written."""
 
     segment: Segment
-    time: int  # of the compaction (ms), written in the frames' headers
-    # Encoded entries, and how many.
+    # Time of the compaction in ms, written in the headers of the output's frames.
+    time: int
+    # Parts of the hint file: the encoded entries of a part, and their number.
     hint_parts: list[tuple[bytes, int]] = field(default_factory=list)
     pending_ops: list[fmt.Op] = field(default_factory=list)
     pending_bytes: int = 0
@@ -85,7 +87,7 @@
         self._directory = directory
         self._reserve = reserve
         self._findings = findings
-        self.finished_count = 0  # finished compactions
+        self.finished_count = 0  # number of compactions finished since the store was opened
 
     def compact(self, inputs: list[Segment], now: int) -> Iterator[int]:
         """Compacts sealed segments into one, or into none if no record of theirs is live.
@@ -100,8 +102,9 @@
         try:
             output = yield from self._write_output(name, inputs, now)
             self._switch_manifest(inputs, output)
-        except BaseException:  # includes GeneratorExit, when the caller stops early
-            if self._catalog.poisoned_by is None:  # else the manifest on disk may list the output
+        except BaseException:  # also GeneratorExit, raised when the caller closes the iterator
+            # After a failed sync the manifest on disk may list the output, so the files have to stay.
+            if self._catalog.poisoned_by is None:
                 for file in (name.file + NEW_SUFFIX, name.file, name.hint):
                     with suppress(OSError):
                         self._files.remove(file)
@@ -114,14 +117,15 @@
     def _write_output(
         self, name: fmt.SegmentName, inputs: list[Segment], now: int
     ) -> Generator[int, None, Segment | None]:
-        """Writes and syncs the output, its hint file and their names.
+        """Writes and syncs the output segment and its hint file, and syncs their names in the directory.
 
         Returns the output segment, None if no record is live.
         """
         with self._directory.lock:
             others = [s.lowest_seq for s in self._directory.segments.values() if s not in inputs]
         if self._catalog.later_format or self._findings.mentions(FindingKind.MISSING):
-            others.append(0)  # those segments may hold records with any sequence number
+            # Segments that are missing or in a later format may hold records with any sequence number.
+            others.append(0)
         output = self._create_output(name, inputs, now)
         for source in inputs:
             yield from self._copy(source, output, others, now)
@@ -215,7 +219,8 @@
             )
         for segment in inputs:
             for file in (segment.name.file, segment.name.hint):
-                with suppress(OSError):  # the next opening removes files that are left
+                # Files that can't be removed now are removed when the store is next opened.
+                with suppress(OSError):
                     self._files.remove(file)
 
     def _record_gap(self, segment: Segment, gap: Gap) -> None:
@@ -232,7 +237,7 @@
             ),
         )
 
-    # -- hints
+    # -- hint files
 
     def write_hints(self, segments: list[Segment]) -> Iterator[int]:
         """Writes the missing hint files of sealed segments. Yields bytes read. Raises OSError."""
--- a/yewrill/store/engine.py
+++ b/yewrill/store/engine.py
@@ -41,7 +41,7 @@
 BACKUP_CHUNK_BYTES = 1 << 20
 NOT_WRITABLE_ERRNOS = (errno.EROFS, errno.EACCES, errno.EPERM)
 
-# The sequence number of the first operation, and the operations of one batch.
+# One batch: the sequence number of its first operation, and its operations.
 _NumberedOps = tuple[int, list[fmt.Op]]
 
 
@@ -90,7 +90,7 @@
         if not self.read_only and self.findings.mentions(
             FindingKind.MANIFEST, FindingKind.ADOPTED, FindingKind.MISSING
         ):
-            with suppress(OSError):  # the next write tries again
+            with suppress(OSError):  # the next write writes the manifest again
                 self._write_manifest()
         self.restore_reserve()
 
@@ -143,7 +143,8 @@
             return [rejection] * len(batches)
         results: list[int | StoreError] = []
         frames: list[_NumberedOps] = []
-        pending: dict[bytes, int] = {}  # versions after the batches so far; 0: deleted
+        # The version that each key has after the batches handled so far; 0: deleted or expired.
+        pending: dict[bytes, int] = {}
         seq = self.directory.next_seq
         for batch in batches:
             if (conflict := self._find_conflict(batch, pending, now)) is not None:
@@ -163,7 +164,7 @@
             self._append(frames, now, sync)
         except StoreError as error:
             if isinstance(error, StoreFull) and len(batches) > 1:
-                # Batches are retried one by one: a large one must not cause the rejection of smaller ones.
+                # Retried one by one: one large batch must not cause the rejection of smaller batches.
                 return [result for batch in batches for result in self._commit([batch], now, sync)]
             return [error if isinstance(result, int) else result for result in results]
         return results
@@ -210,7 +211,7 @@
         try:
             write_all(segment.handle, data, segment.size)
         except OSError as error:
-            # Deletions may use a part of the reserve, so that space can be freed on a full disk.
+            # Deletions may use half of the space reserve, so that they can free space on a full disk.
             deletions = all(op.kind == fmt.DELETE for _, ops in frames for op in ops)
             if error.errno != errno.ENOSPC or not deletions or not self._reserve.release_half():
                 raise
@@ -256,7 +257,7 @@
             self.syncs += 1
             self.dirty = False
         except OSError as error:
-            # The kernel may have dropped the dirty pages; a later sync would succeed without writing them.
+            # The kernel may have dropped the unsynced pages; a later sync would succeed without writing them.
             self._catalog.poisoned_by = error
             raise StorePoisoned(f"sync failed: {error}") from None
 
@@ -305,7 +306,8 @@
                 self._seal(self._active)
 
     def _seal(self, segment: Segment) -> None:
-        # The next write reports a failure; the writes so far are acknowledged as their mode allows.
+        # A failed sync is not raised here, since the writes so far keep the guarantees of the store's mode.
+        # The next write is rejected with StorePoisoned.
         with suppress(StorePoisoned):
             self.sync()
         self._active = None
@@ -348,7 +350,7 @@
     def rows(
         self, now: int, prefix: bytes, start: bytes, stop: bytes | None, reverse: bool
     ) -> Iterator[Row]:
-        """Like `scan`, but yields plain tuples."""
+        """Like `scan`, but yields each key as a `Row`: a tuple of key, value, version and expiry."""
         return self._reader.rows(now, prefix, start, stop, reverse)
 
     def snapshot(self, now: int) -> Snapshot:
--- a/yewrill/store/files.py
+++ b/yewrill/store/files.py
@@ -134,7 +134,7 @@
 
     def sync(self) -> None:
         """Syncs the file's data and size to disk."""
-        os.fdatasync(self._fd)  # fdatasync includes the file's size
+        os.fdatasync(self._fd)  # fdatasync also syncs the file's size
 
     def size(self) -> int:
         """Returns the file's size in bytes."""
@@ -212,7 +212,9 @@
         except OSError as error:
             if error.errno not in (errno.EROFS, errno.EACCES, errno.EPERM):
                 raise
-            try:  # several processes may read a directory that is not writable
+            # In a directory that is not writable, an existing lock file is locked. If there is none, several
+            # processes may read the directory.
+            try:
                 fd = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
             except OSError:
                 return
@@ -223,7 +225,7 @@
             os.close(fd)
             raise StoreLocked(f"{self.path}: held by {holder}") from None
         self._lock = fd
-        # The lock holds even if the name of its holder can't be written.
+        # The directory stays locked even if the name of the lock's holder can't be written.
         with suppress(OSError):
             os.ftruncate(fd, 0)
             since = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime())
@@ -235,6 +237,6 @@
         """Unlocks the directory."""
         if self._lock >= 0:
             with suppress(OSError):
-                os.ftruncate(self._lock, 0)  # removes the name of the holder
+                os.ftruncate(self._lock, 0)  # removes the name of the lock's holder
             os.close(self._lock)
             self._lock = -1
--- a/yewrill/store/findings.py
+++ b/yewrill/store/findings.py
@@ -19,7 +19,7 @@
     HINT = "hint"  # a hint file is damaged
     MANIFEST = "manifest"  # the manifest is damaged or missing
     MISSING = "missing"  # a segment that the manifest lists does not exist
-    ADOPTED = "adopted"  # a segment with records that the manifest does not list
+    ADOPTED = "adopted"  # a segment that holds records, but is not listed in the manifest
     LATER_FORMAT = "later-format"  # a file written by a later version of the format
     UNWRITABLE = "unwritable"  # a file or the directory is not writable
 
@@ -32,7 +32,7 @@
     file: str
     start: int = 0
     end: int = 0
-    records: int | None = None  # number of records lost there; None: unknown
+    records: int | None = None  # number of records lost in the range; None: unknown
     note: str = ""
 
     def __str__(self) -> str:
--- a/yewrill/store/format.py
+++ b/yewrill/store/format.py
@@ -23,34 +23,37 @@
 FORMAT_VERSION = 1
 MAX_KEY_BYTES = 4 * 1024
 MAX_VALUE_BYTES = 16 * 1024 * 1024
-MAX_BODY_BYTES = 64 * 1024 * 1024  # of a frame, the headers of its operations included
+# Largest body of a frame, including the headers of its operations.
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 SEGMENT_MAGIC = b"YEWRSEG\n"
 HINT_MAGIC = b"YEWRHNT\n"
 MANIFEST_MAGIC = b"YEWRMAN\n"
 FRAME_MAGIC = b"\xd7YR\xb1"
 
-# Magic, format, (unused), salt, segment number, count of replaced segments. Their numbers follow, 8 bytes
-# each, then a checksum.
+# Segment header: magic number, format version, (unused), salt, segment number, count of replaced segments.
+# The numbers of the replaced segments follow, 8 bytes each, then a checksum of the header.
 _SEGMENT = struct.Struct("<8sHHIQI")
-# Magic, length of the body, time written (ms), checksum of the body. A checksum of these follows.
+# Frame header: magic number, length of the body, time written (ms), checksum of the body. A checksum of these
+# fields follows.
 _FRAME = struct.Struct("<4sIqI")
 _CRC = struct.Struct("<I")
 FRAME_HEADER_BYTES = _FRAME.size + _CRC.size
-# Kind, (unused), length of key, length of value, sequence number, expiry (ms, 0: none), checksum of key and
-# value. Key and value follow.
+# Operation header: kind, (unused), length of key, length of value, sequence number, expiry (ms, 0: none),
+# checksum of key and value. The key and the value follow.
 _OP = struct.Struct("<BBHIQqI")
 OP_HEADER_BYTES = _OP.size
 PUT = 1
 DELETE = 2
-# Magic, format, (unused), (unused), size of the segment. Entries follow, then their count and a checksum of
-# everything before it.
+# Header of a hint file: magic number, format version, (unused), (unused), size of the segment. The entries
+# follow, then their count and a checksum of everything before it.
 _HINT = struct.Struct("<8sHHIQ")
-# Kind, (unused), length of key, length of value, offset of the operation in the segment, sequence number,
-# expiry. The key follows.
+# Entry of a hint file: kind, (unused), length of key, length of value, offset of the operation in the
+# segment, sequence number, expiry. The key follows.
 _HINT_ENTRY = struct.Struct("<BBHIQQq")
 _HINT_END = struct.Struct("<QI")
-# Magic, format, (unused), length of the JSON. The JSON follows, then a checksum of everything before it.
+# Manifest header: magic number, format version, (unused), length of the JSON. The JSON follows, then a
+# checksum of everything before it.
 _MANIFEST = struct.Struct("<8sHHI")
 
 _NAME = re.compile(r"([0-9a-f]{16})-([0-9a-f]{8})\.(seg|hint)")
@@ -77,8 +80,8 @@
     key: bytes
     value: bytes
     seq: int = 0
-    expires: int = 0  # ms of the store's clock; 0: never
-    offset: int = 0  # of its header, in the segment
+    expires: int = 0  # expiry in ms of the store's clock; 0: never
+    offset: int = 0  # where the operation's header begins in its segment
 
 
 @dataclass(slots=True)
@@ -87,7 +90,7 @@
 
     ops: list[Op] = field(default_factory=list)
     conditions: list[tuple[bytes, int]] = field(default_factory=list)
-    size: int = 0  # of the frame's body, in bytes
+    size: int = 0  # size in bytes of the frame body that holds `ops`
 
     def put(self, key: bytes, value: bytes, expires: int = 0) -> Batch:
         """Sets a key. It expires at `expires`, in ms of the store's clock (0: never). Raises StoreError."""
@@ -122,7 +125,7 @@
 
 
 def op_size(key: bytes, value_size: int) -> int:
-    """Returns the size in bytes of an operation in a frame's body."""
+    """Returns the bytes that an operation occupies in a frame's body, including its header."""
     return OP_HEADER_BYTES + len(key) + value_size
 
 
@@ -282,7 +285,7 @@
 # ----------------------------------------------------------------------------------------------------- hints
 
 
-# Kind, key, size of value, offset of the operation, sequence number, expiry.
+# Decoded entry of a hint file: kind, key, size of value, offset of the operation, sequence number, expiry.
 HintEntry = tuple[int, bytes, int, int, int, int]
 
 
@@ -295,13 +298,13 @@
         self._crc = crc32c(self.header)
 
     def add(self, entries: bytes, count: int) -> bytes:
-        """Accounts for encoded entries in the count and the checksum, and returns them."""
+        """Adds encoded entries to the count and the checksum of the hint file, and returns the entries."""
         self._count += count
         self._crc = extend_crc32c(self._crc, entries)
         return entries
 
     def end(self) -> bytes:
-        """Returns the end of the file: the count of entries and the checksum."""
+        """Returns the end of the hint file: the count of entries and the checksum."""
         count = struct.pack("<Q", self._count)
         return count + _CRC.pack(extend_crc32c(self._crc, count))
 
@@ -319,7 +322,7 @@
 def decode_hint(data: bytes, segment_size: int) -> Iterator[HintEntry]:
     """Returns the entries of the hint file of a segment of this size.
 
-    Raises Malformed here, before the first entry is returned.
+    Raises Malformed when it is called, not while the entries are iterated.
     """
     end = len(data) - _HINT_END.size
     if end < _HINT.size or _CRC.unpack_from(data, len(data) - _CRC.size)[0] != crc32c(
--- a/yewrill/store/frames.py
+++ b/yewrill/store/frames.py
@@ -29,7 +29,7 @@
     start: int
     end: int
     tail: bool = False
-    torn: bool = False  # a tail that looks like a write cut short, not like damage
+    torn: bool = False  # the gap looks like a write that was cut short, not like damage
 
 
 class _DamagedBody(NamedTuple):
@@ -47,7 +47,7 @@
 
     Memory use is bounded by the largest frame.
     """
-    window, base = b"", start  # bytes read ahead, and their offset
+    window, base = b"", start  # bytes read ahead, and their offset in the segment
 
     def read_at(at: int, count: int) -> bytes:
         nonlocal window, base
@@ -85,7 +85,7 @@
 def _frame_at(
     read_at: Callable[[int, int], bytes], at: int, size: int, salt: int
 ) -> Frame | _DamagedBody | _Incomplete | None:
-    """Returns what begins at an offset, None if there is no valid frame header."""
+    """Returns the frame at an offset, whether intact or not; None if no valid frame header begins there."""
     header = fmt.decode_frame_header(read_at(at, min(fmt.FRAME_HEADER_BYTES, size - at)), 0, salt)
     if header is None:
         return None
@@ -105,7 +105,7 @@
         chunk = read_at(at, min(READ_CHUNK_BYTES // 2, size - at))
         position = chunk.find(fmt.FRAME_MAGIC)
         if position < 0:
-            # The magic number may span two chunks.
+            # The magic number of a frame may span two chunks.
             at += max(1, len(chunk) - len(fmt.FRAME_MAGIC) + 1)
             continue
         at += position
--- a/yewrill/store/group_commit.py
+++ b/yewrill/store/group_commit.py
@@ -26,7 +26,8 @@
 
 MAX_QUEUED_BATCHES = 8192
 MAX_QUEUED_BYTES = 128 * 1024 * 1024
-MAX_GROUP_BATCHES = 1024  # in one commit
+# Bounds on the batches written together in one commit.
+MAX_GROUP_BATCHES = 1024
 MAX_GROUP_BYTES = 16 * 1024 * 1024
 FULL_QUEUE_RETRY_SECONDS = 0.1
 
@@ -34,7 +35,7 @@
 
 
 class _ThreadWaiter:
-    """A thread that waits for its batch. It costs less than a future."""
+    """A thread that waits for the result of its batch. Cheaper than a `concurrent.futures.Future`."""
 
     __slots__ = ("_lock", "_result")
 
@@ -55,7 +56,7 @@
 
 
 class _TaskWaiter:
-    """A trio task that waits for its batch."""
+    """A trio task that waits for the result of its batch."""
 
     __slots__ = ("token", "event", "value")
 
@@ -85,7 +86,8 @@
         interval: float,
         maintenance_due: threading.Event,
     ):
-        """`interval` in seconds. `maintenance_due` is set when there may be segments to compact."""
+        """`interval`: seconds between syncs in mode `interval`. Sets `maintenance_due` when there may be
+        segments to compact."""
         self._engine = engine
         self._clock = clock
         self._mode = mode
@@ -96,7 +98,8 @@
         self._queue_changed = threading.Condition()
         self._committing = threading.Lock()
         self._closing = False
-        self._dirty_since = 0.0  # monotonic seconds
+        # When the oldest unsynced write was made, in monotonic seconds.
+        self._dirty_since = 0.0
         self._thread = threading.Thread(target=self._run, name="store-commit", daemon=True)
         self._thread.start()
 
@@ -138,8 +141,9 @@
             except StoreQueueFull:
                 with self._queue_changed:
                     self._queue_changed.wait(FULL_QUEUE_RETRY_SECONDS)
-        # If no thread is committing, this one does, which saves two context switches. The lock is released
-        # before the queue is checked for batches queued meanwhile, so that none is overlooked.
+        # If no thread is committing, the calling thread commits the queue itself, which saves two context
+        # switches. It releases the lock before it checks for batches queued meanwhile, so that no batch is
+        # overlooked.
         if self._committing.acquire(blocking=False):
             try:
                 self._commit_queued()
@@ -249,5 +253,7 @@
         if type(done) is _TaskWaiter:
             tasks.setdefault(done.token, []).append(done)
     for token, waiters in tasks.items():
-        with suppress(trio.RunFinishedError):  # the loop has ended, and its tasks with it
+        with suppress(
+            trio.RunFinishedError
+        ):  # the event loop has ended, and with it the waiting tasks
             token.run_sync_soon(_wake_tasks, waiters)
--- a/yewrill/store/key_directory.py
+++ b/yewrill/store/key_directory.py
@@ -31,16 +31,17 @@
 
     def __init__(self, index: SortedDict, segments: dict[int, Segment], next_seq: int):
         self.lock = threading.RLock()
-        self.index = index  # key: packed ENTRY
-        self.segments = segments  # by slot
+        self.index = index  # maps a key to its packed ENTRY
+        self.segments = segments  # maps the slot in index entries to the segment
         self.next_seq = next_seq  # sequence number of the next operation
-        self.history: SortedDict = SortedDict()  # key: list of _ReplacedEntry
-        self._snapshots: dict[int, int] = {}  # last visible sequence number by handle
+        self.history: SortedDict = SortedDict()  # maps a key to its _ReplacedEntry objects
+        # Maps the handle of each open snapshot to the last sequence number that the snapshot sees.
+        self._snapshots: dict[int, int] = {}
         self._next_slot = max(segments, default=-1) + 1
         self._next_snapshot = 0
 
     def take_slot(self) -> int:
-        """Returns a new segment's slot. Slots are never reused."""
+        """Returns the slot of a new segment, the number by which index entries refer to it. Never reused."""
         with self.lock:
             self._next_slot += 1
             return self._next_slot - 1
@@ -106,7 +107,7 @@
         """
         with self.lock:
             lost: list[bytes] = []
-            # Live bytes remain where a damaged frame could not be copied.
+            # Bytes still live in a compacted segment belong to damaged frames, which could not be copied.
             if any(segment.live > 0 for segment in segments):
                 slots = {segment.slot for segment in segments}
                 lost = [key for key, entry in self.index.items() if ENTRY.unpack(entry)[0] in slots]
--- a/yewrill/store/maintenance.py
+++ b/yewrill/store/maintenance.py
@@ -13,9 +13,12 @@
 
 log = logging.getLogger("yewrill.store")
 
-MAINTENANCE_INTERVAL_SECONDS = 5.0  # between checks for segments to compact
-MAINTENANCE_RETRY_SECONDS = 30.0  # pause after an error
-PACER_BURST_SECONDS = 0.25  # work at the full rate that may be done without a pause
+# Time between checks for segments to compact.
+MAINTENANCE_INTERVAL_SECONDS = 5.0
+# Pause of the background work after an error.
+MAINTENANCE_RETRY_SECONDS = 30.0
+# Background work that may be done without a pause, in seconds of work at the full rate.
+PACER_BURST_SECONDS = 0.25
 
 
 class Maintenance:
@@ -100,7 +103,7 @@
         self._paced(engine.write_hints(), pacer)
 
     def _paced(self, work: Iterator[int], pacer: policy.Pacer) -> bool:
-        """Does work at the pacer's rate; returns False if `stop` ended it early."""
+        """Does work at the rate of the pacer (the rate limit); returns False if `stop` ended it early."""
         for size in work:
             if self._stop.wait(pacer.spend(size, time.monotonic())):
                 work.close()
--- a/yewrill/store/policy.py
+++ b/yewrill/store/policy.py
@@ -34,12 +34,12 @@
 class CompactionRules:
     """Thresholds from which a compaction is worth the bytes that it writes."""
 
-    min_garbage_ratio: float = 0.5  # garbage as a share of the segment's size
-    min_garbage_bytes: int = 64 * 1024  # less is not worth a new file
-    fan_in: int = 6  # segments in one tier from which they are merged
+    min_garbage_ratio: float = 0.5  # least garbage, as a share of the segment's size
+    min_garbage_bytes: int = 64 * 1024  # least garbage that is worth a new file
+    fan_in: int = 6  # least number of segments in one tier to merge
     tier_factor: float = 4.0  # ratio of the size limits of neighbouring tiers
-    min_tier_bytes: int = 256 * 1024  # segments up to this size are the lowest tier
-    max_output_bytes: int = 128 * 1024 * 1024  # bound on the bytes that one compaction writes
+    min_tier_bytes: int = 256 * 1024  # size limit of the lowest tier
+    max_output_bytes: int = 128 * 1024 * 1024  # most bytes that one compaction writes
 
     def tier(self, size: int) -> int:
         """Returns the tier of a segment of this size."""
--- a/yewrill/store/reader.py
+++ b/yewrill/store/reader.py
@@ -15,9 +15,11 @@
 from yewrill.store.key_directory import KeyDirectory
 from yewrill.store.segment import ENTRY, SLOT, Segment
 
-SCAN_CHUNK_KEYS = 512  # keys that are looked up at a time while the lock is held
+# Number of keys that a scan looks up at a time, during which it holds the key directory's lock.
+SCAN_CHUNK_KEYS = 512
 READ_AHEAD_BYTES = 64 * 1024
-MAX_LOOKUPS = 8  # lookups of a key whose segment compaction removes in between
+# Limit on the lookups of one key: compaction may remove the segment between a lookup and the read.
+MAX_LOOKUPS = 8
 
 
 class VersionedValue(NamedTuple):
@@ -53,7 +55,7 @@
             if expires and expires <= now:
                 return None
             segment = self._directory.segments.get(slot)
-            if segment is not None:  # else compaction removed it after the index lookup
+            if segment is not None:  # else it was compacted after the index lookup
                 return VersionedValue(self.read(segment, key, offset, size), seq, expires)
         raise DamagedValue(key, "no segment", 0)
 
@@ -117,13 +119,13 @@
                 )
                 base, window_segment, at = offset, segment, 0
             previous_end = offset + total_size
-            content = window[at + head : at + total_size]  # the key, then the value
+            content = window[at + head : at + total_size]  # the key followed by the value
             if (
                 len(content) != total_size - head
                 or crc_of(window, at) != extend_crc32c(segment.salt, content)
                 or not content.startswith(key)
             ):
-                self.read(segment, key, offset, size)  # reports the damage and raises
+                self.read(segment, key, offset, size)  # reports the damage and raises DamagedValue
             yield key, content[len(key) :], seq, expires
 
 
@@ -173,11 +175,11 @@
     def _next_chunk(
         self, low: bytes, high: bytes | None, reverse: bool
     ) -> tuple[list[tuple[bytes, Segment, bytes]], bytes | None]:
-        """Returns the next entries, and the last key covered if there may be more, else None.
+        """Returns the next entries of the range, and the last key that they cover, None if no entries follow.
 
         The caller holds the lock.
         """
-        # Merges the keys of both maps; `history` has the entries replaced or deleted since.
+        # Merges the keys of `index` (newest entries) and `history` (entries replaced since the snapshot).
         keys: set[bytes] = set()
         ends = []
         for source in (self._directory.index, self._directory.history):
@@ -185,7 +187,7 @@
             if len(listed) == SCAN_CHUNK_KEYS:
                 ends.append(listed[-1])
             keys.update(listed)
-        # Beyond the nearer end, one of the maps may have keys that were not listed yet.
+        # A source cut off at SCAN_CHUNK_KEYS may have more keys after its last one, so the chunk ends there.
         end = (max(ends) if reverse else min(ends)) if ends else None
         chunk = []
         for key in sorted(keys, reverse=reverse):
--- a/yewrill/store/recovery.py
+++ b/yewrill/store/recovery.py
@@ -40,11 +40,12 @@
     """The state from which an engine starts."""
 
     index: SortedDict
-    segments: dict[int, Segment]  # by slot
+    segments: dict[int, Segment]  # maps the slot in index entries to the segment
     next_segment: int
     next_seq: int
     findings: list[Finding]
-    later_format: list[str]  # names of files in a later format, which stay unchanged
+    # Names of files in a later version of the format; the store never changes them.
+    later_format: list[str]
     read_only: bool = False
 
 
@@ -57,7 +58,7 @@
     findings: list[Finding] = field(default_factory=list)
     entries: dict[bytes, bytes] = field(default_factory=dict)
     read_only: bool = False
-    highest_seq: int = 0  # highest sequence number found
+    highest_seq: int = 0  # highest sequence number found in the directory
 
     def add_finding(self, kind: FindingKind, file: str, *args, **more) -> None:
         self.findings.append(Finding(kind, file, *args, **more))
@@ -144,7 +145,7 @@
             later_format.append(name.file)
             del names[number]
         except fmt.Malformed as error:
-            # A file that is shorter than a header never held a record.
+            # A segment file that is shorter than a header never held a record.
             if handle.size() >= fmt.segment_header_size(0):
                 recovery.add_finding(
                     FindingKind.HEADER, name.file, 0, fmt.segment_header_size(0), 0, note=str(error)
@@ -218,7 +219,8 @@
         output_of = set(headers.get(number, ((), 0))[0])
         if number in replaced or output_of & listed:
             continue
-        if number < manifest.next_segment:  # it existed when the manifest was written
+        # The segment existed when the manifest was written, and was left out on purpose.
+        if number < manifest.next_segment:
             continue
         if _has_no_frames(recovery, names[number], headers.get(number)):
             continue
--- a/yewrill/store/reserve.py
+++ b/yewrill/store/reserve.py
@@ -10,7 +10,7 @@
 
 from yewrill.store.files import Files
 
-RESERVE = "RESERVE"  # the file that occupies the space
+RESERVE = "RESERVE"  # name of the file that occupies the reserved space
 METADATA_BYTES = 4096  # share of the reserve for manifests and directory entries
 DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
--- a/yewrill/store/segment.py
+++ b/yewrill/store/segment.py
@@ -8,12 +8,14 @@
 from yewrill.store.format import SegmentName
 from yewrill.store.policy import SegmentStats
 
-# Slot of the segment, offset of the operation in it, size of the value, sequence number, expiry.
+# Index entry: slot (number) of the segment, offset of the operation in the segment, size of the value,
+# sequence number, expiry.
 # Entries are packed since a tuple of five numbers takes four times the memory.
 ENTRY = struct.Struct("<IIIQq")
-SLOT = struct.Struct("<I")  # the first field of ENTRY
+SLOT = struct.Struct("<I")  # the slot alone, the first field of ENTRY
 TOMBSTONE = 0xFFFFFFFF  # value size that marks a deleted key; used only during recovery
-EXPIRY_BUCKET_MS = 60_000  # records that expire within one bucket are counted together
+# Width of a bucket: the bytes of records that expire within the same bucket are added up.
+EXPIRY_BUCKET_MS = 60_000
 
 
 class Segment:
@@ -44,10 +46,11 @@
         self.frames_start = 0  # offset of the first frame
         self.live = 0  # bytes of records that the index refers to
         self.deletions = 0  # bytes of tombstones
-        self.lowest_seq = 2**63  # lowest sequence number of its operations
+        self.lowest_seq = 2**63  # lowest sequence number of the segment's operations
         self.damaged = False
-        self.hinted = False  # has a valid hint file
-        self.from_compaction = False  # written by compaction, so its sequence numbers have gaps
+        self.hinted = False  # the segment has a valid hint file
+        # Whether compaction wrote the segment; its sequence numbers then have gaps.
+        self.from_compaction = False
         self.expiring_bytes: dict[int, int] = {}  # live bytes by expiry bucket
 
     def add_expiring_bytes(self, expires: int, size: int) -> None:
--- a/yewrill/store/simdisk.py
+++ b/yewrill/store/simdisk.py
@@ -19,9 +19,11 @@
 from yewrill.store.errors import StoreLocked
 
 SHORT = -1
-SECTOR_BYTES = 512  # sectors of a torn write are kept or lost one by one
+# Size of a disk sector; a torn write keeps some of its sectors and loses the others.
+SECTOR_BYTES = 512
 
-Fault = Callable[[int, str, str], int | None]  # number and name of the call, file name
+# Takes the number and the name of a call and the file name; returns an errno, SHORT or None.
+Fault = Callable[[int, str, str], int | None]
 
 
 class Crashed(BaseException):
@@ -36,9 +38,8 @@
     def __init__(self, data: bytes = b""):
         self.data = bytearray(data)
         self.durable = bytearray(data)
-        self.pending: list[
-            tuple[int, bytes | None]
-        ] = []  # offset and data; None: truncation to the offset
+        # Unsynced writes as offset and data; None instead of data is a truncation to the offset.
+        self.pending: list[tuple[int, bytes | None]] = []
 
     def after_crash(self, rng: random.Random) -> bytes:
         found = bytearray(self.durable)
@@ -50,7 +51,7 @@
                 del found[offset:]
                 continue
             pieces = [(0, len(data))]
-            if fate < 0.65:  # torn: some of its sectors, or cut at any byte
+            if fate < 0.65:  # a torn write: only some of its sectors, or cut at any byte
                 if rng.random() < 0.5:
                     pieces = [(0, rng.randrange(len(data) + 1))]
                 else:
@@ -116,10 +117,10 @@
         self.calls = 0
         self.fail = fail
         self.crash_at = crash_at
-        self.capacity = capacity  # bytes that the disk has in all, None: no bound
+        self.capacity = capacity  # size of the disk in bytes; None: unlimited
         self.crashed = False
         self.read_only = False
-        # If False, sync_names has no effect, so that tests can show that it is needed.
+        # False disables sync_names, so that tests can show that a store without it loses files in a crash.
         self.name_syncs_enabled = True
         self._names: dict[str, _Inode] = {}
         self._durable: dict[str, _Inode] = {}
--- a/yewrill/store/store.py
+++ b/yewrill/store/store.py
@@ -116,7 +116,7 @@
         return None if found is None else found.value
 
     def find(self, key: bytes) -> VersionedValue | None:
-        """Returns the value of a key with its version and expiry; as `get`."""
+        """Like `get`, but returns the value with its version and expiry."""
         return self.engine.get(key, self.clock())
 
     def scan(
--- a/yewrill/store/verification.py
+++ b/yewrill/store/verification.py
@@ -68,7 +68,8 @@
         for found in read_frames(handle, start, size, salt):
             if isinstance(found, Frame):
                 self._progress(found.end - found.offset)
-            elif start or found.start:  # else the gap is the damaged header, already reported
+            # With a damaged segment header, the gap at offset 0 is that header, which is already reported.
+            elif start or found.start:
                 kind = FindingKind.TORN if found.tail and found.torn else FindingKind.DAMAGE
                 self._add(kind, file, found.start, found.end)
 
