--- a/yewrill/persistence/attempt_journal.py
+++ b/yewrill/persistence/attempt_journal.py
@@ -34,10 +34,11 @@
 from yewrill.store import Batch
 
 ATTEMPT_PREFIX = b"sent/"
-# Records whose deletion exceeds this bound stay on disk until they expire.
+# Bound on the queue of records to delete. Further records stay on disk until they expire.
 MAX_PENDING_DELETIONS = 512
 MAX_RECOVERED_ATTEMPTS = 100_000
-EXPIRY_CHECKS_PER_ROUND = 64  # requests of earlier runs checked per call of expire_recovered
+# Number of requests of earlier runs that one call of expire_recovered checks.
+EXPIRY_CHECKS_PER_ROUND = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,12 +55,15 @@
 
     identity: RequestIdentity
     window_ms: float
-    earlier_runs_known: bool  # all records of earlier runs were read when the request arrived
-    # Key of its record, which is that of the first attempt that may have run, else of the last attempt.
+    # Whether all records of earlier runs had been read when the request arrived.
+    earlier_runs_known: bool
+    # Key of the request's only record, which is that of its first attempt that may have run, or of its last
+    # attempt if none may have run.
     key: bytes = b""
     value: bytes = b""
-    expires: int = 0  # wall clock, ms
-    may_have_run: bool = False  # an attempt has ended whose outcome does not rule out that it ran
+    expires: int = 0  # when the record expires, in ms of the wall clock
+    # Whether an attempt of the request has ended whose outcome doesn't rule out that the worker ran it.
+    may_have_run: bool = False
 
 
 class AttemptJournal:
@@ -104,7 +108,8 @@
         try:
             for name, value in self._disk.records(ATTEMPT_PREFIX):
                 if f"/{self._run_id}/" in name:
-                    continue  # of this run, forwarded to the run that had the store before
+                    # A record of this run, written for it by the run that had the store open before.
+                    continue
                 with suppress(ValueError, TypeError, KeyError):
                     record = AttemptRecord.decode(value)
                     recovered.setdefault(record.identity, []).append(
@@ -121,7 +126,7 @@
         return self.recovered
 
     def expire_recovered(self) -> None:
-        """Deletes recovered attempts past the longest window, in memory and on disk.
+        """Deletes earlier runs' attempts that are older than the retention window, in memory and on disk.
 
         Each call checks up to EXPIRY_CHECKS_PER_ROUND requests.
         """
@@ -133,7 +138,7 @@
                 min_age_ms(recovered_attempt.record.at, now) <= self._non_idempotent_window_ms
                 for recovered_attempt in attempts
             ):
-                # Moves the request to the end, so that the others are checked first.
+                # Moves the request to the end, so that the next call checks other requests first.
                 self._recovered_attempts[identity] = attempts
             else:
                 self._queue_deletions(recovered_attempt.key for recovered_attempt in attempts)
@@ -183,7 +188,7 @@
         """
         tracked = self._requests.get(attempt.request)
         if tracked is None or tracked.may_have_run:
-            # The record stays that of the first attempt that may have run.
+            # The request keeps the record of its first attempt that may have run.
             return True
         worker = self._endpoints.get(attempt.worker)
         if worker is None:
@@ -198,7 +203,9 @@
         if self._disk.store is None and self.forward_record is not None:
             return await self.forward_record(tracked.key.decode(), tracked.value.decode())
         if not tracked.earlier_runs_known:
-            return False  # an earlier run may have sent it: its records were not read yet
+            return (
+                False  # an earlier run, whose records are not all read, may have sent the request
+            )
         return await self.write_with_pending_deletions(
             Batch().put(tracked.key, tracked.value, tracked.expires)
         )
@@ -228,13 +235,13 @@
         )
 
     def attempt_finished(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Notes an attempt's outcome. The record of one that may have run is not replaced any more."""
+        """Notes an attempt's outcome. If the attempt may have run, later ones don't replace its record."""
         tracked = self._requests.get(attempt.request)
         if tracked is not None and outcome.policy_outcome not in NEVER_RAN:
             tracked.may_have_run = True
 
     def request_finished(self, request: Request) -> None:
-        """Queues the deletion of a request's record, since it has its answer and no attempt in flight."""
+        """Queues the deletion of the record of a request that is answered and has no attempt in flight."""
         tracked = self._requests.pop(request, None)
         if tracked is not None and tracked.key:
             self._queue_deletions([tracked.key])
@@ -263,7 +270,7 @@
         """Writes a batch together with the pending deletions; returns whether it is on disk."""
         keys = self._keys_to_delete
         written = await self._write(self.take_pending_deletions(batch))
-        if not written:  # otherwise a later run takes them for attempts in flight
+        if not written:  # a later run would take records left on disk for attempts in flight
             self._queue_deletions(keys)
         return written
 
--- a/yewrill/persistence/attempts.py
+++ b/yewrill/persistence/attempts.py
@@ -2,9 +2,10 @@
 
 A record says that a request was about to be sent to a worker at a given time. As long as it exists, the end
 of the request is unknown, so the worker may have run it. The age of a record has two uses. To decide whether
-the worker's cell still drops a duplicate, it must not be underestimated. To decide whether the record may be
-deleted, it must not be overestimated. Within one boot the monotonic clock gives the exact age. Across a
-reboot only the wall clock is left, which may have been set by up to `MAX_CLOCK_ADJUSTMENT_MS` meanwhile.
+the worker's cell (a group of workers that detect duplicates together) still drops a duplicate, the age must
+not be underestimated. To decide whether the record may be deleted, it must not be overestimated. Within one
+boot the monotonic clock gives the exact age. Across a reboot only the wall clock is left, which may have been
+set by up to `MAX_CLOCK_ADJUSTMENT_MS` meanwhile.
 """
 
 from __future__ import annotations
@@ -15,8 +16,10 @@
 
 from yewrill.policy import interface as api
 
-LONG_AGO_MS = 1e12  # an age beyond every window
-MAX_CLOCK_ADJUSTMENT_MS = 2 * 3_600_000.0  # largest change of the wall clock that is allowed for
+# An age that is longer than every window in which workers detect duplicates.
+LONG_AGO_MS = 1e12
+# Largest adjustment of the wall clock that the estimates of ages allow for.
+MAX_CLOCK_ADJUSTMENT_MS = 2 * 3_600_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,5 +147,6 @@
     first = max(within_window, key=lambda record: max_age_ms(record.at, now))
     age_ms = max_age_ms(first.at, now)
     if len({(record.zone, record.cell) for record in within_window}) > 1:
-        age_ms = LONG_AGO_MS  # no single cell can detect all duplicates
+        # The attempts went to several cells, so no single cell can detect all duplicates.
+        age_ms = LONG_AGO_MS
     return EarlierAttempt(age_ms, first.zone, first.cell)
--- a/yewrill/persistence/clock.py
+++ b/yewrill/persistence/clock.py
@@ -8,8 +8,9 @@
 from yewrill.persistence.attempts import Clocks
 
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
-# Windows are measured with the monotonic clock where possible. The store's own expiry uses the wall clock
-# and only limits the lifetime of records that no later run reads, hence the margin.
+# Time that a record stays in the store beyond its retention window. The store expires records by the wall
+# clock, which may be set, while windows are measured with the monotonic clock where possible. Expiry only
+# limits the lifetime of records that no later run reads, so the margin can be wide.
 EXPIRY_MARGIN_MS = 24 * 3_600_000.0
 
 
--- a/yewrill/persistence/disk.py
+++ b/yewrill/persistence/disk.py
@@ -21,7 +21,8 @@
 log = logging.getLogger("yewrill.state")
 
 SEGMENT_BYTES = 4 * 1024 * 1024
-LOCK_RETRY_SECONDS = 0.25  # between attempts to open a store that another process has locked
+# Time between attempts to open a store that another process has locked.
+LOCK_RETRY_SECONDS = 0.25
 # Exponential backoff between attempts to reopen a store whose sync failed.
 REOPEN_MIN_SECONDS = 0.1
 REOPEN_FACTOR = 2.0
@@ -51,7 +52,8 @@
         self._closing = False
         self._on_reopened = on_reopened
         self._reopen_needed = trio.Event()
-        self._failure_logged = False  # a failure was logged, and no write has succeeded since
+        # Whether a failed write was logged and no write has succeeded since.
+        self._failure_logged = False
         self.reopen_count = 0
 
     @property
@@ -131,7 +133,8 @@
         """Reopens the store each time a sync of it has failed. Runs until cancelled."""
         while True:
             await self._reopen_needed.wait()
-            self._reopen_needed = trio.Event()  # a write may fail again while the store is reopened
+            # Replaced before the store is reopened, since a write may fail again meanwhile.
+            self._reopen_needed = trio.Event()
             await self._reopen()
 
     async def _reopen(self) -> None:
--- a/yewrill/persistence/operator_state.py
+++ b/yewrill/persistence/operator_state.py
@@ -27,11 +27,11 @@
     """The state that the last run stored, without its attempts."""
 
     detached: list[str] = field(default_factory=list)
-    reattached: dict[str, float] = field(
-        default_factory=dict
-    )  # worker: time since it was reattached, in ms
+    # Maps a worker to the time since it was reattached, in ms.
+    reattached: dict[str, float] = field(default_factory=dict)
     operator_drain: bool = False
-    endpoint_list: dict[str, Any] | None = None  # in the format of discovery responses
+    # The endpoint list in the format of discovery responses.
+    endpoint_list: dict[str, Any] | None = None
 
     def as_message(self) -> dict[str, Any]:
         """Returns the message in which the old process of a hot restart sends this state to the new one."""
--- a/yewrill/persistence/persistent_state.py
+++ b/yewrill/persistence/persistent_state.py
@@ -33,8 +33,10 @@
 )
 from yewrill.store import Batch, StoreError
 
-WRITE_INTERVAL_SECONDS = 0.5  # between background writes
-ENDPOINT_LIST_INTERVAL_SECONDS = 1.0  # between writes of the endpoint list
+# Time between background writes.
+WRITE_INTERVAL_SECONDS = 0.5
+# Least time between writes of the endpoint list.
+ENDPOINT_LIST_INTERVAL_SECONDS = 1.0
 RUN_ID_BYTES = 6
 
 
@@ -69,7 +71,8 @@
             run_id=os.urandom(RUN_ID_BYTES).hex() if run_id is None else run_id,
         )
         self._operator_drain = False
-        self._rewrite_needed = False  # an operator's setting could not be written yet
+        # Whether a write of an operator's setting failed and has to be repeated.
+        self._rewrite_needed = False
         self._endpoint_list_changed = trio.Event()
 
     # -- opening and closing
