--- a/yewrill/lab/__init__.py
+++ b/yewrill/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Simulations, model checkers and test rigs of the dispatcher's parts. The dispatcher itself imports none."""
+"""Simulations, model checkers and test rigs for the dispatcher, which itself imports none of them."""
--- a/yewrill/lab/ownnet.py
+++ b/yewrill/lab/ownnet.py
@@ -2,8 +2,9 @@
 
 Each member has a lease node and a simulated disk; messages pass through the real codec, split into datagrams.
 Members are killed, restarted with the disk intact or with its tail lost, paused and cut off, and their clocks
-run fast or slow. After each step the simulation checks that at most one member acts for the duty, and that
-each member accepts commands with fencing numbers that never fall.
+run fast or slow. After each step the simulation checks that at most one member holds the lease of the duty
+(the work for which the lease is needed), and that each member accepts commands with fencing numbers that
+never fall.
 """
 
 from __future__ import annotations
@@ -38,14 +39,14 @@
     paused_until: float = -1.0
     clock_rate: float = 1.0
     bytes_sent: int = 0
-    fence: Fence = field(default_factory=Fence)  # kept over restarts, as on a disk
+    fence: Fence = field(default_factory=Fence)  # survives restarts, as if it were on disk
     assembler: FragmentAssembler = field(default_factory=FragmentAssembler)
 
 
 class OwnNet(VirtualNetwork):
     """The simulated members and the network between them. Raises InvariantViolation if an invariant fails.
 
-    `wanting`: only the first so many members ask for the lease (default: all). `drift`: the rate of each
+    `wanting`: only the first `wanting` members ask for the lease (default: all). `drift`: the rate of each
     member's clock is off by up to this fraction.
     """
 
@@ -65,8 +66,10 @@
         self.duty, self.lease_seconds = duty, lease_seconds
         self.voters = tuple(f"m{i}" for i in range(voters))
         self.members: dict[str, Member] = {}
-        self.acquisitions: list[tuple[float, str, int]] = []  # time, new owner, number
-        self.accepted_commands: list[tuple[float, str, int]] = []  # time, member, number
+        # Time, new owner and fencing number of each acquisition of the lease.
+        self.acquisitions: list[tuple[float, str, int]] = []
+        # Time, member and fencing number of each command that a member accepted.
+        self.accepted_commands: list[tuple[float, str, int]] = []
         self.wanting, self.machines = wanting, machines
         disk = PersistentRaftState(snapshot=Snapshot(0, 0, self.voters))
         for i in range(members):
@@ -160,7 +163,7 @@
     # -- invariants
 
     def owners(self) -> list[tuple[str, int]]:
-        """Returns the members that hold the duty's lease by their own clocks, each with its number."""
+        """Returns the members that hold the duty's lease by their own clocks, with their fencing numbers."""
         return [
             (m.name, number)
             for m in self.members.values()
@@ -182,7 +185,7 @@
                 self.acquisitions.append((self.now, name, number))
 
     def send_command(self, name: str, number: int, delay: float) -> None:
-        """Sends an owner's command to all members; each receives it within `delay` seconds."""
+        """Sends a command of the lease's owner to all members; each receives it within `delay` seconds."""
         for member in self.members.values():
 
             def receive(member: Member = member) -> None:
--- a/yewrill/lab/raftcheck.py
+++ b/yewrill/lab/raftcheck.py
@@ -2,9 +2,9 @@
 
 The search is breadth first over all orders of events of a few voters: an election timeout, a round of
 heartbeats, a proposed command, the arrival of any message in flight (in any order; a message that is never
-picked is lost), and a restart of a voter, with its disk intact or with the tail of its disk lost. Two states
-are equal if the hashes of everything that decides their future are; voters whose names can be exchanged
-without a difference count as the same. Each state is visited once.
+picked is lost), and a restart of a voter, with its disk intact or with a lost tail: the last states that it
+saved are gone. Two states count as equal if the hashes of everything that decides their future are equal; an
+exchange of the voters' names makes no difference. Each state is visited once.
 
 The log tolerates a lost tail only as long as no other voter has restarted, so only such losses are explored.
 """
@@ -36,11 +36,13 @@
 
     voters: int = 3
     term: int = 2
-    log: int = 3  # entries, including those that a new leader appends
-    messages: int = 4  # in flight; the oldest is dropped when there are more
+    # Entries in a voter's log, including those that a new leader appends.
+    log: int = 3
+    # Messages in flight; when there are more, the oldest is dropped.
+    messages: int = 4
     commands: int = 1
     crashes: int = 1
-    lost_tails: int = 0  # crashes that also lose the tail of the disk
+    lost_tails: int = 0  # crashes after which the last saved states are lost
     states: int = 2_000_000
 
 
@@ -67,7 +69,7 @@
 
     states: int
     steps: int
-    complete: bool  # every state within the bounds was visited
+    complete: bool  # whether every state within the bounds was visited
     violation: str = ""  # the first invariant that failed
     path: tuple[str, ...] = ()
 
@@ -91,7 +93,7 @@
         nodes = {
             name: self.create_raft(name, 1, disk, trust_disk=self.trust_disk) for name in self.names
         }
-        # On the first start of all no voter can have forgotten a vote, so none has to recover.
+        # When all voters start for the first time, none can have forgotten a vote, so none has to recover.
         for raft in nodes.values():
             raft.is_voting = True
         return World(nodes, dict.fromkeys(self.names, (disk,)))
@@ -200,9 +202,9 @@
     # -- exploration
 
     def key(self, world: World) -> object:
-        """Returns everything that decides a state's future, equal for states that differ in names only."""
+        """Returns what decides a state's future, equal for states that differ only in voters' names."""
         by_signature: dict[tuple, list[str]] = {}
-        # Voters with different signatures have a fixed order; only those with the same are permuted.
+        # Voters are ordered by their signatures; only voters with equal signatures are permuted.
         for name, r in world.nodes.items():
             signature = (
                 r.term,
--- a/yewrill/lab/scale/__init__.py
+++ b/yewrill/lab/scale/__init__.py
@@ -5,6 +5,7 @@
 that simulation. `fleet.py` starts a fleet of processes on loopback: real dispatchers with the shipped
 configuration, and *hollow* ones (`hollow.py`), which run the same control plane but serve no requests, many
 to a process; `measure.py` measures such a fleet with the process statistics of `sampling.py`. `module.py`
-measures the decision module and the endpoint list. `plan.py` has the planned sizes and the budgets, `fit.py`
-fits lines through measurements, and `page.py` renders the capacity page. The dispatcher imports none of it.
+measures the policy module and the endpoint list. `plan.py` has the planned sizes and the budgets, `fit.py`
+fits lines through measurements, and `page.py` renders the capacity page. The dispatcher itself imports
+none of these modules.
 """
--- a/yewrill/lab/scale/events.py
+++ b/yewrill/lab/scale/events.py
@@ -21,7 +21,7 @@
 from yewrill.views.view import View
 
 INSIDE_REGION = Path(delay=0.0002, jitter=0.0002)
-BETWEEN_REGIONS = Path(delay=0.008, jitter=0.001)  # one way
+BETWEEN_REGIONS = Path(delay=0.008, jitter=0.001)  # delay in one direction
 WINDOW_S = 10
 FORM_LIMIT_S = 90.0
 REST_S = 20.0
@@ -53,7 +53,7 @@
         return int(name[1:]) % self.parameters.zones
 
     def form(self) -> float | None:
-        """Runs until all dispatchers agree on a view; returns the seconds that took, None if too long."""
+        """Runs until all dispatchers agree on a view; returns the seconds, None beyond FORM_LIMIT_S."""
         return self.until(self.agreed, FORM_LIMIT_S, 0.5)
 
     def install_common_view(self) -> None:
@@ -75,7 +75,7 @@
         """Records each second the bytes that each dispatcher has sent."""
         for node in self.nodes.values():
             sent = self._history.setdefault(node.name, deque(maxlen=WINDOW_S + 1))
-            if sent and node.bytes_out < sent[-1]:  # restarted, so its counters began at zero
+            if sent and node.bytes_out < sent[-1]:  # after a restart, counters begin at zero
                 sent.clear()
             sent.append(node.bytes_out)
             if len(sent) == WINDOW_S + 1:
@@ -139,7 +139,7 @@
 def _outcome(
     fleet: WideFleet, gone: list[str], agreed: float | None, back: float | None
 ) -> dict[str, Any]:
-    """Returns the results of an event."""
+    """Returns the results of an event under the keys that the module docstring explains."""
     return {
         "gone": len(gone),
         "agreed_s": agreed,
--- a/yewrill/lab/scale/fit.py
+++ b/yewrill/lab/scale/fit.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass
 
 MIN_SIZES = 5
-# A quadratic term above this fraction of the value at the largest size makes a line a wrong model.
+# A line is the wrong model if a quadratic term contributes more than this fraction of the value at the
+# largest size.
 MAX_QUADRATIC_FRACTION = 0.25
 
 
@@ -64,7 +65,8 @@
     if len(set(sizes)) < MIN_SIZES:
         raise ValueError(f"a fitted line needs at least {MIN_SIZES} sizes, not {len(set(sizes))}")
     largest = max(sizes)
-    scaled = [size / largest for size in sizes]  # keeps the normal equations well conditioned
+    # Sizes of at most 1 keep the normal equations well conditioned.
+    scaled = [size / largest for size in sizes]
     constant, slope = _fit_polynomial(scaled, values, 1)
     square = _fit_polynomial(scaled, values, 2)[2]
     errors = [constant + slope * size - value for size, value in zip(scaled, values, strict=True)]
--- a/yewrill/lab/scale/fleet.py
+++ b/yewrill/lab/scale/fleet.py
@@ -32,7 +32,8 @@
 PEERS = 8
 FOUNDERS = 3
 LONG_POLL_S = 4.0
-CONTROL_PLANE = ("members", "views", "zones")  # keys of the configuration
+# Keys of the configuration that switch on the subsystems of the control plane.
+CONTROL_PLANE = ("members", "views", "zones")
 Status = Mapping[str, Any]
 
 
@@ -100,7 +101,7 @@
 
     @property
     def port(self) -> int:
-        """The TCP port on which it listens."""
+        """The TCP port on which the server listens."""
         return self._server.server_address[1]
 
     def close(self) -> None:
@@ -211,7 +212,7 @@
             files.append((name, path, ports[2 * count + index]))
         self.started_at = time.monotonic()
         try:
-            # The real dispatchers are spread evenly over the indices, so that founders are among them.
+            # The real dispatchers are spread evenly over the fleet, so that founders are among them.
             step = max(1, mix.dispatchers // max(1, mix.real))
             real = set(list(range(0, mix.dispatchers, step))[: mix.real])
             self._start_hollow([files[i] for i in range(mix.dispatchers) if i not in real])
@@ -319,7 +320,7 @@
 
 
 def in_one_view(statuses: Mapping[str, Status], among: Iterable[str] | None = None) -> bool:
-    """Returns whether all dispatchers, or those of `among`, hold leases in one view of exactly these."""
+    """Returns whether all dispatchers, or those of `among`, hold leases in one view with no other member."""
     names = set(statuses if among is None else among)
     views = [statuses[name].get("views", {}) for name in names]
     digest = views[0].get("digest")
--- a/yewrill/lab/scale/hollow.py
+++ b/yewrill/lab/scale/hollow.py
@@ -3,7 +3,7 @@
     python -m yewrill.lab.scale.hollow CONFIGURATION ...
 
 Each file is the configuration of one dispatcher. Its subsystems run as in a real dispatcher, with the same
-state machines, codecs, timers and sockets; the decision engine and the endpoint list that they ask are
+state machines, codecs, timers and sockets; the decision engine and the endpoint list that they query are
 replaced by those of an idle dispatcher. Commands are read from standard input, one on each line:
 
     status          writes the status of each dispatcher to standard output, as one line of JSON
@@ -40,7 +40,7 @@
         return {}
 
     def set_zone_weights(self, _weights: Mapping[int, float]) -> None:
-        """Ignores the weights."""
+        """Ignores the weights of the zones."""
 
 
 class _EmptyEndpointList:
--- a/yewrill/lab/scale/measure.py
+++ b/yewrill/lab/scale/measure.py
@@ -26,7 +26,8 @@
 )
 from yewrill.membership.transport import IP_UDP_HEADER_BYTES
 
-SETTLE_S = 4.0  # between agreement and the measurement at rest
+# Seconds between the agreement on a view and the measurement at rest.
+SETTLE_S = 4.0
 POLL_S = 0.5
 
 
@@ -63,7 +64,8 @@
     flooded: int
     idle: float
     starved: bool
-    by_kind: dict[str, list[float]] = field(default_factory=dict)  # datagrams/s and bytes/s sent
+    # For each kind of message, the datagrams and the bytes sent per second.
+    by_kind: dict[str, list[float]] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +82,7 @@
 
 
 def wire_between(first: Status, last: Status, seconds: float) -> Wire:
-    """Returns the rates between two statuses that are `seconds` apart.
+    """Returns a dispatcher's traffic rates from two of its statuses that are `seconds` apart.
 
     Sent bytes include the IP and UDP headers, received bytes do not.
     """
--- a/yewrill/lab/scale/module.py
+++ b/yewrill/lab/scale/module.py
@@ -1,4 +1,4 @@
-"""Measures the decision module's processor time and state, and the endpoint list, at several sizes."""
+"""Measures the policy module's processor time and state, and the endpoint list, at several sizes."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def create_module(workers: int, tenants: int) -> Dispatcher:
-    """Creates a decision module with an endpoint list of `workers` workers."""
+    """Creates a policy module with an endpoint list of `workers` workers."""
     module = Dispatcher(create_settings(tenants), 1)
     entries = [api.WorkerEntry(f"w{i:04d}", i % 11) for i in range(workers)]
     module.handle(0.0, [api.WorkerList(api.ListForm.CACHED, entries)])
@@ -51,11 +51,11 @@
 
 
 def seconds_per_request(workers: int, tenants: int, requests: int = REQUESTS) -> float:
-    """Returns the module's processor seconds for one request: its arrival, start and end."""
+    """Returns the policy module's processor seconds per request, for its arrival, start and end."""
     module = create_module(workers, tenants)
     now, cpu_seconds = 1000.0, 0.0
     for number in range(requests):
-        now += 2.8  # ms, for 360 requests per second
+        now += 2.8  # 2.8 ms between arrivals: about 360 requests per second
         name = f"j{number}"
         arrival = api.RequestArrived(name, 0, now + DEADLINE_MS, number % tenants, 1.0)
         began = time.process_time()
@@ -71,7 +71,7 @@
 
 
 def state_bytes(workers: int, tenants: int) -> int:
-    """Returns the bytes of memory that a decision module holds."""
+    """Returns the bytes of memory that a policy module holds."""
     gc.collect()
     tracemalloc.start()
     module = create_module(workers, tenants)
--- a/yewrill/lab/scale/page.py
+++ b/yewrill/lab/scale/page.py
@@ -131,7 +131,7 @@
 
 
 def serving_table(result: Result) -> str:
-    """Returns the table of the decision module, its state and the endpoint list."""
+    """Returns the table of the policy module, its state and the endpoint list."""
     module, lists = result["module"], result["lists"]
     fits = [
         ("processor a job, µs", module["fits"]["us_a_job"], plan.WORKERS, "workers"),
--- a/yewrill/lab/scale/plan.py
+++ b/yewrill/lab/scale/plan.py
@@ -1,4 +1,4 @@
-"""The planned size of an installation, the budgets at that size, and the largest fleet a machine may run."""
+"""The planned size of a deployment, the budgets at that size, and the largest fleet a machine may run."""
 
 from __future__ import annotations
 
@@ -11,16 +11,20 @@
 JOB_STARTS_PER_S = 360.0
 RUNNING_JOBS = 2100
 GANG_SIZE = 64
-URGENT_START_LIMIT_S = 1.2  # from the time at which urgent work is due until it starts
+# Limit on the time from when an urgent request is due until it starts.
+URGENT_START_LIMIT_S = 1.2
 CONFIG_CHANGES_PER_DAY = 540
-CONFIG_CHANGE_LIMIT_S = 8.0  # until a change is in force
-SIZES = (6, 12, 24, 60, 120, 200)  # dispatchers
-PAGE_SIZES = (22, 60, 200)  # dispatchers for which the page has values; 22 is two in each zone
-
-# Budgets of one dispatcher's control plane
+# Limit on the time until a change of the configuration is in force.
+CONFIG_CHANGE_LIMIT_S = 8.0
+# Sizes of the measured fleets, in dispatchers.
+SIZES = (6, 12, 24, 60, 120, 200)
+# Fleet sizes for which the capacity page has values, in dispatchers; 22 is two in each zone.
+PAGE_SIZES = (22, 60, 200)
+
+# Budgets for the control plane of one dispatcher.
 BUDGET_CORES = 0.011
 BUDGET_MEMORY_MB = 32.0
-BUDGET_BYTES_PER_S = 6000.0  # sent, including IP and UDP headers
+BUDGET_BYTES_PER_S = 6000.0  # bytes sent, including IP and UDP headers
 BUDGET_BYTES_PER_S_AT_REST = BUDGET_BYTES_PER_S / 2
 
 MAX_PROCESSES = 300
@@ -44,17 +48,17 @@
 
     @property
     def dispatchers(self) -> int:
-        """All dispatchers, real and hollow."""
+        """Number of all dispatchers, real and hollow."""
         return self.real + self.hollow
 
     @property
     def processes(self) -> int:
-        """Processes that run them: one for each real dispatcher, and one for each group of hollow ones."""
+        """Number of processes: one for each real dispatcher, and one for each group of hollow ones."""
         return self.real + -(-self.hollow // HOLLOW_PER_PROCESS)
 
     @property
     def memory_mb(self) -> float:
-        """High estimate of the memory that they use."""
+        """High estimate of the memory that the processes use, in MB."""
         hosts = self.processes - self.real
         return self.real * REAL_MB + hosts * HOLLOW_PROCESS_MB + self.hollow * HOLLOW_MB
 
--- a/yewrill/lab/scale/sampling.py
+++ b/yewrill/lab/scale/sampling.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-# With less idle time than this, measurements show the load of the machine rather than the fleet's cost.
+# With a smaller share of idle time, measurements show the machine's load rather than the fleet's cost.
 MIN_IDLE_SHARE = 0.10
 
 
@@ -26,7 +26,7 @@
 class ProcessCost:
     """Resource use of one process between two samples."""
 
-    core: float  # processor time, as a fraction of one core
+    core: float  # processor time used, as a fraction of one core
     resident_mb: float
     proportional_mb: float
     private_mb: float
--- a/yewrill/lab/scale/virtual.py
+++ b/yewrill/lab/scale/virtual.py
@@ -26,7 +26,8 @@
 
 SHIPPED_BYTES_PER_S = 20_000.0
 PEERS = 8
-LEAVE_LINGER_S = 0.5  # from leaving the view until the membership is left too
+# Time from when a stopping dispatcher leaves its view until it leaves the membership.
+LEAVE_LINGER_S = 0.5
 MIN_TIMER_STEP_S = 1e-3
 
 
@@ -56,9 +57,10 @@
     assembler: MessageAssembler = field(default_factory=MessageAssembler)
     disk: PersistedView | None = None
     dead: bool = False
-    number: int = 0  # of the last message that its views sent
-    next_wakeup: float = math.inf  # when its timers are checked next
-    known_members: int = -1  # members last passed to its views; -1 before the first time
+    number: int = 0  # number of the last message that `views` sent
+    next_wakeup: float = math.inf  # when the dispatcher's timers are checked next
+    # Number of members last passed to `views`; -1 before the first time.
+    known_members: int = -1
     wakeups: int = 0
 
     @property
@@ -248,7 +250,7 @@
         return self.nodes[name].views.view(self.now)
 
     def agreed(self, among: Iterable[str] | None = None) -> bool:
-        """Returns whether all running dispatchers, or those of `among`, lease one view of exactly these."""
+        """Returns whether all running dispatchers (or `among`) hold leases in one view without others."""
         names = {node.name for node in self.living()} if among is None else set(among)
         views = [self.holds(name) for name in names]
         first = views[0]
@@ -259,10 +261,10 @@
 
     @property
     def held_back(self) -> int:
-        """Datagrams that were not sent, for lack of budget."""
+        """Datagrams that were not sent because the send budget was used up."""
         return sum(node.transport.held_back for node in self.living())
 
     @property
     def flooded(self) -> int:
-        """Received datagrams that were dropped unread, for lack of budget."""
+        """Received datagrams that were dropped unread because they exceeded the receive limits."""
         return sum(node.transport.flooded for node in self.living())
