--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -3,7 +3,7 @@
     python benchmarks/capacity.py [--quick] [--json FILE] [--only PART ...]
 
 Parts: `fleet` (6 to 200 dispatchers, at most 12 of them real and the others hollow; --quick: up to 24),
-`real` (24 and 60 real dispatchers; --quick: 24), `module` (the decision module: time per request, state per
+`real` (24 and 60 real dispatchers; --quick: 24), `module` (the policy module: time per request, state per
 worker and per tenant), `lists` (full endpoint lists), `voters` (the lease voters), `virtual` (failures and
 restarts of 200 dispatchers in virtual time, `yewrill/lab/scale/events.py`). All traffic stays on the machine.
 Fleets that ran while the machine had too little idle time are marked as starved and left out of the fits.
@@ -82,7 +82,7 @@
 
 
 def module(quick: bool) -> dict[str, Any]:
-    """Measures the decision module's time and state."""
+    """Measures the policy module's time and state."""
     from yewrill.lab.scale.module import measure_module
 
     return measure_module(quick)
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -2,10 +2,10 @@
 
     python benchmarks/cluster.py [--quick] [--seeds N] [--at-once N]
 
-Counts runs, breaches by kind, unfinished runs and requests, and measures the seconds from a zone's failure
+Counts runs, violations by kind, unfinished runs and requests, and measures the seconds from a zone's failure
 until every running dispatcher holds a plan that leaves the zone (median and worst). The runs use real time on
 loopback, so the seconds depend on this machine and on the number of parallel runs (--at-once). The last line
-of standard output is one JSON object; the exit status is 1 if there was a breach.
+of standard output is one JSON object; the exit status is 1 if there was a violation.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 
 
 def seconds_until_left(history: list[Line]) -> float | None:
-    """Returns the seconds from the first failure of a zone until all running dispatchers have left it, or
-    None if no zone failed or not all left it."""
+    """Returns the seconds from the first failure of a zone until all running dispatchers have left it (with a
+    share of at most 0.1 in their plans), or None if no zone failed or not all left it."""
     failed = next((line for line in history if line["what"] == "zone-fails"), None)
     if failed is None:
         return None
--- a/benchmarks/fleet_count.py
+++ b/benchmarks/fleet_count.py
@@ -24,16 +24,18 @@
 )
 REJECTION_LINE = re.compile(r"^(\S+) .* request_not_served class=(\d+) attempts=(\d+) reason=(.*)")
 LIST_LINE = re.compile(r"^(\S+) .* endpoints_updated form=(\w+)(.*)")
-# An attempt has waited if its worker reported the start at least this long after it was sent.
+# An attempt counts as waiting if its worker reported its start at least this long after it was sent.
 WAITED_MS = 25
-COLD_MS = 10_000  # age up to which a worker counts as cold
+# Time since its start in which a worker counts as cold.
+COLD_MS = 10_000
 
 
 def main(paths: list[str]) -> None:
     """Reads the logs and prints the counts."""
     attempts, rejections, lists = [], Counter(), Counter()
     started_at: dict[str, int] = {}
-    unavailable_at: dict[str, float] = {}  # when a list first had it as draining or removed
+    # Second at which an endpoint list first showed a worker as draining or removed.
+    unavailable_at: dict[str, float] = {}
     for path in paths:
         for line in Path(path).read_text(errors="replace").splitlines():
             if m := ATTEMPT_LINE.search(line):
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -14,8 +14,8 @@
 - `loss_0.2`, `loss_0.4`: packet loss;
 - `pauses`: a third of the members pause for 1.5 s in every 4 s.
 
-For `mute` and `hearing`, false declarations by members that could have known better are counted apart from
-those by the others (`*_others`). Times are in virtual seconds, median and worst over the seeds; bytes per
+For `mute` and `hearing`, false declarations by members that still hear everyone are counted apart from those
+by the others (`*_others`). Times are in virtual seconds, median and worst over the seeds; bytes per
 second are those of the worst member. The last line of standard output is one JSON object.
 """
 
@@ -62,8 +62,10 @@
 
 
 def count_false_deaths(kind: str, seed: int, members: int = 24) -> dict[str, int]:
-    """Counts the healthy members declared dead in two minutes of a fault, by members that could know better
-    and by others."""
+    """Counts the healthy members declared dead in two minutes of a fault.
+
+    In `mute` and `hearing`, declarations by members that don't hear everyone are counted as `*_others`.
+    """
     net = MembershipNet(seed, members, zones=4)
     net.until(net.agreed, LIMIT_SECONDS)
     net.run(10.0)
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -40,7 +40,8 @@
 from yewrill.store import Store
 
 LEASE_SECONDS = OwnershipConfig.__dataclass_fields__["span"].default
-PROBE_STATES = 1000  # explored first, to estimate this machine's speed
+# Number of states that are explored first, to estimate this machine's speed.
+PROBE_STATES = 1000
 
 
 def failover(seed: int, voters: int, how: str) -> float:
@@ -177,9 +178,8 @@
             probed = time.perf_counter()
             Checker(replace(bound, states=PROBE_STATES)).run()
             now = time.perf_counter()
-            left = (
-                (time_limit - 4.0 - (now - began)) * i / len(bounds)
-            )  # 4 s are kept for the commands
+            # 4 s of the time limit are left for measuring the commands per second.
+            left = (time_limit - 4.0 - (now - began)) * i / len(bounds)
             bound = replace(
                 bound, states=min(bound.states, int(PROBE_STATES * max(1.0, left / (now - probed))))
             )
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,4 +1,4 @@
-"""Compares the decision module's processor time per request in this work tree with that of a commit.
+"""Compares the policy module's processor time per request in this work tree with that of a commit.
 
     python benchmarks/policy.py [--quick] [--before REV] [--rounds N]
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -133,7 +133,8 @@
         with trio.move_on_after(30):
             while (request := await _read_request(stream)) is not None:
                 if b"from=" in request.target:
-                    await trio.sleep_forever()  # a watch of the list, which never changes
+                    # A watch is answered when the list changes, which it never does in this benchmark.
+                    await trio.sleep_forever()
                 body = ujson.dumps({"version": 1, "full": True, "servers": self.entries}).encode()
                 await stream.send_all(
                     b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
@@ -252,7 +253,8 @@
         git = ["git", "-C", str(ROOT), "worktree"]
         subprocess.run([*git, "add", "--detach", "-q", str(before), args.before], check=True)
         try:
-            for tree in (ROOT, before):  # compiled to bytecode, as `build` does
+            # Compiles both work trees to bytecode, as `build` does.
+            for tree in (ROOT, before):
                 subprocess.run(
                     [sys.executable, "-m", "compileall", "-q", str(tree / "yewrill")], check=True
                 )
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -111,7 +111,7 @@
 
 
 def writers(db, threads: int, seconds: float) -> float:
-    """Returns the writes per second of that many threads together."""
+    """Returns the writes per second of `threads` threads together."""
     stop = time.perf_counter() + seconds
     counts = [0] * threads
 
@@ -130,7 +130,7 @@
 
 
 def tasks(db: EmbeddedStore, count: int, seconds: float) -> float:
-    """Returns the writes per second of that many tasks of one event loop, as the dispatcher writes."""
+    """Returns the writes per second of `count` tasks of one event loop; the dispatcher writes this way."""
     done = 0
 
     async def run(n: int, until: float) -> None:
@@ -267,7 +267,7 @@
             for quantity, by_engine in medians.items()
             if "sqlite" in by_engine
         }
-        # Each engine is used as suits it best: the store from tasks of one event loop, sqlite from threads.
+        # Each database is used as suits it best: the store from tasks of one event loop, sqlite from threads.
         summary["tasks64_vs_sqlite_threads"] = round(
             medians["tasks64"]["store"] / medians["writers64"]["sqlite"], 2
         )
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -7,7 +7,7 @@
 - crashes, without packet loss and at 30%, and restarts;
 - no faults at 30% loss, for 24 member-hours (--quick: 2.4);
 - one member that receives nothing (`deaf`), is heard by none (`mute`) or by half of the others (`half`);
-- partitions in one direction or both, into equal and unequal partition;
+- partitions in one direction or both, into equal and unequal sides;
 - pauses of 1.5 s in every 4 s on a third of the members, one pause of 30 s, and one member that flaps;
 - crashes of racks of 8 to 10 members;
 - a duplicate name, a restart, a graceful leave, and a restart of all members;
@@ -35,7 +35,8 @@
 from yewrill.lab.viewnet import ViewNet
 
 NAMES = [f"m{i:04d}" for i in range(24)]
-LIMIT_SECONDS = 120.0  # for events that take a few seconds when all is well
+# Time limit for events that normally take a few seconds.
+LIMIT_SECONDS = 120.0
 Results = dict[str, list[float]]
 
 
@@ -47,7 +48,7 @@
 
 
 def collect(net: ViewNet, **found: float | None) -> Results:
-    """Returns the results of a run with its counts of violations; None stands for the time limit."""
+    """Returns the results of a run with its counts of violations; LIMIT_SECONDS replaces None."""
     results = {key: [LIMIT_SECONDS if value is None else value] for key, value in found.items()}
     return results | {"false_out": [len(net.false_removals)], "both_sides": [len(net.violations)]}
 
@@ -81,7 +82,7 @@
 
 
 def faulty_link(seed: int, kind: str) -> Results:
-    """Runs with one member that hears nobody, or that nobody or only half of the others hear."""
+    """Runs with one member that hears nobody, or that is heard by nobody or by half of the others only."""
     net = create_net(seed)
     faulty = net.rng.choice(NAMES)
     others = [name for name in NAMES if name != faulty]
@@ -141,7 +142,7 @@
 
 
 def flap(seed: int) -> Results:
-    """Pauses a member for 6 s four times and measures each return."""
+    """Pauses a member for 6 s four times, and measures how long each return to the view takes."""
     net = create_net(seed)
     net.exempt.add("m0004")
     found = {}
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -2,13 +2,13 @@
 
     python benchmarks/zones.py [--quick] [--seeds N]
 
-The first part runs the production decision modules and zone failover state machines in virtual time
+The first part runs the production policy modules and zone failover state machines in virtual time
 (`yewrill/lab/fleet.py`): eight dispatchers, three zones of four workers with five slots each, at 55% and 80%
 of all slots, with the same seeds with and without the plan. One zone fails for ten seconds (its connections
-break; it accepts work and does none; or it fails every job fast), and its workers restart cold. Measured are
-the attempts lost in the zone, the weight of the requests served during the failure and in the 15 s after it,
-the seconds from the recovery until the zone has half of its former work again, and the highest use of a cold
-worker's slow start budget.
+break; it accepts work and does none; or it fails every request fast), and its workers restart cold. Measured
+are the attempts lost in the zone, the weight of the requests served during the failure and in the 15 s after
+it, the seconds from the recovery until the zone has half of its former work again, and the highest use of a
+cold worker's slow start budget.
 
 The second part measures agreement at 3, 24, 200 and (without --quick) 1,000 members: seconds until all
 members have adopted the plan, the time between the first and the last adoption, bytes per second and member,
