--- a/yewrill/store/compaction.py
+++ b/yewrill/store/compaction.py
@@ -1,8 +1,11 @@
 """Compaction, which copies the live records of some sealed segments to one new segment, and hint files.
 
-Steps: the output is written under a name ending in `.new` and synced, the file is renamed, the directory is
-synced, the manifest is replaced, index entries are moved to the output, and the inputs are removed. After a
-crash the inputs are in use if the manifest was not replaced yet, else the output.
+A sealed segment is one that is no longer written to. A hint file lists the keys and offsets of a sealed
+segment, so that the store can be opened without reading the segment itself.
+
+Steps of a compaction: the output is written under a name ending in `.new` and synced, the file is renamed,
+the directory is synced, the manifest is replaced, index entries are moved to the output, and the inputs are
+removed. After a crash the inputs are in use if the manifest was not replaced yet, else the output.
 """
 
 from __future__ import annotations
--- a/yewrill/store/errors.py
+++ b/yewrill/store/errors.py
@@ -40,7 +40,7 @@
 
 
 class DamagedValue(StoreError):
-    """The stored bytes of this value fail their checksum."""
+    """The stored bytes of a value fail their checksum."""
 
     def __init__(self, key: bytes, segment: str, offset: int):
         super().__init__(f"{key!r}: value damaged in {segment} at offset {offset}")
--- a/yewrill/store/files.py
+++ b/yewrill/store/files.py
@@ -69,7 +69,7 @@
         ...
 
     def reserve(self, name: str, size: int) -> None:
-        """Creates a file of this size whose disk blocks are allocated. Raises OSError."""
+        """Creates a file of `size` bytes whose disk blocks are allocated. Raises OSError."""
         ...
 
     def lock(self) -> None:
@@ -194,7 +194,7 @@
                 os.close(fd)
 
     def reserve(self, name: str, size: int) -> None:
-        """Creates a file of this size whose disk blocks are allocated. Raises OSError."""
+        """Creates a file of `size` bytes whose disk blocks are allocated. Raises OSError."""
         fd = os.open(self.path / name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             os.posix_fallocate(fd, 0, size)
--- a/yewrill/store/findings.py
+++ b/yewrill/store/findings.py
@@ -63,5 +63,5 @@
             self.append(finding)
 
     def mentions(self, *kinds: FindingKind) -> bool:
-        """Whether any finding is of one of these kinds."""
+        """Whether any finding is of one of the given kinds."""
         return any(finding.kind in kinds for finding in self)
--- a/yewrill/store/format.py
+++ b/yewrill/store/format.py
@@ -105,7 +105,7 @@
         return self._add(Op(DELETE, _checked_key(key), b""))
 
     def require(self, key: bytes, version: int) -> Batch:
-        """Requires that the key has this version (0: absent) when the batch is committed."""
+        """Requires that the key's version is `version` (0: absent) when the batch is committed."""
         self.conditions.append((_checked_key(key), version))
         return self
 
--- a/yewrill/store/policy.py
+++ b/yewrill/store/policy.py
@@ -2,10 +2,11 @@
 
 This module has no I/O, clock or randomness.
 
-A segment is compacted for one of two reasons. *Garbage*: much of it is overwritten, deleted or expired, and
-compaction frees that space. *Tiers*: segments of similar size are merged into one of the next tier, so that
-the number of segments grows with the logarithm of the stored bytes and each byte is rewritten about once per
-tier. Damaged segments come first: their intact records are copied to a new segment.
+A sealed segment (one that is no longer written to) is compacted for one of two reasons. *Garbage*: much of
+it is overwritten, deleted or expired, and compaction frees that space. *Tiers*: segments of similar size are
+merged into one of the next tier, so that the number of segments grows with the logarithm of the stored bytes
+and each byte is rewritten about once per tier. Damaged segments come first: their intact records are copied
+to a new segment.
 """
 
 from __future__ import annotations
--- a/yewrill/store/reserve.py
+++ b/yewrill/store/reserve.py
@@ -1,6 +1,6 @@
 """Reserved disk space that lets a store on a full disk still delete records and compact.
 
-Deletions may use half of it. The other half is for compaction, without which deletions free nothing.
+Deletions may use half of the reserve. The other half is for compaction, without which deletions free nothing.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
             self.low = error.errno in DISK_FULL_ERRNOS
 
     def release_half(self) -> bool:
-        """Frees the half that deletions may use; returns whether that freed any space."""
+        """Frees the half of the reserve that deletions may use; returns whether that freed any space."""
         self.low = True
         try:
             handle = self._files.open(RESERVE, write=True)
--- a/yewrill/store/simdisk.py
+++ b/yewrill/store/simdisk.py
@@ -183,7 +183,7 @@
             self._changes.clear()
 
     def reserve(self, name: str, size: int) -> None:
-        """Creates a file of this size whose disk blocks are allocated. Raises OSError."""
+        """Creates a file of `size` bytes whose disk blocks are allocated. Raises OSError."""
         self.call("reserve", name)
         allocated = len(self._names[name].data) if name in self._names else 0
         if self.capacity is not None and size - allocated > self.capacity - self.used():
--- a/yewrill/store/store.py
+++ b/yewrill/store/store.py
@@ -101,7 +101,7 @@
         return self.write(Batch().put(key, value, expires))
 
     def put_if(self, key: bytes, value: bytes, version: int, expires: int = 0) -> int:
-        """Sets one key if it has this version (0: if absent). Raises Conflict, StoreError."""
+        """Sets one key if its current version is `version` (0: absent). Raises Conflict, StoreError."""
         return self.write(Batch().require(key, version).put(key, value, expires))
 
     def delete(self, key: bytes) -> int:
