--- a/yewrill/persistence/attempts.py
+++ b/yewrill/persistence/attempts.py
@@ -104,7 +104,7 @@
 
 
 def retention_window_ms(request_class: api.RequestClass, non_idempotent_window_ms: float) -> float:
-    """Returns how long (ms) records of attempts of this class are kept; 0: none are written."""
+    """Returns how long (ms) records of attempts of a request class are kept; 0: none are written."""
     if request_class.idempotency == api.Idempotency.IDEMPOTENT_BY_KEY:
         return request_class.window
     return (
--- a/yewrill/persistence/operator_state.py
+++ b/yewrill/persistence/operator_state.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class RestoredState:
-    """The state that the last run stored, without its attempts."""
+    """The state that the last run (process) of this dispatcher stored, without its attempts."""
 
     detached: list[str] = field(default_factory=list)
     # Maps a worker to the time since it was reattached, in ms.
--- a/yewrill/persistence/persistent_state.py
+++ b/yewrill/persistence/persistent_state.py
@@ -90,7 +90,7 @@
 
     @property
     def store_open(self) -> bool:
-        """Whether this run has the store open."""
+        """Whether this process has the store open."""
         return self._disk.store is not None
 
     async def take_over_store(self) -> None:
