--- a/yewrill/lab/scale/events.py
+++ b/yewrill/lab/scale/events.py
@@ -38,7 +38,7 @@
         super().__init__(seed, parameters)
 
     def path(self, a: str, b: str) -> Path:
-        """Returns the path set for the pair of dispatchers, else one with the delay for their regions."""
+        """Returns the network path set for two dispatchers, else one with the delay for their regions."""
         found = self.paths.get((a, b))
         if found is not None:
             return found
