--- a/tests/helper.py
+++ b/tests/helper.py
@@ -60,7 +60,7 @@
 }
 
 
-def _trio_test(clock: Callable[[], trio.abc.Clock]):
+def _trio_test_with_clock(clock: Callable[[], trio.abc.Clock]):
     def decorate(test: Callable[..., Awaitable[None]]):
         @functools.wraps(test)
         def run(**given):
@@ -87,10 +87,10 @@
 
 
 # Runs an async test under trio with a time limit; its clock is slowed down as far as the machine is slow now.
-story = _trio_test(_slow_clock)
-# Like `story`, for tests of times: the clock advances only while all tasks are blocked. Not for tests with
-# threads. The slow rate lets the time limit end a test that never blocks.
-timed_story = _trio_test(lambda: MockClock(rate=0.02, autojump_threshold=0.005))
+trio_test = _trio_test_with_clock(_slow_clock)
+# Like `trio_test`, for tests of times: the clock advances only while all tasks are blocked. It does not suit
+# tests with threads. The slow rate lets the time limit end a test that never blocks.
+mock_clock_test = _trio_test_with_clock(lambda: MockClock(rate=0.02, autojump_threshold=0.005))
 
 
 class Exchange:
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -11,7 +11,7 @@
 
 import pytest
 import trio
-from helper import Peer, done, story, timed_story, world
+from helper import Peer, done, mock_clock_test, trio_test, world
 
 from yewrill.net.backlog import Backlog
 
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.ECONNABORTED, errno.EPROTO])
-@timed_story
+@mock_clock_test
 async def test_drain_while_accept_fails_serves_the_backlog(error):
     peer = Peer("d1", done)
     failing = [True]
@@ -62,7 +62,7 @@
         assert 0 < sock.failed < 100
 
 
-@timed_story
+@mock_clock_test
 async def test_drain_while_accept_keeps_failing_ends_within_its_grace():
     peer = Peer("d1", done)
     async with world(peer, timing={"linger_ms": 100, "grace_ms": 1500}) as w:
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.EPROTO, errno.ECONNABORTED, errno.ENETDOWN, errno.EPERM])
-@timed_story
+@mock_clock_test
 async def test_failing_accept_does_not_delay_connected_clients(error):
     peer = Peer("d1", done)
     failing = []
@@ -96,7 +96,7 @@
         assert 0 < sock.failed < 200
 
 
-@story
+@trio_test
 async def test_timeout_sent_to_worker_excludes_time_waited_in_backlog():
     client_timeout_ms, outage = 2500.0, 1.1
     received = {}
@@ -120,7 +120,7 @@
             assert stated_ms <= client_timeout_ms - (at - sent[id]) * 1000.0 + 150.0
 
 
-@timed_story
+@mock_clock_test
 async def test_backlog_known_to_be_empty_resets_the_counted_wait(monkeypatch):
     # The kernel does not report the age of the data, so only the wait in the backlog limits it.
     monkeypatch.setattr("yewrill.net.backlog.seconds_since_last_data", lambda sock: float("inf"))
@@ -136,7 +136,7 @@
             accepted.sock.close()
 
 
-@timed_story
+@mock_clock_test
 async def test_first_client_after_idle_start_counts_no_wait(monkeypatch):
     monkeypatch.setattr("yewrill.net.backlog.seconds_since_last_data", lambda sock: float("inf"))
     stated_timeouts = []
--- a/tests/test_call_errors.py
+++ b/tests/test_call_errors.py
@@ -5,7 +5,7 @@
 
 import pytest
 import trio
-from helper import Peer, done, timed_story, world
+from helper import Peer, done, mock_clock_test, world
 
 from yewrill.net import connection
 from yewrill.net.connection import Connection, Retries
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.ENOMEM, errno.EINTR])
 @pytest.mark.parametrize("calls", [("recv_into",), ("send",), ("recv", "recv_into", "send")])
-@timed_story
+@mock_clock_test
 async def test_socket_calls_that_fail_briefly_lose_no_answer(calls, error, faults):
     async with world(Peer("d1", done), Peer("d2", done)) as w:
         before = Retries.total
@@ -65,7 +65,7 @@
         assert Retries.total > before
 
 
-@timed_story
+@mock_clock_test
 async def test_socket_call_that_keeps_failing_closes_the_connection_in_time(faults):
     async with world(Peer("d1", done)) as w:
         faults.append((("recv_into",), errno.ENOBUFS, trio.current_time() + 60.0))
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.EAGAIN])
-@timed_story
+@mock_clock_test
 async def test_connect_that_fails_for_a_local_reason_ejects_no_worker(error, faults):
     async with world(Peer("d1", done)) as w:
         faults.append((("connect",), error, trio.current_time() + 0.02))
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOMEM, errno.ENOSPC])
-@timed_story
+@mock_clock_test
 async def test_failing_wait_for_a_socket_ends_neither_process_nor_request(error, monkeypatch):
     async with world(Peer("d1", done)) as w:
         client = await w.client()
@@ -114,7 +114,7 @@
         assert len(failed) == 4 and not w.ended.is_set()
 
 
-@timed_story
+@mock_clock_test
 async def test_exception_during_drain_leaves_no_request_unanswered(monkeypatch, caplog):
     gate = trio.Event()
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from helper import Peer, done, story, world
+from helper import Peer, done, trio_test, world
 from machine_faults import SetClock
 
 from yewrill.dispatch.start_times import MAX_STARTS, OFFSET_RETENTION_MS, StartTimes
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_SECONDS, HOUR_SECONDS, -3.0, 3.0])
-@story
+@trio_test
 async def test_a_worker_that_starts_after_a_step_of_the_wall_clock_has_its_slow_start(
     step, monkeypatch
 ):
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_SECONDS, HOUR_SECONDS])
-@story
+@trio_test
 async def test_a_start_listed_before_and_after_a_step_of_the_wall_clock_is_one_start(
     step, monkeypatch
 ):
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_SECONDS, HOUR_SECONDS])
-@story
+@trio_test
 async def test_a_start_before_a_step_that_is_first_listed_after_it_counts_as_recent(
     step, monkeypatch
 ):
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_SECONDS, HOUR_SECONDS])
-@story
+@trio_test
 async def test_a_reattached_workers_age_does_not_change_with_a_step_of_the_wall_clock(
     step, monkeypatch
 ):
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 from click.testing import CliRunner
-from helper import story
+from helper import trio_test
 
 from yewrill.cli import main
 from yewrill.lab.cluster import pace
@@ -109,7 +109,7 @@
     assert [breach.kind for breach in audit(history, TERMS)] == kinds
 
 
-@story
+@trio_test
 async def test_a_fault_of_one_direction_of_a_link_does_not_affect_the_other():
     async with trio.open_nursery() as nursery:
 
@@ -218,7 +218,7 @@
     assert reports and max(reports) >= 0.002
 
 
-@story
+@trio_test
 async def test_a_management_call_that_timed_out_is_repeated_and_a_rejected_one_raises(
     tmp_path,
 ):
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -18,7 +18,7 @@
 import pytest
 import trio
 from fixture_files import DIRECTORY, read_encoded, read_file, read_json
-from helper import story
+from helper import trio_test
 
 from yewrill.leases import format as ownership
 from yewrill.leases import lease_table, raft, raft_types, states
@@ -369,7 +369,7 @@
 ]
 
 
-@story
+@trio_test
 async def test_management_listener_has_the_stored_calls_metrics_and_statuses(tmp_path):
     paths, metrics, statuses, answers = await service.management(tmp_path)
     stored_paths, stored_metrics, stored_statuses, stored_answers = read_json("management")
@@ -385,12 +385,12 @@
 # -- the link between the two processes of a hot restart
 
 
-@story
+@trio_test
 async def test_old_process_sends_the_stored_lines_and_accepts_those_received(tmp_path):
     assert await service.run_as_old_process(tmp_path) == read_json("as_elder")
 
 
-@story
+@trio_test
 async def test_new_process_sends_the_stored_lines_and_accepts_those_received(tmp_path):
     assert await service.run_as_new_process(tmp_path) == read_json("as_heir")
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 import ujson
-from helper import SETTINGS, Client, Discovery, Peer, done, story, timed_story, world
+from helper import SETTINGS, Client, Discovery, Peer, done, mock_clock_test, trio_test, world
 from test_state import program
 
 from yewrill.config.schema import TopologyNames
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("failing_for", [0.0, 0.7, 3.3, 5.7, 9.1])
 @pytest.mark.parametrize("failure", FAILURES)
-@timed_story
+@mock_clock_test
 async def test_change_is_known_in_time_after_any_failure_of_earlier_calls(failure, failing_for):
     # The fleet is large enough for the longest pauses; the failure ends at different moments of the retries.
     peer = Peer("d1", done)
@@ -101,7 +101,7 @@
         assert await seconds_until_known(w, peer) < KNOWN_WITHIN_SECONDS
 
 
-@timed_story
+@mock_clock_test
 async def test_silent_watch_is_reopened_in_time():
     peer = Peer("d1", done)
     async with world(peer, settings=LARGE_FLEET) as w:
@@ -112,7 +112,7 @@
         assert await seconds_until_known(w, peer) < KNOWN_WITHIN_SECONDS
 
 
-@timed_story
+@mock_clock_test
 async def test_discovery_silent_at_the_first_call_is_asked_again_in_time():
     peer = Peer("d1", done)
     async with trio.open_nursery() as nursery:
@@ -153,7 +153,7 @@
             sock.close()
 
 
-@timed_story
+@mock_clock_test
 async def test_discovery_that_dropped_connects_is_reached_once_it_accepts_again(monkeypatch):
     peer = Peer("d1", done)
     full_backlog = FullBacklog()
@@ -179,7 +179,7 @@
     full_backlog.close()
 
 
-@timed_story
+@mock_clock_test
 async def test_watch_moved_to_a_dead_address_and_back_requests_the_full_list_at_once():
     peer = Peer("d1", done)
     full_backlog = FullBacklog()
@@ -199,7 +199,7 @@
     full_backlog.close()
 
 
-@timed_story
+@mock_clock_test
 async def test_new_discovery_that_rejects_the_first_call_is_not_asked_with_the_old_version():
     # Each discovery has its own version numbers: asked for changes since the old one's version, it has none.
     peer = Peer("d1", done)
@@ -218,7 +218,7 @@
         assert await seconds_until_known(w, peer) < KNOWN_WITHIN_SECONDS
 
 
-@timed_story
+@mock_clock_test
 async def test_discovery_that_restarts_its_versions_is_asked_for_the_full_list():
     peer = Peer("d1", done)
     async with world(peer) as w:
@@ -241,7 +241,7 @@
         assert w.service.endpoints.version == 3
 
 
-@timed_story
+@mock_clock_test
 async def test_full_list_in_indented_json_after_changes_is_applied():
     peers = [Peer("d1", done), Peer("d2", done)]
     async with world(*peers) as w:
@@ -291,7 +291,7 @@
     )
 
 
-@story
+@trio_test
 async def test_idle_clients_filling_the_descriptors_block_no_request_while_discovery_is_down(
     tmp_path,
 ):
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -5,7 +5,7 @@
 
 import pytest
 import trio
-from helper import Peer, done, hang, story, world
+from helper import Peer, done, hang, trio_test, world
 from machine_faults import FaultyDisk, SetClock
 from test_operators import shared_world, start_new_process
 
@@ -52,7 +52,7 @@
         (errno.ENOSPC, ("pwrite",)),
     ],
 )
-@story
+@trio_test
 async def test_no_non_idempotent_attempt_is_sent_while_its_record_cannot_be_written(
     error, calls, tmp_path, monkeypatch
 ):
@@ -67,7 +67,7 @@
         assert (await w.ask(X_Request_ID="safe")).status == 200  # needs no record
 
 
-@story
+@trio_test
 async def test_a_store_whose_sync_failed_is_reopened_once_the_disk_works(tmp_path, monkeypatch):
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
     peer = Peer("d1", done)
@@ -76,7 +76,7 @@
         assert (await w.ask("/once", X_Request_ID="r0", Idempotency_Key="k0")).status == 503
         disk.error = 0
         status, number = 0, 0
-        while status != 200:  # bounded by the time limit of @story
+        while status != 200:  # bounded by the time limit of @trio_test
             number += 1
             reply = await w.ask("/once", X_Request_ID=f"r{number}", Idempotency_Key="k0")
             status = reply.status
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0, 2 * 3600.0])
-@story
+@trio_test
 async def test_a_record_is_valid_for_its_window_however_the_wall_clock_is_set(
     step, tmp_path, monkeypatch
 ):
@@ -107,7 +107,7 @@
         assert [e.id for e in peer.exchanges] == ["out"]
 
 
-@story
+@trio_test
 async def test_unreadable_records_are_read_later_and_nothing_non_idempotent_runs_before(
     tmp_path, monkeypatch
 ):
@@ -133,7 +133,7 @@
         assert [e.id for e in peer.exchanges] == ["out", "plain", "a3"]
 
 
-@story
+@trio_test
 async def test_a_record_whose_deletion_failed_is_deleted_later(tmp_path, monkeypatch):
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
     gate = trio.Event()
@@ -166,7 +166,7 @@
         assert records_after_kill(tmp_path) == []
 
 
-@story
+@trio_test
 async def test_a_process_that_waits_for_the_store_has_its_attempts_recorded_by_the_old_process(
     tmp_path,
 ):
--- a/tests/test_drawn.py
+++ b/tests/test_drawn.py
@@ -8,7 +8,7 @@
 import string
 
 import trio
-from helper import SETTINGS, Peer, timed_story, world
+from helper import SETTINGS, Peer, mock_clock_test, world
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
@@ -172,7 +172,7 @@
     played(customer=customer, seed=seed)
 
 
-@timed_story
+@mock_clock_test
 async def played(customer, seed):
     recorder = AttemptRecorder(seed)
     peers = [Peer(f"d{i}", recorder.script(i // 2), cell=i // 2) for i in range(4)]
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -15,7 +15,7 @@
 import pytest
 import trio
 import ujson
-from helper import SETTINGS, Peer, story, world
+from helper import SETTINGS, Peer, trio_test, world
 
 from yewrill.service.service import Service
 
@@ -106,7 +106,7 @@
     return trio.lowlevel.open_process(command, stderr=subprocess.PIPE, env=environment)
 
 
-@story
+@trio_test
 async def test_a_sighup_during_the_imports_does_not_end_the_program(tmp_path):
     process = await start_program(SIGHUP_DURING_IMPORTS, write_config(tmp_path, "127.0.0.1:9"))
     try:
@@ -116,7 +116,7 @@
         await process.wait()
 
 
-@story
+@trio_test
 async def test_a_sighup_before_the_service_receives_signals_causes_a_reload(tmp_path):
     path = write_config(tmp_path, "127.0.0.1:9")
     write_config(tmp_path, "127.0.0.1:10", "config.json.new")
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize(
     "code", [SIGTERM_AT_LISTEN, SIGNALS_AT_EXIT], ids=["as it listens", "as it ends"]
 )
-@story
+@trio_test
 async def test_signals_during_the_start_or_the_exit_end_the_program_gracefully(tmp_path, code):
     process = await start_program(code, write_config(tmp_path, "127.0.0.1:9"))
     text = b"".join([data async for data in process.stderr])
@@ -157,7 +157,7 @@
         process.wait()
 
 
-@story
+@trio_test
 async def test_the_timeout_sent_to_a_worker_counts_from_the_arrival_during_the_start(monkeypatch):
     seen = {}
     client_timeout_ms, start_seconds = 2500.0, 0.6
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,7 +16,17 @@
 import trio
 import trio.testing
 import ujson
-from helper import SETTINGS, Client, Discovery, Exchange, Peer, done, story, timed_story, world
+from helper import (
+    SETTINGS,
+    Client,
+    Discovery,
+    Exchange,
+    Peer,
+    done,
+    mock_clock_test,
+    trio_test,
+    world,
+)
 from test_state import program
 
 from yewrill.net import client_connection, listener
@@ -48,7 +58,7 @@
     client.stream.socket.close()
 
 
-@story
+@trio_test
 async def test_client_closing_as_the_worker_connection_opens_gets_no_attempt(
     monkeypatch,
 ):
@@ -88,7 +98,7 @@
     return begun
 
 
-@story
+@trio_test
 async def test_client_closing_as_an_idle_worker_connection_is_taken_gets_no_attempt(monkeypatch):
     peer = Peer("d1", done)
     async with world(peer, settings=LONG_DEADLINES) as w:
@@ -158,7 +168,7 @@
 
 
 @FRONTS
-@story
+@trio_test
 async def test_200_clients_closing_at_once_while_held_get_no_attempt(front, monkeypatch):
     peer = Peer("d1", done)
     async with world(peer, front=front, settings=LONG_DEADLINES) as w:
@@ -175,7 +185,7 @@
 
 
 @FRONTS
-@story
+@trio_test
 async def test_clients_closing_before_their_retry_get_no_second_attempt(front, monkeypatch):
     async def reset_attempt(exchange):
         exchange.reset()
@@ -197,7 +207,7 @@
 
 
 @FRONTS
-@story
+@trio_test
 async def test_client_closing_while_the_worker_connection_opens_gets_no_attempt(front, monkeypatch):
     peer = Peer("d1", done)
     async with world(peer, front=front, settings=LONG_DEADLINES) as w:
@@ -235,7 +245,7 @@
 @pytest.mark.parametrize("fill_all", [False, True])
 @pytest.mark.parametrize("leave", [hang_up, reset])
 @FRONTS
-@story
+@trio_test
 async def test_disconnect_of_a_client_with_a_full_input_buffer_is_noticed(
     front, leave, fill_all, monkeypatch
 ):
@@ -258,7 +268,7 @@
         assert received_from_leaving_clients(peer) == []
 
 
-@story
+@trio_test
 async def test_client_that_never_stops_sending_is_read_at_a_bounded_pace_and_answered(
     monkeypatch,
 ):
@@ -327,7 +337,7 @@
 
 
 @FRONTS
-@story
+@trio_test
 async def test_partly_written_request_is_never_completed_after_its_client_leaves(
     front, monkeypatch
 ):
@@ -349,7 +359,7 @@
         assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
 
 
-@story
+@trio_test
 async def test_client_closing_as_its_worker_reads_again_has_no_more_bytes_sent(monkeypatch):
     peer = SlowReader("d1", done)
     async with world(peer, settings=LONG_DEADLINES) as w:
@@ -376,7 +386,7 @@
         assert has_no_failures(w, peer) and not w.service.worker_connections.open
 
 
-@story
+@trio_test
 async def test_completely_written_attempt_continues_after_its_client_leaves(monkeypatch):
     async def waits(exchange):
         await go_on.wait()
@@ -397,7 +407,7 @@
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-@story
+@trio_test
 async def test_stream_whose_head_is_not_read_gets_no_attempt_after_its_reader_is_gone(
     leaves, monkeypatch
 ):
@@ -435,7 +445,7 @@
 
 
 @FRONTS
-@story
+@trio_test
 async def test_client_closing_as_its_attempt_record_is_written_gets_no_attempt(front):
     peer = Peer("d1", done)
     async with world(peer, front=front, settings=LONG_DEADLINES) as w:
@@ -457,7 +467,7 @@
 
 
 @FRONTS
-@story
+@trio_test
 async def test_client_that_half_closes_counts_as_disconnected(front, monkeypatch):
     peer = Peer("d1", done)
     async with world(peer, front=front, settings=LONG_DEADLINES) as w:
@@ -475,7 +485,7 @@
 # -- evictions and other closes by the listener
 
 
-@story
+@trio_test
 async def test_eviction_skips_a_kept_connection_with_an_unread_request():
     peer = Peer("d1", done)
     async with world(peer, settings=LONG_DEADLINES) as w:
@@ -491,7 +501,7 @@
         assert await other.stream.receive_some() == b""
 
 
-@story
+@trio_test
 async def test_eviction_skips_a_new_connection_with_an_unread_request(monkeypatch):
     # New clients can be evicted at once.
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", -1.0)
@@ -550,7 +560,7 @@
     await exchange.done(LONG_RESULT)
 
 
-@story
+@trio_test
 async def test_in_a_flood_an_answer_survives_further_input_of_its_client(monkeypatch):
     monkeypatch.setattr(listener, "LINGER_TIMEOUT_SECONDS", 10.0)
     async with world(Peer("d1", long_answer), settings=LONG_DEADLINES) as w:
@@ -569,7 +579,7 @@
         await client.stream.aclose()
 
 
-@story
+@trio_test
 async def test_in_a_flood_unread_input_after_a_bad_request_resets_no_answer(monkeypatch):
     async with world(Peer("d1", long_answer), settings=LONG_DEADLINES) as w:
         w.service.listener.limit(1)
@@ -585,7 +595,7 @@
         assert received.count(LONG_RESULT.encode()) == 1 and received.count(b"HTTP/1.1 404 ") == 1
 
 
-@story
+@trio_test
 async def test_internal_error_is_answered_with_500_despite_further_input(monkeypatch):
     async with world(Peer("d1", done), settings=LONG_DEADLINES) as w:
         monkeypatch.setattr(w.service.front, "respond", None)
@@ -595,7 +605,7 @@
         assert await client.stream.receive_some() == b""
 
 
-@story
+@trio_test
 async def test_eviction_skips_a_client_that_has_not_read_all_of_its_answer(monkeypatch):
     peer = Peer("d1", long_answer)
     async with world(peer, settings=LONG_DEADLINES) as w:
@@ -612,7 +622,7 @@
         await client.stream.aclose()
 
 
-@timed_story
+@mock_clock_test
 async def test_client_that_never_reads_its_answer_is_evicted_after_the_send_timeout(monkeypatch):
     monkeypatch.setattr(client_connection, "SEND_TIMEOUT_SECONDS", 0.3)
     async with world(Peer("d1", long_answer), settings=LONG_DEADLINES) as w:
@@ -652,7 +662,7 @@
 
 
 @pytest.mark.parametrize("close_idle", [restart, release])
-@story
+@trio_test
 async def test_request_that_crosses_the_close_of_an_idle_connection_is_not_served_and_resets_no_answer(
     close_idle, monkeypatch
 ):
@@ -677,7 +687,7 @@
         assert [e.id for e in peer.exchanges] == ["r1"]
 
 
-@story
+@trio_test
 async def test_answer_written_as_a_drain_closes_survives_the_next_request(monkeypatch):
     monkeypatch.setattr(listener, "LINGER_TIMEOUT_SECONDS", 10.0)
     peer = Peer("d1", long_answer)
@@ -702,7 +712,7 @@
         assert [e.id for e in peer.exchanges] == ["r1"]
 
 
-@story
+@trio_test
 async def test_request_unread_as_a_drain_closes_is_served():
     peer = Peer("d1", done)
     async with world(peer, settings=LONG_DEADLINES) as w:
@@ -721,7 +731,7 @@
 PARTIAL_REQUEST = raw_request("half")[:60]
 
 
-@timed_story
+@mock_clock_test
 async def test_partial_request_completed_before_the_drain_deadline_is_served():
     peer = Peer("d1", done)
     async with world(
@@ -739,7 +749,7 @@
 
 
 @pytest.mark.parametrize("read", [True, False])
-@timed_story
+@mock_clock_test
 async def test_partial_request_does_not_extend_a_drain_beyond_its_grace(read):
     async with world(
         Peer("d1", done), settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
@@ -763,7 +773,7 @@
         assert trio.current_time() - began < 1.4
 
 
-@timed_story
+@mock_clock_test
 async def test_answer_at_the_end_of_the_grace_leaves_time_for_the_exit():
     # Guards against SIGKILL at the end of the grace while stores are being closed: the client stays connected
     # after its answer.
@@ -785,7 +795,7 @@
         assert trio.current_time() - began < 1.4 - 0.15
 
 
-@timed_story
+@mock_clock_test
 async def test_request_completed_after_the_drain_deadline_is_not_accepted(monkeypatch):
     peer = Peer("d1", done)
     async with world(
@@ -813,7 +823,7 @@
 
 
 @FRONTS
-@story
+@trio_test
 async def test_simultaneous_and_repeated_signals_end_the_process_once_and_lose_no_answer(front):
     async def waits(exchange):
         await go_on.wait()
@@ -852,7 +862,7 @@
             signal.signal(number, handler)
 
 
-@story
+@trio_test
 async def test_repeated_signal_during_the_final_close_does_not_kill_the_process():
     stray = []
     previous = {
@@ -880,7 +890,7 @@
             signal.signal(number, handler)
 
 
-@story
+@trio_test
 async def test_backlog_at_the_listener_close_is_served_up_to_the_limit_and_reset_beyond():
     peer = Peer("d1", done)
     async with world(peer, settings=LONG_DEADLINES) as w:
@@ -905,7 +915,7 @@
 
 @pytest.mark.parametrize("raw", [1, 200])
 @FRONTS
-@story
+@trio_test
 async def test_requests_followed_at_once_by_a_close_get_no_attempt(front, raw):
     peer = Peer("d1", done)
     async with world(peer, front=front, settings=LONG_DEADLINES) as w:
@@ -924,7 +934,7 @@
         assert received_from_leaving_clients(peer) == []
 
 
-@timed_story
+@mock_clock_test
 async def test_answer_that_is_not_read_times_out_and_frees_its_place(monkeypatch):
     monkeypatch.setattr(client_connection, "SEND_TIMEOUT_SECONDS", 0.3)
     async with world(Peer("d1", long_answer), settings=LONG_DEADLINES) as w:
@@ -945,7 +955,7 @@
     "given", ["nan", "inf", "1e3", "0x10", "+5", "1_000", "86400001", "00", ""]
 )
 @FRONTS
-@story
+@trio_test
 async def test_timeout_that_is_no_number_of_milliseconds_gets_400_before_any_attempt(front, given):
     peer = Peer("d1", done)
     async with world(peer, front=front, settings=LONG_DEADLINES) as w:
@@ -957,7 +967,7 @@
 
 @pytest.mark.parametrize("framing", ["chunked", "in one piece"])
 @FRONTS
-@story
+@trio_test
 async def test_body_over_64_kib_gets_413_with_any_framing(front, framing):
     head = raw_request("r1").partition(b"Content-Length")[0]
     if framing == "chunked":
@@ -976,7 +986,7 @@
 
 
 @FRONTS
-@timed_story
+@mock_clock_test
 async def test_flood_of_partial_requests_displaces_no_working_client(front, monkeypatch):
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.05)
     async with world(Peer("d1", done), front=front, limits={"sockets": 80}) as w:
@@ -1027,7 +1037,7 @@
     ],
 )
 @FRONTS
-@story
+@trio_test
 async def test_attempt_with_an_incomplete_answer_is_retried_only_as_its_class_allows(
     front, incomplete_answer
 ):
@@ -1082,7 +1092,7 @@
     "unusual_answer", [done_twice, done_without_end, second_answer, byte_by_byte]
 )
 @FRONTS
-@story
+@trio_test
 async def test_input_after_a_final_message_is_never_another_requests_result(front, unusual_answer):
     peer = Peer("d1", unusual_answer)
     async with world(peer, front=front, settings=LONG_DEADLINES) as w:
@@ -1102,7 +1112,7 @@
 
 @pytest.mark.parametrize("script, served", [(done, True), (reports_lost, False)])
 @FRONTS
-@story
+@trio_test
 async def test_answer_that_arrives_with_the_timeout_is_the_only_one(front, script, served):
     """The policy fails a request in the event loop iteration in which its attempt has ended."""
     async with world(Peer("d1", script), front=front, settings=LONG_DEADLINES) as w:
@@ -1129,7 +1139,7 @@
         )
 
 
-@timed_story
+@mock_clock_test
 async def test_connect_timeout_is_retried_elsewhere_for_any_class(
     monkeypatch,
 ):
@@ -1149,7 +1159,7 @@
         assert sum(len(p.exchanges) for p in peers) == 1 and w.service.worker_connections.open == 1
 
 
-@story
+@trio_test
 async def test_worker_closing_between_idle_check_and_write_fails_no_idempotent_request(
     monkeypatch,
 ):
@@ -1185,7 +1195,7 @@
         assert [e.id for p in (peer, other) for e in p.exchanges] == ["r0", "r1"]
 
 
-@story
+@trio_test
 async def test_request_at_the_worker_connection_limit_gets_503_and_none_is_lost(monkeypatch):
     async def waits(exchange):
         await go_on.wait()
@@ -1206,7 +1216,7 @@
         assert w.service.worker_connections.open == 1
 
 
-@timed_story
+@mock_clock_test
 async def test_worker_that_stops_reading_until_the_deadline_never_gets_the_last_byte(monkeypatch):
     peer = SlowReader("d1", done)
     async with world(peer, timing={"answer_margin_ms": 400}) as w:
@@ -1219,7 +1229,7 @@
 
 
 @pytest.mark.parametrize("after, again", [(1.0, True), (4.8, False)])
-@timed_story
+@mock_clock_test
 async def test_keyed_request_that_may_have_run_is_retried_only_within_its_window(after, again):
     async def reset_later(exchange):
         if len(peers[0].exchanges) + len(peers[1].exchanges) > 1:
@@ -1242,7 +1252,7 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-@story
+@trio_test
 async def test_sigterm_while_discovery_is_silent_ends_the_process_normally(known, tmp_path):
     async def silent(exchange):
         await exchange.closed()
@@ -1273,7 +1283,7 @@
         nursery.cancel_scope.cancel()
 
 
-@timed_story
+@mock_clock_test
 async def test_repeated_answer_without_an_id_is_not_taken_for_the_next_attempts_answer():
     async def answers_twice(exchange):
         if exchange.number:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 
 import pytest
 from fleet_world import World
-from helper import SETTINGS, Peer, done, story, world
+from helper import SETTINGS, Peer, done, trio_test, world
 
 from yewrill import Dispatcher, Settings
 from yewrill.config.errors import ConfigError
@@ -149,7 +149,7 @@
     assert 0.3 <= sent / (50 * 3.0 * 3000.0 * 5 * 0.31) <= 0.6
 
 
-@story
+@trio_test
 async def test_discovery_call_answered_with_503_keeps_the_list_and_is_followed_by_a_call_for_changes():
     peer = Peer("a", done)
     async with world(peer) as w:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -12,7 +12,7 @@
 
 import pytest
 import ujson
-from helper import SETTINGS, Peer, story, world
+from helper import SETTINGS, Peer, trio_test, world
 
 from yewrill.observability.logs import (
     MAX_QUEUED_LINES,
@@ -158,7 +158,7 @@
     assert out.getvalue().endswith("INFO t heard\n")
 
 
-@story
+@trio_test
 async def test_log_lines_of_a_request_have_its_id_and_trace(tmp_path, caplog):
     async def malformed_response(exchange):
         await exchange.raw("no line of the protocol\n")
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 import ujson
-from helper import Peer, done, story, world
+from helper import Peer, done, trio_test, world
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -270,7 +270,7 @@
     )
 
 
-@story
+@trio_test
 async def test_three_members_on_loopback_find_each_other_during_a_flood_and_one_leaves():
     first = Members(config("a", [("127.0.0.1", 9)]))
     async with trio.open_nursery() as nursery:
@@ -299,7 +299,7 @@
         nursery.cancel_scope.cancel()
 
 
-@story
+@trio_test
 async def test_service_reports_members_on_its_management_listener_only_if_configured():
     async with world(
         Peer("d1", done),
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -13,7 +13,7 @@
 import pytest
 import trio
 import trio.testing
-from helper import Client, Peer, done, story, timed_story, world
+from helper import Client, Peer, done, mock_clock_test, trio_test, world
 
 from yewrill.config.reading import read_config
 from yewrill.dispatch.outcome import AttemptOutcome
@@ -30,7 +30,7 @@
 MGMT = {"mgmt": "127.0.0.1:0"}
 
 
-@story
+@trio_test
 async def test_the_management_listener_answers_ready_and_rejects_wrong_calls():
     async with world(Peer("d1", done), **MGMT) as w:
         assert (await w.call("GET /_ready")).status == 200
@@ -45,7 +45,7 @@
         assert (await w.ask("/_ready", "GET")).status == 404  # not on the clients' listener
 
 
-@timed_story
+@mock_clock_test
 async def test_silent_management_callers_delay_no_call_and_are_closed():
     async with world(Peer("d1", done), **MGMT) as w:
         began = trio.current_time()
@@ -64,7 +64,7 @@
         assert len(w.service.listener.clients) == 0  # they are not clients
 
 
-@story
+@trio_test
 async def test_without_mgmt_there_is_no_management_listener():
     async with world(Peer("d1", done)) as w:
         assert w.service.management is None
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
-@story
+@trio_test
 async def test_a_hot_restart_leaves_no_gap_and_the_old_process_answers_what_it_accepted(front):
     peer, gate = Peer("d1", None), trio.Event()
 
@@ -150,7 +150,7 @@
         await w.until(lambda: new_process.listener._max_clients == 541)
 
 
-@story
+@trio_test
 async def test_the_old_process_knows_the_new_one_as_soon_as_that_is_ready():
     async with shared_world(Peer("d1", done)) as w:
         new_process = await start_new_process(w)
@@ -159,7 +159,7 @@
         assert w.old_process.listener._max_clients + new_process.listener._max_clients <= 541
 
 
-@story
+@trio_test
 async def test_an_id_open_in_one_process_is_in_use_in_the_other():
     gate, peer = trio.Event(), Peer("d1", None)
 
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("leftover", ["nobody", "silent", "not a socket"])
-@timed_story
+@mock_clock_test
 async def test_a_leftover_path_or_a_silent_old_process_does_not_delay_a_start(leftover):
     async with shared_world(Peer("d1", done)) as w:
         path = w.shared.link()
@@ -212,7 +212,7 @@
             assert (await Client(stream).ask("/up", "GET")).status == 200
 
 
-@story
+@trio_test
 async def test_two_processes_divide_the_descriptors_and_each_has_its_minimum(monkeypatch):
     """The two parts must add up to the total, and the old process keeps the descriptors that it uses."""
     # On a slow machine, clients may be connected for longer than this age.
@@ -243,7 +243,7 @@
             await client.stream.aclose()
 
 
-@story
+@trio_test
 async def test_the_old_process_uses_all_descriptors_again_when_the_new_one_dies():
     async with shared_world(Peer("d1", done)) as w:
         whole = w.old_process.listener._max_clients
@@ -260,7 +260,7 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
-@story
+@trio_test
 async def test_a_detached_worker_gets_no_requests_whatever_discovery_lists_until_attached(
     front,
 ):
@@ -308,7 +308,7 @@
         assert (await w.call(DETACH + "d1")).status == 404
 
 
-@story
+@trio_test
 async def test_an_attempt_already_picked_is_not_sent_to_a_detached_worker():
     one = Peer("d1", done)
     async with world(one, **MGMT) as w:
@@ -321,7 +321,7 @@
         assert not one.exchanges
 
 
-@story
+@trio_test
 async def test_detached_workers_stay_detached_over_a_hot_restart_and_either_process_attaches():
     peers = [Peer(f"d{i}", done) for i in range(5)]
     async with shared_world(*peers) as w:
@@ -391,7 +391,7 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
-@timed_story
+@mock_clock_test
 async def test_an_operators_drain_moves_clients_away_without_losing_a_request(front):
     gate = trio.Event()
 
@@ -440,7 +440,7 @@
         await w.ended.wait()
 
 
-@story
+@trio_test
 async def test_the_operators_drain_applies_to_both_processes_of_a_hot_restart():
     async with shared_world(Peer("d1", done)) as w:
         assert (await w.call("PUT /_lameduck/on")).status == 200
@@ -463,7 +463,7 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
-@story
+@trio_test
 async def test_the_metrics_count_answers_attempts_workers_and_reloads(front):
     async def script(exchange):
         if exchange.id.startswith("fails"):
@@ -534,7 +534,7 @@
         assert (counts["reload_success"], counts["reload_failure"]) == (1, 1)
 
 
-@story
+@trio_test
 async def test_the_metrics_count_an_open_request_as_concurrent_and_an_ejected_worker_as_disabled():
     gate = trio.Event()
 
@@ -580,7 +580,7 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
-@story
+@trio_test
 async def test_a_sighup_applies_new_classes_and_open_requests_keep_their_class(front):
     gates = {"old": trio.Event(), "new": trio.Event(), "dropped": trio.Event()}
 
@@ -628,7 +628,7 @@
         assert counts["success.fresh"] == 1 and counts["success.tour"] == 1
 
 
-@story
+@trio_test
 async def test_a_changed_attempt_limit_applies_to_new_requests_and_if_smaller_to_open_ones():
     gate = trio.Event()
 
@@ -650,7 +650,7 @@
             assert sum(e.id == id for p in peers for e in p.exchanges) == 2
 
 
-@story
+@trio_test
 async def test_a_faulty_configuration_is_rejected_as_a_whole():
     one = Peer("d1", done)
     async with world(one, **MGMT) as w:
@@ -774,7 +774,7 @@
     assert max(ratios) < 1.1 and w.run_times_seen > 0
 
 
-@story
+@trio_test
 async def test_a_caller_in_the_backlog_at_the_end_does_not_disturb_the_exit():
     management = ManagementListener(("127.0.0.1", 0), {})
     async with trio.open_nursery() as nursery:
@@ -786,7 +786,7 @@
     await late.aclose()
 
 
-@story
+@trio_test
 async def test_new_processes_find_the_old_one_after_an_exception_in_its_accept_loop(monkeypatch):
     async with shared_world(Peer("d1", done)) as w:
         accept, faults = HotRestart._accept, []
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -5,7 +5,7 @@
 """
 
 import pytest
-from helper import Peer, done, story, world
+from helper import Peer, done, trio_test, world
 
 CLASS_DEADLINE_MS = 3000  # of the helper's settings
 REQUESTS = 20
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("longest", [60_000, CLASS_DEADLINE_MS])
 @pytest.mark.parametrize("usual", [2000, 600])
-@story
+@trio_test
 async def test_one_client_with_a_long_timeout_does_not_cause_rejections_on_an_idle_fleet(
     longest, usual
 ):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,7 +8,7 @@
 
 import pytest
 import trio
-from helper import SETTINGS, Discovery, Peer, done, hang, story, timed_story, world
+from helper import SETTINGS, Discovery, Peer, done, hang, mock_clock_test, trio_test, world
 
 from yewrill.dispatch.endpoint import Endpoint
 from yewrill.dispatch.engine import DecisionEngine
@@ -19,7 +19,7 @@
 from yewrill.policy import interface as api
 
 
-@story
+@trio_test
 async def test_request_is_forwarded_whole_and_its_result_is_the_body():
     peer = Peer("d1", done)
     async with world(peer) as w:
@@ -129,7 +129,7 @@
         (reports_returned, True),
     ],
 )
-@story
+@trio_test
 async def test_attempt_that_may_have_run_is_retried_only_as_its_class_allows(failure, never_ran):
     for target, again in (("/tour", True), ("/once", never_ran)):
         script = fail_first_attempt(failure)
@@ -140,7 +140,7 @@
             assert sum(len(p.exchanges) for p in peers) == (2 if again else 1)
 
 
-@story
+@trio_test
 async def test_refused_connection_is_retried_elsewhere_for_any_class():
     dead, alive = Peer("d0", done), Peer("d1", done)
     async with world(dead, alive) as w:
@@ -153,7 +153,7 @@
         assert not dead.exchanges and len(alive.exchanges) == 6
 
 
-@timed_story
+@mock_clock_test
 async def test_silent_worker_times_out_before_the_client():
     connection_closed = trio.Event()
 
@@ -168,7 +168,7 @@
         await connection_closed.wait()
 
 
-@story
+@trio_test
 async def test_client_that_leaves_stops_its_pending_retry():
     peers = [Peer("d1", hang), Peer("d2", hang)]
     async with world(*peers) as w:
@@ -186,7 +186,7 @@
         assert [e.id for p in peers for e in p.exchanges if e.id == "r1"] == ["r1"]
 
 
-@timed_story
+@mock_clock_test
 async def test_request_without_any_worker_is_rejected_at_once_with_retry_after():
     async with world(Peer("d1", done)) as w:
         w.discovery.tell(full=True)  # a full list without workers removes all of them
@@ -203,7 +203,7 @@
         assert trio.current_time() - began < 0.3
 
 
-@story
+@trio_test
 async def test_draining_worker_gets_no_request_and_its_idle_connections_are_closed():
     peers = [Peer("d1", done), Peer("d2", done)]
     async with world(*peers) as w:
@@ -219,7 +219,7 @@
         assert len(used.exchanges) == before
 
 
-@timed_story
+@mock_clock_test
 async def test_watch_polls_again_at_once_and_survives_a_silent_discovery(monkeypatch):
     from yewrill.net import discovery
 
@@ -241,7 +241,7 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
-@timed_story
+@mock_clock_test
 async def test_sighup_moves_the_watch_at_once_and_an_invalid_file_changes_nothing(front, caplog):
     # Without a receiver the test is to fail, not the process to be killed.
     previous = signal.signal(signal.SIGHUP, lambda *_: None)
@@ -283,7 +283,7 @@
     task_status.started()
 
 
-@story
+@trio_test
 async def test_worker_connection_with_end_or_stray_bytes_is_not_reused():
     async def then_closes(exchange):
         await exchange.done()
@@ -304,7 +304,7 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
-@story
+@trio_test
 async def test_reused_connections_that_are_reset_cost_no_request_and_eject_no_worker(front):
     async def resets_second_use(exchange):
         if exchange.stream in used:
@@ -331,7 +331,7 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
-@timed_story
+@mock_clock_test
 async def test_attempt_on_a_silent_connection_ends_early_and_does_not_count_against_its_worker(
     front,
 ):
@@ -356,7 +356,7 @@
         assert not w.service.engine._module.fleet.workers["d1"].ejection.failures
 
 
-@story
+@trio_test
 async def test_worker_that_keeps_sending_after_its_answer_delays_no_request():
     async def sends_after_answer(exchange):
         await exchange.say("done", result="profile")
@@ -370,7 +370,7 @@
         await w.until(lambda: not peer.live)  # its connections are closed
 
 
-@timed_story
+@mock_clock_test
 async def test_idle_worker_connections_are_closed_before_the_worker_closes_them():
     peer = Peer("d1", done)
     async with world(peer, settings={"limits": {**SETTINGS["limits"], "idle_close": 1000.0}}) as w:
@@ -381,7 +381,7 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
-@story
+@trio_test
 async def test_first_try_with_a_short_timeout_is_served_and_a_marked_retry_is_rejected(front):
     async with world(
         Peer("d1", done), front=front, settings={"client_habits": {"marks_retry": True}}
@@ -426,7 +426,7 @@
 
 
 @pytest.mark.parametrize("given, status", BAD, ids=[str(i) for i in range(len(BAD))])
-@story
+@trio_test
 async def test_bad_request_is_rejected_before_any_attempt(given, status):
     peer = Peer("d1", done)
     async with world(peer) as w:
@@ -453,7 +453,7 @@
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @pytest.mark.parametrize("outer", SMUGGLING, ids=[str(i) for i in range(len(SMUGGLING))])
-@story
+@trio_test
 async def test_ambiguous_framing_is_rejected_and_nothing_after_it_is_read(outer, front):
     peer = Peer("d1", done)
     async with world(peer, front=front) as w:
@@ -466,7 +466,7 @@
         assert not peer.exchanges
 
 
-@story
+@trio_test
 async def test_only_known_valid_headers_reach_a_worker():
     peer = Peer("d1", done)
     async with world(peer) as w:
@@ -485,7 +485,7 @@
 @pytest.mark.parametrize(
     "raw", [b"\x16\x03\x01\x02\x00\r\n\r\n", b"POST /tour HTTP/1.1\r\nHost x\r\n\r\n"]
 )
-@story
+@trio_test
 async def test_malformed_http_gets_400(raw):
     async with world(Peer("d1", done)) as w:
         stream = await trio.open_tcp_stream(*w.service.listener.address)
@@ -493,7 +493,7 @@
         assert (await stream.receive_some()).startswith(b"HTTP/1.1 400 ")
 
 
-@timed_story
+@mock_clock_test
 async def test_drain_finishes_open_requests_and_serves_new_ones_until_the_socket_closes():
     go_on = trio.Event()
 
@@ -522,7 +522,7 @@
         await w.ended.wait()
 
 
-@timed_story
+@mock_clock_test
 async def test_drain_serves_kept_connections_within_its_grace_and_answers_every_request():
     async def script(exchange):
         await (hang if exchange.id == "last" else done)(exchange)
@@ -542,7 +542,7 @@
         assert trio.current_time() - began < 1.4
 
 
-@story
+@trio_test
 async def test_exception_in_policy_or_attempt_fails_one_request_only(monkeypatch):
     async with world(Peer("d1", done)) as w:
         handle = w.service.engine._module.handle
@@ -561,7 +561,7 @@
         assert (await w.ask("/tour")).status == 200
 
 
-@story
+@trio_test
 async def test_accept_without_descriptors_serves_waiting_clients_later(monkeypatch):
     async with world(Peer("d1", done)) as w:
         real, failures = w.service.listener.sock, []
@@ -583,7 +583,7 @@
         assert len(failures) == 3
 
 
-@timed_story
+@mock_clock_test
 async def test_local_descriptor_shortage_does_not_eject_a_worker(monkeypatch):
     async with world(Peer("d1", done)) as w:
         real = Connection.open
@@ -602,7 +602,7 @@
         assert trio.current_time() - began < 0.2
 
 
-@story
+@trio_test
 async def test_probe_outcome_follows_the_workers_health():
     peer = Peer("d1", done)
 
@@ -624,7 +624,7 @@
         assert peer.connections == 4
 
 
-@story
+@trio_test
 async def test_exception_in_a_supervised_task_does_not_end_the_process(monkeypatch):
     async with world(Peer("d1", done)) as w:
 
@@ -638,7 +638,7 @@
         assert (await w.ask()).status == 200
 
 
-@timed_story
+@mock_clock_test
 async def test_client_connections_are_bounded_and_the_longest_idle_is_evicted():
     async with world(Peer("d1", done), limits={"sockets": 80}) as w:
         clients = []
@@ -653,7 +653,7 @@
 
 
 @FRONTS
-@timed_story
+@mock_clock_test
 async def test_silent_or_incomplete_request_gets_408_in_time_and_a_kept_connection_stays(
     front, monkeypatch
 ):
@@ -671,7 +671,7 @@
 
 
 @FRONTS
-@timed_story
+@mock_clock_test
 async def test_flood_of_silent_connections_displaces_no_working_client(front, monkeypatch):
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.05)
     async with world(Peer("d1", done), front=front, limits={"sockets": 80}) as w:
@@ -689,7 +689,7 @@
 
 
 @FRONTS
-@story
+@trio_test
 async def test_pipelined_requests_are_rejected_before_any_attempt(front):
     peer = Peer("d1", done)
     async with world(peer, front=front) as w:
@@ -704,7 +704,7 @@
 
 
 @FRONTS
-@story
+@trio_test
 async def test_request_id_in_use_gets_409_and_does_not_affect_the_open_request(
     front,
 ):
@@ -733,7 +733,7 @@
         assert (await w.ask(X_Request_ID="r2")).status == 200
 
 
-@story
+@trio_test
 async def test_engine_picks_and_retries_without_sockets():
     settings = api.Settings(classes=[api.RequestClass("c", 500.0, 1000.0)], max_attempts=2)
     engine = DecisionEngine(settings, 1)
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 import ujson
-from helper import Peer, done, hang, story, timed_story, world
+from helper import Peer, done, hang, mock_clock_test, trio_test, world
 
 from yewrill.dispatch.request import Attempt, Request
 from yewrill.frontends.progress import EventStreamParser, _ProgressBuffer, encode_event
@@ -41,7 +41,7 @@
     await exchange.done({"climb": 812})
 
 
-@story
+@trio_test
 async def test_progress_is_forwarded_immediately_and_the_answer_is_the_last_event():
     peer = Peer("d1", reports_then_waits)
     async with world(peer, front="progress") as w:
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("target, final", [("/tour", "served"), ("/once", "failed")])
-@story
+@trio_test
 async def test_worker_reset_during_stream_is_retried_only_as_the_class_allows(target, final):
     script = reset_first(done)
     peers = [Peer("d1", script), Peer("d2", script)]
@@ -94,7 +94,7 @@
         assert sum(len(p.exchanges) for p in peers) == (2 if final == "served" else 1)
 
 
-@story
+@trio_test
 async def test_client_that_leaves_while_a_retry_is_pending_stops_the_retry():
     script = reset_first(done)
     peers = [Peer("d1", script), Peer("d2", script)]
@@ -116,7 +116,7 @@
         assert [e.id for p in peers for e in p.exchanges if e.id == "r1"] == ["r1"]
 
 
-@timed_story
+@mock_clock_test
 async def test_deadline_applies_while_progress_is_reported():
     async def reports_progress_forever(exchange):
         while True:
@@ -133,7 +133,7 @@
         assert [e.type for e in events[:-1]] == ["progress"] * (len(events) - 1)
 
 
-@story
+@trio_test
 async def test_refused_event_states_retry_after():
     async with world(front="progress") as w:
         reply, events = await ask(w)
@@ -141,7 +141,7 @@
         assert ujson.loads(events[0].data) == {"id": "r1", "retry_after": 2.0}
 
 
-@story
+@trio_test
 async def test_worker_answer_that_is_no_stream_fails_that_attempt_only():
     async def plain(exchange):
         exchange.front = "platform"
@@ -158,7 +158,7 @@
         assert events[-1].type == "served" and len(script_calls) == 2
 
 
-@story
+@trio_test
 async def test_reconnecting_reader_gets_204_and_bad_request_gets_no_stream():
     peer = Peer("d1", done)
     async with world(peer, front="progress") as w:
@@ -167,7 +167,7 @@
         assert not peer.exchanges
 
 
-@story
+@trio_test
 async def test_slow_reader_is_disconnected_and_uses_bounded_memory(monkeypatch):
     monkeypatch.setattr(client_connection, "SEND_TIMEOUT_SECONDS", 0.3)
 
@@ -191,7 +191,7 @@
         await client.stream.aclose()
 
 
-@story
+@trio_test
 async def test_while_draining_new_streams_get_503_and_open_ones_their_final_event():
     peer = Peer("d1", reports_then_waits)
     async with world(peer, front="progress", timing={"linger_ms": 100, "grace_ms": 1000}) as w:
@@ -208,7 +208,7 @@
         assert await client.stream.receive_some() == b""
 
 
-@story
+@trio_test
 async def test_thousands_of_streams_get_one_final_event_each_and_none_after_the_drain():
     rng = random.Random(7)
     total, finals, left, rejected_while_draining, ended = 2400, [], 0, 0, 0
@@ -277,7 +277,7 @@
     assert ended == sum(len(p.exchanges) for p in peers)  # nothing was sent after the drain
 
 
-@story
+@trio_test
 async def test_progress_of_an_ended_attempt_is_dropped_and_only_the_latest_is_kept():
     request = Request("r1", 0, 0.0)
     dead, live = (Attempt(request, number, "d1", 0.0) for number in (0, 1))
@@ -315,7 +315,7 @@
             EventStreamParser().feed(flood)
 
 
-@story
+@trio_test
 async def test_hanging_stream_without_progress_fails_before_the_client_timeout():
     async with world(Peer("d1", hang), front="progress", timing={"answer_margin_ms": 400}) as w:
         reply, events = await ask(w, target="/save", X_Timeout_Ms="900")
--- a/tests/test_rejection_watch.py
+++ b/tests/test_rejection_watch.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from helper import Peer, done, story, world
+from helper import Peer, done, trio_test, world
 
 from yewrill.dispatch.rejection_watch import (
     MIN_REJECTIONS,
@@ -30,7 +30,7 @@
     assert watch.rejected("save", 2 * SHUT_OUT_MS) is None
 
 
-@story
+@trio_test
 async def test_rejections_are_counted_by_class_and_reason_and_a_shut_out_class_is_logged(
     caplog, monkeypatch
 ):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -12,7 +12,7 @@
 import trio.testing
 import ujson
 from fleet_world import World
-from helper import Peer, done, story, world
+from helper import Peer, done, trio_test, world
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -71,7 +71,7 @@
 GOOD = {"qps": 2.0, "inflight": 3.0, "x0": 1.0}
 
 
-@story
+@trio_test
 async def test_load_reports_in_answers_headers_and_probes_reach_the_module_and_invalid_ones_are_skipped():
     said = [
         GOOD,
@@ -120,7 +120,7 @@
         assert paths[-1] == "/metrics/load"
 
 
-@story
+@trio_test
 async def test_requests_with_the_same_user_cookie_go_to_the_same_worker():
     peers = [Peer(f"d{i}", done) for i in range(6)]
     async with world(*peers, settings={"specifics": {"tells_start": True}}) as w:
--- a/tests/test_rules_checks.py
+++ b/tests/test_rules_checks.py
@@ -1,7 +1,7 @@
 """The safety rules in `yewrill.dispatch.safety`, and how the running service applies them."""
 
 import pytest
-from helper import Peer, done, story, timed_story, world
+from helper import Peer, done, mock_clock_test, trio_test, world
 
 from yewrill.dispatch.safety import (
     AttemptFacts,
@@ -54,7 +54,7 @@
     assert check_timeout(1200, 0.0, 1000.0) is Rule.TOLD_TOO_LONG
 
 
-@timed_story
+@mock_clock_test
 async def test_an_attempt_that_would_violate_a_rule_is_counted_logged_and_not_sent(
     caplog, monkeypatch
 ):
@@ -78,7 +78,7 @@
         assert "rule_violation rule=unsafe_repeat request=r" in caplog.text
 
 
-@story
+@trio_test
 async def test_a_close_without_an_answer_is_counted_as_a_violation(caplog, monkeypatch):
     async with world(Peer("d1", done), mgmt="127.0.0.1:0") as w:
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 from fleet_world import World
-from helper import Discovery, Peer, done, hang, story, timed_story, world
+from helper import Discovery, Peer, done, hang, mock_clock_test, trio_test, world
 from test_discovery import set_draining
 from test_endings import FRONTS, LONG_DEADLINES, LONG_TIMEOUT, raw_request
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("sent_before_accept", [True, False])
-@story
+@trio_test
 async def test_a_client_accepted_in_the_turn_of_the_shutdown_gets_its_answer(
     sent_before_accept, monkeypatch
 ):
@@ -51,7 +51,7 @@
 
 
 @FRONTS
-@timed_story
+@mock_clock_test
 async def test_a_shutdown_answers_every_request_although_workers_never_answer(front):
     peers = [Peer(f"d{i}", hang) for i in range(3)]
     async with world(
@@ -109,7 +109,7 @@
     assert windows > 10 * dispatchers
 
 
-@timed_story
+@mock_clock_test
 async def test_a_workers_drain_right_after_a_reload_that_moves_discovery_is_noticed():
     peers = [Peer("d1", done), Peer("d2", done)]
     async with world(*peers, settings=LONG_DEADLINES) as w:
@@ -128,7 +128,7 @@
 
 
 @FRONTS
-@timed_story
+@mock_clock_test
 async def test_a_reload_in_the_turn_of_the_shutdown_leaves_no_request_unanswered(front):
     async def wait_then_answer(exchange):
         await release.wait()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -14,7 +14,7 @@
 import pytest
 import trio
 import ujson
-from helper import SETTINGS, Client, Discovery, Peer, done, story, world
+from helper import SETTINGS, Client, Discovery, Peer, done, trio_test, world
 from machine_faults import FaultyDisk
 
 from yewrill.config.errors import ConfigError
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-@story
+@trio_test
 async def test_after_a_kill_during_requests_and_management_calls_every_guarantee_holds(
     seed, tmp_path
 ):
@@ -207,7 +207,7 @@
     return {"state_dir": str(tmp_path / "state"), "state": {"patience_ms": 5000, **more}, **MGMT}
 
 
-@story
+@trio_test
 async def test_no_attempt_that_is_unsafe_to_repeat_is_sent_before_its_record_is_on_disk(
     tmp_path,
 ):
@@ -236,7 +236,7 @@
         await w.until(lambda: not list(store.scan(prefix=b"sent/")))
 
 
-@story
+@trio_test
 async def test_a_failing_store_affects_no_idempotent_request_and_is_logged_once(
     tmp_path, caplog, monkeypatch
 ):
@@ -273,7 +273,7 @@
         await w.until(lambda: [key for key, _ in store.scan(prefix=b"out/")] == [b"out/d1"])
 
 
-@story
+@trio_test
 async def test_endpoint_list_reattached_workers_and_operator_drain_survive_a_restart(tmp_path):
     config = state_settings(tmp_path)
     peer = Peer("d1", done)
@@ -315,7 +315,7 @@
         nursery.cancel_scope.cancel()
 
 
-@story
+@trio_test
 async def test_a_new_process_opens_the_store_when_the_old_one_has_exited(tmp_path, caplog):
     from test_operators import shared_world, start_new_process
 
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -15,7 +15,7 @@
 import trio
 import ujson
 from click.testing import CliRunner
-from helper import Peer, story, world
+from helper import Peer, trio_test, world
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from opentelemetry.proto.collector.trace.v1 import trace_service_pb2 as service
@@ -253,7 +253,7 @@
 @pytest.mark.parametrize(
     "script", [(), (429, 503, 502, 504), ("reset", "cut", "silent"), ("reset", 503, "reset")]
 )
-@story
+@trio_test
 async def test_exporter_with_failing_collector_delivers_each_span_once(script, monkeypatch):
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     t = make_tracer()
@@ -273,7 +273,7 @@
     assert not t.queue.dropped and exporter.counts["retries"] == len(script)
 
 
-@story
+@trio_test
 async def test_exporter_counts_rejected_spans_and_never_resends_an_accepted_batch(monkeypatch):
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     t = make_tracer()
@@ -294,7 +294,7 @@
     assert collector.posts == 3  # none of them is sent twice
 
 
-@story
+@trio_test
 async def test_full_queue_drops_ordinary_records_first_and_counts_them(
     tmp_path,
 ):
@@ -308,7 +308,7 @@
     assert exporter.metrics()["trace_dropped_file_failed"] == 10
 
 
-@story
+@trio_test
 async def test_spooled_batches_are_delivered_after_a_restart(monkeypatch):
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     kept: dict[bytes, bytes] = {}
@@ -385,7 +385,7 @@
     )
 
 
-@story
+@trio_test
 async def test_service_sampling_one_percent_keeps_every_bad_request_with_its_causes(
     tmp_path, monkeypatch
 ):
@@ -516,7 +516,7 @@
     assert run.invoke(main, ["trace", "list", str(tmp_path / "absent")]).exit_code == 2
 
 
-@story
+@trio_test
 async def test_reload_and_hot_restart_are_events_of_the_open_traces(tmp_path, monkeypatch):
     from test_operators import shared_world, start_new_process
 
@@ -552,7 +552,7 @@
     ] and not new_process["events"]
 
 
-@story
+@trio_test
 async def test_wall_clock_set_back_keeps_durations_and_reload_changes_the_share(
     tmp_path, monkeypatch
 ):
--- a/tests/test_views_hook.py
+++ b/tests/test_views_hook.py
@@ -5,7 +5,7 @@
 """
 
 import pytest
-from helper import SETTINGS, story, timed_story
+from helper import SETTINGS, mock_clock_test, trio_test
 
 from yewrill.config.errors import ConfigError
 from yewrill.config.reading import read_config
@@ -197,7 +197,7 @@
     return Step(PersistedView(1, ("a",)) if persist else None, [(("127.0.0.1", 1), message)])
 
 
-@timed_story
+@mock_clock_test
 async def test_messages_are_not_sent_until_the_view_they_depend_on_is_persisted():
     store, link = FakeStore(StoreError("not written")), FakeLink()
     views = views_with_store(store)
@@ -211,7 +211,7 @@
     assert len(store.written) == 1 and len(link.datagrams) == 1
 
 
-@story
+@trio_test
 async def test_poisoned_store_is_reopened_before_anything_is_sent(monkeypatch):
     poisoned, reopened, link = FakeStore(StorePoisoned("writing ended")), FakeStore(), FakeLink()
     views = views_with_store(poisoned)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 
 import pytest
-from helper import Peer, done, story, world
+from helper import Peer, done, trio_test, world
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -469,7 +469,7 @@
 }
 
 
-@story
+@trio_test
 async def test_the_service_follows_operators_orders_and_counts_attempts_by_zone():
     peer = Peer("d1", done)
     async with world(
