--- a/tests/fixture_service.py
+++ b/tests/fixture_service.py
@@ -13,7 +13,7 @@
 
 import trio
 import ujson
-from helper import Client, Peer, World, done, world
+from helper import Client, Peer, ServiceHarness, done, running_service
 
 from yewrill.config.reading import read_config
 from yewrill.membership import Members
@@ -78,47 +78,52 @@
     }
 
 
-async def _call_result(w: World, call: str) -> list[Any]:
+async def _call_result(harness: ServiceHarness, call: str) -> list[Any]:
     """Makes a management call. Returns the call, the status and the text of the response."""
-    reply = await w.call(call)
+    reply = await harness.call(call)
     return [call, reply.status, reply.body.decode()]
 
 
-def _is_ready(w: World) -> bool:
+def _is_ready(harness: ServiceHarness) -> bool:
     """Returns whether the service is in a view, holds a lease, and has a zone failover plan."""
-    parts = {subsystem.name: subsystem for subsystem in w.service.subsystems}
+    parts = {subsystem.name: subsystem for subsystem in harness.service.subsystems}
     owns = any(duty["ours"] for duty in parts["ownership"].status()["duties"])
     return owns and bool(parts["zones"].status()["zones"]) and bool(parts["views"].number)
 
 
 async def management(path: Path) -> list[Any]:
     """Returns paths, metrics with their types in order, shapes of the statuses, and results of the calls."""
-    async with world(Peer("d1", done), **_all_sections(path)) as w:
-        await w.nursery.start(await _other_member(w))
-        await w.until(lambda: _is_ready(w))
-        assert (await w.ask()).status == 200
+    async with running_service(Peer("d1", done), **_all_sections(path)) as harness:
+        await harness.nursery.start(await _other_member(harness))
+        await harness.wait_until(lambda: _is_ready(harness))
+        assert (await harness.ask()).status == 200
         paths = [
             f"{call.method} {path}{' named' if call.named else ''}"
-            for path, call in w.service.create_management_calls().by_path().items()
+            for path, call in harness.service.create_management_calls().by_path().items()
         ]
-        text = (await w.call("GET /_vars")).body.decode()
+        text = (await harness.call("GET /_vars")).body.decode()
         metrics = [[line.split(":")[0], line.split("|")[1]] for line in text.splitlines()]
-        statuses = [await _status(w, part) for part in SUBSYSTEMS]
-        return [sorted(paths), metrics, statuses, [await _call_result(w, call) for call in CALLS]]
+        statuses = [await _status(harness, part) for part in SUBSYSTEMS]
+        return [
+            sorted(paths),
+            metrics,
+            statuses,
+            [await _call_result(harness, call) for call in CALLS],
+        ]
 
 
-async def _other_member(w: World) -> Callable:
+async def _other_member(harness: ServiceHarness) -> Callable:
     """Returns the task of a second member, so that the status of the first one lists another member."""
-    members = w.service.subsystems[0]
-    await w.until(members.opened.is_set)
+    members = harness.service.subsystems[0]
+    await harness.wait_until(members.opened.is_set)
     address = "{}:{}".format(*members.address)
-    raw = {**w.raw, "members": {**MEMBERS, "name": "d9", "peers": [address]}}
+    raw = {**harness.raw, "members": {**MEMBERS, "name": "d9", "peers": [address]}}
     other = Members(read_config(raw).members)
     return other.run
 
 
-async def _status(w: World, part: str) -> list[Any]:
-    reply = await w.call(f"GET /_{part}")
+async def _status(harness: ServiceHarness, part: str) -> list[Any]:
+    reply = await harness.call(f"GET /_{part}")
     status = ujson.loads(reply.body)
     if part == "members":  # which other kinds of datagrams have been sent by now varies
         status["sent"] = {"ping": status["sent"]["ping"]}
@@ -194,7 +199,7 @@
 
 
 @asynccontextmanager
-async def _restartable_service(path: Path, **config: Any) -> AsyncIterator[World]:
+async def _restartable_service(path: Path, **config: Any) -> AsyncIterator[ServiceHarness]:
     """Runs a service that supports a hot restart, with persistent state and a management listener."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         path.mkdir(exist_ok=True)
@@ -202,17 +207,17 @@
         peer = Peer("d1", done)
         state = {"state_dir": str(path / "state"), "state": {"patience_ms": 5000}}
         options = {"mgmt": "127.0.0.1:0", **state, **config}
-        async with world(peer, environment=environment, **options) as w:
-            w.address = sock.getsockname()
-            yield w
+        async with running_service(peer, environment=environment, **options) as harness:
+            harness.address = sock.getsockname()
+            yield harness
 
 
 def _link(path: Path) -> Path:
     return link_path(str(path), "yewrill", ("127.0.0.1", 0))
 
 
-async def _request_status(w: World, target: str, id: str) -> int:
-    client = Client(await trio.open_tcp_stream(*w.address))
+async def _request_status(harness: ServiceHarness, target: str, id: str) -> int:
+    client = Client(await trio.open_tcp_stream(*harness.address))
     reply = await client.ask(target, X_Request_ID=id)
     await client.stream.aclose()
     return reply.status
@@ -220,16 +225,16 @@
 
 async def run_as_old_process(path: Path) -> list[Any]:
     """Runs a service as the old process. Returns the lines that it sends, and its state at the end."""
-    async with _restartable_service(path) as w:
-        service, received = w.service, []
+    async with _restartable_service(path) as harness:
+        service, received = harness.service, []
         new_process = LinkEnd(await trio.open_unix_socket(str(_link(path))))
         await new_process.send(NEW_PROCESS_LINES[0])
         received += await new_process.receive(1)
-        assert await _request_status(w, "/tour", "r1") == 200
+        assert await _request_status(harness, "/tour", "r1") == 200
         received += await new_process.receive(2)
         for number, call in enumerate(ORDERS, 1):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(w.call, call)
+                nursery.start_soon(harness.call, call)
                 received += await new_process.receive(1)
                 await new_process.send(b'{"noted":%d}\n' % number)
         await new_process.send(NEW_PROCESS_LINES[1])
@@ -257,11 +262,11 @@
         async with trio.open_nursery() as nursery:
             old_process, received = OldProcess(), []
             nursery.start_soon(old_process.serve, listener, received)
-            async with _restartable_service(path) as w:
-                pool, hot_restart = w.service.endpoints, w.service.hot_restart
+            async with _restartable_service(path) as harness:
+                pool, hot_restart = harness.service.endpoints, harness.service.hot_restart
                 first = [
                     hot_restart.open_elsewhere("elders-job"),
-                    w.service.operator_drain.active,
+                    harness.service.operator_drain.active,
                     pool.detached,
                     sorted(pool.recently_attached),
                     pool.names,
@@ -272,12 +277,12 @@
                 received += await old_process.line.receive(3)
                 then = [
                     [hot_restart.open_elsewhere(id) for id in ("elders-job", "another-job")],
-                    w.service.operator_drain.active,
+                    harness.service.operator_drain.active,
                     pool.detached,
                     sorted(pool.recently_attached),
                 ]
                 async with trio.open_nursery() as waiting_request:
-                    waiting_request.start_soon(_request_status, w, "/once", "r1")
+                    waiting_request.start_soon(_request_status, harness, "/once", "r1")
                     received += await old_process.line.receive(2)
                     await old_process.line.send(b'{"noted":2,"kept":true}\n')
                     received += await old_process.line.receive(1)
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -285,7 +285,7 @@
         return await self.reply()
 
 
-class World:
+class ServiceHarness:
     """A running service and its scripted peers."""
 
     def __init__(self, service: Service, discovery: Discovery, nursery: trio.Nursery, raw: dict):
@@ -319,14 +319,14 @@
         await client.stream.aclose()
         return reply
 
-    async def until(self, true: Callable[[], bool]) -> None:
+    async def wait_until(self, true: Callable[[], bool]) -> None:
         """Wait until a condition on a peer or the service holds."""
         while not true():
             await trio.sleep(0.002)
 
 
 @asynccontextmanager
-async def world(
+async def running_service(
     *peers: Peer,
     settings: dict | None = None,
     signals: bool = False,
@@ -348,15 +348,15 @@
             **config,
         }
         service = Service(read_config(raw, environment), lambda: read_config(raw, environment))
-        running = World(service, discovery, nursery, raw)
+        harness = ServiceHarness(service, discovery, nursery, raw)
 
         async def run(*, task_status=trio.TASK_STATUS_IGNORED) -> None:
             await service.run(signals=signals, task_status=task_status)
-            running.ended.set()
+            harness.ended.set()
 
         await nursery.start(run)
-        await running.until(lambda: any("from=" in target for _, target in discovery.calls))
-        yield running
+        await harness.wait_until(lambda: any("from=" in target for _, target in discovery.calls))
+        yield harness
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -11,7 +11,7 @@
 
 import pytest
 import trio
-from helper import Peer, done, mock_clock_test, trio_test, world
+from helper import Peer, done, mock_clock_test, running_service, trio_test
 
 from yewrill.net.backlog import Backlog
 
@@ -36,8 +36,8 @@
         return self._sock.accept()
 
 
-def fail_accepts(w, error, failing) -> FaultyListeningSocket:
-    listener = w.service.listener
+def fail_accepts(harness, error, failing) -> FaultyListeningSocket:
+    listener = harness.service.listener
     listener.sock = FaultyListeningSocket(listener.sock, error, failing)
     return listener.sock
 
@@ -47,29 +47,29 @@
 async def test_drain_while_accept_fails_serves_the_backlog(error):
     peer = Peer("d1", done)
     failing = [True]
-    async with world(peer, timing={"linger_ms": 300, "grace_ms": 3700}) as w:
-        sock = fail_accepts(w, error, lambda: failing)
-        w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.run_state.draining)
-        clients = [await w.client() for _ in range(WAITING_CLIENTS)]
+    async with running_service(peer, timing={"linger_ms": 300, "grace_ms": 3700}) as harness:
+        sock = fail_accepts(harness, error, lambda: failing)
+        harness.nursery.start_soon(harness.service.drain)
+        await harness.wait_until(lambda: harness.service.run_state.draining)
+        clients = [await harness.client() for _ in range(WAITING_CLIENTS)]
         for number, client in enumerate(clients):
             await client.send(X_Request_ID=f"r{number}")
         began = trio.current_time()
-        await w.until(lambda: trio.current_time() > began + 0.5)  # beyond linger_ms
+        await harness.wait_until(lambda: trio.current_time() > began + 0.5)  # beyond linger_ms
         failing.clear()
         assert [(await client.reply()).status for client in clients] == [200] * WAITING_CLIENTS
-        await w.ended.wait()
+        await harness.ended.wait()
         assert 0 < sock.failed < 100
 
 
 @mock_clock_test
 async def test_drain_while_accept_keeps_failing_ends_within_its_grace():
     peer = Peer("d1", done)
-    async with world(peer, timing={"linger_ms": 100, "grace_ms": 1500}) as w:
-        fail_accepts(w, errno.ENFILE, lambda: True)
+    async with running_service(peer, timing={"linger_ms": 100, "grace_ms": 1500}) as harness:
+        fail_accepts(harness, errno.ENFILE, lambda: True)
         began = trio.current_time()
-        w.nursery.start_soon(w.service.drain)
-        await w.ended.wait()
+        harness.nursery.start_soon(harness.service.drain)
+        await harness.ended.wait()
         assert trio.current_time() - began < 1.5
 
 
@@ -78,19 +78,19 @@
 async def test_failing_accept_does_not_delay_connected_clients(error):
     peer = Peer("d1", done)
     failing = []
-    async with world(peer) as w:
-        sock = fail_accepts(w, error, lambda: failing)
-        connected = [await w.client() for _ in range(5)]
+    async with running_service(peer) as harness:
+        sock = fail_accepts(harness, error, lambda: failing)
+        connected = [await harness.client() for _ in range(5)]
         for number, client in enumerate(connected):
             assert (await client.ask(X_Request_ID=f"k{number}")).status == 200
         failing.append(True)
-        waiting = await w.client()
+        waiting = await harness.client()
         await waiting.send(X_Request_ID="waits")
         began = trio.current_time()
         for tenth in range(10):
             for number, client in enumerate(connected):
                 assert (await client.ask(X_Request_ID=f"a{number}")).status == 200
-            await w.until(lambda t=tenth: trio.current_time() > began + 0.1 * t)
+            await harness.wait_until(lambda t=tenth: trio.current_time() > began + 0.1 * t)
         failing.clear()
         assert (await waiting.reply()).status == 200
         assert 0 < sock.failed < 200
@@ -106,11 +106,11 @@
         received[exchange.id] = trio.current_time(), float(exchange.headers["x-timeout-ms"])
         await exchange.done()
 
-    async with world(Peer("d1", note), Peer("d2", note)) as w:
-        fail_accepts(w, errno.ENFILE, lambda: trio.current_time() < failing_until[0])
+    async with running_service(Peer("d1", note), Peer("d2", note)) as harness:
+        fail_accepts(harness, errno.ENFILE, lambda: trio.current_time() < failing_until[0])
         failing_until[0] = trio.current_time() + outage
         sent = {}
-        clients = [await w.client() for _ in range(WAITING_CLIENTS)]
+        clients = [await harness.client() for _ in range(WAITING_CLIENTS)]
         for number, client in enumerate(clients):
             sent[f"r{number}"] = trio.current_time()
             await client.send(X_Request_ID=f"r{number}", X_Timeout_Ms=str(int(client_timeout_ms)))
@@ -145,7 +145,7 @@
         stated_timeouts.append(float(exchange.headers["x-timeout-ms"]))
         await exchange.done()
 
-    async with world(Peer("d1", note)) as w:
+    async with running_service(Peer("d1", note)) as harness:
         await trio.sleep(10.0)
-        assert (await w.ask(X_Timeout_Ms="2000")).status == 200
+        assert (await harness.ask(X_Timeout_Ms="2000")).status == 200
         assert stated_timeouts[0] > 1900.0
--- a/tests/test_call_errors.py
+++ b/tests/test_call_errors.py
@@ -5,7 +5,7 @@
 
 import pytest
 import trio
-from helper import Peer, done, mock_clock_test, world
+from helper import Peer, done, mock_clock_test, running_service
 
 from yewrill.net import connection
 from yewrill.net.connection import Connection, Retries
@@ -55,10 +55,10 @@
 @pytest.mark.parametrize("calls", [("recv_into",), ("send",), ("recv", "recv_into", "send")])
 @mock_clock_test
 async def test_socket_calls_that_fail_briefly_lose_no_answer(calls, error, faults):
-    async with world(Peer("d1", done), Peer("d2", done)) as w:
+    async with running_service(Peer("d1", done), Peer("d2", done)) as harness:
         before = Retries.total
         faults.append((calls, error, trio.current_time() + 0.1))
-        clients = [await w.client() for _ in range(CLIENTS)]
+        clients = [await harness.client() for _ in range(CLIENTS)]
         for number, client in enumerate(clients):
             await client.send(X_Request_ID=f"r{number}")
         assert [(await client.reply()).status for client in clients] == [200] * CLIENTS
@@ -67,24 +67,24 @@
 
 @mock_clock_test
 async def test_socket_call_that_keeps_failing_closes_the_connection_in_time(faults):
-    async with world(Peer("d1", done)) as w:
+    async with running_service(Peer("d1", done)) as harness:
         faults.append((("recv_into",), errno.ENOBUFS, trio.current_time() + 60.0))
-        client = await w.client()
+        client = await harness.client()
         began = trio.current_time()
         await client.send(X_Request_ID="r")
-        await w.until(lambda: len(w.service.listener.clients) == 1)
-        await w.until(lambda: not w.service.listener.clients)
+        await harness.wait_until(lambda: len(harness.service.listener.clients) == 1)
+        await harness.wait_until(lambda: not harness.service.listener.clients)
         assert trio.current_time() - began < connection.MAX_RETRY_SECONDS + 0.5
 
 
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.EAGAIN])
 @mock_clock_test
 async def test_connect_that_fails_for_a_local_reason_ejects_no_worker(error, faults):
-    async with world(Peer("d1", done)) as w:
+    async with running_service(Peer("d1", done)) as harness:
         faults.append((("connect",), error, trio.current_time() + 0.02))
-        statuses = [(await w.ask(X_Request_ID=f"r{number}")).status for number in range(3)]
+        statuses = [(await harness.ask(X_Request_ID=f"r{number}")).status for number in range(3)]
         assert set(statuses) <= {200, 503}
-        assert not w.service.engine.ejected()
+        assert not harness.service.engine.ejected()
 
 
 def fail_waits(monkeypatch, name, error, times=3):
@@ -104,14 +104,14 @@
 @pytest.mark.parametrize("error", [errno.ENOMEM, errno.ENOSPC])
 @mock_clock_test
 async def test_failing_wait_for_a_socket_ends_neither_process_nor_request(error, monkeypatch):
-    async with world(Peer("d1", done)) as w:
-        client = await w.client()
-        await w.until(lambda: len(w.service.listener.clients) == 1)
+    async with running_service(Peer("d1", done)) as harness:
+        client = await harness.client()
+        await harness.wait_until(lambda: len(harness.service.listener.clients) == 1)
         failed = fail_waits(monkeypatch, "wait_readable", error, times=4)
         await client.send(X_Request_ID="r1")
         assert (await client.reply()).status == 200
-        assert (await w.ask(X_Request_ID="r2")).status == 200
-        assert len(failed) == 4 and not w.ended.is_set()
+        assert (await harness.ask(X_Request_ID="r2")).status == 200
+        assert len(failed) == 4 and not harness.ended.is_set()
 
 
 @mock_clock_test
@@ -126,13 +126,13 @@
         raise RuntimeError("a bug for the test")
 
     peer = Peer("d1", waits)
-    async with world(peer, timing={"linger_ms": 50, "grace_ms": 2000}) as w:
-        client = await w.client()
+    async with running_service(peer, timing={"linger_ms": 50, "grace_ms": 2000}) as harness:
+        client = await harness.client()
         await client.send(X_Request_ID="r1")
-        await w.until(lambda: peer.exchanges)
-        monkeypatch.setattr(w.service.listener, "drain_backlog", faulty)
-        w.service.begin_drain()
-        await w.until(lambda: "shutdown_raised" in caplog.text)
+        await harness.wait_until(lambda: peer.exchanges)
+        monkeypatch.setattr(harness.service.listener, "drain_backlog", faulty)
+        harness.service.begin_drain()
+        await harness.wait_until(lambda: "shutdown_raised" in caplog.text)
         gate.set()
         assert (await client.reply()).status == 200
-        await w.ended.wait()
+        await harness.ended.wait()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from helper import Peer, done, trio_test, world
+from helper import Peer, done, running_service, trio_test
 from machine_faults import SetClock
 
 from yewrill.dispatch.start_times import MAX_STARTS, OFFSET_RETENTION_MS, StartTimes
@@ -16,9 +16,9 @@
 WARM_AFTER_MS = 6000.0  # of the helper's settings
 
 
-def worker_state(w, name):
-    w.service.engine.tick()
-    return w.service.engine._module.fleet.workers[name]
+def worker_state(harness, name):
+    harness.service.engine.tick()
+    return harness.service.engine._module.fleet.workers[name]
 
 
 def entry_started(peer: Peer, ago: float) -> dict:
@@ -26,10 +26,10 @@
     return {**peer.entry(), "started_ms": (time.time() - ago) * 1000.0}
 
 
-async def publish(w, entry) -> None:
-    before = w.service.endpoints.version
-    w.discovery.tell(entry)
-    await w.until(lambda: w.service.endpoints.version > before)
+async def publish(harness, entry) -> None:
+    before = harness.service.endpoints.version
+    harness.discovery.tell(entry)
+    await harness.wait_until(lambda: harness.service.endpoints.version > before)
 
 
 @pytest.mark.parametrize("step", [-HOUR_SECONDS, HOUR_SECONDS, -3.0, 3.0])
@@ -39,12 +39,12 @@
 ):
     clock = SetClock(monkeypatch)
     old, new = Peer("old", done), Peer("new", done)
-    async with world(old, new) as w:
+    async with running_service(old, new) as harness:
         clock.offset = step
-        await publish(w, entry_started(new, ago=0.0))
-        found = worker_state(w, "new")
+        await publish(harness, entry_started(new, ago=0.0))
+        found = worker_state(harness, "new")
         assert found.slow_start.started_at >= 0
-        age = w.service.engine.now() - found.slow_start.started_at
+        age = harness.service.engine.now() - found.slow_start.started_at
         assert 0.0 <= age < WARM_AFTER_MS / 2
 
 
@@ -55,15 +55,15 @@
 ):
     clock = SetClock(monkeypatch)
     peer = Peer("d1", done)
-    async with world(peer) as w:
+    async with running_service(peer) as harness:
         entry = entry_started(peer, ago=60.0)
-        await publish(w, entry)
-        before = worker_state(w, "d1").launched
-        assert worker_state(w, "d1").slow_start.started_at < 0
+        await publish(harness, entry)
+        before = worker_state(harness, "d1").launched
+        assert worker_state(harness, "d1").slow_start.started_at < 0
         clock.offset = step
-        await publish(w, entry)
-        assert worker_state(w, "d1").launched == before
-        assert worker_state(w, "d1").slow_start.started_at < 0
+        await publish(harness, entry)
+        assert worker_state(harness, "d1").launched == before
+        assert worker_state(harness, "d1").slow_start.started_at < 0
 
 
 @pytest.mark.parametrize("step", [-HOUR_SECONDS, HOUR_SECONDS])
@@ -73,12 +73,12 @@
 ):
     clock = SetClock(monkeypatch)
     peer = Peer("d1", done)
-    async with world(peer) as w:
+    async with running_service(peer) as harness:
         entry = entry_started(peer, ago=0.0)
         clock.offset = step
-        await publish(w, entry)
-        found = worker_state(w, "d1")
-        age = w.service.engine.now() - found.slow_start.started_at
+        await publish(harness, entry)
+        found = worker_state(harness, "d1")
+        age = harness.service.engine.now() - found.slow_start.started_at
         assert found.slow_start.started_at >= 0 and 0.0 <= age < WARM_AFTER_MS / 2
 
 
@@ -88,12 +88,12 @@
     step, monkeypatch
 ):
     clock = SetClock(monkeypatch)
-    async with world(Peer("d1", done), mgmt="127.0.0.1:0") as w:
-        await w.call("PUT /_profilers/detach?name=d1")
-        await w.call("PUT /_profilers/attach?name=d1")
+    async with running_service(Peer("d1", done), mgmt="127.0.0.1:0") as harness:
+        await harness.call("PUT /_profilers/detach?name=d1")
+        await harness.call("PUT /_profilers/attach?name=d1")
         clock.offset = step
-        assert 0.0 <= w.service.endpoints.recently_attached["d1"] < 20_000.0
-        assert worker_state(w, "d1").slow_start.started_at >= 0
+        assert 0.0 <= harness.service.endpoints.recently_attached["d1"] < 20_000.0
+        assert worker_state(harness, "d1").slow_start.started_at >= 0
 
 
 def test_starts_are_converted_with_the_offsets_before_and_after_a_step():
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,16 @@
 import pytest
 import trio
 import ujson
-from helper import SETTINGS, Client, Discovery, Peer, done, mock_clock_test, trio_test, world
+from helper import (
+    SETTINGS,
+    Client,
+    Discovery,
+    Peer,
+    done,
+    mock_clock_test,
+    running_service,
+    trio_test,
+)
 from test_state import program
 
 from yewrill.config.schema import TopologyNames
@@ -70,19 +79,19 @@
     return peer.entry()
 
 
-async def begin_failure(w, peer, failure):
+async def begin_failure(harness, peer, failure):
     """End the current call and make the following ones fail; returns discovery's healthy script."""
-    healthy, w.discovery.peer.script = w.discovery.peer.script, failure
-    w.discovery.tell(peer.entry())
-    calls_before = len(w.discovery.peer.exchanges)
-    await w.until(lambda: len(w.discovery.peer.exchanges) > calls_before)
+    healthy, harness.discovery.peer.script = harness.discovery.peer.script, failure
+    harness.discovery.tell(peer.entry())
+    calls_before = len(harness.discovery.peer.exchanges)
+    await harness.wait_until(lambda: len(harness.discovery.peer.exchanges) > calls_before)
     return healthy
 
 
-async def seconds_until_known(w, peer) -> float:
+async def seconds_until_known(harness, peer) -> float:
     began = trio.current_time()
     with trio.fail_after(2 * KNOWN_WITHIN_SECONDS):
-        while w.service.endpoints.may_send(peer.name):
+        while harness.service.endpoints.may_send(peer.name):
             await trio.sleep(0.05)
     return trio.current_time() - began
 
@@ -93,23 +102,23 @@
 async def test_change_is_known_in_time_after_any_failure_of_earlier_calls(failure, failing_for):
     # The fleet is large enough for the longest pauses; the failure ends at different moments of the retries.
     peer = Peer("d1", done)
-    async with world(peer, settings=LARGE_FLEET) as w:
-        healthy = await begin_failure(w, peer, failure)
+    async with running_service(peer, settings=LARGE_FLEET) as harness:
+        healthy = await begin_failure(harness, peer, failure)
         await trio.sleep(failing_for)
-        w.discovery.peer.script = healthy
-        w.discovery.tell(set_draining(peer), full=True)
-        assert await seconds_until_known(w, peer) < KNOWN_WITHIN_SECONDS
+        harness.discovery.peer.script = healthy
+        harness.discovery.tell(set_draining(peer), full=True)
+        assert await seconds_until_known(harness, peer) < KNOWN_WITHIN_SECONDS
 
 
 @mock_clock_test
 async def test_silent_watch_is_reopened_in_time():
     peer = Peer("d1", done)
-    async with world(peer, settings=LARGE_FLEET) as w:
-        healthy = await begin_failure(w, peer, silent)
+    async with running_service(peer, settings=LARGE_FLEET) as harness:
+        healthy = await begin_failure(harness, peer, silent)
         # The call that is open is never answered; every later one is.
-        w.discovery.peer.script = healthy
-        w.discovery.tell(set_draining(peer), full=True)
-        assert await seconds_until_known(w, peer) < KNOWN_WITHIN_SECONDS
+        harness.discovery.peer.script = healthy
+        harness.discovery.tell(set_draining(peer), full=True)
+        assert await seconds_until_known(harness, peer) < KNOWN_WITHIN_SECONDS
 
 
 @mock_clock_test
@@ -164,17 +173,17 @@
         # The kernel retransmits a dropped SYN late: a connect begun at the full backlog never completes.
         return await real_open(full_backlog.address if len(opened) < 4 else address, ring_bytes)
 
-    async with world(peer, settings=LARGE_FLEET) as w:
+    async with running_service(peer, settings=LARGE_FLEET) as harness:
         real_open = discovery_module.Connection.open
         monkeypatch.setattr(discovery_module.Connection, "open", connect)
-        w.discovery.peer.script = reset
-        w.discovery.tell(peer.entry())
+        harness.discovery.peer.script = reset
+        harness.discovery.tell(peer.entry())
         while len(opened) < 3:
             await trio.sleep(0.05)
         # From here on connections are accepted, but the SYN of the connect in progress was dropped.
-        w.discovery.peer.script = w.discovery.script
-        w.discovery.tell(set_draining(peer), full=True)
-        assert await seconds_until_known(w, peer) < KNOWN_WITHIN_SECONDS
+        harness.discovery.peer.script = harness.discovery.script
+        harness.discovery.tell(set_draining(peer), full=True)
+        assert await seconds_until_known(harness, peer) < KNOWN_WITHIN_SECONDS
         assert len(opened) == 4
     full_backlog.close()
 
@@ -183,19 +192,19 @@
 async def test_watch_moved_to_a_dead_address_and_back_requests_the_full_list_at_once():
     peer = Peer("d1", done)
     full_backlog = FullBacklog()
-    async with world(peer) as w:
-        watch = w.service.watch
+    async with running_service(peer) as harness:
+        watch = harness.service.watch
         home = watch.address
-        calls = len(w.discovery.calls)
+        calls = len(harness.discovery.calls)
         watch.move(full_backlog.address)
         await trio.sleep(1.3)
-        w.discovery.tell(set_draining(peer), full=True)
+        harness.discovery.tell(set_draining(peer), full=True)
         watch.move(home)
         began = trio.current_time()
-        await w.until(lambda: not w.service.endpoints.may_send("d1"))
+        await harness.wait_until(lambda: not harness.service.endpoints.may_send("d1"))
         # Stricter than the usual limit: discovery already had the change when the watch moved back.
         assert trio.current_time() - began < 4.0
-        assert "from=" not in w.discovery.calls[calls][1]
+        assert "from=" not in harness.discovery.calls[calls][1]
     full_backlog.close()
 
 
@@ -203,28 +212,28 @@
 async def test_new_discovery_that_rejects_the_first_call_is_not_asked_with_the_old_version():
     # Each discovery has its own version numbers: asked for changes since the old one's version, it has none.
     peer = Peer("d1", done)
-    async with world(peer) as w:
+    async with running_service(peer) as harness:
         for _ in range(9):
-            w.discovery.tell(peer.entry())
-        await w.until(lambda: w.service.endpoints.version == 10)
+            harness.discovery.tell(peer.entry())
+        await harness.wait_until(lambda: harness.service.endpoints.version == 10)
         other_discovery = Discovery([peer])
         other_discovery.version = 3
-        address = await other_discovery.serve(w.nursery)
+        address = await other_discovery.serve(harness.nursery)
         healthy, other_discovery.peer.script = other_discovery.peer.script, rejected
-        w.service.watch.move(("127.0.0.1", int(address.partition(":")[2])))
-        await w.until(lambda: other_discovery.peer.exchanges)
+        harness.service.watch.move(("127.0.0.1", int(address.partition(":")[2])))
+        await harness.wait_until(lambda: other_discovery.peer.exchanges)
         other_discovery.peer.script = healthy
         other_discovery.tell(set_draining(peer))
-        assert await seconds_until_known(w, peer) < KNOWN_WITHIN_SECONDS
+        assert await seconds_until_known(harness, peer) < KNOWN_WITHIN_SECONDS
 
 
 @mock_clock_test
 async def test_discovery_that_restarts_its_versions_is_asked_for_the_full_list():
     peer = Peer("d1", done)
-    async with world(peer) as w:
+    async with running_service(peer) as harness:
         for _ in range(9):
-            w.discovery.tell(peer.entry())
-        await w.until(lambda: w.service.endpoints.version == 10)
+            harness.discovery.tell(peer.entry())
+        await harness.wait_until(lambda: harness.service.endpoints.version == 10)
 
         async def restarted_versions(exchange):
             if "from=" in exchange.target:  # no newer version: answer after the hold time
@@ -235,19 +244,19 @@
 
         other_discovery = Discovery([peer])
         other_discovery.version = 3
-        w.discovery.peer.script = restarted_versions
-        w.discovery.tell(peer.entry())
-        assert await seconds_until_known(w, peer) < KNOWN_WITHIN_SECONDS
-        assert w.service.endpoints.version == 3
+        harness.discovery.peer.script = restarted_versions
+        harness.discovery.tell(peer.entry())
+        assert await seconds_until_known(harness, peer) < KNOWN_WITHIN_SECONDS
+        assert harness.service.endpoints.version == 3
 
 
 @mock_clock_test
 async def test_full_list_in_indented_json_after_changes_is_applied():
     peers = [Peer("d1", done), Peer("d2", done)]
-    async with world(*peers) as w:
-        w.discovery.tell(set_draining(peers[0]))
-        await w.until(lambda: not w.service.endpoints.may_send("d1"))
-        version, peers[0].state = w.discovery.version + 1, "SERVING"
+    async with running_service(*peers) as harness:
+        harness.discovery.tell(set_draining(peers[0]))
+        await harness.wait_until(lambda: not harness.service.endpoints.may_send("d1"))
+        version, peers[0].state = harness.discovery.version + 1, "SERVING"
 
         async def indented(exchange):
             body = ujson.dumps(
@@ -256,12 +265,15 @@
             await exchange.stream.send_all(
                 b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
             )
-            w.discovery.peer.script = silent
-
-        w.discovery.peer.script = indented
-        w.discovery.tell(peers[1].entry())
-        await w.until(
-            lambda: w.service.endpoints.may_send("d1") and not w.service.endpoints.may_send("d2")
+            harness.discovery.peer.script = silent
+
+        harness.discovery.peer.script = indented
+        harness.discovery.tell(peers[1].entry())
+        await harness.wait_until(
+            lambda: (
+                harness.service.endpoints.may_send("d1")
+                and not harness.service.endpoints.may_send("d2")
+            )
         )
 
 
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -5,9 +5,9 @@
 
 import pytest
 import trio
-from helper import Peer, done, hang, trio_test, world
+from helper import Peer, done, hang, running_service, trio_test
 from machine_faults import FaultyDisk, SetClock
-from test_operators import shared_world, start_new_process
+from test_operators import hot_restart_service, start_new_process
 
 from yewrill.persistence.attempt_journal import ATTEMPT_PREFIX
 from yewrill.persistence.disk import Disk, Unreadable
@@ -37,10 +37,10 @@
 
 async def copy_state_with_attempt_in_flight(peer, tmp_path) -> None:
     """Copies the state directory to `killed` while a non-idempotent attempt is in flight."""
-    async with world(peer, **state_settings(tmp_path)) as w:
-        client = await w.client()
+    async with running_service(peer, **state_settings(tmp_path)) as harness:
+        client = await harness.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="k")
-        await w.until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: peer.exchanges)
         shutil.copytree(tmp_path / "state", tmp_path / "killed" / "state")
 
 
@@ -58,33 +58,35 @@
 ):
     disk = FaultyDisk(monkeypatch, calls)
     peer = Peer("d1", done)
-    async with world(peer, **state_settings(tmp_path)) as w:
+    async with running_service(peer, **state_settings(tmp_path)) as harness:
         disk.error = error
         for number, target in enumerate(("/once", "/save")):
-            reply = await w.ask(target, X_Request_ID=f"r{number}", Idempotency_Key=f"k{number}")
+            reply = await harness.ask(
+                target, X_Request_ID=f"r{number}", Idempotency_Key=f"k{number}"
+            )
             assert reply.status == 503  # it never ran, so it is safe to repeat
         assert peer.exchanges == []
-        assert (await w.ask(X_Request_ID="safe")).status == 200  # needs no record
+        assert (await harness.ask(X_Request_ID="safe")).status == 200  # needs no record
 
 
 @trio_test
 async def test_a_store_whose_sync_failed_is_reopened_once_the_disk_works(tmp_path, monkeypatch):
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
     peer = Peer("d1", done)
-    async with world(peer, **state_settings(tmp_path)) as w:
+    async with running_service(peer, **state_settings(tmp_path)) as harness:
         disk.error = errno.EIO
-        assert (await w.ask("/once", X_Request_ID="r0", Idempotency_Key="k0")).status == 503
+        assert (await harness.ask("/once", X_Request_ID="r0", Idempotency_Key="k0")).status == 503
         disk.error = 0
         status, number = 0, 0
         while status != 200:  # bounded by the time limit of @trio_test
             number += 1
-            reply = await w.ask("/once", X_Request_ID=f"r{number}", Idempotency_Key="k0")
+            reply = await harness.ask("/once", X_Request_ID=f"r{number}", Idempotency_Key="k0")
             status = reply.status
             assert status in (200, 503)
         peer.script = hang
-        client = await w.client()
+        client = await harness.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="kout")
-        await w.until(lambda: peer.exchanges[-1].id == "out")
+        await harness.wait_until(lambda: peer.exchanges[-1].id == "out")
         assert len(records_after_kill(tmp_path)) >= 1
 
 
@@ -98,11 +100,11 @@
     await copy_state_with_attempt_in_flight(peer, tmp_path)
     clock.offset = step
     peer.script = done
-    async with world(peer, **state_settings(tmp_path / "killed")) as w:
+    async with running_service(peer, **state_settings(tmp_path / "killed")) as harness:
         # By the monotonic clock the record is far from the end of its window, an hour by default. The wait is
         # long enough for the deletion of records past their window.
         await trio.sleep(2 * WRITE_INTERVAL_SECONDS)
-        reply = await w.ask("/once", X_Request_ID="again", Idempotency_Key="k")
+        reply = await harness.ask("/once", X_Request_ID="again", Idempotency_Key="k")
         assert reply.status == 502
         assert [e.id for e in peer.exchanges] == ["out"]
 
@@ -123,13 +125,15 @@
         return records(disk, prefix)
 
     monkeypatch.setattr(Disk, "records", failing_records)
-    async with world(peer, **state_settings(tmp_path / "killed")) as w:
-        assert (await w.ask("/once", X_Request_ID="a1", Idempotency_Key="k")).status == 503
-        assert (await w.ask(X_Request_ID="plain")).status == 200
+    async with running_service(peer, **state_settings(tmp_path / "killed")) as harness:
+        assert (await harness.ask("/once", X_Request_ID="a1", Idempotency_Key="k")).status == 503
+        assert (await harness.ask(X_Request_ID="plain")).status == 200
         failing.clear()
-        await w.until(lambda: w.service.persistent_state.attempts.recovered)
-        assert (await w.ask("/once", X_Request_ID="a2", Idempotency_Key="k")).status == 502
-        assert (await w.ask("/once", X_Request_ID="a3", Idempotency_Key="other")).status == 200
+        await harness.wait_until(lambda: harness.service.persistent_state.attempts.recovered)
+        assert (await harness.ask("/once", X_Request_ID="a2", Idempotency_Key="k")).status == 502
+        assert (
+            await harness.ask("/once", X_Request_ID="a3", Idempotency_Key="other")
+        ).status == 200
         assert [e.id for e in peer.exchanges] == ["out", "plain", "a3"]
 
 
@@ -143,18 +147,18 @@
         await exchange.done()
 
     peer = Peer("d1", answer_after_gate)
-    async with world(peer, **state_settings(tmp_path)) as w:
-        client = await w.client()
+    async with running_service(peer, **state_settings(tmp_path)) as harness:
+        client = await harness.client()
         await client.send("/once", X_Request_ID="r1", Idempotency_Key="k")
-        await w.until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: peer.exchanges)
         disk.error = errno.EIO
         gate.set()
         assert (await client.reply()).status == 200
-        persistent_state = w.service.persistent_state
+        persistent_state = harness.service.persistent_state
         # The deletion was tried and failed.
-        await w.until(lambda: persistent_state._disk._failure_logged)
+        await harness.wait_until(lambda: persistent_state._disk._failure_logged)
         disk.error = 0
-        await w.until(
+        await harness.wait_until(
             lambda: (
                 persistent_state.store_open
                 and not persistent_state.attempts._keys_to_delete
@@ -171,15 +175,15 @@
     tmp_path,
 ):
     peer = Peer("d1", hang)
-    async with shared_world(peer, **state_settings(tmp_path)) as w:
-        busy = await w.client()
+    async with hot_restart_service(peer, **state_settings(tmp_path)) as harness:
+        busy = await harness.client()
         await busy.send(X_Request_ID="busy")  # keeps the old process running
-        await w.until(lambda: peer.exchanges)
-        new = await start_new_process(w)
+        await harness.wait_until(lambda: peer.exchanges)
+        new = await start_new_process(harness)
         assert not new.persistent_state.store_open
-        w.old_process.listener.stop_accepting()  # only the new process accepts
-        client = await w.client()
+        harness.old_process.listener.stop_accepting()  # only the new process accepts
+        client = await harness.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="k")
-        await w.until(lambda: len(peer.exchanges) == 2)
+        await harness.wait_until(lambda: len(peer.exchanges) == 2)
         assert new.engine.pending == 1 and not new.persistent_state.store_open
         assert len(records_after_kill(tmp_path)) == 1
--- a/tests/test_drawn.py
+++ b/tests/test_drawn.py
@@ -8,7 +8,7 @@
 import string
 
 import trio
-from helper import SETTINGS, Peer, mock_clock_test, world
+from helper import SETTINGS, Peer, mock_clock_test, running_service
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
@@ -176,14 +176,14 @@
 async def played(customer, seed):
     recorder = AttemptRecorder(seed)
     peers = [Peer(f"d{i}", recorder.script(i // 2), cell=i // 2) for i in range(4)]
-    async with world(*peers, settings=customer) as w:
+    async with running_service(*peers, settings=customer) as harness:
 
         async def send_one(i: int, request_class: dict) -> None:
             id, began = f"r{i}-{request_class['name']}", trio.current_time()
             tenants = [party["name"] for party in customer["parties"]]
             tenant = tenants[i % len(tenants)] if tenants else None
             timeout = request_class["deadline"]
-            reply = await w.ask(
+            reply = await harness.ask(
                 f"/{request_class['name']}",
                 X_Request_ID=id,
                 X_Tenant_Id=tenant,
@@ -204,6 +204,6 @@
             for i in range(5):
                 for request_class in customer["request_classes"]:
                     nursery.start_soon(send_one, i, request_class)
-        while w.service.engine.pending or w.service.open_requests.ids:
+        while harness.service.engine.pending or harness.service.open_requests.ids:
             await trio.sleep(0.05)
-        assert (await w.ask("/up", method="GET")).status == 200
+        assert (await harness.ask("/up", method="GET")).status == 200
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -15,7 +15,7 @@
 import pytest
 import trio
 import ujson
-from helper import SETTINGS, Peer, trio_test, world
+from helper import SETTINGS, Peer, running_service, trio_test
 
 from yewrill.service.service import Service
 
@@ -181,8 +181,8 @@
         return await real(service)
 
     monkeypatch.setattr(Service, "_restore_state", slow)
-    async with world(peer) as w:
-        await w.until(lambda: "r1" in seen)
+    async with running_service(peer) as harness:
+        await harness.wait_until(lambda: "r1" in seen)
         at, timeout_ms = seen["r1"]
         assert timeout_ms <= client_timeout_ms - (at - sent["at"]) * 1000.0 + 150.0
         assert (await sent["stream"].receive_some()).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,8 +24,8 @@
     Peer,
     done,
     mock_clock_test,
+    running_service,
     trio_test,
-    world,
 )
 from test_state import program
 
@@ -63,8 +63,8 @@
     monkeypatch,
 ):
     peer = Peer("d1", done)
-    async with world(peer, settings=LONG_DEADLINES) as w:
-        client, real, opened = await w.client(), Connection.open, []
+    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+        client, real, opened = await harness.client(), Connection.open, []
 
         async def open_connection(*args, **kwargs):
             connection = await real(*args, **kwargs)
@@ -75,8 +75,8 @@
 
         monkeypatch.setattr(Connection, "open", open_connection)
         await client.send(**LONG_TIMEOUT)
-        await w.until(lambda: opened and not w.service.listener.clients)
-        assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
+        await harness.wait_until(lambda: opened and not harness.service.listener.clients)
+        assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
         assert not attempts_received([peer])
         assert len(opened) == 1  # the opened connection was kept for the next request
 
@@ -101,22 +101,22 @@
 @trio_test
 async def test_client_closing_as_an_idle_worker_connection_is_taken_gets_no_attempt(monkeypatch):
     peer = Peer("d1", done)
-    async with world(peer, settings=LONG_DEADLINES) as w:
-        assert (await w.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
-        await w.until(lambda: w.service.worker_connections._idle.get("d1"))
-        client = await w.client()
+    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+        assert (await harness.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
+        await harness.wait_until(lambda: harness.service.worker_connections._idle.get("d1"))
+        client = await harness.client()
         begun = when_connection_is_taken(monkeypatch, lambda: hang_up(client))
         await client.send(**LONG_TIMEOUT)
-        await w.until(lambda: begun and not w.service.listener.clients)
-        assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
+        await harness.wait_until(lambda: begun and not harness.service.listener.clients)
+        assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
         assert not attempts_received([peer]) and peer.connections == 1
 
 
 class Gate:
     """Controls which worker the policy chooses: the one named here, or none, so that requests are held."""
 
-    def __init__(self, w, monkeypatch):
-        self.engine = w.service.engine
+    def __init__(self, harness, monkeypatch):
+        self.engine = harness.service.engine
         self.module = self.engine._module
         self.worker = ""
         monkeypatch.setattr(
@@ -138,7 +138,7 @@
         self.engine.tick()
 
 
-async def keep_connections(w, gate: Gate, peer: Peer, count: int) -> None:
+async def keep_connections(harness, gate: Gate, peer: Peer, count: int) -> None:
     """Create idle connections to a worker, on which attempts are sent without waiting."""
     together = trio.Event()
 
@@ -151,13 +151,15 @@
     peer.script, gate.worker = waits_for_all, peer.name
     async with trio.open_nursery() as nursery:
         for i in range(count):
-            nursery.start_soon(lambda i=i: w.ask(X_Request_ID=f"kept{i}", **LONG_TIMEOUT))
-    await w.until(lambda: len(w.service.worker_connections._idle.get(peer.name, ())) == count)
+            nursery.start_soon(lambda i=i: harness.ask(X_Request_ID=f"kept{i}", **LONG_TIMEOUT))
+    await harness.wait_until(
+        lambda: len(harness.service.worker_connections._idle.get(peer.name, ())) == count
+    )
     peer.script, gate.worker = done, ""
 
 
-async def send_requests(w, count: int) -> list[Client]:
-    clients = [await w.client() for _ in range(count)]
+async def send_requests(harness, count: int) -> list[Client]:
+    clients = [await harness.client() for _ in range(count)]
     for i, client in enumerate(clients):
         await client.send(X_Request_ID=f"left{i}", **LONG_TIMEOUT)
     return clients
@@ -171,16 +173,16 @@
 @trio_test
 async def test_200_clients_closing_at_once_while_held_get_no_attempt(front, monkeypatch):
     peer = Peer("d1", done)
-    async with world(peer, front=front, settings=LONG_DEADLINES) as w:
-        gate = Gate(w, monkeypatch)
-        await keep_connections(w, gate, peer, 60)
-        clients = await send_requests(w, 200)
-        await w.until(lambda: gate.held == 200)
+    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+        gate = Gate(harness, monkeypatch)
+        await keep_connections(harness, gate, peer, 60)
+        clients = await send_requests(harness, 200)
+        await harness.wait_until(lambda: gate.held == 200)
         when_connection_is_taken(monkeypatch, lambda: [hang_up(client) for client in clients])
         # All attempts begin in one event loop iteration, before any disconnect is read.
         gate.open("d1")
-        await w.until(lambda: not w.service.listener.clients)
-        assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
+        await harness.wait_until(lambda: not harness.service.listener.clients)
+        assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
         assert received_from_leaving_clients(peer) == []
 
 
@@ -191,18 +193,18 @@
         exchange.reset()
 
     first, second = Peer("d1", reset_attempt), Peer("d2", done)
-    async with world(first, second, front=front, settings=LONG_DEADLINES) as w:
-        gate = Gate(w, monkeypatch)
-        await keep_connections(w, gate, second, 20)
-        clients = await send_requests(w, 20)
-        await w.until(lambda: gate.held == 20)
+    async with running_service(first, second, front=front, settings=LONG_DEADLINES) as harness:
+        gate = Gate(harness, monkeypatch)
+        await keep_connections(harness, gate, second, 20)
+        clients = await send_requests(harness, 20)
+        await harness.wait_until(lambda: gate.held == 20)
         gate.open("d1")
         gate.worker = ""
-        await w.until(lambda: len(first.exchanges) == 20 and gate.held == 20)
+        await harness.wait_until(lambda: len(first.exchanges) == 20 and gate.held == 20)
         when_connection_is_taken(monkeypatch, lambda: [hang_up(client) for client in clients])
         gate.open("d2")
-        await w.until(lambda: not w.service.listener.clients)
-        assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
+        await harness.wait_until(lambda: not harness.service.listener.clients)
+        assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
         assert received_from_leaving_clients(second) == []
 
 
@@ -210,8 +212,13 @@
 @trio_test
 async def test_client_closing_while_the_worker_connection_opens_gets_no_attempt(front, monkeypatch):
     peer = Peer("d1", done)
-    async with world(peer, front=front, settings=LONG_DEADLINES) as w:
-        client, real, opening, go_on = await w.client(), Connection.open, trio.Event(), trio.Event()
+    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+        client, real, opening, go_on = (
+            await harness.client(),
+            Connection.open,
+            trio.Event(),
+            trio.Event(),
+        )
 
         async def open_connection(*args, **kwargs):
             opening.set()
@@ -222,11 +229,11 @@
         await client.send(**LONG_TIMEOUT)
         await opening.wait()
         hang_up(client)
-        left = next(iter(w.service.listener.clients))
-        await w.until(lambda: left.disconnected)
+        left = next(iter(harness.service.listener.clients))
+        await harness.wait_until(lambda: left.disconnected)
         go_on.set()
-        await w.until(lambda: not w.service.listener.clients)
-        assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
+        await harness.wait_until(lambda: not harness.service.listener.clients)
+        assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
         assert not attempts_received([peer]) and peer.connections == 1  # the opened one was kept
 
 
@@ -250,21 +257,21 @@
     front, leave, fill_all, monkeypatch
 ):
     peer = Peer("d1", done)
-    async with world(peer, front=front, settings=LONG_DEADLINES) as w:
-        gate = Gate(w, monkeypatch)
-        [client] = await send_requests(w, 1)
-        await w.until(lambda: gate.held == 1)
-        [left] = w.service.listener.clients
+    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+        gate = Gate(harness, monkeypatch)
+        [client] = await send_requests(harness, 1)
+        await harness.wait_until(lambda: gate.held == 1)
+        [left] = harness.service.listener.clients
         request = left.request
         await client.stream.send_all(b"x" * 9000)
-        await w.until(lambda: not left.connection.inbound.room)
+        await harness.wait_until(lambda: not left.connection.inbound.room)
         if fill_all:
             fill_buffers(client)
         leave(client)
-        await w.until(lambda: not w.service.listener.clients)
+        await harness.wait_until(lambda: not harness.service.listener.clients)
         assert request.client_left and not ServerClientConnection.overrunning_clients
         gate.open("d1")
-        assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
+        assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
         assert received_from_leaving_clients(peer) == []
 
 
@@ -283,14 +290,14 @@
     # The pause after the first read never ends.
     monkeypatch.setattr(client_connection, "OVERRUN_PAUSE_PER_CLIENT_SECONDS", 1e9)
     peer = Peer("d1", done)
-    async with world(peer, settings=LONG_DEADLINES) as w:
-        gate = Gate(w, monkeypatch)
-        [client] = await send_requests(w, 1)
-        await w.until(lambda: gate.held == 1)
+    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+        gate = Gate(harness, monkeypatch)
+        [client] = await send_requests(harness, 1)
+        await harness.wait_until(lambda: gate.held == 1)
         await client.stream.send_all(b"x" * 9000)
-        await w.until(lambda: ServerClientConnection.overrunning_clients == 1)
+        await harness.wait_until(lambda: ServerClientConnection.overrunning_clients == 1)
         fill_buffers(client)
-        [sender] = w.service.listener.clients
+        [sender] = harness.service.listener.clients
         sender._drop_input()
         assert len(reads) == 1 and reads[0] <= 65536  # however much is available
         assert len(sender.connection.inbound) == RING_BYTES
@@ -331,9 +338,9 @@
     return opened
 
 
-def has_no_failures(w, peer: Peer) -> bool:
-    worker = w.service.engine._module.fleet.workers[peer.name]
-    return not worker.ejection.failures and worker.ejection.until <= w.service.engine.now()
+def has_no_failures(harness, peer: Peer) -> bool:
+    worker = harness.service.engine._module.fleet.workers[peer.name]
+    return not worker.ejection.failures and worker.ejection.until <= harness.service.engine.now()
 
 
 @FRONTS
@@ -342,27 +349,29 @@
     front, monkeypatch
 ):
     peer = SlowReader("d1", done)
-    async with world(peer, front=front, settings=LONG_DEADLINES) as w:
+    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
         opened = open_with_little_room(monkeypatch)
-        client = await w.client()
+        client = await harness.client()
         await client.send(body=b"x" * 60000, **LONG_TIMEOUT)
-        await w.until(lambda: opened and opened[0].unsent)
+        await harness.wait_until(lambda: opened and opened[0].unsent)
         hang_up(client)
-        [left] = w.service.listener.clients
-        await w.until(lambda: left.disconnected)
+        [left] = harness.service.listener.clients
+        await harness.wait_until(lambda: left.disconnected)
         peer.reads.set()
         await peer.ended.wait()
-        await w.until(lambda: not w.service.listener.clients)
-        assert not peer.exchanges and not w.service.worker_connections.open
-        await w.until(lambda: not w.service.engine._events)  # the policy has the outcome
-        assert has_no_failures(w, peer)
-        assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
+        await harness.wait_until(lambda: not harness.service.listener.clients)
+        assert not peer.exchanges and not harness.service.worker_connections.open
+        await harness.wait_until(
+            lambda: not harness.service.engine._events
+        )  # the policy has the outcome
+        assert has_no_failures(harness, peer)
+        assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
 
 
 @trio_test
 async def test_client_closing_as_its_worker_reads_again_has_no_more_bytes_sent(monkeypatch):
     peer = SlowReader("d1", done)
-    async with world(peer, settings=LONG_DEADLINES) as w:
+    async with running_service(peer, settings=LONG_DEADLINES) as harness:
         opened = open_with_little_room(monkeypatch)
         real, raced = Connection._wait_ready, []
 
@@ -375,15 +384,17 @@
                 left.disconnect()  # in the event loop iteration in which there is room again
 
         monkeypatch.setattr(Connection, "_wait_ready", ready)
-        client = await w.client()
+        client = await harness.client()
         await client.send(body=b"x" * 60000, **LONG_TIMEOUT)
-        await w.until(lambda: opened and opened[0].unsent)
-        [left] = w.service.listener.clients
+        await harness.wait_until(lambda: opened and opened[0].unsent)
+        [left] = harness.service.listener.clients
         peer.reads.set()
         await peer.ended.wait()
         assert raced and not peer.exchanges
-        await w.until(lambda: not w.service.listener.clients and not w.service.engine._events)
-        assert has_no_failures(w, peer) and not w.service.worker_connections.open
+        await harness.wait_until(
+            lambda: not harness.service.listener.clients and not harness.service.engine._events
+        )
+        assert has_no_failures(harness, peer) and not harness.service.worker_connections.open
 
 
 @trio_test
@@ -393,17 +404,17 @@
         await exchange.done()
 
     go_on, peer = trio.Event(), Peer("d1", waits)
-    async with world(peer, settings=LONG_DEADLINES) as w:
-        client = await w.client()
+    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+        client = await harness.client()
         await client.send(**LONG_TIMEOUT)
-        await w.until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: peer.exchanges)
         hang_up(client)
-        [left] = w.service.listener.clients
-        await w.until(lambda: left.disconnected)
+        [left] = harness.service.listener.clients
+        await harness.wait_until(lambda: left.disconnected)
         assert len(peer.live) == 1
         go_on.set()
         # The connection completed its exchange and is kept.
-        await w.until(lambda: w.service.worker_connections._idle.get("d1"))
+        await harness.wait_until(lambda: harness.service.worker_connections._idle.get("d1"))
 
 
 @pytest.mark.parametrize("leaves", [True, False])
@@ -426,21 +437,23 @@
             return leaves and await real(client, data)
         return await real(client, data)
 
-    async with world(peer, front="progress", settings=LONG_DEADLINES) as w:
+    async with running_service(peer, front="progress", settings=LONG_DEADLINES) as harness:
         monkeypatch.setattr(ServerClientConnection, "send", send)
-        client = await w.client()
+        client = await harness.client()
         await client.send(**LONG_TIMEOUT)
         await writing.wait()
-        [left] = w.service.listener.clients
+        [left] = harness.service.listener.clients
         request = left.request
-        await w.until(lambda: request.choice is not None)  # the policy has chosen a worker
+        await harness.wait_until(
+            lambda: request.choice is not None
+        )  # the policy has chosen a worker
         if leaves:
             hang_up(client)
-            await w.until(lambda: left.disconnected)
+            await harness.wait_until(lambda: left.disconnected)
         go_on.set()
-        await w.until(lambda: not w.service.listener.clients)
+        await harness.wait_until(lambda: not harness.service.listener.clients)
         assert request.client_left
-        assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
+        assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
         assert not attempts_received([peer])
 
 
@@ -448,10 +461,10 @@
 @trio_test
 async def test_client_closing_as_its_attempt_record_is_written_gets_no_attempt(front):
     peer = Peer("d1", done)
-    async with world(peer, front=front, settings=LONG_DEADLINES) as w:
-        assert (await w.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
-        await w.until(lambda: w.service.worker_connections._idle.get("d1"))
-        client, recorded = await w.client(), []
+    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+        assert (await harness.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
+        await harness.wait_until(lambda: harness.service.worker_connections._idle.get("d1"))
+        client, recorded = await harness.client(), []
 
         async def record(attempt):
             if not recorded:
@@ -459,10 +472,10 @@
             recorded.append(attempt)
             return True
 
-        w.service.worker_client.record_attempt = record
+        harness.service.worker_client.record_attempt = record
         await client.send(**LONG_TIMEOUT)
-        await w.until(lambda: recorded and not w.service.listener.clients)
-        assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
+        await harness.wait_until(lambda: recorded and not harness.service.listener.clients)
+        assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
         assert not attempts_received([peer])
 
 
@@ -470,15 +483,15 @@
 @trio_test
 async def test_client_that_half_closes_counts_as_disconnected(front, monkeypatch):
     peer = Peer("d1", done)
-    async with world(peer, front=front, settings=LONG_DEADLINES) as w:
-        gate = Gate(w, monkeypatch)
-        await keep_connections(w, gate, peer, 1)
-        [client] = await send_requests(w, 1)
-        await w.until(lambda: gate.held == 1)
+    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+        gate = Gate(harness, monkeypatch)
+        await keep_connections(harness, gate, peer, 1)
+        [client] = await send_requests(harness, 1)
+        await harness.wait_until(lambda: gate.held == 1)
         when_connection_is_taken(monkeypatch, lambda: client.stream.socket.shutdown(socket.SHUT_WR))
         gate.open("d1")
-        await w.until(lambda: not w.service.listener.clients)
-        assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
+        await harness.wait_until(lambda: not harness.service.listener.clients)
+        assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
         assert received_from_leaving_clients(peer) == []
 
 
@@ -488,14 +501,16 @@
 @trio_test
 async def test_eviction_skips_a_kept_connection_with_an_unread_request():
     peer = Peer("d1", done)
-    async with world(peer, settings=LONG_DEADLINES) as w:
-        one, other = await w.client(), await w.client()
+    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+        one, other = await harness.client(), await harness.client()
         for client, id in ((one, "r0"), (other, "r1")):
             assert (await client.ask(X_Request_ID=id, **LONG_TIMEOUT)).status == 200
-        await w.until(lambda: not any(c.answering for c in w.service.listener.clients))
+        await harness.wait_until(
+            lambda: not any(c.answering for c in harness.service.listener.clients)
+        )
         # No event loop iteration between the request's arrival and the eviction, so it is still unread.
         one.stream.socket._sock.send(raw_request("r2"))
-        assert w.service.listener._evict()
+        assert harness.service.listener._evict()
         assert (await one.reply()).status == 200
         # The other one has been idle for a shorter time, but has no request.
         assert await other.stream.receive_some() == b""
@@ -505,11 +520,11 @@
 async def test_eviction_skips_a_new_connection_with_an_unread_request(monkeypatch):
     # New clients can be evicted at once.
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", -1.0)
-    async with world(Peer("d1", done), settings=LONG_DEADLINES) as w:
-        one, other = await w.client(), await w.client()
-        await w.until(lambda: len(w.service.listener.clients) == 2)
+    async with running_service(Peer("d1", done), settings=LONG_DEADLINES) as harness:
+        one, other = await harness.client(), await harness.client()
+        await harness.wait_until(lambda: len(harness.service.listener.clients) == 2)
         one.stream.socket._sock.send(raw_request("r2"))
-        assert w.service.listener._evict() and not w.service.listener._evict()
+        assert harness.service.listener._evict() and not harness.service.listener._evict()
         assert (await one.reply()).status == 200
         assert await other.stream.receive_some() == b""
 
@@ -521,11 +536,11 @@
     ).encode()
 
 
-async def small_buffer_client(w) -> Client:
+async def small_buffer_client(harness) -> Client:
     """Connect a client with a small receive buffer, so that most of an answer stays with the service."""
     sock = trio.socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    await sock.connect(w.service.listener.address)
+    await sock.connect(harness.service.listener.address)
     return Client(trio.SocketStream(sock))
 
 
@@ -563,11 +578,11 @@
 @trio_test
 async def test_in_a_flood_an_answer_survives_further_input_of_its_client(monkeypatch):
     monkeypatch.setattr(listener, "LINGER_TIMEOUT_SECONDS", 10.0)
-    async with world(Peer("d1", long_answer), settings=LONG_DEADLINES) as w:
-        w.service.listener.limit(1)  # more than half of the places are taken: a flood
+    async with running_service(Peer("d1", long_answer), settings=LONG_DEADLINES) as harness:
+        harness.service.listener.limit(1)  # more than half of the places are taken: a flood
         # So this is the last answer on its connection.
-        w.service.run_state.closing_connections = True
-        client = await small_buffer_client(w)
+        harness.service.run_state.closing_connections = True
+        client = await small_buffer_client(harness)
         sent = when_reply_is_sent(monkeypatch, lambda: None)
         await client.send(**LONG_TIMEOUT)
         await sent.wait()
@@ -581,25 +596,27 @@
 
 @trio_test
 async def test_in_a_flood_unread_input_after_a_bad_request_resets_no_answer(monkeypatch):
-    async with world(Peer("d1", long_answer), settings=LONG_DEADLINES) as w:
-        w.service.listener.limit(1)
-        client = await small_buffer_client(w)
+    async with running_service(Peer("d1", long_answer), settings=LONG_DEADLINES) as harness:
+        harness.service.listener.limit(1)
+        client = await small_buffer_client(harness)
         await client.send(**LONG_TIMEOUT)
-        await w.until(
-            lambda: any(c.has_sent_request and not c.answering for c in w.service.listener.clients)
+        await harness.wait_until(
+            lambda: any(
+                c.has_sent_request and not c.answering for c in harness.service.listener.clients
+            )
         )
         when_reply_is_sent(monkeypatch, lambda: client.stream.socket._sock.send(b"x" * 30000))
         await client.stream.send_all(b"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n")
-        await w.until(lambda: not w.service.listener.clients)
+        await harness.wait_until(lambda: not harness.service.listener.clients)
         received = await read_to_end(client)
         assert received.count(LONG_RESULT.encode()) == 1 and received.count(b"HTTP/1.1 404 ") == 1
 
 
 @trio_test
 async def test_internal_error_is_answered_with_500_despite_further_input(monkeypatch):
-    async with world(Peer("d1", done), settings=LONG_DEADLINES) as w:
-        monkeypatch.setattr(w.service.front, "respond", None)
-        client = await w.client()
+    async with running_service(Peer("d1", done), settings=LONG_DEADLINES) as harness:
+        monkeypatch.setattr(harness.service.front, "respond", None)
+        client = await harness.client()
         when_reply_is_sent(monkeypatch, lambda: client.stream.socket._sock.send(raw_request("r2")))
         assert (await client.ask(**LONG_TIMEOUT)).status == 500
         assert await client.stream.receive_some() == b""
@@ -608,13 +625,15 @@
 @trio_test
 async def test_eviction_skips_a_client_that_has_not_read_all_of_its_answer(monkeypatch):
     peer = Peer("d1", long_answer)
-    async with world(peer, settings=LONG_DEADLINES) as w:
-        client = await small_buffer_client(w)
+    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+        client = await small_buffer_client(harness)
         await client.send(**LONG_TIMEOUT)
-        await w.until(
-            lambda: any(c.has_sent_request and not c.answering for c in w.service.listener.clients)
+        await harness.wait_until(
+            lambda: any(
+                c.has_sent_request and not c.answering for c in harness.service.listener.clients
+            )
         )
-        w.service.listener._evict()  # it is the only candidate
+        harness.service.listener._evict()  # it is the only candidate
         client.stream.socket._sock.send(raw_request("r2"))  # its next request crosses the eviction
         assert len((await client.reply()).body) == len(LONG_RESULT)
         assert (await client.event()).status_code == 200
@@ -625,13 +644,15 @@
 @mock_clock_test
 async def test_client_that_never_reads_its_answer_is_evicted_after_the_send_timeout(monkeypatch):
     monkeypatch.setattr(client_connection, "SEND_TIMEOUT_SECONDS", 0.3)
-    async with world(Peer("d1", long_answer), settings=LONG_DEADLINES) as w:
-        client = await small_buffer_client(w)
+    async with running_service(Peer("d1", long_answer), settings=LONG_DEADLINES) as harness:
+        client = await small_buffer_client(harness)
         await client.send(**LONG_TIMEOUT)
-        await w.until(
-            lambda: any(c.has_sent_request and not c.answering for c in w.service.listener.clients)
+        await harness.wait_until(
+            lambda: any(
+                c.has_sent_request and not c.answering for c in harness.service.listener.clients
+            )
         )
-        await w.until(w.service.listener._evict)
+        await harness.wait_until(harness.service.listener._evict)
         await client.stream.aclose()
 
 
@@ -652,13 +673,13 @@
     monkeypatch.setattr(Connection, "check_idle", check_idle)
 
 
-def restart(w) -> None:
-    w.service.run_state.closing_connections = True
-    w.service.listener.close()
+def restart(harness) -> None:
+    harness.service.run_state.closing_connections = True
+    harness.service.listener.close()
 
 
-def release(w) -> None:
-    w.service.listener.close_idle(0.0)
+def release(harness) -> None:
+    harness.service.listener.close_idle(0.0)
 
 
 @pytest.mark.parametrize("close_idle", [restart, release])
@@ -668,22 +689,26 @@
 ):
     monkeypatch.setattr(listener, "LINGER_TIMEOUT_SECONDS", 10.0)
     peer = Peer("d1", long_answer)
-    async with world(peer, settings=LONG_DEADLINES) as w:
-        client = await small_buffer_client(w)
+    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+        client = await small_buffer_client(harness)
         await client.send(**LONG_TIMEOUT)
-        await w.until(
-            lambda: any(c.has_sent_request and not c.answering for c in w.service.listener.clients)
+        await harness.wait_until(
+            lambda: any(
+                c.has_sent_request and not c.answering for c in harness.service.listener.clients
+            )
         )
         when_idle_is_checked(
             monkeypatch, lambda: client.stream.socket._sock.send(raw_request("r2"))
         )
-        close_idle(w)  # most of the answer is still unsent, and the next request has just arrived
+        close_idle(
+            harness
+        )  # most of the answer is still unsent, and the next request has just arrived
         await trio.testing.wait_all_tasks_blocked()
         reply = await client.reply()
         assert (reply.status, len(reply.body)) == (200, len(LONG_RESULT))
         assert await read_to_end(client) == b""
         await client.stream.aclose()
-        await w.until(lambda: not w.service.listener.clients)
+        await harness.wait_until(lambda: not harness.service.listener.clients)
         assert [e.id for e in peer.exchanges] == ["r1"]
 
 
@@ -691,10 +716,10 @@
 async def test_answer_written_as_a_drain_closes_survives_the_next_request(monkeypatch):
     monkeypatch.setattr(listener, "LINGER_TIMEOUT_SECONDS", 10.0)
     peer = Peer("d1", long_answer)
-    async with world(peer, settings=LONG_DEADLINES) as w:
-        client = await small_buffer_client(w)
+    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+        client = await small_buffer_client(harness)
         # After the reply was written, so that it can't carry "Connection: close".
-        sent = when_reply_is_sent(monkeypatch, lambda: restart(w))
+        sent = when_reply_is_sent(monkeypatch, lambda: restart(harness))
         when_idle_is_checked(
             monkeypatch, lambda: client.stream.socket._sock.send(raw_request("r2"))
         )
@@ -708,21 +733,23 @@
         ) and "connection" not in reply.headers
         assert await read_to_end(client) == b""
         await client.stream.aclose()
-        await w.until(lambda: not w.service.listener.clients)
+        await harness.wait_until(lambda: not harness.service.listener.clients)
         assert [e.id for e in peer.exchanges] == ["r1"]
 
 
 @trio_test
 async def test_request_unread_as_a_drain_closes_is_served():
     peer = Peer("d1", done)
-    async with world(peer, settings=LONG_DEADLINES) as w:
-        client = await w.client()
+    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+        client = await harness.client()
         assert (await client.ask(**LONG_TIMEOUT)).status == 200
-        await w.until(
-            lambda: any(c.has_sent_request and not c.answering for c in w.service.listener.clients)
+        await harness.wait_until(
+            lambda: any(
+                c.has_sent_request and not c.answering for c in harness.service.listener.clients
+            )
         )
         client.stream.socket._sock.send(raw_request("r2"))
-        restart(w)
+        restart(harness)
         reply = await client.reply()
         assert (reply.status, reply.headers["connection"]) == (200, "close")
         assert [e.id for e in peer.exchanges] == ["r1", "r2"]
@@ -734,42 +761,44 @@
 @mock_clock_test
 async def test_partial_request_completed_before_the_drain_deadline_is_served():
     peer = Peer("d1", done)
-    async with world(
+    async with running_service(
         peer, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
-    ) as w:
-        client = await w.client()
+    ) as harness:
+        client = await harness.client()
         await client.stream.send_all(PARTIAL_REQUEST)
-        await w.until(lambda: any(c.first_byte for c in w.service.listener.clients))
-        w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.listener.stopping)
+        await harness.wait_until(
+            lambda: any(c.first_byte for c in harness.service.listener.clients)
+        )
+        harness.nursery.start_soon(harness.service.drain)
+        await harness.wait_until(lambda: harness.service.listener.stopping)
         await client.stream.send_all(raw_request("half")[60:])
         received = await read_to_end(client)
         assert received.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in received
-        await w.ended.wait()
+        await harness.ended.wait()
 
 
 @pytest.mark.parametrize("read", [True, False])
 @mock_clock_test
 async def test_partial_request_does_not_extend_a_drain_beyond_its_grace(read):
-    async with world(
+    async with running_service(
         Peer("d1", done), settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
-    ) as w:
-        client = await w.client()
-        await w.until(lambda: w.service.listener.clients)
+    ) as harness:
+        client = await harness.client()
+        await harness.wait_until(lambda: harness.service.listener.clients)
         began = trio.current_time()
-        w.nursery.start_soon(w.service.drain)
+        harness.nursery.start_soon(harness.service.drain)
         if read:
-            await w.until(lambda: not w.service.listener.accepting)
+            await harness.wait_until(lambda: not harness.service.listener.accepting)
             await client.stream.send_all(PARTIAL_REQUEST)
         else:  # it arrives in the event loop iteration of the close
-            real = w.service.listener.close
+            real = harness.service.listener.close
 
             def closes():
                 client.stream.socket._sock.send(PARTIAL_REQUEST)
                 real()
 
-            w.service.listener.close = closes
-        await w.ended.wait()
+            harness.service.listener.close = closes
+        await harness.ended.wait()
         assert trio.current_time() - began < 1.4
 
 
@@ -781,44 +810,44 @@
         await trio.sleep_forever()
 
     peer = Peer("d1", hangs)
-    async with world(
+    async with running_service(
         peer, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
-    ) as w:
-        client = await w.client()
+    ) as harness:
+        client = await harness.client()
         await client.stream.send_all(raw_request("waits"))
-        await w.until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: peer.exchanges)
         began = trio.current_time()
-        w.nursery.start_soon(w.service.drain)
+        harness.nursery.start_soon(harness.service.drain)
         assert (await client.stream.receive_some()).startswith(b"HTTP/1.1 502 ")
         assert trio.current_time() - began > 0.9  # the shutdown waited for the request
-        await w.ended.wait()
+        await harness.ended.wait()
         assert trio.current_time() - began < 1.4 - 0.15
 
 
 @mock_clock_test
 async def test_request_completed_after_the_drain_deadline_is_not_accepted(monkeypatch):
     peer = Peer("d1", done)
-    async with world(
+    async with running_service(
         peer, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
-    ) as w:
-        real = w.service.engine.fail_all
+    ) as harness:
+        real = harness.service.engine.fail_all
 
         def gives_up():
             real()
             client.stream.socket._sock.send(raw_request("half")[60:])
 
-        monkeypatch.setattr(w.service.engine, "fail_all", gives_up)
-        held = Gate(w, monkeypatch)  # so that a request is still open at the drain deadline
-        client, other = await w.client(), await w.client()
-        w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: not w.service.listener.accepting)
+        monkeypatch.setattr(harness.service.engine, "fail_all", gives_up)
+        held = Gate(harness, monkeypatch)  # so that a request is still open at the drain deadline
+        client, other = await harness.client(), await harness.client()
+        harness.nursery.start_soon(harness.service.drain)
+        await harness.wait_until(lambda: not harness.service.listener.accepting)
         await client.stream.send_all(PARTIAL_REQUEST)
         await other.send(X_Request_ID="r2", X_Timeout_Ms="15000")
-        await w.until(lambda: held.held == 1)
+        await harness.wait_until(lambda: held.held == 1)
         assert (await other.reply()).status == 502
         with suppress(trio.BrokenResourceError):
             assert await client.stream.receive_some() == b""
-        await w.ended.wait()
+        await harness.ended.wait()
         assert not peer.exchanges
 
 
@@ -834,29 +863,33 @@
         number: signal.signal(number, lambda *_: None) for number in (signal.SIGTERM, signal.SIGHUP)
     }
     try:
-        async with world(
+        async with running_service(
             peer,
             front=front,
             settings=LONG_DEADLINES,
             signals=True,
             timing={"linger_ms": 50, "grace_ms": 4000},
-        ) as w:
-            client = await w.client()
+        ) as harness:
+            client = await harness.client()
             await client.send(**LONG_TIMEOUT)
-            await w.until(lambda: peer.exchanges)
-            w.raw["timing"] = {"linger_ms": 60, "grace_ms": 4000}
+            await harness.wait_until(lambda: peer.exchanges)
+            harness.raw["timing"] = {"linger_ms": 60, "grace_ms": 4000}
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 os.kill(os.getpid(), number)  # no event loop iteration between them
-            await w.until(lambda: w.service.run_state.draining and w.service.config.linger_ms == 60)
+            await harness.wait_until(
+                lambda: (
+                    harness.service.run_state.draining and harness.service.config.linger_ms == 60
+                )
+            )
             os.kill(os.getpid(), signal.SIGTERM)
             os.kill(os.getpid(), signal.SIGHUP)
-            await w.until(lambda: not w.service.listener.accepting)
+            await harness.wait_until(lambda: not harness.service.listener.accepting)
             os.kill(os.getpid(), signal.SIGTERM)
             await trio.testing.wait_all_tasks_blocked()
             go_on.set()
             assert (await client.reply()).status == 200
             await client.stream.aclose()
-            await w.ended.wait()
+            await harness.ended.wait()
     finally:
         for number, handler in previous.items():
             signal.signal(number, handler)
@@ -870,10 +903,10 @@
         for number in (signal.SIGTERM, signal.SIGINT)
     }
     try:
-        async with world(
+        async with running_service(
             Peer("d1", done), signals=True, timing={"linger_ms": 20, "grace_ms": 1000}
-        ) as w:
-            real = w.service.worker_connections.close
+        ) as harness:
+            real = harness.service.worker_connections.close
 
             def closes():
                 # The listener has finished, and everything else is about to be closed.
@@ -881,9 +914,9 @@
                 os.kill(os.getpid(), signal.SIGINT)
                 real()
 
-            w.service.worker_connections.close = closes
+            harness.service.worker_connections.close = closes
             os.kill(os.getpid(), signal.SIGTERM)
-            await w.ended.wait()
+            await harness.ended.wait()
             assert not stray  # no signal reached the previous handlers
     finally:
         for number, handler in previous.items():
@@ -893,13 +926,13 @@
 @trio_test
 async def test_backlog_at_the_listener_close_is_served_up_to_the_limit_and_reset_beyond():
     peer = Peer("d1", done)
-    async with world(peer, settings=LONG_DEADLINES) as w:
-        late = [socket.create_connection(w.service.listener.address) for _ in range(3)]
+    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+        late = [socket.create_connection(harness.service.listener.address) for _ in range(3)]
         for i, sock in enumerate(late):
             sock.sendall(raw_request(f"r{i}"))
-        w.service.listener.limit(2)
+        harness.service.listener.limit(2)
         # No event loop iteration since they connected, and no time to wait for capacity.
-        await w.service.listener.drain_backlog(deadline=trio.current_time())
+        await harness.service.listener.drain_backlog(deadline=trio.current_time())
         streams = [trio.SocketStream(trio.socket.from_stdlib_socket(sock)) for sock in late]
         for stream in streams[:2]:
             assert (await stream.receive_some()).startswith(b"HTTP/1.1 200 ")
@@ -918,36 +951,40 @@
 @trio_test
 async def test_requests_followed_at_once_by_a_close_get_no_attempt(front, raw):
     peer = Peer("d1", done)
-    async with world(peer, front=front, settings=LONG_DEADLINES) as w:
-        assert (await w.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
+    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+        assert (await harness.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
         # An attempt on the idle connection is sent without waiting.
-        await w.until(lambda: w.service.worker_connections._idle.get("d1"))
-        closed_clients = [socket.create_connection(w.service.listener.address) for _ in range(50)]
+        await harness.wait_until(lambda: harness.service.worker_connections._idle.get("d1"))
+        closed_clients = [
+            socket.create_connection(harness.service.listener.address) for _ in range(50)
+        ]
         for i, sock in enumerate(closed_clients):
             sock.sendall(raw_request(f"left{i}") * raw)
             sock.close()  # before the service has accepted any of them
         seen = []
-        await w.until(
-            lambda: seen.append(len(w.service.listener.clients)) or (max(seen) and not seen[-1])
+        await harness.wait_until(
+            lambda: (
+                seen.append(len(harness.service.listener.clients)) or (max(seen) and not seen[-1])
+            )
         )
-        assert (await w.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
+        assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
         assert received_from_leaving_clients(peer) == []
 
 
 @mock_clock_test
 async def test_answer_that_is_not_read_times_out_and_frees_its_place(monkeypatch):
     monkeypatch.setattr(client_connection, "SEND_TIMEOUT_SECONDS", 0.3)
-    async with world(Peer("d1", long_answer), settings=LONG_DEADLINES) as w:
-        client = await small_buffer_client(w)
-        await w.until(lambda: w.service.listener.clients)
-        [served] = w.service.listener.clients
+    async with running_service(Peer("d1", long_answer), settings=LONG_DEADLINES) as harness:
+        client = await small_buffer_client(harness)
+        await harness.wait_until(lambda: harness.service.listener.clients)
+        [served] = harness.service.listener.clients
         served.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         await client.send(**LONG_TIMEOUT)
-        await w.until(lambda: served.connection.unsent)
+        await harness.wait_until(lambda: served.connection.unsent)
         began = trio.current_time()
-        await w.until(lambda: not w.service.listener.clients)
+        await harness.wait_until(lambda: not harness.service.listener.clients)
         assert trio.current_time() - began < 0.5
-        assert not w.service.open_requests.ids and not w.service.engine.pending
+        assert not harness.service.open_requests.ids and not harness.service.engine.pending
         await client.stream.aclose()
 
 
@@ -958,10 +995,12 @@
 @trio_test
 async def test_timeout_that_is_no_number_of_milliseconds_gets_400_before_any_attempt(front, given):
     peer = Peer("d1", done)
-    async with world(peer, front=front, settings=LONG_DEADLINES) as w:
-        assert (await w.ask(X_Timeout_Ms=given)).status == 400
+    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+        assert (await harness.ask(X_Timeout_Ms=given)).status == 400
         assert (
-            not peer.exchanges and not w.service.engine.pending and not w.service.open_requests.ids
+            not peer.exchanges
+            and not harness.service.engine.pending
+            and not harness.service.open_requests.ids
         )
 
 
@@ -975,8 +1014,8 @@
     else:
         raw = head + b"Content-Length: 81920\r\n\r\n" + b"x" * 81920
     peer = Peer("d1", done)
-    async with world(peer, front=front, settings=LONG_DEADLINES) as w:
-        client = await w.client()
+    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+        client = await harness.client()
         client.stream.socket._sock.send(raw)
         received = b""
         while b"\r\n\r\n" not in received:
@@ -989,14 +1028,14 @@
 @mock_clock_test
 async def test_flood_of_partial_requests_displaces_no_working_client(front, monkeypatch):
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.05)
-    async with world(Peer("d1", done), front=front, limits={"sockets": 80}) as w:
+    async with running_service(Peer("d1", done), front=front, limits={"sockets": 80}) as harness:
         flood = []
         for i in range(4):
             for _ in range(40):
-                flood.append(await w.client())
+                flood.append(await harness.client())
                 flood[-1].stream.socket._sock.send(PARTIAL_REQUEST)
-            assert (await w.ask(X_Request_ID=f"n{i}")).status == 200
-            assert len(w.service.listener.clients) <= 22
+            assert (await harness.ask(X_Request_ID=f"n{i}")).status == 200
+            assert len(harness.service.listener.clients) <= 22
         for client in flood:
             client.stream.socket.close()
 
@@ -1049,8 +1088,8 @@
 
     for target, attempts in (("/tour", 2), ("/once", 1)):
         peers = [Peer("d1", script), Peer("d2", script)]
-        async with world(*peers, front=front, settings=LONG_DEADLINES) as w:
-            reply = await w.ask(target, **LONG_TIMEOUT)
+        async with running_service(*peers, front=front, settings=LONG_DEADLINES) as harness:
+            reply = await harness.ask(target, **LONG_TIMEOUT)
             assert len(all_exchanges()) == attempts
             if front == "progress":
                 assert (b"event: served" in reply.body, b"event: failed" in reply.body) == (
@@ -1060,7 +1099,7 @@
             else:
                 assert reply.status == (200 if attempts == 2 else 502)
             # The connection of the incomplete answer is not kept.
-            await w.until(lambda: w.service.worker_connections.open <= 1)
+            await harness.wait_until(lambda: harness.service.worker_connections.open <= 1)
 
 
 async def done_twice(exchange):
@@ -1095,9 +1134,9 @@
 @trio_test
 async def test_input_after_a_final_message_is_never_another_requests_result(front, unusual_answer):
     peer = Peer("d1", unusual_answer)
-    async with world(peer, front=front, settings=LONG_DEADLINES) as w:
+    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
         for i in range(4):
-            reply = await w.ask("/once", X_Request_ID=f"r{i}", **LONG_TIMEOUT)
+            reply = await harness.ask("/once", X_Request_ID=f"r{i}", **LONG_TIMEOUT)
             assert (
                 reply.status == 200
                 and reply.body.count(b"profile") == 1
@@ -1115,16 +1154,16 @@
 @trio_test
 async def test_answer_that_arrives_with_the_timeout_is_the_only_one(front, script, served):
     """The policy fails a request in the event loop iteration in which its attempt has ended."""
-    async with world(Peer("d1", script), front=front, settings=LONG_DEADLINES) as w:
-        real, engine = w.service.subsystem_context.run_attempt, w.service.engine
+    async with running_service(Peer("d1", script), front=front, settings=LONG_DEADLINES) as harness:
+        real, engine = harness.service.subsystem_context.run_attempt, harness.service.engine
 
         async def attempt(attempt):
             outcome = await real(attempt)
             engine._carry_out(api.Fail(attempt.request.key, "timeout"), engine.now())
             return outcome
 
-        w.service.subsystem_context.run_attempt = attempt
-        client = await w.client()
+        harness.service.subsystem_context.run_attempt = attempt
+        client = await harness.client()
         await client.send("/once", **LONG_TIMEOUT)
         reply = await client.reply()
         if front == "progress":
@@ -1134,8 +1173,10 @@
             )
         else:
             assert reply.status == (200 if served else 502)
-        await w.until(
-            lambda: not engine.pending and not engine._live and not w.service.open_requests.ids
+        await harness.wait_until(
+            lambda: (
+                not engine.pending and not engine._live and not harness.service.open_requests.ids
+            )
         )
 
 
@@ -1144,7 +1185,7 @@
     monkeypatch,
 ):
     peers = [Peer("d1", done), Peer("d2", done)]
-    async with world(*peers, settings=LONG_DEADLINES) as w:
+    async with running_service(*peers, settings=LONG_DEADLINES) as harness:
         real, tried = Connection.open, []
 
         async def open_connection(address, *args):
@@ -1154,9 +1195,12 @@
             return await real(address, *args)
 
         monkeypatch.setattr(Connection, "open", open_connection)
-        assert (await w.ask("/once", **LONG_TIMEOUT)).status == 200
+        assert (await harness.ask("/once", **LONG_TIMEOUT)).status == 200
         assert len(tried) == 2 and tried[0] != tried[1]
-        assert sum(len(p.exchanges) for p in peers) == 1 and w.service.worker_connections.open == 1
+        assert (
+            sum(len(p.exchanges) for p in peers) == 1
+            and harness.service.worker_connections.open == 1
+        )
 
 
 @trio_test
@@ -1164,18 +1208,18 @@
     monkeypatch,
 ):
     peer, other = Peer("d1", done), Peer("d2", done)
-    async with world(peer, other, settings=LONG_DEADLINES) as w:
-        gate = Gate(w, monkeypatch)
+    async with running_service(peer, other, settings=LONG_DEADLINES) as harness:
+        gate = Gate(harness, monkeypatch)
         gate.worker = "d1"
-        assert (await w.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
+        assert (await harness.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
 
         def closes():
             for stream in list(peer.live):
                 stream.socket.close()
             gate.worker = "d2"
 
-        await w.until(lambda: w.service.worker_connections._idle.get("d1"))
-        [idle_connection] = w.service.worker_connections._idle["d1"]
+        await harness.wait_until(lambda: harness.service.worker_connections._idle.get("d1"))
+        [idle_connection] = harness.service.worker_connections._idle["d1"]
         real = Connection.check_idle
 
         def check_idle(connection):
@@ -1190,8 +1234,8 @@
             return state
 
         monkeypatch.setattr(Connection, "check_idle", check_idle)
-        assert (await w.ask(X_Request_ID="r1", **LONG_TIMEOUT)).status == 200
-        assert has_no_failures(w, peer)
+        assert (await harness.ask(X_Request_ID="r1", **LONG_TIMEOUT)).status == 200
+        assert has_no_failures(harness, peer)
         assert [e.id for p in (peer, other) for e in p.exchanges] == ["r0", "r1"]
 
 
@@ -1202,26 +1246,26 @@
         await exchange.done()
 
     go_on, peers = trio.Event(), [Peer("d1", waits), Peer("d2", waits)]
-    async with world(*peers, settings=LONG_DEADLINES) as w:
-        w.service.worker_connections.limit(1)
-        first = await w.client()
+    async with running_service(*peers, settings=LONG_DEADLINES) as harness:
+        harness.service.worker_connections.limit(1)
+        first = await harness.client()
         await first.send(**LONG_TIMEOUT)
-        await w.until(lambda: any(p.exchanges for p in peers))
+        await harness.wait_until(lambda: any(p.exchanges for p in peers))
         # It was not sent, so a request of any class can be rejected.
-        assert (await w.ask("/once", X_Request_ID="r2", **LONG_TIMEOUT)).status == 503
-        assert w.service.worker_connections.open == 1
+        assert (await harness.ask("/once", X_Request_ID="r2", **LONG_TIMEOUT)).status == 503
+        assert harness.service.worker_connections.open == 1
         go_on.set()
         assert (await first.reply()).status == 200
-        assert (await w.ask("/once", X_Request_ID="r3", **LONG_TIMEOUT)).status == 200
-        assert w.service.worker_connections.open == 1
+        assert (await harness.ask("/once", X_Request_ID="r3", **LONG_TIMEOUT)).status == 200
+        assert harness.service.worker_connections.open == 1
 
 
 @mock_clock_test
 async def test_worker_that_stops_reading_until_the_deadline_never_gets_the_last_byte(monkeypatch):
     peer = SlowReader("d1", done)
-    async with world(peer, timing={"answer_margin_ms": 400}) as w:
+    async with running_service(peer, timing={"answer_margin_ms": 400}) as harness:
         open_with_little_room(monkeypatch)
-        reply = await w.ask("/once", body=b"x" * 60000, X_Timeout_Ms="900")
+        reply = await harness.ask("/once", body=b"x" * 60000, X_Timeout_Ms="900")
         assert reply.status in (502, 503)
         peer.reads.set()
         await peer.ended.wait()
@@ -1244,8 +1288,8 @@
     settings = {
         "request_classes": [{**c, "aim": 16000.0} for c in LONG_DEADLINES["request_classes"]]
     }
-    async with world(*peers, settings=settings) as w:
-        reply = await w.ask("/save", Idempotency_Key="k1", **LONG_TIMEOUT)
+    async with running_service(*peers, settings=settings) as harness:
+        reply = await harness.ask("/save", Idempotency_Key="k1", **LONG_TIMEOUT)
         # 502 and not 503, which would state that the request never ran.
         assert reply.status == (200 if again else 502)
         assert attempts_received(peers) == (2 if again else 1)
@@ -1322,6 +1366,6 @@
     peer = ConcurrentReader("d1", done)
     # So that the next attempt follows soon.
     settings = {"specifics": {"tells_start": True, "progress": 0.0}}
-    async with world(peer, settings=settings) as w:
-        assert (await w.ask("/once")).status == 200
+    async with running_service(peer, settings=settings) as harness:
+        assert (await harness.ask("/once")).status == 200
         assert attempts_received([peer]) == 2  # one rejected, one served
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 import ujson
-from helper import Peer, done, trio_test, world
+from helper import Peer, done, running_service, trio_test
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -301,7 +301,7 @@
 
 @trio_test
 async def test_service_reports_members_on_its_management_listener_only_if_configured():
-    async with world(
+    async with running_service(
         Peer("d1", done),
         mgmt="127.0.0.1:0",
         members={
@@ -310,14 +310,16 @@
             "keys": ["cd" * 16],
             "zone": "north",
         },
-    ) as w:
-        await w.until(lambda: w.service.subsystems[0].status()["members"])
-        status = ujson.loads((await w.call("GET /_members")).body)
+    ) as harness:
+        await harness.wait_until(lambda: harness.service.subsystems[0].status()["members"])
+        status = ujson.loads((await harness.call("GET /_members")).body)
         assert [(m["name"], m["zone"]) for m in status["members"]] == [("yewrill", "north")]
-        assert b"members_suspected:0|c" in (await w.call("GET /_vars")).body
-        assert (await w.ask()).status == 200
-    async with world(Peer("d1", done), mgmt="127.0.0.1:0") as w:
-        assert not w.service.subsystems and (await w.call("GET /_members")).status == 404
+        assert b"members_suspected:0|c" in (await harness.call("GET /_vars")).body
+        assert (await harness.ask()).status == 200
+    async with running_service(Peer("d1", done), mgmt="127.0.0.1:0") as harness:
+        assert (
+            not harness.service.subsystems and (await harness.call("GET /_members")).status == 404
+        )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -13,7 +13,7 @@
 import pytest
 import trio
 import trio.testing
-from helper import Client, Peer, done, mock_clock_test, trio_test, world
+from helper import Client, Peer, done, mock_clock_test, running_service, trio_test
 
 from yewrill.config.reading import read_config
 from yewrill.dispatch.outcome import AttemptOutcome
@@ -32,27 +32,29 @@
 
 @trio_test
 async def test_the_management_listener_answers_ready_and_rejects_wrong_calls():
-    async with world(Peer("d1", done), **MGMT) as w:
-        assert (await w.call("GET /_ready")).status == 200
+    async with running_service(Peer("d1", done), **MGMT) as harness:
+        assert (await harness.call("GET /_ready")).status == 200
         for call, status in (
             ("GET /_nothing", 404),
             ("GET /tour", 404),
             ("GET /up", 404),
             ("PUT /_ready", 405),
         ):
-            assert (await w.call(call)).status == status
-        assert (await w.call("x", b"no call\r\n\r\n")).status == 400
-        assert (await w.ask("/_ready", "GET")).status == 404  # not on the clients' listener
+            assert (await harness.call(call)).status == status
+        assert (await harness.call("x", b"no call\r\n\r\n")).status == 400
+        assert (await harness.ask("/_ready", "GET")).status == 404  # not on the clients' listener
 
 
 @mock_clock_test
 async def test_silent_management_callers_delay_no_call_and_are_closed():
-    async with world(Peer("d1", done), **MGMT) as w:
+    async with running_service(Peer("d1", done), **MGMT) as harness:
         began = trio.current_time()
-        silent = [await trio.open_tcp_stream(*w.service.management.address) for _ in range(40)]
+        silent = [
+            await trio.open_tcp_stream(*harness.service.management.address) for _ in range(40)
+        ]
         for stream in silent[::2]:
             await stream.send_all(b"GET /_rea")
-        assert (await w.call("GET /_ready")).status == 200
+        assert (await harness.call("GET /_ready")).status == 200
         assert trio.current_time() - began < 1.0
         for stream in silent:
             with trio.fail_at(began + 2.0):
@@ -61,13 +63,13 @@
                         pass
                 except trio.BrokenResourceError:
                     pass  # the incomplete call was never read
-        assert len(w.service.listener.clients) == 0  # they are not clients
+        assert len(harness.service.listener.clients) == 0  # they are not clients
 
 
 @trio_test
 async def test_without_mgmt_there_is_no_management_listener():
-    async with world(Peer("d1", done)) as w:
-        assert w.service.management is None
+    async with running_service(Peer("d1", done)) as harness:
+        assert harness.service.management is None
 
 
 class Shared:
@@ -89,25 +91,27 @@
 
 
 @asynccontextmanager
-async def shared_world(*peers, **config):
+async def hot_restart_service(*peers, **config):
     with tempfile.TemporaryDirectory() as directory:
         # A path that is longer than a Unix socket address, as a platform may use.
         deep = os.path.join(directory, "d" * 120)
         os.mkdir(deep)
         shared = Shared(deep)
-        async with world(*peers, environment=shared.environment(), **{**MGMT, **config}) as w:
-            w.shared = shared
-            w.old_process = w.service
-            yield w
+        async with running_service(
+            *peers, environment=shared.environment(), **{**MGMT, **config}
+        ) as harness:
+            harness.shared = shared
+            harness.old_process = harness.service
+            yield harness
         shared.sock.close()
 
 
-async def start_new_process(w, **config) -> Service:
-    new_process = Service(read_config({**w.raw, **config}, w.shared.environment()))
-    await w.nursery.start(
+async def start_new_process(harness, **config) -> Service:
+    new_process = Service(read_config({**harness.raw, **config}, harness.shared.environment()))
+    await harness.nursery.start(
         lambda task_status: new_process.run(signals=False, task_status=task_status)
     )
-    w.service = new_process
+    harness.service = new_process
     return new_process
 
 
@@ -122,20 +126,22 @@
         await exchange.done()
 
     peer.script = waits
-    async with shared_world(peer, front=front) as w:
-        slow, kept, unread = [await w.shared.client() for _ in range(3)]
+    async with hot_restart_service(peer, front=front) as harness:
+        slow, kept, unread = [await harness.shared.client() for _ in range(3)]
         await slow.send(X_Request_ID="slow")
-        await w.until(lambda: peer.exchanges and len(w.old_process.listener.clients) == 3)
-        new_process = await start_new_process(w)
-        assert (await w.call("GET /_ready")).status == 200
-        w.nursery.start_soon(w.old_process.drain)
-        await w.until(lambda: w.old_process.run_state.draining)
+        await harness.wait_until(
+            lambda: peer.exchanges and len(harness.old_process.listener.clients) == 3
+        )
+        new_process = await start_new_process(harness)
+        assert (await harness.call("GET /_ready")).status == 200
+        harness.nursery.start_soon(harness.old_process.drain)
+        await harness.wait_until(lambda: harness.old_process.run_state.draining)
         # A shutdown without a new process would accept for another 0.7 s.
-        assert not w.old_process.listener.accepting
+        assert not harness.old_process.listener.accepting
         for i in range(20):  # new connections go to the new process
-            assert (await w.ask("/up", "GET")).status == 200
-            assert (await w.ask(X_Request_ID=f"n{i}")).status == 200
-        assert len(w.old_process.listener.clients) == 3
+            assert (await harness.ask("/up", "GET")).status == 200
+            assert (await harness.ask(X_Request_ID=f"n{i}")).status == 200
+        assert len(harness.old_process.listener.clients) == 3
         up = await kept.ask("/up", "GET")  # the dispatcher is up, whichever process is asked
         assert (up.status, up.headers["connection"]) == (200, "close")
         # The old process reads from this connection only now.
@@ -145,18 +151,18 @@
         for client in (slow, kept, unread):
             assert await client.stream.receive_some() == b""  # closed after their answers
             await client.stream.aclose()
-        await w.ended.wait()
+        await harness.ended.wait()
         # All descriptors that are not reserved, times CLIENT_SHARE.
-        await w.until(lambda: new_process.listener._max_clients == 541)
+        await harness.wait_until(lambda: new_process.listener._max_clients == 541)
 
 
 @trio_test
 async def test_the_old_process_knows_the_new_one_as_soon_as_that_is_ready():
-    async with shared_world(Peer("d1", done)) as w:
-        new_process = await start_new_process(w)
+    async with hot_restart_service(Peer("d1", done)) as harness:
+        new_process = await start_new_process(harness)
         # The platform sends SIGTERM once the new process is ready: the old one must know of it by then.
-        assert new_process.run_state.serving and w.old_process.hot_restart.new_process_ready
-        assert w.old_process.listener._max_clients + new_process.listener._max_clients <= 541
+        assert new_process.run_state.serving and harness.old_process.hot_restart.new_process_ready
+        assert harness.old_process.listener._max_clients + new_process.listener._max_clients <= 541
 
 
 @trio_test
@@ -168,30 +174,30 @@
         await exchange.done()
 
     peer.script = waits
-    async with shared_world(peer) as w:
-        before = await w.shared.client()
+    async with hot_restart_service(peer) as harness:
+        before = await harness.shared.client()
         await before.send(X_Request_ID="r7")
-        await w.until(lambda: peer.exchanges)
-        new_process = await start_new_process(w)
+        await harness.wait_until(lambda: peer.exchanges)
+        new_process = await start_new_process(harness)
         assert new_process.hot_restart.open_elsewhere("r7")  # from the old process's snapshot
-        w.old_process.listener.stop_accepting()
-        assert (await (await w.shared.client()).ask(X_Request_ID="r7")).status == 409
-        after = await w.shared.client()
+        harness.old_process.listener.stop_accepting()
+        assert (await (await harness.shared.client()).ask(X_Request_ID="r7")).status == 409
+        after = await harness.shared.client()
         await after.send(X_Request_ID="r8")
         # Changes go in the other direction as well.
-        await w.until(lambda: w.old_process.hot_restart.open_elsewhere("r8"))
+        await harness.wait_until(lambda: harness.old_process.hot_restart.open_elsewhere("r8"))
         gate.set()
         assert (await before.reply()).status == (await after.reply()).status == 200
-        await w.until(lambda: not new_process.hot_restart.open_elsewhere("r7"))
-        assert (await (await w.shared.client()).ask(X_Request_ID="r7")).status == 200
+        await harness.wait_until(lambda: not new_process.hot_restart.open_elsewhere("r7"))
+        assert (await (await harness.shared.client()).ask(X_Request_ID="r7")).status == 200
 
 
 @pytest.mark.parametrize("leftover", ["nobody", "silent", "not a socket"])
 @mock_clock_test
 async def test_a_leftover_path_or_a_silent_old_process_does_not_delay_a_start(leftover):
-    async with shared_world(Peer("d1", done)) as w:
-        path = w.shared.link()
-        w.old_process.hot_restart.close()
+    async with hot_restart_service(Peer("d1", done)) as harness:
+        path = harness.shared.link()
+        harness.old_process.hot_restart.close()
         other = socket.socket(socket.AF_UNIX)
         if leftover != "not a socket":
             other.bind(f"/proc/self/fd/{(fd := os.open(path.parent, os.O_RDONLY))}/{path.name}")
@@ -203,12 +209,12 @@
         else:
             path.write_text("x")
         began = trio.current_time()
-        await start_new_process(w)
+        await start_new_process(harness)
         assert trio.current_time() - began < 0.9
-        assert (await w.call("GET /_ready")).status == 200
+        assert (await harness.call("GET /_ready")).status == 200
         other.close()
         # The new process serves.
-        async with await trio.open_tcp_stream(*w.shared.address) as stream:
+        async with await trio.open_tcp_stream(*harness.shared.address) as stream:
             assert (await Client(stream).ask("/up", "GET")).status == 200
 
 
@@ -217,11 +223,11 @@
     """The two parts must add up to the total, and the old process keeps the descriptors that it uses."""
     # On a slow machine, clients may be connected for longer than this age.
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.0)
-    async with shared_world(Peer("d1", done), limits={"sockets": 384}) as w:
-        old_process, clients = w.service, []
+    async with hot_restart_service(Peer("d1", done), limits={"sockets": 384}) as harness:
+        old_process, clients = harness.service, []
         for used in (0, 30, 120, 200, 280, 384):
             while len(old_process.listener.clients) < min(used, old_process.listener._max_clients):
-                clients.append(await w.client())
+                clients.append(await harness.client())
                 await clients[-1].send("/up", "GET")
                 await clients[-1].reply()
             old_process.worker_connections.open = max(0, used - len(old_process.listener.clients))
@@ -245,15 +251,15 @@
 
 @trio_test
 async def test_the_old_process_uses_all_descriptors_again_when_the_new_one_dies():
-    async with shared_world(Peer("d1", done)) as w:
-        whole = w.old_process.listener._max_clients
-        new_process = await start_new_process(w)
-        assert w.old_process.listener._max_clients < whole
+    async with hot_restart_service(Peer("d1", done)) as harness:
+        whole = harness.old_process.listener._max_clients
+        new_process = await start_new_process(harness)
+        assert harness.old_process.listener._max_clients < whole
         new_process.tasks.nursery.cancel_scope.cancel()
-        await w.until(lambda: not w.old_process.hot_restart.new_process_ready)
-        assert w.old_process.listener._max_clients == whole
-        await start_new_process(w)  # another new process finds the old one
-        assert w.old_process.hot_restart.new_process_ready
+        await harness.wait_until(lambda: not harness.old_process.hot_restart.new_process_ready)
+        assert harness.old_process.listener._max_clients == whole
+        await start_new_process(harness)  # another new process finds the old one
+        assert harness.old_process.hot_restart.new_process_ready
 
 
 DETACH, ATTACH = "PUT /_profilers/detach?name=", "PUT /_profilers/attach?name="
@@ -265,12 +271,12 @@
     front,
 ):
     one, other = Peer("d1", done), Peer("d2", done)
-    async with world(one, other, front=front, **MGMT) as w:
+    async with running_service(one, other, front=front, **MGMT) as harness:
         ids = iter(range(1000))
 
         async def send_requests(count):
             for _ in range(count):
-                assert (await w.ask(X_Request_ID=f"r{next(ids)}")).status == 200
+                assert (await harness.ask(X_Request_ID=f"r{next(ids)}")).status == 200
 
         while not (one.exchanges and other.exchanges):
             await send_requests(1)
@@ -284,35 +290,35 @@
             (DETACH + "d1", 200),
             (DETACH + "%641", 200),  # a repeated call changes nothing
         ):
-            assert (await w.call(call)).status == status
+            assert (await harness.call(call)).status == status
         before = len(one.exchanges)
-        await w.until(lambda: not one.live)  # its idle connections are closed
-        d1, watch = one.entry(), w.discovery
+        await harness.wait_until(lambda: not one.live)  # its idle connections are closed
+        d1, watch = one.entry(), harness.discovery
         for change in ([d1], [{**d1, "state": "DELETED"}], [d1], [{**d1, "started_ms": 1e12}]):
             watch.tell(*change)
-            await w.until(lambda: w.service.endpoints.version == watch.version)
+            await harness.wait_until(lambda: harness.service.endpoints.version == watch.version)
             await send_requests(5)
         watch.tell(d1, other.entry(), full=True)
-        await w.until(lambda: w.service.endpoints.version == watch.version)
+        await harness.wait_until(lambda: harness.service.endpoints.version == watch.version)
         await send_requests(5)
         assert len(one.exchanges) == before
         # A single call is enough, although detach was called twice.
-        assert (await w.call(ATTACH + "d1")).status == 200
+        assert (await harness.call(ATTACH + "d1")).status == 200
         # It gets requests soon, although it counts as cold and the other worker is idle.
         with trio.fail_after(5):
             while len(one.exchanges) == before:
                 await send_requests(1)
-        assert (await w.call(ATTACH + "d1")).status == 200
+        assert (await harness.call(ATTACH + "d1")).status == 200
         watch.tell({**d1, "state": "DELETED"})
-        await w.until(lambda: w.service.endpoints.version == watch.version)
-        assert (await w.call(DETACH + "d1")).status == 404
+        await harness.wait_until(lambda: harness.service.endpoints.version == watch.version)
+        assert (await harness.call(DETACH + "d1")).status == 404
 
 
 @trio_test
 async def test_an_attempt_already_picked_is_not_sent_to_a_detached_worker():
     one = Peer("d1", done)
-    async with world(one, **MGMT) as w:
-        service = w.service
+    async with running_service(one, **MGMT) as harness:
+        service = harness.service
         request = Request("r1", 0, service.engine.now() + 2000.0)
         attempt = await service.engine.pick(request)
         assert service.endpoints.detach(attempt.worker)
@@ -324,28 +330,30 @@
 @trio_test
 async def test_detached_workers_stay_detached_over_a_hot_restart_and_either_process_attaches():
     peers = [Peer(f"d{i}", done) for i in range(5)]
-    async with shared_world(*peers) as w:
+    async with hot_restart_service(*peers) as harness:
         for name in ("d0", "d1", "d2"):
-            assert (await w.call(DETACH + name)).status == 200
-        assert (await w.call(ATTACH + "d2")).status == 200
-        old_process, new_process = w.old_process, await start_new_process(w)
+            assert (await harness.call(DETACH + name)).status == 200
+        assert (await harness.call(ATTACH + "d2")).status == 200
+        old_process, new_process = harness.old_process, await start_new_process(harness)
         assert (
             new_process.endpoints.detached == ["d0", "d1"]
             and "d2" in new_process.endpoints.recently_attached  # attached again, but still cold
         )
-        w.service = old_process
+        harness.service = old_process
         assert (
-            await w.call(DETACH + "d3")
+            await harness.call(DETACH + "d3")
         ).status == 200 and "d3" in new_process.endpoints.detached
-        w.service = new_process
-        assert (await w.call(ATTACH + "d0")).status == 200 and old_process.endpoints.detached == [
+        harness.service = new_process
+        assert (
+            await harness.call(ATTACH + "d0")
+        ).status == 200 and old_process.endpoints.detached == [
             "d1",
             "d3",
         ]
         old_process.listener.stop_accepting()
-        w.discovery.tell(*(p.entry() for p in peers), full=True)
-        await w.until(lambda: new_process.endpoints.version == w.discovery.version)
-        client, ids = await w.shared.client(), iter(range(10_000))
+        harness.discovery.tell(*(p.entry() for p in peers), full=True)
+        await harness.wait_until(lambda: new_process.endpoints.version == harness.discovery.version)
+        client, ids = await harness.shared.client(), iter(range(10_000))
         with trio.fail_after(5):
             while not peers[0].exchanges:
                 assert (await client.ask(X_Request_ID=f"r{next(ids)}")).status == 200
@@ -401,16 +409,16 @@
         await exchange.done()
 
     peers = [Peer(f"d{i}", waits) for i in range(4)]
-    async with world(*peers, front=front, **MGMT) as w:
-        asks, idle, works, slow = [await w.client() for _ in range(4)]
+    async with running_service(*peers, front=front, **MGMT) as harness:
+        asks, idle, works, slow = [await harness.client() for _ in range(4)]
         assert (await asks.ask("/up", "GET")).status == 200
         await slow.send(X_Request_ID="slow", X_Timeout_Ms="3000")
-        await w.until(lambda: any(p.exchanges for p in peers))
-        assert (await w.call("PUT /_lameduck/on")).status == 200
+        await harness.wait_until(lambda: any(p.exchanges for p in peers))
+        assert (await harness.call("PUT /_lameduck/on")).status == 200
         began = trio.current_time()
         up = await asks.ask("/up", "GET")  # immediately, also on an open connection
         assert up.status == 503 and "connection" not in up.headers
-        assert (await w.call("GET /_ready")).status == 200  # the process itself stays ready
+        assert (await harness.call("GET /_ready")).status == 200  # the process itself stays ready
         while True:  # requests are served; from 0.2 s on, connections close after the answer
             reply = await works.ask(X_Request_ID="w", X_Timeout_Ms="3000")
             assert reply.status == 200
@@ -422,37 +430,39 @@
         for client in (works, asks, idle):
             assert await client.stream.receive_some() == b""
         assert trio.current_time() - began < 2.0
-        late = await w.client()  # the listener stays open
+        late = await harness.client()  # the listener stays open
         assert (await late.ask(X_Request_ID="late", X_Timeout_Ms="3000")).status == 200
-        await w.until(lambda: len(w.service.listener.clients) == 1)
+        await harness.wait_until(lambda: len(harness.service.listener.clients) == 1)
         gate.set()
         assert (await slow.reply()).status == 200
-        assert (await w.call("PUT /_lameduck/off")).status == 200
-        back = await w.client()
+        assert (await harness.call("PUT /_lameduck/off")).status == 200
+        back = await harness.client()
         assert (await back.ask("/up", "GET")).status == 200
         assert "connection" not in (await back.ask("/up", "GET")).headers
         await trio.sleep(0.4)  # longer than an idle connection stays open during the drain
         assert (await back.ask(X_Request_ID="back", X_Timeout_Ms="3000")).status == 200
-        assert (await w.call("PUT /_lameduck/on")).status == 200
-        w.nursery.start_soon(w.service.drain)  # SIGTERM during the operators' drain
-        await w.until(lambda: w.service.run_state.draining)
-        assert (await w.call("GET /_ready")).status == 503
-        await w.ended.wait()
+        assert (await harness.call("PUT /_lameduck/on")).status == 200
+        harness.nursery.start_soon(harness.service.drain)  # SIGTERM during the operators' drain
+        await harness.wait_until(lambda: harness.service.run_state.draining)
+        assert (await harness.call("GET /_ready")).status == 503
+        await harness.ended.wait()
 
 
 @trio_test
 async def test_the_operators_drain_applies_to_both_processes_of_a_hot_restart():
-    async with shared_world(Peer("d1", done)) as w:
-        assert (await w.call("PUT /_lameduck/on")).status == 200
-        old_process, new_process = w.old_process, await start_new_process(w)
-        assert new_process.operator_drain.active and (await w.call("GET /_ready")).status == 200
+    async with hot_restart_service(Peer("d1", done)) as harness:
+        assert (await harness.call("PUT /_lameduck/on")).status == 200
+        old_process, new_process = harness.old_process, await start_new_process(harness)
         assert (
-            await w.call("PUT /_lameduck/off")
+            new_process.operator_drain.active and (await harness.call("GET /_ready")).status == 200
+        )
+        assert (
+            await harness.call("PUT /_lameduck/off")
         ).status == 200 and not old_process.operator_drain.active
 
 
-async def metrics(w) -> dict[str, float]:
-    lines = (await w.call("GET /_vars")).body.decode().splitlines()
+async def metrics(harness) -> dict[str, float]:
+    lines = (await harness.call("GET /_vars")).body.decode().splitlines()
     found = {}
     for line in lines:
         name, _, rest = line.partition(":")
@@ -474,8 +484,8 @@
             await exchange.done()
 
     one = Peer("d1", script)
-    async with world(one, front=front, **MGMT) as w:
-        counts = await metrics(w)
+    async with running_service(one, front=front, **MGMT) as harness:
+        counts = await metrics(harness)
         assert counts == {
             **{
                 f"{status}.{c}": 0
@@ -503,34 +513,36 @@
             **{f"time_constraint_ms.{c}": 100 for c in ("tour", "save", "once")},
         }
         for i in range(3):
-            await w.ask("/tour", X_Request_ID=f"r{i}")
-        await w.ask("/once", X_Request_ID="fails")
-        assert (await w.ask("/nothing")).status == 404  # no request class, no metrics
-        assert (await w.ask("/save", X_Request_ID=None)).status == 400
-        counts = await metrics(w)
+            await harness.ask("/tour", X_Request_ID=f"r{i}")
+        await harness.ask("/once", X_Request_ID="fails")
+        assert (await harness.ask("/nothing")).status == 404  # no request class, no metrics
+        assert (await harness.ask("/save", X_Request_ID=None)).status == 400
+        counts = await metrics(harness)
         assert (counts["success.tour"], counts["error.once"], counts["dispatches"]) == (3, 1, 4)
         assert counts["not_served.once.must_not_repeat"] == 1 and counts["run_time_ms.tour"] < 100
         assert not any("nothing" in name for name in counts) and counts["error.save"] == 0
-        client = await w.client()
+        client = await harness.client()
         await client.send("/save", X_Request_ID="waits")
-        await w.until(lambda: one.exchanges[-1].id == "waits")
+        await harness.wait_until(lambda: one.exchanges[-1].id == "waits")
         await client.stream.aclose()
-        await w.until(lambda: not w.service.listener.clients)
-        assert (await metrics(w))["concurrent"] == 0  # requests of clients that left don't count
-        assert (await w.call(DETACH + "d1")).status == 200
-        assert (await metrics(w))["targets_disabled"] == 1
-        reply = await w.ask("/tour", X_Request_ID="r9")
+        await harness.wait_until(lambda: not harness.service.listener.clients)
+        assert (await metrics(harness))[
+            "concurrent"
+        ] == 0  # requests of clients that left don't count
+        assert (await harness.call(DETACH + "d1")).status == 200
+        assert (await metrics(harness))["targets_disabled"] == 1
+        reply = await harness.ask("/tour", X_Request_ID="r9")
         assert reply.status == 503 or b"refused" in reply.body
-        counts = await metrics(w)
+        counts = await metrics(harness)
         assert counts["overload.tour"] == 1 and counts["targets"] == 1
-        w.discovery.tell({**one.entry(), "state": "DELETED"})
-        await w.until(lambda: not len(w.service.endpoints))
-        counts = await metrics(w)
+        harness.discovery.tell({**one.entry(), "state": "DELETED"})
+        await harness.wait_until(lambda: not len(harness.service.endpoints))
+        counts = await metrics(harness)
         assert counts["targets"] == counts["targets_disabled"] == 0
-        w.service.reload()
-        w.raw["discovery"] = "nowhere"
-        w.service.reload()
-        counts = await metrics(w)
+        harness.service.reload()
+        harness.raw["discovery"] = "nowhere"
+        harness.service.reload()
+        counts = await metrics(harness)
         assert (counts["reload_success"], counts["reload_failure"]) == (1, 1)
 
 
@@ -543,23 +555,23 @@
         await exchange.done()
 
     one = Peer("d1", waits)
-    async with world(one, **MGMT) as w:
-        client = await w.client()
+    async with running_service(one, **MGMT) as harness:
+        client = await harness.client()
         await client.send()
-        await w.until(lambda: one.exchanges)
-        assert (await metrics(w))["concurrent"] == 1
+        await harness.wait_until(lambda: one.exchanges)
+        assert (await metrics(harness))["concurrent"] == 1
         gate.set()
         assert (await client.reply()).status == 200
-        counts = await metrics(w)
+        counts = await metrics(harness)
         assert counts["concurrent"] == 0 and counts["success.tour"] == 1
-        worker = w.service.engine._module.fleet.workers["d1"]
-        worker.ejection.failures, worker.ejection.until = 1, w.service.engine.now() + 1e4
-        assert (await metrics(w))["targets_disabled"] == 1
+        worker = harness.service.engine._module.fleet.workers["d1"]
+        worker.ejection.failures, worker.ejection.until = 1, harness.service.engine.now() + 1e4
+        assert (await metrics(harness))["targets_disabled"] == 1
 
 
-def classes(w, **changes) -> list[dict]:
+def classes(harness, **changes) -> list[dict]:
     """Returns request classes for a reload: a name with None is removed, any other is changed or added."""
-    found = {c["name"]: dict(c) for c in w.raw["settings"]["request_classes"]}
+    found = {c["name"]: dict(c) for c in harness.raw["settings"]["request_classes"]}
     for name, change in changes.items():
         if change is None:
             del found[name]
@@ -568,15 +580,15 @@
     return list(found.values())
 
 
-def reconfigure(w, limits=None, **changes) -> None:
+def reconfigure(harness, limits=None, **changes) -> None:
     """Changes the settings and reloads the configuration."""
-    settings = w.raw["settings"]
-    w.raw["settings"] = {
+    settings = harness.raw["settings"]
+    harness.raw["settings"] = {
         **settings,
-        "request_classes": classes(w, **changes),
+        "request_classes": classes(harness, **changes),
         "limits": {**settings["limits"], **(limits or {})},
     }
-    w.service.reload()
+    harness.service.reload()
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
@@ -597,33 +609,33 @@
     def served(reply):
         return reply.status == 200 and (front == "platform" or b"event: served" in reply.body)
 
-    async with world(*peers, front=front, signals=True, **MGMT) as w:
-        old, dropped, new = [await w.client() for _ in range(3)]
+    async with running_service(*peers, front=front, signals=True, **MGMT) as harness:
+        old, dropped, new = [await harness.client() for _ in range(3)]
         await old.send("/tour", X_Request_ID="old")  # idempotent
         await dropped.send("/once", X_Request_ID="dropped")  # not idempotent
-        await w.until(lambda: len(seen) == 2)
-        assert (await w.ask("/fresh", X_Request_ID="f0")).status == 404
-        settings = w.raw["settings"]
+        await harness.wait_until(lambda: len(seen) == 2)
+        assert (await harness.ask("/fresh", X_Request_ID="f0")).status == 404
+        settings = harness.raw["settings"]
         # The new class is the first in the list, so that the index of every class changes.
-        w.raw["settings"] = {
+        harness.raw["settings"] = {
             **settings,
             "request_classes": [
                 {**settings["request_classes"][0], "name": "fresh", "deadline": 35.0, "aim": 35.0},
-                *classes(w, once=None, tour={"repeat": "side_effect"}),
+                *classes(harness, once=None, tour={"repeat": "side_effect"}),
             ],
         }
         os.kill(os.getpid(), signal.SIGHUP)
-        await w.until(lambda: "success.fresh" in w.service.metrics._counts)
-        assert served(await w.ask("/fresh", X_Request_ID="f1", X_Timeout_Ms="2000"))
-        assert (await w.ask("/once", X_Request_ID="o1")).status == 404
+        await harness.wait_until(lambda: "success.fresh" in harness.service.metrics._counts)
+        assert served(await harness.ask("/fresh", X_Request_ID="f1", X_Timeout_Ms="2000"))
+        assert (await harness.ask("/once", X_Request_ID="o1")).status == 404
         await new.send("/tour", X_Request_ID="new")  # the class is not idempotent any more
-        await w.until(lambda: len(seen) == 3)
+        await harness.wait_until(lambda: len(seen) == 3)
         for gate in gates.values():
             gate.set()
         assert served(await old.reply())
         for client in (new, dropped):
             assert not served(await client.reply())
-        counts = await metrics(w)
+        counts = await metrics(harness)
         assert counts["reload_success"] == 1 and counts["error.once"] == counts["error.tour"] == 1
         assert counts["success.fresh"] == 1 and counts["success.tour"] == 1
 
@@ -638,14 +650,14 @@
         await exchange.status(503, "X-Not-Processed: 1")
 
     peers = [Peer(f"d{i}", errs) for i in range(8)]
-    async with world(*peers, **MGMT) as w:
-        held = await w.client()
+    async with running_service(*peers, **MGMT) as harness:
+        held = await harness.client()
         await held.send(X_Request_ID="open")
-        await w.until(lambda: any(p.exchanges for p in peers))
-        reconfigure(w, limits={"try_limit": 2})
+        await harness.wait_until(lambda: any(p.exchanges for p in peers))
+        reconfigure(harness, limits={"try_limit": 2})
         gate.set()
         assert (await held.reply()).status == 503
-        await w.ask(X_Request_ID="later")
+        await harness.ask(X_Request_ID="later")
         for id in ("open", "later"):
             assert sum(e.id == id for p in peers for e in p.exchanges) == 2
 
@@ -653,12 +665,12 @@
 @trio_test
 async def test_a_faulty_configuration_is_rejected_as_a_whole():
     one = Peer("d1", done)
-    async with world(one, **MGMT) as w:
-        good, calls = copy.deepcopy(w.raw), len(w.discovery.calls)
-        old_config = w.service.config
+    async with running_service(one, **MGMT) as harness:
+        good, calls = copy.deepcopy(harness.raw), len(harness.discovery.calls)
+        old_config = harness.service.config
 
         def put(value, *path):
-            parent = w.raw
+            parent = harness.raw
             for key in path[:-1]:
                 parent = parent[key]
             if value is None:
@@ -683,17 +695,22 @@
             (["other"], "settings", "kinds"),
         ]
         for count, (value, *path) in enumerate(faults, 1):
-            w.raw.clear()
-            w.raw.update(copy.deepcopy(good))
-            w.raw["discovery"] = "127.0.0.1:9"  # must not be applied without the rest
-            w.raw["settings"]["request_classes"][2]["name"] = "other"
+            harness.raw.clear()
+            harness.raw.update(copy.deepcopy(good))
+            harness.raw["discovery"] = "127.0.0.1:9"  # must not be applied without the rest
+            harness.raw["settings"]["request_classes"][2]["name"] = "other"
             put(value, *path)
-            w.service.reload()
-            counts = await metrics(w)
+            harness.service.reload()
+            counts = await metrics(harness)
             assert (counts["reload_failure"], counts["reload_success"]) == (count, 0), path
-        assert w.service.config is old_config and w.service.watch.address == old_config.discovery
-        assert (await w.ask("/once")).status == 200 and (await w.ask("/other")).status == 404
-        assert len(w.discovery.calls) >= calls
+        assert (
+            harness.service.config is old_config
+            and harness.service.watch.address == old_config.discovery
+        )
+        assert (await harness.ask("/once")).status == 200 and (
+            await harness.ask("/other")
+        ).status == 404
+        assert len(harness.discovery.calls) >= calls
 
 
 def test_classes_and_tenants_keep_their_estimates_when_the_settings_change():
@@ -788,7 +805,7 @@
 
 @trio_test
 async def test_new_processes_find_the_old_one_after_an_exception_in_its_accept_loop(monkeypatch):
-    async with shared_world(Peer("d1", done)) as w:
+    async with hot_restart_service(Peer("d1", done)) as harness:
         accept, faults = HotRestart._accept, []
 
         async def fails_once(self, sock):
@@ -798,13 +815,13 @@
             await accept(self, sock)
 
         monkeypatch.setattr(HotRestart, "_accept", fails_once)
-        w.old_process.hot_restart._close_socket()
-        w.old_process.hot_restart.claim_path()
+        harness.old_process.hot_restart._close_socket()
+        harness.old_process.hot_restart.claim_path()
         with socket.socket(socket.AF_UNIX) as stray:
-            directory = os.open(w.shared.directory, os.O_RDONLY)
-            stray.connect(f"/proc/self/fd/{directory}/{w.shared.link().name}")
+            directory = os.open(harness.shared.directory, os.O_RDONLY)
+            stray.connect(f"/proc/self/fd/{directory}/{harness.shared.link().name}")
             os.close(directory)
-            await w.until(lambda: faults)
+            await harness.wait_until(lambda: faults)
         await trio.sleep(0.2)  # the supervised task is started again
-        await start_new_process(w)
-        assert w.old_process.hot_restart.new_process_ready
+        await start_new_process(harness)
+        assert harness.old_process.hot_restart.new_process_ready
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -5,7 +5,7 @@
 """
 
 import pytest
-from helper import Peer, done, trio_test, world
+from helper import Peer, done, running_service, trio_test
 
 CLASS_DEADLINE_MS = 3000  # of the helper's settings
 REQUESTS = 20
@@ -18,13 +18,13 @@
     longest, usual
 ):
     peers = [Peer(f"d{i}", done) for i in range(3)]
-    async with world(*peers) as w:
+    async with running_service(*peers) as harness:
         for number in range(REQUESTS):
-            reply = await w.ask(X_Request_ID=f"before{number}", X_Timeout_Ms=str(usual))
+            reply = await harness.ask(X_Request_ID=f"before{number}", X_Timeout_Ms=str(usual))
             assert reply.status == 200
-        assert (await w.ask(X_Request_ID="patient", X_Timeout_Ms=str(longest))).status == 200
+        assert (await harness.ask(X_Request_ID="patient", X_Timeout_Ms=str(longest))).status == 200
         after = [
-            (await w.ask(X_Request_ID=f"after{number}", X_Timeout_Ms=str(usual))).status
+            (await harness.ask(X_Request_ID=f"after{number}", X_Timeout_Ms=str(usual))).status
             for number in range(REQUESTS)
         ]
         assert after == [200] * REQUESTS
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,7 +8,16 @@
 
 import pytest
 import trio
-from helper import SETTINGS, Discovery, Peer, done, hang, mock_clock_test, trio_test, world
+from helper import (
+    SETTINGS,
+    Discovery,
+    Peer,
+    done,
+    hang,
+    mock_clock_test,
+    running_service,
+    trio_test,
+)
 
 from yewrill.dispatch.endpoint import Endpoint
 from yewrill.dispatch.engine import DecisionEngine
@@ -22,8 +31,8 @@
 @trio_test
 async def test_request_is_forwarded_whole_and_its_result_is_the_body():
     peer = Peer("d1", done)
-    async with world(peer) as w:
-        client = await w.client()
+    async with running_service(peer) as harness:
+        client = await harness.client()
         for i in range(3):
             reply = await client.ask(
                 "/tour/a?b=%20c",
@@ -134,8 +143,8 @@
     for target, again in (("/tour", True), ("/once", never_ran)):
         script = fail_first_attempt(failure)
         peers = [Peer("d1", script), Peer("d2", script)]
-        async with world(*peers) as w:
-            reply = await w.ask(target)
+        async with running_service(*peers) as harness:
+            reply = await harness.ask(target)
             assert reply.status == (200 if again else 502)
             assert sum(len(p.exchanges) for p in peers) == (2 if again else 1)
 
@@ -143,13 +152,13 @@
 @trio_test
 async def test_refused_connection_is_retried_elsewhere_for_any_class():
     dead, alive = Peer("d0", done), Peer("d1", done)
-    async with world(dead, alive) as w:
+    async with running_service(dead, alive) as harness:
         with socket.socket() as unused:  # a port without a listener
             unused.bind(("127.0.0.1", 0))
-            w.discovery.tell({**dead.entry(), "addr": f"127.0.0.1:{unused.getsockname()[1]}"})
-            await w.until(lambda: w.service.endpoints.version == 2)
+            harness.discovery.tell({**dead.entry(), "addr": f"127.0.0.1:{unused.getsockname()[1]}"})
+            await harness.wait_until(lambda: harness.service.endpoints.version == 2)
             for i in range(6):
-                assert (await w.ask("/once", X_Request_ID=f"r{i}")).status == 200
+                assert (await harness.ask("/once", X_Request_ID=f"r{i}")).status == 200
         assert not dead.exchanges and len(alive.exchanges) == 6
 
 
@@ -161,9 +170,9 @@
         await exchange.closed()
         connection_closed.set()
 
-    async with world(Peer("d1", silent), timing={"answer_margin_ms": 400}) as w:
+    async with running_service(Peer("d1", silent), timing={"answer_margin_ms": 400}) as harness:
         began = trio.current_time()
-        reply = await w.ask(X_Timeout_Ms="900")
+        reply = await harness.ask(X_Timeout_Ms="900")
         assert reply.status == 502 and 0.4 < trio.current_time() - began < 0.9
         await connection_closed.wait()
 
@@ -171,32 +180,32 @@
 @trio_test
 async def test_client_that_leaves_stops_its_pending_retry():
     peers = [Peer("d1", hang), Peer("d2", hang)]
-    async with world(*peers) as w:
-        client = await w.client()
+    async with running_service(*peers) as harness:
+        client = await harness.client()
         await client.send(X_Timeout_Ms="600")
-        await w.until(lambda: any(p.exchanges for p in peers))
+        await harness.wait_until(lambda: any(p.exchanges for p in peers))
         await client.stream.aclose()
-        await w.until(lambda: not w.service.listener.clients)
+        await harness.wait_until(lambda: not harness.service.listener.clients)
         for peer in peers:
             for stream in list(peer.live):
                 await trio.aclose_forcefully(stream)  # ends the attempt: no second one may follow
         for peer in peers:
             peer.script = done
-        assert (await w.ask(X_Request_ID="r2")).status == 200
+        assert (await harness.ask(X_Request_ID="r2")).status == 200
         assert [e.id for p in peers for e in p.exchanges if e.id == "r1"] == ["r1"]
 
 
 @mock_clock_test
 async def test_request_without_any_worker_is_rejected_at_once_with_retry_after():
-    async with world(Peer("d1", done)) as w:
-        w.discovery.tell(full=True)  # a full list without workers removes all of them
-        await w.until(lambda: len(w.service.endpoints) == 0)
+    async with running_service(Peer("d1", done)) as harness:
+        harness.discovery.tell(full=True)  # a full list without workers removes all of them
+        await harness.wait_until(lambda: len(harness.service.endpoints) == 0)
         began = trio.current_time()
         replies = []
         async with trio.open_nursery() as nursery:
 
             async def one():
-                replies.append(await w.ask(X_Timeout_Ms="300"))
+                replies.append(await harness.ask(X_Timeout_Ms="300"))
 
             nursery.start_soon(one)
         assert replies[0].status == 503 and replies[0].headers["retry-after"] == "2"
@@ -206,16 +215,16 @@
 @trio_test
 async def test_draining_worker_gets_no_request_and_its_idle_connections_are_closed():
     peers = [Peer("d1", done), Peer("d2", done)]
-    async with world(*peers) as w:
+    async with running_service(*peers) as harness:
         for i in range(8):
-            await w.ask(X_Request_ID=f"a{i}")
+            await harness.ask(X_Request_ID=f"a{i}")
         used = max(peers, key=lambda p: len(p.exchanges))
         assert used.live
-        w.discovery.tell({**used.entry(), "state": "DRAINING"})
-        await w.until(lambda: not used.live)
+        harness.discovery.tell({**used.entry(), "state": "DRAINING"})
+        await harness.wait_until(lambda: not used.live)
         before = len(used.exchanges)
         for i in range(8):
-            assert (await w.ask(X_Request_ID=f"b{i}")).status == 200
+            assert (await harness.ask(X_Request_ID=f"b{i}")).status == 200
         assert len(used.exchanges) == before
 
 
@@ -226,18 +235,18 @@
     monkeypatch.setattr(discovery, "ANSWER_GRACE_SECONDS", 0.1)
     monkeypatch.setattr(discovery, "HOLD_MS", 100)
     peer = Peer("d1", done)
-    async with world(peer) as w:
-        calls = w.discovery.calls
-        await w.until(lambda: len(calls) >= 2)
-        w.discovery.tell(peer.entry())
+    async with running_service(peer) as harness:
+        calls = harness.discovery.calls
+        await harness.wait_until(lambda: len(calls) >= 2)
+        harness.discovery.tell(peer.entry())
         changed_at = trio.current_time()
-        await w.until(lambda: len(calls) >= 3 and w.service.endpoints.version == 2)
+        await harness.wait_until(lambda: len(calls) >= 3 and harness.service.endpoints.version == 2)
         assert calls[-1][0] - changed_at < 0.2 and "from=2" in calls[-1][1]
-        w.discovery.silent = True
-        await w.until(lambda: len(calls) >= 6)
-        w.discovery.silent = False
-        w.discovery.tell({**peer.entry(), "state": "DRAINING"})
-        await w.until(lambda: w.service.endpoints.version == 3)
+        harness.discovery.silent = True
+        await harness.wait_until(lambda: len(calls) >= 6)
+        harness.discovery.silent = False
+        harness.discovery.tell({**peer.entry(), "state": "DRAINING"})
+        await harness.wait_until(lambda: harness.service.endpoints.version == 3)
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
@@ -247,31 +256,33 @@
     previous = signal.signal(signal.SIGHUP, lambda *_: None)
     peers = [Peer("d1", hang), Peer("d2", done)]
     try:
-        async with world(peers[0], front=front, signals=True) as w:
-            client = await w.client()
+        async with running_service(peers[0], front=front, signals=True) as harness:
+            client = await harness.client()
             await client.send()
-            await w.until(lambda: peers[0].exchanges)
-            learned = w.service.engine._module.fleet.workers["d1"]
-            del w.raw["settings"]
+            await harness.wait_until(lambda: peers[0].exchanges)
+            learned = harness.service.engine._module.fleet.workers["d1"]
+            del harness.raw["settings"]
             os.kill(os.getpid(), signal.SIGHUP)
-            await w.until(lambda: "reload_rejected settings: missing" in caplog.text)
-            w.raw["settings"] = SETTINGS
+            await harness.wait_until(lambda: "reload_rejected settings: missing" in caplog.text)
+            harness.raw["settings"] = SETTINGS
             peers[1].front = front
-            await w.nursery.start(peers[1].serve)
+            await harness.nursery.start(peers[1].serve)
             other_discovery = Discovery(peers)
             # Lower than the version that the watch has seen: each discovery has its own numbers.
             other_discovery.version = 1
-            w.raw.update(discovery=await other_discovery.serve(w.nursery), name="other")
+            harness.raw.update(discovery=await other_discovery.serve(harness.nursery), name="other")
             began = trio.current_time()
             os.kill(os.getpid(), signal.SIGHUP)
-            await w.until(lambda: len(w.service.endpoints) == 2 and len(other_discovery.calls) == 2)
+            await harness.wait_until(
+                lambda: len(harness.service.endpoints) == 2 and len(other_discovery.calls) == 2
+            )
             assert trio.current_time() - began < 1.0  # during a held call
             assert "from=" not in other_discovery.calls[0][1]
             assert "reload_ignored keys=name" in caplog.text
-            assert w.service.engine._module.fleet.workers["d1"] is learned
+            assert harness.service.engine._module.fleet.workers["d1"] is learned
             peers[0].script = done
-            assert (await w.ask(X_Request_ID="r2")).status == 200
-            await w.nursery.start(finish, peers[0].exchanges[0])
+            assert (await harness.ask(X_Request_ID="r2")).status == 200
+            await harness.nursery.start(finish, peers[0].exchanges[0])
             # A request accepted before the reload is served to its end.
             assert (await client.reply()).status == 200
     finally:
@@ -295,10 +306,10 @@
 
     for script in (then_closes, then_talks):
         peer = Peer("d1", script)
-        async with world(peer) as w:
+        async with running_service(peer) as harness:
             for i in range(5):
                 # This class is not retried after a reset.
-                reply = await w.ask("/once", X_Request_ID=f"r{i}")
+                reply = await harness.ask("/once", X_Request_ID=f"r{i}")
                 assert reply.status == 200
             assert peer.connections == 5 and len(peer.exchanges) == 5
 
@@ -314,17 +325,17 @@
             await exchange.done()
 
     used, peers = set(), [Peer("d1", resets_second_use), Peer("d2", resets_second_use)]
-    async with world(*peers, front=front) as w:
+    async with running_service(*peers, front=front) as harness:
         for i in range(12):
-            client = await w.client()
+            client = await harness.client()
             await client.send(X_Request_ID=f"r{i}")
             reply = await client.reply()
             assert (
                 reply.status == 200 and b"refused" not in reply.body and b"failed" not in reply.body
             )
         assert all(
-            worker.ejection.until <= w.service.engine.now() and not worker.ejection.failures
-            for worker in w.service.engine._module.fleet.workers.values()
+            worker.ejection.until <= harness.service.engine.now() and not worker.ejection.failures
+            for worker in harness.service.engine._module.fleet.workers.values()
         )
         # One reset for each worker, then only new connections.
         assert sum(len(p.exchanges) for p in peers) <= 12 + 2
@@ -345,15 +356,15 @@
 
     given_up, peer = trio.Event(), Peer("d1", first_is_silent)
     start_reports = {"specifics": {"tells_start": True, "progress": 1000.0, "queue_order": "fifo"}}
-    async with world(peer, front=front, settings=start_reports) as w:
-        silent = await w.client()
+    async with running_service(peer, front=front, settings=start_reports) as harness:
+        silent = await harness.client()
         await silent.send(X_Request_ID="r0")
-        await w.until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: peer.exchanges)
         await trio.sleep(0.03)  # so that the order of arrival is certain
-        assert (await w.ask(X_Request_ID="r1")).status == 200
+        assert (await harness.ask(X_Request_ID="r1")).status == 200
         await given_up.wait()  # long before its timeout: the later request had started
         assert peer.exchanges[1].id == "r1"
-        assert not w.service.engine._module.fleet.workers["d1"].ejection.failures
+        assert not harness.service.engine._module.fleet.workers["d1"].ejection.failures
 
 
 @trio_test
@@ -364,35 +375,37 @@
             await exchange.raw("more\n" * 1500)
 
     peer = Peer("d1", sends_after_answer)
-    async with world(peer) as w:
+    async with running_service(peer) as harness:
         for i in range(3):
-            assert (await w.ask(X_Request_ID=f"r{i}")).status == 200
-        await w.until(lambda: not peer.live)  # its connections are closed
+            assert (await harness.ask(X_Request_ID=f"r{i}")).status == 200
+        await harness.wait_until(lambda: not peer.live)  # its connections are closed
 
 
 @mock_clock_test
 async def test_idle_worker_connections_are_closed_before_the_worker_closes_them():
     peer = Peer("d1", done)
-    async with world(peer, settings={"limits": {**SETTINGS["limits"], "idle_close": 1000.0}}) as w:
-        assert (await w.ask()).status == 200
+    async with running_service(
+        peer, settings={"limits": {**SETTINGS["limits"], "idle_close": 1000.0}}
+    ) as harness:
+        assert (await harness.ask()).status == 200
         used = trio.current_time()
-        await w.until(lambda: not peer.live)
+        await harness.wait_until(lambda: not peer.live)
         assert trio.current_time() - used < 1.0
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @trio_test
 async def test_first_try_with_a_short_timeout_is_served_and_a_marked_retry_is_rejected(front):
-    async with world(
+    async with running_service(
         Peer("d1", done), front=front, settings={"client_habits": {"marks_retry": True}}
-    ) as w:
+    ) as harness:
 
         def served(reply):
             return reply.status == 200 and b"refused" not in reply.body
 
-        assert served(await w.ask(X_Timeout_Ms="3000"))
-        assert served(await w.ask(X_Request_ID="r2", X_Timeout_Ms="1000"))
-        assert not served(await w.ask(X_Request_ID="r3", X_Timeout_Ms="1000", X_Retried="1"))
+        assert served(await harness.ask(X_Timeout_Ms="3000"))
+        assert served(await harness.ask(X_Request_ID="r2", X_Timeout_Ms="1000"))
+        assert not served(await harness.ask(X_Request_ID="r3", X_Timeout_Ms="1000", X_Retried="1"))
 
 
 BAD = [
@@ -429,10 +442,10 @@
 @trio_test
 async def test_bad_request_is_rejected_before_any_attempt(given, status):
     peer = Peer("d1", done)
-    async with world(peer) as w:
-        assert (await w.ask(**given)).status == status
+    async with running_service(peer) as harness:
+        assert (await harness.ask(**given)).status == status
         assert not peer.exchanges
-        assert (await w.ask()).status == 200
+        assert (await harness.ask()).status == 200
 
 
 OUTER = b"POST /tour HTTP/1.1\r\nHost: x\r\nX-Request-ID: outer\r\nX-Tenant-Id: acme\r\n"
@@ -456,8 +469,8 @@
 @trio_test
 async def test_ambiguous_framing_is_rejected_and_nothing_after_it_is_read(outer, front):
     peer = Peer("d1", done)
-    async with world(peer, front=front) as w:
-        stream = await trio.open_tcp_stream(*w.service.listener.address)
+    async with running_service(peer, front=front) as harness:
+        stream = await trio.open_tcp_stream(*harness.service.listener.address)
         await stream.send_all(outer + INNER)
         reply = b""
         while data := await stream.receive_some():
@@ -469,9 +482,9 @@
 @trio_test
 async def test_only_known_valid_headers_reach_a_worker():
     peer = Peer("d1", done)
-    async with world(peer) as w:
+    async with running_service(peer) as harness:
         odd = {"Transfer-Coding": "chunked", "X-Odd": "\xff", "Upgrade": "h2c", "Cookie": "user=7"}
-        assert (await w.ask(**odd)).status == 200
+        assert (await harness.ask(**odd)).status == 200
         assert set(peer.exchanges[0].headers) == {
             "host",
             "x-request-id",
@@ -487,8 +500,8 @@
 )
 @trio_test
 async def test_malformed_http_gets_400(raw):
-    async with world(Peer("d1", done)) as w:
-        stream = await trio.open_tcp_stream(*w.service.listener.address)
+    async with running_service(Peer("d1", done)) as harness:
+        stream = await trio.open_tcp_stream(*harness.service.listener.address)
         await stream.send_all(raw)
         assert (await stream.receive_some()).startswith(b"HTTP/1.1 400 ")
 
@@ -501,25 +514,27 @@
         await go_on.wait()
         await exchange.done()
 
-    async with world(Peer("d1", slow), timing={"linger_ms": 150, "grace_ms": 1050}) as w:
-        early, idle = await w.client(), await w.client()
+    async with running_service(
+        Peer("d1", slow), timing={"linger_ms": 150, "grace_ms": 1050}
+    ) as harness:
+        early, idle = await harness.client(), await harness.client()
         await early.send()
         assert (await idle.ask("/up", method="GET")).status == 200
-        w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.run_state.draining)
+        harness.nursery.start_soon(harness.service.drain)
+        await harness.wait_until(lambda: harness.service.run_state.draining)
         assert (await idle.ask("/up", method="GET")).status == 503
-        late, quiet = await w.client(), await w.client()
+        late, quiet = await harness.client(), await harness.client()
         await late.send(X_Request_ID="r2")
         # An idle connection is closed together with the listening socket.
         assert await quiet.stream.receive_some() == b""
         with pytest.raises(OSError):
-            await w.client()
-        assert not w.ended.is_set()
+            await harness.client()
+        assert not harness.ended.is_set()
         go_on.set()
         for client in (early, late):
             reply = await client.reply()
             assert (reply.status, reply.headers["connection"]) == (200, "close")
-        await w.ended.wait()
+        await harness.ended.wait()
 
 
 @mock_clock_test
@@ -527,44 +542,48 @@
     async def script(exchange):
         await (hang if exchange.id == "last" else done)(exchange)
 
-    async with world(Peer("d1", script), timing={"linger_ms": 50, "grace_ms": 1400}) as w:
-        kept, slow = await w.client(), await w.client()
+    async with running_service(
+        Peer("d1", script), timing={"linger_ms": 50, "grace_ms": 1400}
+    ) as harness:
+        kept, slow = await harness.client(), await harness.client()
         assert (await kept.ask()).status == 200
         began = trio.current_time()
-        w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.run_state.draining and not w.service.listener.accepting)
+        harness.nursery.start_soon(harness.service.drain)
+        await harness.wait_until(
+            lambda: harness.service.run_state.draining and not harness.service.listener.accepting
+        )
         reply = await kept.ask(X_Request_ID="r2")  # a restart does not close kept connections
         assert reply.status == 200 and "connection" not in reply.headers
         await slow.send("/once", X_Request_ID="last", X_Timeout_Ms="3000")
         assert (await slow.reply()).status == 502
         assert await kept.stream.receive_some() == b""
-        await w.ended.wait()
+        await harness.ended.wait()
         assert trio.current_time() - began < 1.4
 
 
 @trio_test
 async def test_exception_in_policy_or_attempt_fails_one_request_only(monkeypatch):
-    async with world(Peer("d1", done)) as w:
-        handle = w.service.engine._module.handle
+    async with running_service(Peer("d1", done)) as harness:
+        handle = harness.service.engine._module.handle
 
         def faulty(now, events):
             if any(isinstance(e, api.RequestArrived) and e.request_class == 2 for e in events):
                 raise RuntimeError("a bug for the test")
             return handle(now, events)
 
-        monkeypatch.setattr(w.service.engine._module, "handle", faulty)
-        assert (await w.ask("/once")).status == 502
-        assert (await w.ask("/tour")).status == 200
-        monkeypatch.setattr(w.service.front, "decoder", lambda: None)
-        assert (await w.ask("/tour", X_Timeout_Ms="200")).status in (502, 503)
+        monkeypatch.setattr(harness.service.engine._module, "handle", faulty)
+        assert (await harness.ask("/once")).status == 502
+        assert (await harness.ask("/tour")).status == 200
+        monkeypatch.setattr(harness.service.front, "decoder", lambda: None)
+        assert (await harness.ask("/tour", X_Timeout_Ms="200")).status in (502, 503)
         monkeypatch.undo()
-        assert (await w.ask("/tour")).status == 200
+        assert (await harness.ask("/tour")).status == 200
 
 
 @trio_test
 async def test_accept_without_descriptors_serves_waiting_clients_later(monkeypatch):
-    async with world(Peer("d1", done)) as w:
-        real, failures = w.service.listener.sock, []
+    async with running_service(Peer("d1", done)) as harness:
+        real, failures = harness.service.listener.sock, []
 
         class Short:
             """The listening socket, whose `accept` fails three times for lack of descriptors."""
@@ -578,14 +597,14 @@
             def __getattr__(self, name):
                 return getattr(real, name)
 
-        w.service.listener.sock = Short()
-        assert (await w.ask()).status == 200
+        harness.service.listener.sock = Short()
+        assert (await harness.ask()).status == 200
         assert len(failures) == 3
 
 
 @mock_clock_test
 async def test_local_descriptor_shortage_does_not_eject_a_worker(monkeypatch):
-    async with world(Peer("d1", done)) as w:
+    async with running_service(Peer("d1", done)) as harness:
         real = Connection.open
 
         async def short(*args, **kwargs):
@@ -593,11 +612,11 @@
 
         monkeypatch.setattr(Connection, "open", short)
         # A rejection, which shows that nothing ran; a request that may have run would fail with 502.
-        assert (await w.ask("/once")).status == 503
-        assert (await w.service.worker_client.probe("d1"))[0] is AttemptOutcome.REJECTED
+        assert (await harness.ask("/once")).status == 503
+        assert (await harness.service.worker_client.probe("d1"))[0] is AttemptOutcome.REJECTED
         monkeypatch.setattr(Connection, "open", real)
         began = trio.current_time()
-        assert (await w.ask("/once", X_Request_ID="r2")).status == 200
+        assert (await harness.ask("/once", X_Request_ID="r2")).status == 200
         # An ejected worker would get no request for longer than this.
         assert trio.current_time() - began < 0.2
 
@@ -611,41 +630,41 @@
         await exchange.status(script.status)
 
     peer.script = script
-    async with world(peer) as w:
+    async with running_service(peer) as harness:
         for script.status, outcome in (
             (200, AttemptOutcome.SERVED),
             (503, AttemptOutcome.REJECTED),
             (404, AttemptOutcome.FAILED),
         ):
-            assert (await w.service.worker_client.probe("d1"))[0] is outcome
+            assert (await harness.service.worker_client.probe("d1"))[0] is outcome
         peer.script = hang
-        assert (await w.service.worker_client.probe("d1"))[0] is AttemptOutcome.UNREACHABLE
+        assert (await harness.service.worker_client.probe("d1"))[0] is AttemptOutcome.UNREACHABLE
         # Each probe opens a connection: an old one says little about the worker.
         assert peer.connections == 4
 
 
 @trio_test
 async def test_exception_in_a_supervised_task_does_not_end_the_process(monkeypatch):
-    async with world(Peer("d1", done)) as w:
+    async with running_service(Peer("d1", done)) as harness:
 
         def faulty(answer, cached=False):
             monkeypatch.undo()
             raise KeyError("a bug for the test")
 
-        monkeypatch.setattr(w.service.endpoints, "apply", faulty)
-        w.discovery.tell()
-        await w.until(lambda: w.service.endpoints.version == 2)
-        assert (await w.ask()).status == 200
+        monkeypatch.setattr(harness.service.endpoints, "apply", faulty)
+        harness.discovery.tell()
+        await harness.wait_until(lambda: harness.service.endpoints.version == 2)
+        assert (await harness.ask()).status == 200
 
 
 @mock_clock_test
 async def test_client_connections_are_bounded_and_the_longest_idle_is_evicted():
-    async with world(Peer("d1", done), limits={"sockets": 80}) as w:
+    async with running_service(Peer("d1", done), limits={"sockets": 80}) as harness:
         clients = []
         for i in range(40):
-            clients.append(await w.client())
+            clients.append(await harness.client())
             assert (await clients[-1].ask(X_Request_ID=f"r{i}")).status == 200
-        assert len(w.service.listener.clients) <= 22
+        assert len(harness.service.listener.clients) <= 22
         assert await clients[0].stream.receive_some() == b""
 
 
@@ -658,8 +677,8 @@
     front, monkeypatch
 ):
     monkeypatch.setattr(listener, "REQUEST_TIMEOUT_SECONDS", 0.15)
-    async with world(Peer("d1", done), front=front) as w:
-        kept, silent, half = await w.client(), await w.client(), await w.client()
+    async with running_service(Peer("d1", done), front=front) as harness:
+        kept, silent, half = await harness.client(), await harness.client(), await harness.client()
         await kept.ask("/up", method="GET")
         await half.stream.send_all(OUTER + b"Content-Length: 5\r\n\r\nab")
         began = trio.current_time()
@@ -674,16 +693,16 @@
 @mock_clock_test
 async def test_flood_of_silent_connections_displaces_no_working_client(front, monkeypatch):
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.05)
-    async with world(Peer("d1", done), front=front, limits={"sockets": 80}) as w:
-        kept = await w.client()
+    async with running_service(Peer("d1", done), front=front, limits={"sockets": 80}) as harness:
+        kept = await harness.client()
         if front == "platform":
             assert (await kept.ask()).status == 200
         flood = []
         for i in range(4):
-            flood += [await w.client() for _ in range(40)]
+            flood += [await harness.client() for _ in range(40)]
             # A client behind them gets its answer and is not evicted.
-            assert (await w.ask(X_Request_ID=f"n{i}")).status == 200
-            assert len(w.service.listener.clients) <= 22
+            assert (await harness.ask(X_Request_ID=f"n{i}")).status == 200
+            assert len(harness.service.listener.clients) <= 22
         if front == "platform":
             assert (await kept.ask(X_Request_ID="r2")).status == 200
 
@@ -692,8 +711,8 @@
 @trio_test
 async def test_pipelined_requests_are_rejected_before_any_attempt(front):
     peer = Peer("d1", done)
-    async with world(peer, front=front) as w:
-        stream = await trio.open_tcp_stream(*w.service.listener.address)
+    async with running_service(peer, front=front) as harness:
+        stream = await trio.open_tcp_stream(*harness.service.listener.address)
         await stream.send_all((OUTER + b"Content-Length: 0\r\n\r\n") * 200)
         reply = b""
         with suppress(trio.BrokenResourceError):
@@ -714,23 +733,23 @@
         await exchange.done()
 
     peer = Peer("d1", waits)
-    async with world(peer, front=front) as w:
-        holder = await w.client()
+    async with running_service(peer, front=front) as harness:
+        holder = await harness.client()
         await holder.send()
-        await w.until(lambda: peer.exchanges)
-        assert (await w.ask()).status == 409
+        await harness.wait_until(lambda: peer.exchanges)
+        assert (await harness.ask()).status == 409
         peer.exchanges[0].go_on.set()
         assert (await holder.reply()).status == 200
-        left = await w.client()
+        left = await harness.client()
         await left.send(X_Request_ID="r2")
-        await w.until(lambda: len(peer.exchanges) == 2)
+        await harness.wait_until(lambda: len(peer.exchanges) == 2)
         await left.stream.aclose()
-        assert (await w.ask(X_Request_ID="r2")).status == 409  # its attempt is still running
+        assert (await harness.ask(X_Request_ID="r2")).status == 409  # its attempt is still running
         assert [e.id for e in peer.exchanges] == ["r1", "r2"]
         peer.exchanges[1].go_on.set()
-        await w.until(lambda: not w.service.engine._live)
+        await harness.wait_until(lambda: not harness.service.engine._live)
         peer.script = done
-        assert (await w.ask(X_Request_ID="r2")).status == 200
+        assert (await harness.ask(X_Request_ID="r2")).status == 200
 
 
 @trio_test
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 import ujson
-from helper import Peer, done, hang, mock_clock_test, trio_test, world
+from helper import Peer, done, hang, mock_clock_test, running_service, trio_test
 
 from yewrill.dispatch.request import Attempt, Request
 from yewrill.frontends.progress import EventStreamParser, _ProgressBuffer, encode_event
@@ -22,8 +22,8 @@
     return reply, EventStreamParser().feed(reply.body)
 
 
-async def ask(w, **given):
-    client = await w.client()
+async def ask(harness, **given):
+    client = await harness.client()
     try:
         await client.send(**given)
         reply, events = await read_stream(client)
@@ -44,8 +44,8 @@
 @trio_test
 async def test_progress_is_forwarded_immediately_and_the_answer_is_the_last_event():
     peer = Peer("d1", reports_then_waits)
-    async with world(peer, front="progress") as w:
-        client = await w.client()
+    async with running_service(peer, front="progress") as harness:
+        client = await harness.client()
         await client.send()
         head = await client.event()
         assert (head.status_code, dict(head.headers)[b"content-type"]) == (
@@ -87,9 +87,9 @@
 async def test_worker_reset_during_stream_is_retried_only_as_the_class_allows(target, final):
     script = reset_first(done)
     peers = [Peer("d1", script), Peer("d2", script)]
-    async with world(*peers, front="progress") as w:
+    async with running_service(*peers, front="progress") as harness:
         script.passed.set()
-        reply, events = await ask(w, target=target)
+        reply, events = await ask(harness, target=target)
         assert [e.type for e in events if e.type in FINAL] == [final] and events[-1].type == final
         assert sum(len(p.exchanges) for p in peers) == (2 if final == "served" else 1)
 
@@ -98,20 +98,20 @@
 async def test_client_that_leaves_while_a_retry_is_pending_stops_the_retry():
     script = reset_first(done)
     peers = [Peer("d1", script), Peer("d2", script)]
-    async with world(*peers, front="progress") as w:
-        client = await w.client()
+    async with running_service(*peers, front="progress") as harness:
+        client = await harness.client()
         await client.send()
-        await w.until(lambda: any(p.exchanges for p in peers))
+        await harness.wait_until(lambda: any(p.exchanges for p in peers))
         # The retry finds no worker, so it stays pending until its client has left.
-        w.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in peers))
-        await w.until(lambda: w.service.endpoints.version == 2)
+        harness.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in peers))
+        await harness.wait_until(lambda: harness.service.endpoints.version == 2)
         script.passed.set()
-        await w.until(lambda: not any(p.live for p in peers))
+        await harness.wait_until(lambda: not any(p.live for p in peers))
         await client.stream.aclose()
-        await w.until(lambda: not w.service.listener.clients)
-        w.discovery.tell(*(p.entry() for p in peers))
-        await w.until(lambda: w.service.endpoints.version == 3)
-        reply, events = await ask(w, X_Request_ID="r2")
+        await harness.wait_until(lambda: not harness.service.listener.clients)
+        harness.discovery.tell(*(p.entry() for p in peers))
+        await harness.wait_until(lambda: harness.service.endpoints.version == 3)
+        reply, events = await ask(harness, X_Request_ID="r2")
         assert events[-1].type == "served"
         assert [e.id for p in peers for e in p.exchanges if e.id == "r1"] == ["r1"]
 
@@ -123,11 +123,11 @@
             await exchange.say("running", share=0.1)
             await trio.sleep(0.01)
 
-    async with world(
+    async with running_service(
         Peer("d1", reports_progress_forever), front="progress", timing={"answer_margin_ms": 400}
-    ) as w:
+    ) as harness:
         began = trio.current_time()
-        reply, events = await ask(w, X_Timeout_Ms="900")
+        reply, events = await ask(harness, X_Timeout_Ms="900")
         assert trio.current_time() - began < 0.9
         assert events[-1].type == "failed" and len(events) > 2
         assert [e.type for e in events[:-1]] == ["progress"] * (len(events) - 1)
@@ -135,8 +135,8 @@
 
 @trio_test
 async def test_refused_event_states_retry_after():
-    async with world(front="progress") as w:
-        reply, events = await ask(w)
+    async with running_service(front="progress") as harness:
+        reply, events = await ask(harness)
         assert [e.type for e in events] == ["refused"]
         assert ujson.loads(events[0].data) == {"id": "r1", "retry_after": 2.0}
 
@@ -153,17 +153,17 @@
         script_calls.append(exchange)
         await (plain if len(script_calls) == 1 else done)(exchange)
 
-    async with world(Peer("d1", script), Peer("d2", script), front="progress") as w:
-        reply, events = await ask(w)
+    async with running_service(Peer("d1", script), Peer("d2", script), front="progress") as harness:
+        reply, events = await ask(harness)
         assert events[-1].type == "served" and len(script_calls) == 2
 
 
 @trio_test
 async def test_reconnecting_reader_gets_204_and_bad_request_gets_no_stream():
     peer = Peer("d1", done)
-    async with world(peer, front="progress") as w:
-        assert (await w.ask(Last_Event_ID="3")).status == 204
-        assert (await w.ask(X_Timeout_Ms="x")).status == 400
+    async with running_service(peer, front="progress") as harness:
+        assert (await harness.ask(Last_Event_ID="3")).status == 204
+        assert (await harness.ask(X_Timeout_Ms="x")).status == 400
         assert not peer.exchanges
 
 
@@ -175,18 +175,18 @@
         while True:
             await exchange.say("running", share=0.1)
 
-    async with world(Peer("d1", sends_progress_forever), front="progress") as w:
-        client = await w.client()
-        await w.until(lambda: w.service.listener.clients)
-        served_client = next(iter(w.service.listener.clients))
+    async with running_service(Peer("d1", sends_progress_forever), front="progress") as harness:
+        client = await harness.client()
+        await harness.wait_until(lambda: harness.service.listener.clients)
+        served_client = next(iter(harness.service.listener.clients))
         # Small kernel buffers and a client that never reads: the output stays in the outbound buffer.
         served_client.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.stream.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         await client.send(X_Timeout_Ms="15000")
-        await w.until(lambda: served_client.request is not None)
+        await harness.wait_until(lambda: served_client.request is not None)
         request = served_client.request
-        await w.until(lambda: served_client.disconnected)
-        assert request.client_left and w.service.engine.now() < request.deadline - 5000.0
+        await harness.wait_until(lambda: served_client.disconnected)
+        assert request.client_left and harness.service.engine.now() < request.deadline - 5000.0
         assert len(served_client.connection.outbound) <= 8192
         await client.stream.aclose()
 
@@ -194,17 +194,19 @@
 @trio_test
 async def test_while_draining_new_streams_get_503_and_open_ones_their_final_event():
     peer = Peer("d1", reports_then_waits)
-    async with world(peer, front="progress", timing={"linger_ms": 100, "grace_ms": 1000}) as w:
-        client = await w.client()
+    async with running_service(
+        peer, front="progress", timing={"linger_ms": 100, "grace_ms": 1000}
+    ) as harness:
+        client = await harness.client()
         await client.send()
-        await w.until(lambda: peer.exchanges and hasattr(peer.exchanges[0], "seen"))
-        w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.run_state.draining)
-        assert (await w.ask(X_Request_ID="r2")).status == 503
+        await harness.wait_until(lambda: peer.exchanges and hasattr(peer.exchanges[0], "seen"))
+        harness.nursery.start_soon(harness.service.drain)
+        await harness.wait_until(lambda: harness.service.run_state.draining)
+        assert (await harness.ask(X_Request_ID="r2")).status == 503
         peer.exchanges[0].seen.set()
         reply, events = await read_stream(client)
         assert events[-1].type == "served"
-        await w.ended.wait()
+        await harness.ended.wait()
         assert await client.stream.receive_some() == b""
 
 
@@ -227,10 +229,10 @@
         else:
             await exchange.done()
 
-    async def run_client(w, number, slots):
+    async def run_client(harness, number, slots):
         nonlocal left, rejected_while_draining
         try:
-            client = await w.client()
+            client = await harness.client()
             try:
                 await client.send(
                     rng.choice(("/tour", "/save", "/once")), X_Request_ID=f"r{number}"
@@ -242,7 +244,7 @@
                 if reply.status == 503:
                     rejected_while_draining += 1
                     return
-                assert reply.status == 200 and not w.ended.is_set()
+                assert reply.status == 200 and not harness.ended.is_set()
                 assert {ujson.loads(e.data)["id"] for e in events} == {f"r{number}"}
                 assert [e.type in FINAL for e in events] == [False] * (len(events) - 1) + [True]
                 assert await client.stream.receive_some() == b""
@@ -253,25 +255,25 @@
             slots.release()
 
     peers = [Peer(f"d{i}", mixed_outcomes, cell=i % 2) for i in range(8)]
-    async with world(*peers, front="progress", timing={"linger_ms": 1000}) as w:
+    async with running_service(*peers, front="progress", timing={"linger_ms": 1000}) as harness:
         slots = trio.Semaphore(40)
         # Whether any of the many streams is refused is random; so the first one finds no running worker.
-        w.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in peers))
-        await w.until(lambda: w.service.endpoints.version == 2)
-        reply, events = await ask(w, X_Request_ID="r0")
+        harness.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in peers))
+        await harness.wait_until(lambda: harness.service.endpoints.version == 2)
+        reply, events = await ask(harness, X_Request_ID="r0")
         assert [e.type for e in events] == ["refused"]
         finals.append(events[-1].type)
-        w.discovery.tell(*(p.entry() for p in peers))
-        await w.until(lambda: w.service.endpoints.version == 3)
+        harness.discovery.tell(*(p.entry() for p in peers))
+        await harness.wait_until(lambda: harness.service.endpoints.version == 3)
         async with trio.open_nursery() as nursery:
             for number in range(1, total):
                 await slots.acquire()
-                nursery.start_soon(run_client, w, number, slots)
+                nursery.start_soon(run_client, harness, number, slots)
                 if number == total - 20:
-                    w.nursery.start_soon(w.service.drain)
-        await w.ended.wait()
+                    harness.nursery.start_soon(harness.service.drain)
+        await harness.ended.wait()
         ended = sum(len(p.exchanges) for p in peers)
-        assert not w.service.listener.clients and w.service.engine.pending == 0
+        assert not harness.service.listener.clients and harness.service.engine.pending == 0
     assert len(finals) + left + rejected_while_draining == total
     assert {"served", "failed", "refused"} <= set(finals) and left > 100
     assert ended == sum(len(p.exchanges) for p in peers)  # nothing was sent after the drain
@@ -317,6 +319,8 @@
 
 @trio_test
 async def test_hanging_stream_without_progress_fails_before_the_client_timeout():
-    async with world(Peer("d1", hang), front="progress", timing={"answer_margin_ms": 400}) as w:
-        reply, events = await ask(w, target="/save", X_Timeout_Ms="900")
+    async with running_service(
+        Peer("d1", hang), front="progress", timing={"answer_margin_ms": 400}
+    ) as harness:
+        reply, events = await ask(harness, target="/save", X_Timeout_Ms="900")
         assert [e.type for e in events] == ["failed"]
--- a/tests/test_rejection_watch.py
+++ b/tests/test_rejection_watch.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from helper import Peer, done, trio_test, world
+from helper import Peer, done, running_service, trio_test
 
 from yewrill.dispatch.rejection_watch import (
     MIN_REJECTIONS,
@@ -35,14 +35,14 @@
     caplog, monkeypatch
 ):
     monkeypatch.setattr("yewrill.dispatch.rejection_watch.SHUT_OUT_MS", 0.0)
-    async with world(Peer("d1", done)) as w:
-        assert (await w.ask()).status == 200
+    async with running_service(Peer("d1", done)) as harness:
+        assert (await harness.ask()).status == 200
         with caplog.at_level(logging.WARNING):
             for number in range(MIN_REJECTIONS):
                 late_retry = {"X_Retried": "1", "X_Timeout_Ms": "2000"}  # asked for 1 s ago
-                reply = await w.ask(X_Request_ID=f"late{number}", **late_retry)
+                reply = await harness.ask(X_Request_ID=f"late{number}", **late_retry)
                 assert reply.status == 503
         (line,) = [r.getMessage() for r in caplog.records if "class_shut_out" in r.getMessage()]
         assert "class=tour rejected=10 " in line and "reason=it can't be in time" in line
-        report = w.service.engine.admission_report().classes[0]
+        report = harness.service.engine.admission_report().classes[0]
         assert {reason.name: n for reason, n in report.not_served.items()} == {"TOO_LATE": 10}
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -12,7 +12,7 @@
 import trio.testing
 import ujson
 from fleet_world import World
-from helper import Peer, done, trio_test, world
+from helper import Peer, done, running_service, trio_test
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -102,18 +102,18 @@
             )
             await exchange.stream.send_all(b"0\r\n\r\n")
 
-    async with world(Peer("d1", script), settings=REPORTING) as w:
-        worker = w.service.engine._module.fleet.workers["d1"]
+    async with running_service(Peer("d1", script), settings=REPORTING) as harness:
+        worker = harness.service.engine._module.fleet.workers["d1"]
         seen = []
         for i in range(len(said)):
-            assert (await w.ask(body=b"%d" % i, X_Request_ID=f"r{i}")).body == b"r"
+            assert (await harness.ask(body=b"%d" % i, X_Request_ID=f"r{i}")).body == b"r"
             await trio.testing.wait_all_tasks_blocked()
             seen.append(worker.last_report)
         assert seen == [(2.0, 3.0, 1.0)] * 6 + [(2.0, 3.0, 2.0)]
-        await w.ask(body=b"full", X_Request_ID="full")
+        await harness.ask(body=b"full", X_Request_ID="full")
         await trio.testing.wait_all_tasks_blocked()
         assert worker.last_report == (5.0, 9.0, 0.0)
-        assert await w.service.worker_client.probe("d1") == (
+        assert await harness.service.worker_client.probe("d1") == (
             AttemptOutcome.SERVED,
             {**GOOD, "x0": 4.0},
         )
@@ -123,14 +123,18 @@
 @trio_test
 async def test_requests_with_the_same_user_cookie_go_to_the_same_worker():
     peers = [Peer(f"d{i}", done) for i in range(6)]
-    async with world(*peers, settings={"specifics": {"tells_start": True}}) as w:
+    async with running_service(*peers, settings={"specifics": {"tells_start": True}}) as harness:
         for i in range(12):
-            reply = await w.ask(X_Request_ID=f"r{i}", Cookie="theme=dark; user=7f3a9c21e0b4d655")
+            reply = await harness.ask(
+                X_Request_ID=f"r{i}", Cookie="theme=dark; user=7f3a9c21e0b4d655"
+            )
             assert reply.status == 200
         # All go to one worker unless it is busy for a moment; without the key they would go to all six.
         assert max(len(p.exchanges) for p in peers) >= 9
         for odd in ("user", "user=" + "x" * 200, ";;=;", "users=1"):
-            assert (await w.ask(X_Request_ID="odd" + odd[:8].strip(";="), Cookie=odd)).status == 200
+            assert (
+                await harness.ask(X_Request_ID="odd" + odd[:8].strip(";="), Cookie=odd)
+            ).status == 200
 
 
 # ----------------------------------------------------------------------------- estimates from load reports
--- a/tests/test_rules_checks.py
+++ b/tests/test_rules_checks.py
@@ -1,7 +1,7 @@
 """The safety rules in `yewrill.dispatch.safety`, and how the running service applies them."""
 
 import pytest
-from helper import Peer, done, mock_clock_test, trio_test, world
+from helper import Peer, done, mock_clock_test, running_service, trio_test
 
 from yewrill.dispatch.safety import (
     AttemptFacts,
@@ -62,7 +62,7 @@
         exchange.reset()
 
     peers = [Peer("d1", reset_connection), Peer("d2", done)]
-    async with world(*peers) as w:
+    async with running_service(*peers) as harness:
         # Simulates a bug in the decision module: it forgets that a non-idempotent request may have run.
         monkeypatch.setattr(
             "yewrill.policy.requests.PendingRequest.must_not_repeat", lambda job, now: False
@@ -71,27 +71,27 @@
             "yewrill.policy.requests.PendingRequest.may_repeat_at", lambda job, worker, now: True
         )
         for number in range(6):
-            assert (await w.ask("/once", X_Request_ID=f"r{number}")).status in (200, 502, 503)
+            assert (await harness.ask("/once", X_Request_ID=f"r{number}")).status in (200, 502, 503)
         ids = [e.id for peer in peers for e in peer.exchanges]
         assert len(ids) == len(set(ids))
-        assert w.service.engine.violations.counts[Rule.UNSAFE_REPEAT] > 0
+        assert harness.service.engine.violations.counts[Rule.UNSAFE_REPEAT] > 0
         assert "rule_violation rule=unsafe_repeat request=r" in caplog.text
 
 
 @trio_test
 async def test_a_close_without_an_answer_is_counted_as_a_violation(caplog, monkeypatch):
-    async with world(Peer("d1", done), mgmt="127.0.0.1:0") as w:
+    async with running_service(Peer("d1", done), mgmt="127.0.0.1:0") as harness:
 
         async def no_answer(client, request, carried, closing):
             await carried()
             return False
 
-        monkeypatch.setattr(w.service.front, "respond", no_answer)
-        client = await w.client()
+        monkeypatch.setattr(harness.service.front, "respond", no_answer)
+        client = await harness.client()
         await client.send(X_Request_ID="r1")
         assert await client.stream.receive_some() == b""
-        await w.until(lambda: not w.service.listener.clients)
-        assert w.service.engine.violations.counts[Rule.CLOSED_UNANSWERED] == 1
-        metrics_text = (await w.call("GET /_vars")).body.decode()
+        await harness.wait_until(lambda: not harness.service.listener.clients)
+        assert harness.service.engine.violations.counts[Rule.CLOSED_UNANSWERED] == 1
+        metrics_text = (await harness.call("GET /_vars")).body.decode()
         assert "app.rule_violations_total:1|c" in metrics_text
         assert "app.closed.last_answer:1|c" in metrics_text
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 from fleet_world import World
-from helper import Discovery, Peer, done, hang, mock_clock_test, trio_test, world
+from helper import Discovery, Peer, done, hang, mock_clock_test, running_service, trio_test
 from test_discovery import set_draining
 from test_endings import FRONTS, LONG_DEADLINES, LONG_TIMEOUT, raw_request
 
@@ -26,49 +26,51 @@
     sent_before_accept, monkeypatch
 ):
     peer, accepted = Peer("d1", done), []
-    async with world(peer, settings=LONG_DEADLINES, timing={"linger_ms": 0, "grace_ms": 1500}) as w:
+    async with running_service(
+        peer, settings=LONG_DEADLINES, timing={"linger_ms": 0, "grace_ms": 1500}
+    ) as harness:
         real = Listener._accept_one
 
         def accept_then_drain(listener):
             found = real(listener)
-            if listener is w.service.listener and listener.clients and not accepted:
+            if listener is harness.service.listener and listener.clients and not accepted:
                 accepted.append(True)
                 # The drain starts, as after SIGTERM, before the accepted connection is read.
-                w.nursery.start_soon(w.service.drain)
+                harness.nursery.start_soon(harness.service.drain)
             return found
 
         monkeypatch.setattr(Listener, "_accept_one", accept_then_drain)
-        client = await w.client()
+        client = await harness.client()
         if sent_before_accept:
             client.stream.socket._sock.send(raw_request("r1"))
-        await w.until(lambda: accepted)
+        await harness.wait_until(lambda: accepted)
         if not sent_before_accept:
             await client.stream.send_all(raw_request("r1"))
         assert (await client.reply()).status == 200
         assert await client.stream.receive_some() == b""
         assert [e.id for e in peer.exchanges] == ["r1"]
-        await w.ended.wait()
+        await harness.ended.wait()
 
 
 @FRONTS
 @mock_clock_test
 async def test_a_shutdown_answers_every_request_although_workers_never_answer(front):
     peers = [Peer(f"d{i}", hang) for i in range(3)]
-    async with world(
+    async with running_service(
         *peers, front=front, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
-    ) as w:
-        clients = [await w.client() for _ in range(30)]
+    ) as harness:
+        clients = [await harness.client() for _ in range(30)]
         for number, client in enumerate(clients):
             target = ("/tour", "/save", "/once")[number % 3]
             await client.send(target, X_Request_ID=f"r{number}", **LONG_TIMEOUT)
-        await w.until(lambda: len(w.service.listener.clients) == 30)
+        await harness.wait_until(lambda: len(harness.service.listener.clients) == 30)
         began = trio.current_time()
-        w.nursery.start_soon(w.service.drain)
+        harness.nursery.start_soon(harness.service.drain)
         replies = [await client.reply() for client in clients]
         assert trio.current_time() - began < 1.4
         assert len(replies) == 30
-        assert not w.service.engine.pending
-        await w.ended.wait()
+        assert not harness.service.engine.pending
+        await harness.ended.wait()
 
 
 @pytest.mark.parametrize("dispatchers, seed", [(20, 1), (24, 2), (30, 3)])
@@ -112,18 +114,18 @@
 @mock_clock_test
 async def test_a_workers_drain_right_after_a_reload_that_moves_discovery_is_noticed():
     peers = [Peer("d1", done), Peer("d2", done)]
-    async with world(*peers, settings=LONG_DEADLINES) as w:
+    async with running_service(*peers, settings=LONG_DEADLINES) as harness:
         new_discovery = Discovery(peers)
-        w.raw["discovery"] = await new_discovery.serve(w.nursery)
+        harness.raw["discovery"] = await new_discovery.serve(harness.nursery)
         began = trio.current_time()
-        w.service.reload()
+        harness.service.reload()
         # Set before the first call to the new discovery.
         new_discovery.tell(set_draining(peers[0]), full=True)
-        await w.until(lambda: not w.service.endpoints.may_send("d1"))
+        await harness.wait_until(lambda: not harness.service.endpoints.may_send("d1"))
         assert trio.current_time() - began < 4.0
         sent = len(peers[0].exchanges)
         for number in range(10):
-            assert (await w.ask(X_Request_ID=f"r{number}", **LONG_TIMEOUT)).status == 200
+            assert (await harness.ask(X_Request_ID=f"r{number}", **LONG_TIMEOUT)).status == 200
         assert len(peers[0].exchanges) == sent and len(peers[1].exchanges) >= 10
 
 
@@ -135,27 +137,27 @@
         await exchange.done()
 
     release, peer = trio.Event(), Peer("d1", wait_then_answer)
-    async with world(
+    async with running_service(
         peer, front=front, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 4000}
-    ) as w:
+    ) as harness:
         new_discovery = Discovery([peer])
         new_discovery.silent = True  # no answer from the new discovery: the known list stays
-        address = await new_discovery.serve(w.nursery)
-        clients = [await w.client() for _ in range(8)]
+        address = await new_discovery.serve(harness.nursery)
+        clients = [await harness.client() for _ in range(8)]
         for number, client in enumerate(clients[:4]):
             await client.send(X_Request_ID=f"r{number}", **LONG_TIMEOUT)
-        await w.until(lambda: peer.exchanges)
-        w.raw["discovery"] = address
-        w.service.reload()
-        w.nursery.start_soon(w.service.drain)
-        await w.until(lambda: w.service.run_state.draining)
+        await harness.wait_until(lambda: peer.exchanges)
+        harness.raw["discovery"] = address
+        harness.service.reload()
+        harness.nursery.start_soon(harness.service.drain)
+        await harness.wait_until(lambda: harness.service.run_state.draining)
         for number, client in enumerate(clients[4:], 4):
             await client.send(X_Request_ID=f"r{number}", **LONG_TIMEOUT)
         if front == "platform":
-            await w.until(lambda: w.service.engine.pending == 8)
+            await harness.wait_until(lambda: harness.service.engine.pending == 8)
         else:  # this front rejects new requests during a drain
             assert [(await client.reply()).status for client in clients[4:]] == [503] * 4
         release.set()
         served = clients if front == "platform" else clients[:4]
         assert [(await client.reply()).status for client in served] == [200] * len(served)
-        await w.ended.wait()
+        await harness.ended.wait()
