--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -14,7 +14,7 @@
 import pytest
 import trio
 import ujson
-from helper import SETTINGS, Client, Discovery, Peer, done, trio_test, world
+from helper import SETTINGS, Client, Discovery, Peer, done, running_service, trio_test
 from machine_faults import FaultyDisk
 
 from yewrill.config.errors import ConfigError
@@ -212,8 +212,8 @@
     tmp_path,
 ):
     peer = Peer("d1", done)
-    async with world(peer, **state_settings(tmp_path)) as w:
-        store, gate, waiting = w.service.persistent_state._disk.store, trio.Event(), []
+    async with running_service(peer, **state_settings(tmp_path)) as harness:
+        store, gate, waiting = harness.service.persistent_state._disk.store, trio.Event(), []
         write = store.awrite
 
         async def held(batch):
@@ -225,15 +225,15 @@
         async with trio.open_nursery() as nursery:
             for target in ("/save", "/once"):
                 nursery.start_soon(
-                    lambda t=target: w.ask(t, X_Request_ID=t[1:], Idempotency_Key="k" + t[1:])
+                    lambda t=target: harness.ask(t, X_Request_ID=t[1:], Idempotency_Key="k" + t[1:])
                 )
-            await w.until(lambda: len(waiting) >= 2)
-            assert (await w.ask(X_Request_ID="plain")).status == 200  # needs no record
+            await harness.wait_until(lambda: len(waiting) >= 2)
+            assert (await harness.ask(X_Request_ID="plain")).status == 200  # needs no record
             assert [x.id for x in peer.exchanges] == ["plain"]
             gate.set()
         assert {x.id for x in peer.exchanges} == {"plain", "save", "once"}
         # The records are deleted once the requests have finished.
-        await w.until(lambda: not list(store.scan(prefix=b"sent/")))
+        await harness.wait_until(lambda: not list(store.scan(prefix=b"sent/")))
 
 
 @trio_test
@@ -243,48 +243,54 @@
     caplog.set_level("INFO")
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
     peer = Peer("d1", done)
-    async with world(peer, **state_settings(tmp_path)) as w:
+    async with running_service(peer, **state_settings(tmp_path)) as harness:
         # Waits for the write of the endpoint list.
-        await w.until(lambda: b"app.state_kept:1|c" in w.service.metrics.text({}).encode())
+        await harness.wait_until(
+            lambda: b"app.state_kept:1|c" in harness.service.metrics.text({}).encode()
+        )
         disk.error = errno.EIO
         for i in range(3):
             # A later run could not know of these, so they are rejected without being sent.
-            reply = await w.ask("/save", X_Request_ID=f"r{i}", Idempotency_Key=f"k{i}")
+            reply = await harness.ask("/save", X_Request_ID=f"r{i}", Idempotency_Key=f"k{i}")
             assert reply.status == 503
-            assert (await w.ask(X_Request_ID=f"plain{i}")).status == 200
-        detached = await w.call("PUT /_profilers/detach?name=d1")
+            assert (await harness.ask(X_Request_ID=f"plain{i}")).status == 200
+        detached = await harness.call("PUT /_profilers/detach?name=d1")
         assert (detached.status, detached.body) == (
             200,
             b"detached, but not on disk: a restart forgets it\n",
         )
-        assert not w.service.endpoints.may_send("d1")
-        counted = re.search(rb"app.state_failed:(\d+)", (await w.call("GET /_vars")).body)
+        assert not harness.service.endpoints.may_send("d1")
+        counted = re.search(rb"app.state_failed:(\d+)", (await harness.call("GET /_vars")).body)
         assert int(counted[1]) >= 4
         assert {e.id for e in peer.exchanges} == {"plain0", "plain1", "plain2"}
         logged = [r for r in caplog.records if "persistent_state_write_failed" in r.getMessage()]
         assert len(logged) == 1
         disk.error = 0
-        await w.until(
+        await harness.wait_until(
             lambda: any(
                 "persistent_state_write_recovered" in r.getMessage() for r in caplog.records
             )
         )
-        store = w.service.persistent_state._disk.store
-        await w.until(lambda: [key for key, _ in store.scan(prefix=b"out/")] == [b"out/d1"])
+        store = harness.service.persistent_state._disk.store
+        await harness.wait_until(
+            lambda: [key for key, _ in store.scan(prefix=b"out/")] == [b"out/d1"]
+        )
 
 
 @trio_test
 async def test_endpoint_list_reattached_workers_and_operator_drain_survive_a_restart(tmp_path):
     config = state_settings(tmp_path)
     peer = Peer("d1", done)
-    async with world(peer, Peer("d2", done), Peer("d3", done), **config) as w:
+    async with running_service(peer, Peer("d2", done), Peer("d3", done), **config) as harness:
         for call in ("detach?name=d1", "attach?name=d1", "detach?name=d2"):
-            assert (await w.call(f"PUT /_profilers/{call}")).status == 200
-        assert w.service.endpoints.recently_attached["d1"] < 20_000.0  # ms
-        assert (await w.call("PUT /_lameduck/on")).status == 200
-        await w.until(lambda: w.service.persistent_state._disk.store.get(b"list") is not None)
-        w.service.engine.fail_all()
-        await trio.to_thread.run_sync(w.service.persistent_state.close_store)
+            assert (await harness.call(f"PUT /_profilers/{call}")).status == 200
+        assert harness.service.endpoints.recently_attached["d1"] < 20_000.0  # ms
+        assert (await harness.call("PUT /_lameduck/on")).status == 200
+        await harness.wait_until(
+            lambda: harness.service.persistent_state._disk.store.get(b"list") is not None
+        )
+        harness.service.engine.fail_all()
+        await trio.to_thread.run_sync(harness.service.persistent_state.close_store)
     async with trio.open_nursery() as nursery:
         await nursery.start(peer.serve)
         nobody = Discovery([])
@@ -317,19 +323,21 @@
 
 @trio_test
 async def test_a_new_process_opens_the_store_when_the_old_one_has_exited(tmp_path, caplog):
-    from test_operators import shared_world, start_new_process
+    from test_operators import hot_restart_service, start_new_process
 
     caplog.set_level("INFO")
-    async with shared_world(Peer("d1", done), Peer("d2", done), **state_settings(tmp_path)) as w:
-        await w.call("PUT /_profilers/detach?name=d1")
-        new_process = await start_new_process(w)
+    async with hot_restart_service(
+        Peer("d1", done), Peer("d2", done), **state_settings(tmp_path)
+    ) as harness:
+        await harness.call("PUT /_profilers/detach?name=d1")
+        new_process = await start_new_process(harness)
         assert not new_process.persistent_state.store_open and new_process.endpoints.detached == [
             "d1"
         ]
-        assert (await w.ask("/save", X_Request_ID="r", Idempotency_Key="k")).status == 200
-        w.nursery.start_soon(w.old_process.drain)
-        await w.ended.wait()
-        await w.until(
+        assert (await harness.ask("/save", X_Request_ID="r", Idempotency_Key="k")).status == 200
+        harness.nursery.start_soon(harness.old_process.drain)
+        await harness.ended.wait()
+        await harness.wait_until(
             lambda: any("persistent_state_taken_over" in r.getMessage() for r in caplog.records)
         )
         assert [
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -15,7 +15,7 @@
 import trio
 import ujson
 from click.testing import CliRunner
-from helper import Peer, trio_test, world
+from helper import Peer, running_service, trio_test
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from opentelemetry.proto.collector.trace.v1 import trace_service_pb2 as service
@@ -420,19 +420,19 @@
         {"name": "once", "aim": 200.0, "deadline": 3000.0, "repeat": "side_effect", "value": 1.0},
     ]
     statuses: dict[str, int | None] = {}
-    async with world(
+    async with running_service(
         Peer("d1", script),
         Peer("d2", script),
         settings={"request_classes": classes},
         **tracing,
         **MGMT,
-    ) as w:
+    ) as harness:
 
         async def ask(id, **headers):
             target = "/once" if id.startswith("fail") else "/tour"
             statuses[id] = None
             with trio.move_on_after(0.1 if id.startswith(("gone", "quit")) else 15):
-                statuses[id] = (await w.ask(target, X_Request_ID=id, **headers)).status
+                statuses[id] = (await harness.ask(target, X_Request_ID=id, **headers)).status
 
         def expected(id) -> set[str]:
             causes = {{503: "refused", 502: "failed", None: "left"}.get(statuses[id])}
@@ -456,8 +456,8 @@
         await ask("odd2", traceparent=f"00-{TRACE}-{SPAN}-00", tracestate="x=1,,bad==")
         bad = {id for id in statuses if expected(id)}
         assert len(bad) >= 20 and {c for id in bad for c in expected(id)} == set(sampling.BAD)
-        await w.until(lambda: bad <= read_records(path).keys())
-        counts = (await w.call("GET /_vars")).body.decode()
+        await harness.wait_until(lambda: bad <= read_records(path).keys())
+        counts = (await harness.call("GET /_vars")).body.decode()
         assert f"app.trace_finished:{len(statuses)}|c" in counts
         assert f"app.trace_kept_bad:{len(bad)}|c" in counts
     found = read_records(path)
@@ -518,7 +518,7 @@
 
 @trio_test
 async def test_reload_and_hot_restart_are_events_of_the_open_traces(tmp_path, monkeypatch):
-    from test_operators import shared_world, start_new_process
+    from test_operators import hot_restart_service, start_new_process
 
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     gate = trio.Event()
@@ -529,18 +529,24 @@
         await x.done()
 
     paths = tmp_path / "elder", tmp_path / "heir"
-    async with shared_world(Peer("d1", waits), tracing={"file": str(paths[0]), "share": 1.0}) as w:
-        slow = await w.shared.client()
+    async with hot_restart_service(
+        Peer("d1", waits), tracing={"file": str(paths[0]), "share": 1.0}
+    ) as harness:
+        slow = await harness.shared.client()
         await slow.send(X_Request_ID="slow", traceparent=f"00-{TRACE}-{SPAN}-01")
-        await w.until(lambda: w.old_process.tracing_hooks.tracer.open == 1)
-        w.old_process.reload()
-        await start_new_process(w, tracing={"file": str(paths[1]), "share": 1.0})
-        w.nursery.start_soon(w.old_process.drain)
-        await w.until(lambda: w.old_process.run_state.draining)
-        assert (await w.ask(X_Request_ID="next", traceparent=f"00-{TRACE}-{SPAN}-01")).status == 200
+        await harness.wait_until(lambda: harness.old_process.tracing_hooks.tracer.open == 1)
+        harness.old_process.reload()
+        await start_new_process(harness, tracing={"file": str(paths[1]), "share": 1.0})
+        harness.nursery.start_soon(harness.old_process.drain)
+        await harness.wait_until(lambda: harness.old_process.run_state.draining)
+        assert (
+            await harness.ask(X_Request_ID="next", traceparent=f"00-{TRACE}-{SPAN}-01")
+        ).status == 200
         gate.set()
         assert (await slow.reply()).status == 200
-        await w.until(lambda: "slow" in read_records(paths[0]) and "next" in read_records(paths[1]))
+        await harness.wait_until(
+            lambda: "slow" in read_records(paths[0]) and "next" in read_records(paths[1])
+        )
     old_process, new_process = read_records(paths[0])["slow"], read_records(paths[1])["next"]
     assert (
         old_process["trace"] == new_process["trace"] == TRACE
@@ -564,13 +570,17 @@
         await trio.sleep(0.05)
         await x.done()
 
-    async with world(Peer("d1", slow), tracing={"file": str(path), "share": 1.0}) as w:
-        assert (await w.ask(X_Request_ID="a")).status == 200
-        await w.until(lambda: "a" in read_records(path))
-        w.raw["tracing"]["share"] = 0.0
-        w.service.reload()
-        assert (await w.ask(X_Request_ID="b")).status == 200
-        await w.until(lambda: w.service.tracing_hooks.tracer.counts["thinned"] == 1)
+    async with running_service(
+        Peer("d1", slow), tracing={"file": str(path), "share": 1.0}
+    ) as harness:
+        assert (await harness.ask(X_Request_ID="a")).status == 200
+        await harness.wait_until(lambda: "a" in read_records(path))
+        harness.raw["tracing"]["share"] = 0.0
+        harness.service.reload()
+        assert (await harness.ask(X_Request_ID="b")).status == 200
+        await harness.wait_until(
+            lambda: harness.service.tracing_hooks.tracer.counts["thinned"] == 1
+        )
     record = read_records(path)["a"]
     assert 50e6 <= record["parts"]["running"] <= record["end"] - record["start"] < 3e9
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 
 import pytest
-from helper import Peer, done, trio_test, world
+from helper import Peer, done, running_service, trio_test
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -472,20 +472,20 @@
 @trio_test
 async def test_the_service_follows_operators_orders_and_counts_attempts_by_zone():
     peer = Peer("d1", done)
-    async with world(
+    async with running_service(
         peer, settings={"areas": ["room", "hall"]}, mgmt="127.0.0.1:0", **ZONES
-    ) as here:
-        assert (await here.ask()).status == 200
-        zones = here.service.subsystems[1]
-        shown = (await here.call("GET /_zones")).body
+    ) as harness:
+        assert (await harness.ask()).status == 200
+        zones = harness.service.subsystems[1]
+        shown = (await harness.call("GET /_zones")).body
         assert b'"zone": "room"' in shown and zones.status()["zones"][0]["ended"] == 1
-        assert (await here.call("PUT /_zones/leave?name=nowhere")).status == 404
-        assert (await here.call("PUT /_zones/leave?name=room")).status == 200
-        fleet = here.service.engine._module.fleet
-        await here.until(lambda: fleet.zone_weights == {0: 0.0})
-        assert (await here.ask(X_Request_ID="r2")).status == 200  # there is no other zone
-        assert (await here.call("PUT /_zones/return?name=room")).status == 200
-        await here.until(lambda: fleet.zone_weights == {})
+        assert (await harness.call("PUT /_zones/leave?name=nowhere")).status == 404
+        assert (await harness.call("PUT /_zones/leave?name=room")).status == 200
+        fleet = harness.service.engine._module.fleet
+        await harness.wait_until(lambda: fleet.zone_weights == {0: 0.0})
+        assert (await harness.ask(X_Request_ID="r2")).status == 200  # there is no other zone
+        assert (await harness.call("PUT /_zones/return?name=room")).status == 200
+        await harness.wait_until(lambda: fleet.zone_weights == {})
         assert zones.status()["zones"][0]["order"] == ""
 
 
