--- a/tests/fixture_service.py
+++ b/tests/fixture_service.py
@@ -13,7 +13,7 @@
 
 import trio
 import ujson
-from helper import Client, Peer, ServiceHarness, done, running_service
+from helper import Client, ScriptedWorker, ServiceHarness, done, running_service
 
 from yewrill.config.reading import read_config
 from yewrill.membership import Members
@@ -93,7 +93,7 @@
 
 async def management(path: Path) -> list[Any]:
     """Returns paths, metrics with their types in order, shapes of the statuses, and results of the calls."""
-    async with running_service(Peer("d1", done), **_all_sections(path)) as harness:
+    async with running_service(ScriptedWorker("d1", done), **_all_sections(path)) as harness:
         await harness.nursery.start(await _other_member(harness))
         await harness.wait_until(lambda: _is_ready(harness))
         assert (await harness.ask()).status == 200
@@ -204,10 +204,10 @@
     with socket.create_server(("127.0.0.1", 0)) as sock:
         path.mkdir(exist_ok=True)
         environment = {"BALANCER_INHERITED_FD": str(os.dup(sock.fileno())), "TMPDIR": str(path)}
-        peer = Peer("d1", done)
+        worker = ScriptedWorker("d1", done)
         state = {"state_dir": str(path / "state"), "state": {"patience_ms": 5000}}
         options = {"mgmt": "127.0.0.1:0", **state, **config}
-        async with running_service(peer, environment=environment, **options) as harness:
+        async with running_service(worker, environment=environment, **options) as harness:
             harness.address = sock.getsockname()
             yield harness
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -144,7 +144,7 @@
 
 
 @dataclass
-class Peer:
+class ScriptedWorker:
     """A scripted worker: runs `script` for each request it receives."""
 
     name: str
@@ -201,8 +201,8 @@
 class Discovery:
     """A fake discovery: returns full lists, and holds watches until the next change."""
 
-    def __init__(self, peers: list[Peer]):
-        self.peers, self.version, self.calls = peers, 1, []
+    def __init__(self, workers: list[ScriptedWorker]):
+        self.workers, self.version, self.calls = workers, 1, []
         self.changed, self.changes = trio.Event(), []
         self.silent = False
 
@@ -218,16 +218,16 @@
 
     async def serve(self, nursery: trio.Nursery) -> str:
         """Start serving; returns the address."""
-        self.peer = Peer("discovery", self.script)
-        await nursery.start(self.peer.serve)
-        return f"127.0.0.1:{self.peer.port}"
+        self.server = ScriptedWorker("discovery", self.script)
+        await nursery.start(self.server.serve)
+        return f"127.0.0.1:{self.server.port}"
 
     async def script(self, exchange: Exchange) -> None:
         self.calls.append((trio.current_time(), exchange.target))
         if self.silent:
             await exchange.closed()
         elif "from=" not in exchange.target:
-            await exchange.stream.send_all(self.answer(True, [p.entry() for p in self.peers]))
+            await exchange.stream.send_all(self.answer(True, [p.entry() for p in self.workers]))
         else:
             known = int(exchange.target.partition("from=")[2].partition("&")[0])
             while known >= self.version:
@@ -327,7 +327,7 @@
 
 @asynccontextmanager
 async def running_service(
-    *peers: Peer,
+    *workers: ScriptedWorker,
     settings: dict | None = None,
     signals: bool = False,
     environment: dict | None = None,
@@ -335,14 +335,14 @@
 ):
     """Run a service between scripted workers, on ports assigned by the system."""
     async with trio.open_nursery() as nursery:
-        for peer in peers:
-            peer.front = config.get("front", "platform")
-            await nursery.start(peer.serve)
-        discovery = Discovery(list(peers))
+        for worker in workers:
+            worker.front = config.get("front", "platform")
+            await nursery.start(worker.serve)
+        discovery = Discovery(list(workers))
         raw = {
             "listen": "127.0.0.1:0",
             "discovery": await discovery.serve(nursery),
-            "known": {"version": 1, "full": True, "servers": [p.entry() for p in peers]},
+            "known": {"version": 1, "full": True, "servers": [p.entry() for p in workers]},
             "settings": {**SETTINGS, **(settings or {})},
             "seed": "5",
             **config,
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -11,7 +11,7 @@
 
 import pytest
 import trio
-from helper import Peer, done, mock_clock_test, running_service, trio_test
+from helper import ScriptedWorker, done, mock_clock_test, running_service, trio_test
 
 from yewrill.net.backlog import Backlog
 
@@ -45,9 +45,9 @@
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.ECONNABORTED, errno.EPROTO])
 @mock_clock_test
 async def test_drain_while_accept_fails_serves_the_backlog(error):
-    peer = Peer("d1", done)
+    worker = ScriptedWorker("d1", done)
     failing = [True]
-    async with running_service(peer, timing={"linger_ms": 300, "grace_ms": 3700}) as harness:
+    async with running_service(worker, timing={"linger_ms": 300, "grace_ms": 3700}) as harness:
         sock = fail_accepts(harness, error, lambda: failing)
         harness.nursery.start_soon(harness.service.drain)
         await harness.wait_until(lambda: harness.service.run_state.draining)
@@ -64,8 +64,8 @@
 
 @mock_clock_test
 async def test_drain_while_accept_keeps_failing_ends_within_its_grace():
-    peer = Peer("d1", done)
-    async with running_service(peer, timing={"linger_ms": 100, "grace_ms": 1500}) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, timing={"linger_ms": 100, "grace_ms": 1500}) as harness:
         fail_accepts(harness, errno.ENFILE, lambda: True)
         began = trio.current_time()
         harness.nursery.start_soon(harness.service.drain)
@@ -76,9 +76,9 @@
 @pytest.mark.parametrize("error", [errno.EPROTO, errno.ECONNABORTED, errno.ENETDOWN, errno.EPERM])
 @mock_clock_test
 async def test_failing_accept_does_not_delay_connected_clients(error):
-    peer = Peer("d1", done)
+    worker = ScriptedWorker("d1", done)
     failing = []
-    async with running_service(peer) as harness:
+    async with running_service(worker) as harness:
         sock = fail_accepts(harness, error, lambda: failing)
         connected = [await harness.client() for _ in range(5)]
         for number, client in enumerate(connected):
@@ -106,7 +106,7 @@
         received[exchange.id] = trio.current_time(), float(exchange.headers["x-timeout-ms"])
         await exchange.done()
 
-    async with running_service(Peer("d1", note), Peer("d2", note)) as harness:
+    async with running_service(ScriptedWorker("d1", note), ScriptedWorker("d2", note)) as harness:
         fail_accepts(harness, errno.ENFILE, lambda: trio.current_time() < failing_until[0])
         failing_until[0] = trio.current_time() + outage
         sent = {}
@@ -145,7 +145,7 @@
         stated_timeouts.append(float(exchange.headers["x-timeout-ms"]))
         await exchange.done()
 
-    async with running_service(Peer("d1", note)) as harness:
+    async with running_service(ScriptedWorker("d1", note)) as harness:
         await trio.sleep(10.0)
         assert (await harness.ask(X_Timeout_Ms="2000")).status == 200
         assert stated_timeouts[0] > 1900.0
--- a/tests/test_call_errors.py
+++ b/tests/test_call_errors.py
@@ -5,7 +5,7 @@
 
 import pytest
 import trio
-from helper import Peer, done, mock_clock_test, running_service
+from helper import ScriptedWorker, done, mock_clock_test, running_service
 
 from yewrill.net import connection
 from yewrill.net.connection import Connection, Retries
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("calls", [("recv_into",), ("send",), ("recv", "recv_into", "send")])
 @mock_clock_test
 async def test_socket_calls_that_fail_briefly_lose_no_answer(calls, error, faults):
-    async with running_service(Peer("d1", done), Peer("d2", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done), ScriptedWorker("d2", done)) as harness:
         before = Retries.total
         faults.append((calls, error, trio.current_time() + 0.1))
         clients = [await harness.client() for _ in range(CLIENTS)]
@@ -67,7 +67,7 @@
 
 @mock_clock_test
 async def test_socket_call_that_keeps_failing_closes_the_connection_in_time(faults):
-    async with running_service(Peer("d1", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done)) as harness:
         faults.append((("recv_into",), errno.ENOBUFS, trio.current_time() + 60.0))
         client = await harness.client()
         began = trio.current_time()
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.EAGAIN])
 @mock_clock_test
 async def test_connect_that_fails_for_a_local_reason_ejects_no_worker(error, faults):
-    async with running_service(Peer("d1", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done)) as harness:
         faults.append((("connect",), error, trio.current_time() + 0.02))
         statuses = [(await harness.ask(X_Request_ID=f"r{number}")).status for number in range(3)]
         assert set(statuses) <= {200, 503}
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize("error", [errno.ENOMEM, errno.ENOSPC])
 @mock_clock_test
 async def test_failing_wait_for_a_socket_ends_neither_process_nor_request(error, monkeypatch):
-    async with running_service(Peer("d1", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done)) as harness:
         client = await harness.client()
         await harness.wait_until(lambda: len(harness.service.listener.clients) == 1)
         failed = fail_waits(monkeypatch, "wait_readable", error, times=4)
@@ -125,11 +125,11 @@
     def faulty(*args, **kwargs):
         raise RuntimeError("a bug for the test")
 
-    peer = Peer("d1", waits)
-    async with running_service(peer, timing={"linger_ms": 50, "grace_ms": 2000}) as harness:
+    worker = ScriptedWorker("d1", waits)
+    async with running_service(worker, timing={"linger_ms": 50, "grace_ms": 2000}) as harness:
         client = await harness.client()
         await client.send(X_Request_ID="r1")
-        await harness.wait_until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: worker.exchanges)
         monkeypatch.setattr(harness.service.listener, "drain_backlog", faulty)
         harness.service.begin_drain()
         await harness.wait_until(lambda: "shutdown_raised" in caplog.text)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from helper import Peer, done, running_service, trio_test
+from helper import ScriptedWorker, done, running_service, trio_test
 from machine_faults import SetClock
 
 from yewrill.dispatch.start_times import MAX_STARTS, OFFSET_RETENTION_MS, StartTimes
@@ -21,9 +21,9 @@
     return harness.service.engine._module.fleet.workers[name]
 
 
-def entry_started(peer: Peer, ago: float) -> dict:
+def entry_started(worker: ScriptedWorker, ago: float) -> dict:
     """Returns the peer's list entry with a start `ago` seconds in the past by the current wall clock."""
-    return {**peer.entry(), "started_ms": (time.time() - ago) * 1000.0}
+    return {**worker.entry(), "started_ms": (time.time() - ago) * 1000.0}
 
 
 async def publish(harness, entry) -> None:
@@ -38,7 +38,7 @@
     step, monkeypatch
 ):
     clock = SetClock(monkeypatch)
-    old, new = Peer("old", done), Peer("new", done)
+    old, new = ScriptedWorker("old", done), ScriptedWorker("new", done)
     async with running_service(old, new) as harness:
         clock.offset = step
         await publish(harness, entry_started(new, ago=0.0))
@@ -54,9 +54,9 @@
     step, monkeypatch
 ):
     clock = SetClock(monkeypatch)
-    peer = Peer("d1", done)
-    async with running_service(peer) as harness:
-        entry = entry_started(peer, ago=60.0)
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker) as harness:
+        entry = entry_started(worker, ago=60.0)
         await publish(harness, entry)
         before = worker_state(harness, "d1").launched
         assert worker_state(harness, "d1").slow_start.started_at < 0
@@ -72,9 +72,9 @@
     step, monkeypatch
 ):
     clock = SetClock(monkeypatch)
-    peer = Peer("d1", done)
-    async with running_service(peer) as harness:
-        entry = entry_started(peer, ago=0.0)
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker) as harness:
+        entry = entry_started(worker, ago=0.0)
         clock.offset = step
         await publish(harness, entry)
         found = worker_state(harness, "d1")
@@ -88,7 +88,7 @@
     step, monkeypatch
 ):
     clock = SetClock(monkeypatch)
-    async with running_service(Peer("d1", done), mgmt="127.0.0.1:0") as harness:
+    async with running_service(ScriptedWorker("d1", done), mgmt="127.0.0.1:0") as harness:
         await harness.call("PUT /_profilers/detach?name=d1")
         await harness.call("PUT /_profilers/attach?name=d1")
         clock.offset = step
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
     SETTINGS,
     Client,
     Discovery,
-    Peer,
+    ScriptedWorker,
     done,
     mock_clock_test,
     running_service,
@@ -73,25 +73,25 @@
 ]
 
 
-def set_draining(peer):
+def set_draining(worker):
     """Set a worker to draining, for full lists too; returns its entry."""
-    peer.state = "DRAINING"
-    return peer.entry()
+    worker.state = "DRAINING"
+    return worker.entry()
 
 
-async def begin_failure(harness, peer, failure):
+async def begin_failure(harness, worker, failure):
     """End the current call and make the following ones fail; returns discovery's healthy script."""
-    healthy, harness.discovery.peer.script = harness.discovery.peer.script, failure
-    harness.discovery.tell(peer.entry())
-    calls_before = len(harness.discovery.peer.exchanges)
-    await harness.wait_until(lambda: len(harness.discovery.peer.exchanges) > calls_before)
+    healthy, harness.discovery.server.script = harness.discovery.server.script, failure
+    harness.discovery.tell(worker.entry())
+    calls_before = len(harness.discovery.server.exchanges)
+    await harness.wait_until(lambda: len(harness.discovery.server.exchanges) > calls_before)
     return healthy
 
 
-async def seconds_until_known(harness, peer) -> float:
+async def seconds_until_known(harness, worker) -> float:
     began = trio.current_time()
     with trio.fail_after(2 * KNOWN_WITHIN_SECONDS):
-        while harness.service.endpoints.may_send(peer.name):
+        while harness.service.endpoints.may_send(worker.name):
             await trio.sleep(0.05)
     return trio.current_time() - began
 
@@ -101,40 +101,40 @@
 @mock_clock_test
 async def test_change_is_known_in_time_after_any_failure_of_earlier_calls(failure, failing_for):
     # The fleet is large enough for the longest pauses; the failure ends at different moments of the retries.
-    peer = Peer("d1", done)
-    async with running_service(peer, settings=LARGE_FLEET) as harness:
-        healthy = await begin_failure(harness, peer, failure)
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, settings=LARGE_FLEET) as harness:
+        healthy = await begin_failure(harness, worker, failure)
         await trio.sleep(failing_for)
-        harness.discovery.peer.script = healthy
-        harness.discovery.tell(set_draining(peer), full=True)
-        assert await seconds_until_known(harness, peer) < KNOWN_WITHIN_SECONDS
+        harness.discovery.server.script = healthy
+        harness.discovery.tell(set_draining(worker), full=True)
+        assert await seconds_until_known(harness, worker) < KNOWN_WITHIN_SECONDS
 
 
 @mock_clock_test
 async def test_silent_watch_is_reopened_in_time():
-    peer = Peer("d1", done)
-    async with running_service(peer, settings=LARGE_FLEET) as harness:
-        healthy = await begin_failure(harness, peer, silent)
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, settings=LARGE_FLEET) as harness:
+        healthy = await begin_failure(harness, worker, silent)
         # The call that is open is never answered; every later one is.
-        harness.discovery.peer.script = healthy
-        harness.discovery.tell(set_draining(peer), full=True)
-        assert await seconds_until_known(harness, peer) < KNOWN_WITHIN_SECONDS
+        harness.discovery.server.script = healthy
+        harness.discovery.tell(set_draining(worker), full=True)
+        assert await seconds_until_known(harness, worker) < KNOWN_WITHIN_SECONDS
 
 
 @mock_clock_test
 async def test_discovery_silent_at_the_first_call_is_asked_again_in_time():
-    peer = Peer("d1", done)
+    worker = ScriptedWorker("d1", done)
     async with trio.open_nursery() as nursery:
-        await nursery.start(peer.serve)
-        discovery = Discovery([peer])
+        await nursery.start(worker.serve)
+        discovery = Discovery([worker])
         address = await discovery.serve(nursery)
-        healthy, discovery.peer.script = discovery.peer.script, silent
+        healthy, discovery.server.script = discovery.server.script, silent
         host, _, port = address.partition(":")
         endpoints = EndpointList(DecisionEngine(read_settings(SETTINGS), 1), TopologyNames())
         nursery.start_soon(DiscoveryWatch((host, int(port)), endpoints, callers=200).run)
-        while not discovery.peer.exchanges:
+        while not discovery.server.exchanges:
             await trio.sleep(0.01)
-        discovery.peer.script = healthy
+        discovery.server.script = healthy
         began = trio.current_time()
         while not len(endpoints):
             await trio.sleep(0.01)
@@ -164,7 +164,7 @@
 
 @mock_clock_test
 async def test_discovery_that_dropped_connects_is_reached_once_it_accepts_again(monkeypatch):
-    peer = Peer("d1", done)
+    worker = ScriptedWorker("d1", done)
     full_backlog = FullBacklog()
     opened = []
 
@@ -173,32 +173,32 @@
         # The kernel retransmits a dropped SYN late: a connect begun at the full backlog never completes.
         return await real_open(full_backlog.address if len(opened) < 4 else address, ring_bytes)
 
-    async with running_service(peer, settings=LARGE_FLEET) as harness:
+    async with running_service(worker, settings=LARGE_FLEET) as harness:
         real_open = discovery_module.Connection.open
         monkeypatch.setattr(discovery_module.Connection, "open", connect)
-        harness.discovery.peer.script = reset
-        harness.discovery.tell(peer.entry())
+        harness.discovery.server.script = reset
+        harness.discovery.tell(worker.entry())
         while len(opened) < 3:
             await trio.sleep(0.05)
         # From here on connections are accepted, but the SYN of the connect in progress was dropped.
-        harness.discovery.peer.script = harness.discovery.script
-        harness.discovery.tell(set_draining(peer), full=True)
-        assert await seconds_until_known(harness, peer) < KNOWN_WITHIN_SECONDS
+        harness.discovery.server.script = harness.discovery.script
+        harness.discovery.tell(set_draining(worker), full=True)
+        assert await seconds_until_known(harness, worker) < KNOWN_WITHIN_SECONDS
         assert len(opened) == 4
     full_backlog.close()
 
 
 @mock_clock_test
 async def test_watch_moved_to_a_dead_address_and_back_requests_the_full_list_at_once():
-    peer = Peer("d1", done)
+    worker = ScriptedWorker("d1", done)
     full_backlog = FullBacklog()
-    async with running_service(peer) as harness:
+    async with running_service(worker) as harness:
         watch = harness.service.watch
         home = watch.address
         calls = len(harness.discovery.calls)
         watch.move(full_backlog.address)
         await trio.sleep(1.3)
-        harness.discovery.tell(set_draining(peer), full=True)
+        harness.discovery.tell(set_draining(worker), full=True)
         watch.move(home)
         began = trio.current_time()
         await harness.wait_until(lambda: not harness.service.endpoints.may_send("d1"))
@@ -211,28 +211,28 @@
 @mock_clock_test
 async def test_new_discovery_that_rejects_the_first_call_is_not_asked_with_the_old_version():
     # Each discovery has its own version numbers: asked for changes since the old one's version, it has none.
-    peer = Peer("d1", done)
-    async with running_service(peer) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker) as harness:
         for _ in range(9):
-            harness.discovery.tell(peer.entry())
+            harness.discovery.tell(worker.entry())
         await harness.wait_until(lambda: harness.service.endpoints.version == 10)
-        other_discovery = Discovery([peer])
+        other_discovery = Discovery([worker])
         other_discovery.version = 3
         address = await other_discovery.serve(harness.nursery)
-        healthy, other_discovery.peer.script = other_discovery.peer.script, rejected
+        healthy, other_discovery.server.script = other_discovery.server.script, rejected
         harness.service.watch.move(("127.0.0.1", int(address.partition(":")[2])))
-        await harness.wait_until(lambda: other_discovery.peer.exchanges)
-        other_discovery.peer.script = healthy
-        other_discovery.tell(set_draining(peer))
-        assert await seconds_until_known(harness, peer) < KNOWN_WITHIN_SECONDS
+        await harness.wait_until(lambda: other_discovery.server.exchanges)
+        other_discovery.server.script = healthy
+        other_discovery.tell(set_draining(worker))
+        assert await seconds_until_known(harness, worker) < KNOWN_WITHIN_SECONDS
 
 
 @mock_clock_test
 async def test_discovery_that_restarts_its_versions_is_asked_for_the_full_list():
-    peer = Peer("d1", done)
-    async with running_service(peer) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker) as harness:
         for _ in range(9):
-            harness.discovery.tell(peer.entry())
+            harness.discovery.tell(worker.entry())
         await harness.wait_until(lambda: harness.service.endpoints.version == 10)
 
         async def restarted_versions(exchange):
@@ -240,35 +240,35 @@
                 await trio.sleep(int(exchange.target.rpartition("=")[2]) / 1000.0)
                 await exchange.stream.send_all(other_discovery.answer(False, []))
             else:
-                await exchange.stream.send_all(other_discovery.answer(True, [set_draining(peer)]))
+                await exchange.stream.send_all(other_discovery.answer(True, [set_draining(worker)]))
 
-        other_discovery = Discovery([peer])
+        other_discovery = Discovery([worker])
         other_discovery.version = 3
-        harness.discovery.peer.script = restarted_versions
-        harness.discovery.tell(peer.entry())
-        assert await seconds_until_known(harness, peer) < KNOWN_WITHIN_SECONDS
+        harness.discovery.server.script = restarted_versions
+        harness.discovery.tell(worker.entry())
+        assert await seconds_until_known(harness, worker) < KNOWN_WITHIN_SECONDS
         assert harness.service.endpoints.version == 3
 
 
 @mock_clock_test
 async def test_full_list_in_indented_json_after_changes_is_applied():
-    peers = [Peer("d1", done), Peer("d2", done)]
-    async with running_service(*peers) as harness:
-        harness.discovery.tell(set_draining(peers[0]))
+    workers = [ScriptedWorker("d1", done), ScriptedWorker("d2", done)]
+    async with running_service(*workers) as harness:
+        harness.discovery.tell(set_draining(workers[0]))
         await harness.wait_until(lambda: not harness.service.endpoints.may_send("d1"))
-        version, peers[0].state = harness.discovery.version + 1, "SERVING"
+        version, workers[0].state = harness.discovery.version + 1, "SERVING"
 
         async def indented(exchange):
             body = ujson.dumps(
-                {"version": version, "full": True, "servers": [peers[0].entry()]}, indent=4
+                {"version": version, "full": True, "servers": [workers[0].entry()]}, indent=4
             ).encode()
             await exchange.stream.send_all(
                 b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
             )
-            harness.discovery.peer.script = silent
+            harness.discovery.server.script = silent
 
-        harness.discovery.peer.script = indented
-        harness.discovery.tell(peers[1].entry())
+        harness.discovery.server.script = indented
+        harness.discovery.tell(workers[1].entry())
         await harness.wait_until(
             lambda: (
                 harness.service.endpoints.may_send("d1")
@@ -309,11 +309,11 @@
 ):
     # The real program under a descriptor limit, with more idle connections than descriptors: half of them
     # kept open after a request, half without any request.
-    peers = [Peer("d1", done), Peer("d2", done)]
+    workers = [ScriptedWorker("d1", done), ScriptedWorker("d2", done)]
     async with trio.open_nursery() as nursery:
-        for peer in peers:
-            await nursery.start(peer.serve)
-        discovery = Discovery(peers[:1])
+        for worker in workers:
+            await nursery.start(worker.serve)
+        discovery = Discovery(workers[:1])
         config = tmp_path / "config.json"
         config.write_text(
             ujson.dumps(
@@ -328,8 +328,8 @@
         async with program(nursery, config, descriptors=128) as running:
             while (await running.ask("/up", "GET", b"")).status != 200:
                 await trio.sleep(0.01)
-            healthy, discovery.peer.script = discovery.peer.script, reset
-            discovery.tell(peers[0].entry())
+            healthy, discovery.server.script = discovery.server.script, reset
+            discovery.tell(workers[0].entry())
             await running.said("discovery_unavailable")
             address = await running.said(r" ready .*listen=([\d.]+):(\d+)")
             idle = []
@@ -340,13 +340,15 @@
             assert (await running.ask(X_Request_ID="amid")).status == 200
             assert (await running.ask("/up", "GET", b"")).status == 200
             # Discovery is back with a change: it is applied, and the next request goes to the new worker.
-            discovery.peer.script = healthy
-            discovery.peers = peers
-            discovery.tell(set_draining(peers[0]), peers[1].entry())
+            discovery.server.script = healthy
+            discovery.workers = workers
+            discovery.tell(set_draining(workers[0]), workers[1].entry())
             await running.said("discovery_recovered")
-            while (await running.ask(X_Request_ID=f"after{len(peers[1].exchanges)}")).status != 200:
+            while (
+                await running.ask(X_Request_ID=f"after{len(workers[1].exchanges)}")
+            ).status != 200:
                 await trio.sleep(0.01)
-            assert peers[1].exchanges
+            assert workers[1].exchanges
             # No evicted client is left waiting: its connection was closed.
             for client in idle:
                 if client.stream.socket.is_readable():
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -5,7 +5,7 @@
 
 import pytest
 import trio
-from helper import Peer, done, hang, running_service, trio_test
+from helper import ScriptedWorker, done, hang, running_service, trio_test
 from machine_faults import FaultyDisk, SetClock
 from test_operators import hot_restart_service, start_new_process
 
@@ -35,12 +35,12 @@
     return records
 
 
-async def copy_state_with_attempt_in_flight(peer, tmp_path) -> None:
+async def copy_state_with_attempt_in_flight(worker, tmp_path) -> None:
     """Copies the state directory to `killed` while a non-idempotent attempt is in flight."""
-    async with running_service(peer, **state_settings(tmp_path)) as harness:
+    async with running_service(worker, **state_settings(tmp_path)) as harness:
         client = await harness.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="k")
-        await harness.wait_until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: worker.exchanges)
         shutil.copytree(tmp_path / "state", tmp_path / "killed" / "state")
 
 
@@ -57,23 +57,23 @@
     error, calls, tmp_path, monkeypatch
 ):
     disk = FaultyDisk(monkeypatch, calls)
-    peer = Peer("d1", done)
-    async with running_service(peer, **state_settings(tmp_path)) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, **state_settings(tmp_path)) as harness:
         disk.error = error
         for number, target in enumerate(("/once", "/save")):
             reply = await harness.ask(
                 target, X_Request_ID=f"r{number}", Idempotency_Key=f"k{number}"
             )
             assert reply.status == 503  # it never ran, so it is safe to repeat
-        assert peer.exchanges == []
+        assert worker.exchanges == []
         assert (await harness.ask(X_Request_ID="safe")).status == 200  # needs no record
 
 
 @trio_test
 async def test_a_store_whose_sync_failed_is_reopened_once_the_disk_works(tmp_path, monkeypatch):
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
-    peer = Peer("d1", done)
-    async with running_service(peer, **state_settings(tmp_path)) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, **state_settings(tmp_path)) as harness:
         disk.error = errno.EIO
         assert (await harness.ask("/once", X_Request_ID="r0", Idempotency_Key="k0")).status == 503
         disk.error = 0
@@ -83,10 +83,10 @@
             reply = await harness.ask("/once", X_Request_ID=f"r{number}", Idempotency_Key="k0")
             status = reply.status
             assert status in (200, 503)
-        peer.script = hang
+        worker.script = hang
         client = await harness.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="kout")
-        await harness.wait_until(lambda: peer.exchanges[-1].id == "out")
+        await harness.wait_until(lambda: worker.exchanges[-1].id == "out")
         assert len(records_after_kill(tmp_path)) >= 1
 
 
@@ -96,26 +96,26 @@
     step, tmp_path, monkeypatch
 ):
     clock = SetClock(monkeypatch)
-    peer = Peer("d1", hang)
-    await copy_state_with_attempt_in_flight(peer, tmp_path)
+    worker = ScriptedWorker("d1", hang)
+    await copy_state_with_attempt_in_flight(worker, tmp_path)
     clock.offset = step
-    peer.script = done
-    async with running_service(peer, **state_settings(tmp_path / "killed")) as harness:
+    worker.script = done
+    async with running_service(worker, **state_settings(tmp_path / "killed")) as harness:
         # By the monotonic clock the record is far from the end of its window, an hour by default. The wait is
         # long enough for the deletion of records past their window.
         await trio.sleep(2 * WRITE_INTERVAL_SECONDS)
         reply = await harness.ask("/once", X_Request_ID="again", Idempotency_Key="k")
         assert reply.status == 502
-        assert [e.id for e in peer.exchanges] == ["out"]
+        assert [e.id for e in worker.exchanges] == ["out"]
 
 
 @trio_test
 async def test_unreadable_records_are_read_later_and_nothing_non_idempotent_runs_before(
     tmp_path, monkeypatch
 ):
-    peer = Peer("d1", hang)
-    await copy_state_with_attempt_in_flight(peer, tmp_path)
-    peer.script = done
+    worker = ScriptedWorker("d1", hang)
+    await copy_state_with_attempt_in_flight(worker, tmp_path)
+    worker.script = done
     failing = [True]
     records = Disk.records
 
@@ -125,7 +125,7 @@
         return records(disk, prefix)
 
     monkeypatch.setattr(Disk, "records", failing_records)
-    async with running_service(peer, **state_settings(tmp_path / "killed")) as harness:
+    async with running_service(worker, **state_settings(tmp_path / "killed")) as harness:
         assert (await harness.ask("/once", X_Request_ID="a1", Idempotency_Key="k")).status == 503
         assert (await harness.ask(X_Request_ID="plain")).status == 200
         failing.clear()
@@ -134,7 +134,7 @@
         assert (
             await harness.ask("/once", X_Request_ID="a3", Idempotency_Key="other")
         ).status == 200
-        assert [e.id for e in peer.exchanges] == ["out", "plain", "a3"]
+        assert [e.id for e in worker.exchanges] == ["out", "plain", "a3"]
 
 
 @trio_test
@@ -146,11 +146,11 @@
         await gate.wait()
         await exchange.done()
 
-    peer = Peer("d1", answer_after_gate)
-    async with running_service(peer, **state_settings(tmp_path)) as harness:
+    worker = ScriptedWorker("d1", answer_after_gate)
+    async with running_service(worker, **state_settings(tmp_path)) as harness:
         client = await harness.client()
         await client.send("/once", X_Request_ID="r1", Idempotency_Key="k")
-        await harness.wait_until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: worker.exchanges)
         disk.error = errno.EIO
         gate.set()
         assert (await client.reply()).status == 200
@@ -174,16 +174,16 @@
 async def test_a_process_that_waits_for_the_store_has_its_attempts_recorded_by_the_old_process(
     tmp_path,
 ):
-    peer = Peer("d1", hang)
-    async with hot_restart_service(peer, **state_settings(tmp_path)) as harness:
+    worker = ScriptedWorker("d1", hang)
+    async with hot_restart_service(worker, **state_settings(tmp_path)) as harness:
         busy = await harness.client()
         await busy.send(X_Request_ID="busy")  # keeps the old process running
-        await harness.wait_until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: worker.exchanges)
         new = await start_new_process(harness)
         assert not new.persistent_state.store_open
         harness.old_process.listener.stop_accepting()  # only the new process accepts
         client = await harness.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="k")
-        await harness.wait_until(lambda: len(peer.exchanges) == 2)
+        await harness.wait_until(lambda: len(worker.exchanges) == 2)
         assert new.engine.pending == 1 and not new.persistent_state.store_open
         assert len(records_after_kill(tmp_path)) == 1
--- a/tests/test_drawn.py
+++ b/tests/test_drawn.py
@@ -8,7 +8,7 @@
 import string
 
 import trio
-from helper import SETTINGS, Peer, mock_clock_test, running_service
+from helper import SETTINGS, ScriptedWorker, mock_clock_test, running_service
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
@@ -175,8 +175,8 @@
 @mock_clock_test
 async def played(customer, seed):
     recorder = AttemptRecorder(seed)
-    peers = [Peer(f"d{i}", recorder.script(i // 2), cell=i // 2) for i in range(4)]
-    async with running_service(*peers, settings=customer) as harness:
+    workers = [ScriptedWorker(f"d{i}", recorder.script(i // 2), cell=i // 2) for i in range(4)]
+    async with running_service(*workers, settings=customer) as harness:
 
         async def send_one(i: int, request_class: dict) -> None:
             id, began = f"r{i}-{request_class['name']}", trio.current_time()
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -15,7 +15,7 @@
 import pytest
 import trio
 import ujson
-from helper import SETTINGS, Peer, running_service, trio_test
+from helper import SETTINGS, ScriptedWorker, running_service, trio_test
 
 from yewrill.service.service import Service
 
@@ -166,7 +166,7 @@
         seen[exchange.id] = trio.current_time(), float(exchange.headers["x-timeout-ms"])
         await exchange.done()
 
-    peer = Peer("d1", note)
+    worker = ScriptedWorker("d1", note)
     real, sent = Service._restore_state, {}
 
     async def slow(service):  # the socket listens already
@@ -181,7 +181,7 @@
         return await real(service)
 
     monkeypatch.setattr(Service, "_restore_state", slow)
-    async with running_service(peer) as harness:
+    async with running_service(worker) as harness:
         await harness.wait_until(lambda: "r1" in seen)
         at, timeout_ms = seen["r1"]
         assert timeout_ms <= client_timeout_ms - (at - sent["at"]) * 1000.0 + 150.0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,7 +21,7 @@
     Client,
     Discovery,
     Exchange,
-    Peer,
+    ScriptedWorker,
     done,
     mock_clock_test,
     running_service,
@@ -48,9 +48,9 @@
 # -- clients that disconnect
 
 
-def attempts_received(peers, id="r1"):
+def attempts_received(workers, id="r1"):
     """Return how many attempts of a request any of the workers received completely."""
-    return sum(e.id == id for p in peers for e in p.exchanges)
+    return sum(e.id == id for p in workers for e in p.exchanges)
 
 
 def hang_up(client: Client) -> None:
@@ -62,8 +62,8 @@
 async def test_client_closing_as_the_worker_connection_opens_gets_no_attempt(
     monkeypatch,
 ):
-    peer = Peer("d1", done)
-    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, settings=LONG_DEADLINES) as harness:
         client, real, opened = await harness.client(), Connection.open, []
 
         async def open_connection(*args, **kwargs):
@@ -77,7 +77,7 @@
         await client.send(**LONG_TIMEOUT)
         await harness.wait_until(lambda: opened and not harness.service.listener.clients)
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
-        assert not attempts_received([peer])
+        assert not attempts_received([worker])
         assert len(opened) == 1  # the opened connection was kept for the next request
 
 
@@ -100,8 +100,8 @@
 
 @trio_test
 async def test_client_closing_as_an_idle_worker_connection_is_taken_gets_no_attempt(monkeypatch):
-    peer = Peer("d1", done)
-    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, settings=LONG_DEADLINES) as harness:
         assert (await harness.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
         await harness.wait_until(lambda: harness.service.worker_connections._idle.get("d1"))
         client = await harness.client()
@@ -109,7 +109,7 @@
         await client.send(**LONG_TIMEOUT)
         await harness.wait_until(lambda: begun and not harness.service.listener.clients)
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
-        assert not attempts_received([peer]) and peer.connections == 1
+        assert not attempts_received([worker]) and worker.connections == 1
 
 
 class Gate:
@@ -138,24 +138,24 @@
         self.engine.tick()
 
 
-async def keep_connections(harness, gate: Gate, peer: Peer, count: int) -> None:
+async def keep_connections(harness, gate: Gate, worker: ScriptedWorker, count: int) -> None:
     """Create idle connections to a worker, on which attempts are sent without waiting."""
     together = trio.Event()
 
     async def waits_for_all(exchange):
-        if len(peer.exchanges) == count:
+        if len(worker.exchanges) == count:
             together.set()
         await together.wait()
         await exchange.done()
 
-    peer.script, gate.worker = waits_for_all, peer.name
+    worker.script, gate.worker = waits_for_all, worker.name
     async with trio.open_nursery() as nursery:
         for i in range(count):
             nursery.start_soon(lambda i=i: harness.ask(X_Request_ID=f"kept{i}", **LONG_TIMEOUT))
     await harness.wait_until(
-        lambda: len(harness.service.worker_connections._idle.get(peer.name, ())) == count
+        lambda: len(harness.service.worker_connections._idle.get(worker.name, ())) == count
     )
-    peer.script, gate.worker = done, ""
+    worker.script, gate.worker = done, ""
 
 
 async def send_requests(harness, count: int) -> list[Client]:
@@ -165,17 +165,17 @@
     return clients
 
 
-def received_from_leaving_clients(peer: Peer) -> list[str]:
-    return [e.id for e in peer.exchanges if e.id.startswith("left")]
+def received_from_leaving_clients(worker: ScriptedWorker) -> list[str]:
+    return [e.id for e in worker.exchanges if e.id.startswith("left")]
 
 
 @FRONTS
 @trio_test
 async def test_200_clients_closing_at_once_while_held_get_no_attempt(front, monkeypatch):
-    peer = Peer("d1", done)
-    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, front=front, settings=LONG_DEADLINES) as harness:
         gate = Gate(harness, monkeypatch)
-        await keep_connections(harness, gate, peer, 60)
+        await keep_connections(harness, gate, worker, 60)
         clients = await send_requests(harness, 200)
         await harness.wait_until(lambda: gate.held == 200)
         when_connection_is_taken(monkeypatch, lambda: [hang_up(client) for client in clients])
@@ -183,7 +183,7 @@
         gate.open("d1")
         await harness.wait_until(lambda: not harness.service.listener.clients)
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
-        assert received_from_leaving_clients(peer) == []
+        assert received_from_leaving_clients(worker) == []
 
 
 @FRONTS
@@ -192,7 +192,7 @@
     async def reset_attempt(exchange):
         exchange.reset()
 
-    first, second = Peer("d1", reset_attempt), Peer("d2", done)
+    first, second = ScriptedWorker("d1", reset_attempt), ScriptedWorker("d2", done)
     async with running_service(first, second, front=front, settings=LONG_DEADLINES) as harness:
         gate = Gate(harness, monkeypatch)
         await keep_connections(harness, gate, second, 20)
@@ -211,8 +211,8 @@
 @FRONTS
 @trio_test
 async def test_client_closing_while_the_worker_connection_opens_gets_no_attempt(front, monkeypatch):
-    peer = Peer("d1", done)
-    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, front=front, settings=LONG_DEADLINES) as harness:
         client, real, opening, go_on = (
             await harness.client(),
             Connection.open,
@@ -234,7 +234,9 @@
         go_on.set()
         await harness.wait_until(lambda: not harness.service.listener.clients)
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
-        assert not attempts_received([peer]) and peer.connections == 1  # the opened one was kept
+        assert (
+            not attempts_received([worker]) and worker.connections == 1
+        )  # the opened one was kept
 
 
 def reset(client: Client) -> None:
@@ -256,8 +258,8 @@
 async def test_disconnect_of_a_client_with_a_full_input_buffer_is_noticed(
     front, leave, fill_all, monkeypatch
 ):
-    peer = Peer("d1", done)
-    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, front=front, settings=LONG_DEADLINES) as harness:
         gate = Gate(harness, monkeypatch)
         [client] = await send_requests(harness, 1)
         await harness.wait_until(lambda: gate.held == 1)
@@ -272,7 +274,7 @@
         assert request.client_left and not ServerClientConnection.overrunning_clients
         gate.open("d1")
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
-        assert received_from_leaving_clients(peer) == []
+        assert received_from_leaving_clients(worker) == []
 
 
 @trio_test
@@ -289,8 +291,8 @@
     monkeypatch.setattr(Connection, "discard_now", counted)
     # The pause after the first read never ends.
     monkeypatch.setattr(client_connection, "OVERRUN_PAUSE_PER_CLIENT_SECONDS", 1e9)
-    peer = Peer("d1", done)
-    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, settings=LONG_DEADLINES) as harness:
         gate = Gate(harness, monkeypatch)
         [client] = await send_requests(harness, 1)
         await harness.wait_until(lambda: gate.held == 1)
@@ -308,7 +310,7 @@
         await client.stream.aclose()
 
 
-class SlowReader(Peer):
+class SlowReader(ScriptedWorker):
     """A worker that reads nothing until `reads` is set, with a small receive buffer."""
 
     async def serve(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
@@ -338,8 +340,8 @@
     return opened
 
 
-def has_no_failures(harness, peer: Peer) -> bool:
-    worker = harness.service.engine._module.fleet.workers[peer.name]
+def has_no_failures(harness, scripted_worker: ScriptedWorker) -> bool:
+    worker = harness.service.engine._module.fleet.workers[scripted_worker.name]
     return not worker.ejection.failures and worker.ejection.until <= harness.service.engine.now()
 
 
@@ -348,8 +350,8 @@
 async def test_partly_written_request_is_never_completed_after_its_client_leaves(
     front, monkeypatch
 ):
-    peer = SlowReader("d1", done)
-    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+    worker = SlowReader("d1", done)
+    async with running_service(worker, front=front, settings=LONG_DEADLINES) as harness:
         opened = open_with_little_room(monkeypatch)
         client = await harness.client()
         await client.send(body=b"x" * 60000, **LONG_TIMEOUT)
@@ -357,21 +359,21 @@
         hang_up(client)
         [left] = harness.service.listener.clients
         await harness.wait_until(lambda: left.disconnected)
-        peer.reads.set()
-        await peer.ended.wait()
+        worker.reads.set()
+        await worker.ended.wait()
         await harness.wait_until(lambda: not harness.service.listener.clients)
-        assert not peer.exchanges and not harness.service.worker_connections.open
+        assert not worker.exchanges and not harness.service.worker_connections.open
         await harness.wait_until(
             lambda: not harness.service.engine._events
         )  # the policy has the outcome
-        assert has_no_failures(harness, peer)
+        assert has_no_failures(harness, worker)
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
 
 
 @trio_test
 async def test_client_closing_as_its_worker_reads_again_has_no_more_bytes_sent(monkeypatch):
-    peer = SlowReader("d1", done)
-    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+    worker = SlowReader("d1", done)
+    async with running_service(worker, settings=LONG_DEADLINES) as harness:
         opened = open_with_little_room(monkeypatch)
         real, raced = Connection._wait_ready, []
 
@@ -388,13 +390,13 @@
         await client.send(body=b"x" * 60000, **LONG_TIMEOUT)
         await harness.wait_until(lambda: opened and opened[0].unsent)
         [left] = harness.service.listener.clients
-        peer.reads.set()
-        await peer.ended.wait()
-        assert raced and not peer.exchanges
+        worker.reads.set()
+        await worker.ended.wait()
+        assert raced and not worker.exchanges
         await harness.wait_until(
             lambda: not harness.service.listener.clients and not harness.service.engine._events
         )
-        assert has_no_failures(harness, peer) and not harness.service.worker_connections.open
+        assert has_no_failures(harness, worker) and not harness.service.worker_connections.open
 
 
 @trio_test
@@ -403,15 +405,15 @@
         await go_on.wait()
         await exchange.done()
 
-    go_on, peer = trio.Event(), Peer("d1", waits)
-    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+    go_on, worker = trio.Event(), ScriptedWorker("d1", waits)
+    async with running_service(worker, settings=LONG_DEADLINES) as harness:
         client = await harness.client()
         await client.send(**LONG_TIMEOUT)
-        await harness.wait_until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: worker.exchanges)
         hang_up(client)
         [left] = harness.service.listener.clients
         await harness.wait_until(lambda: left.disconnected)
-        assert len(peer.live) == 1
+        assert len(worker.live) == 1
         go_on.set()
         # The connection completed its exchange and is kept.
         await harness.wait_until(lambda: harness.service.worker_connections._idle.get("d1"))
@@ -423,8 +425,8 @@
     leaves, monkeypatch
 ):
     """The reader disconnects while the head is written, or reads it so slowly that the send times out."""
-    peer, real, writing, go_on = (
-        Peer("d1", done),
+    worker, real, writing, go_on = (
+        ScriptedWorker("d1", done),
         ServerClientConnection.send,
         trio.Event(),
         trio.Event(),
@@ -437,7 +439,7 @@
             return leaves and await real(client, data)
         return await real(client, data)
 
-    async with running_service(peer, front="progress", settings=LONG_DEADLINES) as harness:
+    async with running_service(worker, front="progress", settings=LONG_DEADLINES) as harness:
         monkeypatch.setattr(ServerClientConnection, "send", send)
         client = await harness.client()
         await client.send(**LONG_TIMEOUT)
@@ -454,14 +456,14 @@
         await harness.wait_until(lambda: not harness.service.listener.clients)
         assert request.client_left
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
-        assert not attempts_received([peer])
+        assert not attempts_received([worker])
 
 
 @FRONTS
 @trio_test
 async def test_client_closing_as_its_attempt_record_is_written_gets_no_attempt(front):
-    peer = Peer("d1", done)
-    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, front=front, settings=LONG_DEADLINES) as harness:
         assert (await harness.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
         await harness.wait_until(lambda: harness.service.worker_connections._idle.get("d1"))
         client, recorded = await harness.client(), []
@@ -476,23 +478,23 @@
         await client.send(**LONG_TIMEOUT)
         await harness.wait_until(lambda: recorded and not harness.service.listener.clients)
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
-        assert not attempts_received([peer])
+        assert not attempts_received([worker])
 
 
 @FRONTS
 @trio_test
 async def test_client_that_half_closes_counts_as_disconnected(front, monkeypatch):
-    peer = Peer("d1", done)
-    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, front=front, settings=LONG_DEADLINES) as harness:
         gate = Gate(harness, monkeypatch)
-        await keep_connections(harness, gate, peer, 1)
+        await keep_connections(harness, gate, worker, 1)
         [client] = await send_requests(harness, 1)
         await harness.wait_until(lambda: gate.held == 1)
         when_connection_is_taken(monkeypatch, lambda: client.stream.socket.shutdown(socket.SHUT_WR))
         gate.open("d1")
         await harness.wait_until(lambda: not harness.service.listener.clients)
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
-        assert received_from_leaving_clients(peer) == []
+        assert received_from_leaving_clients(worker) == []
 
 
 # -- evictions and other closes by the listener
@@ -500,8 +502,8 @@
 
 @trio_test
 async def test_eviction_skips_a_kept_connection_with_an_unread_request():
-    peer = Peer("d1", done)
-    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, settings=LONG_DEADLINES) as harness:
         one, other = await harness.client(), await harness.client()
         for client, id in ((one, "r0"), (other, "r1")):
             assert (await client.ask(X_Request_ID=id, **LONG_TIMEOUT)).status == 200
@@ -520,7 +522,7 @@
 async def test_eviction_skips_a_new_connection_with_an_unread_request(monkeypatch):
     # New clients can be evicted at once.
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", -1.0)
-    async with running_service(Peer("d1", done), settings=LONG_DEADLINES) as harness:
+    async with running_service(ScriptedWorker("d1", done), settings=LONG_DEADLINES) as harness:
         one, other = await harness.client(), await harness.client()
         await harness.wait_until(lambda: len(harness.service.listener.clients) == 2)
         one.stream.socket._sock.send(raw_request("r2"))
@@ -578,7 +580,9 @@
 @trio_test
 async def test_in_a_flood_an_answer_survives_further_input_of_its_client(monkeypatch):
     monkeypatch.setattr(listener, "LINGER_TIMEOUT_SECONDS", 10.0)
-    async with running_service(Peer("d1", long_answer), settings=LONG_DEADLINES) as harness:
+    async with running_service(
+        ScriptedWorker("d1", long_answer), settings=LONG_DEADLINES
+    ) as harness:
         harness.service.listener.limit(1)  # more than half of the places are taken: a flood
         # So this is the last answer on its connection.
         harness.service.run_state.closing_connections = True
@@ -596,7 +600,9 @@
 
 @trio_test
 async def test_in_a_flood_unread_input_after_a_bad_request_resets_no_answer(monkeypatch):
-    async with running_service(Peer("d1", long_answer), settings=LONG_DEADLINES) as harness:
+    async with running_service(
+        ScriptedWorker("d1", long_answer), settings=LONG_DEADLINES
+    ) as harness:
         harness.service.listener.limit(1)
         client = await small_buffer_client(harness)
         await client.send(**LONG_TIMEOUT)
@@ -614,7 +620,7 @@
 
 @trio_test
 async def test_internal_error_is_answered_with_500_despite_further_input(monkeypatch):
-    async with running_service(Peer("d1", done), settings=LONG_DEADLINES) as harness:
+    async with running_service(ScriptedWorker("d1", done), settings=LONG_DEADLINES) as harness:
         monkeypatch.setattr(harness.service.front, "respond", None)
         client = await harness.client()
         when_reply_is_sent(monkeypatch, lambda: client.stream.socket._sock.send(raw_request("r2")))
@@ -624,8 +630,8 @@
 
 @trio_test
 async def test_eviction_skips_a_client_that_has_not_read_all_of_its_answer(monkeypatch):
-    peer = Peer("d1", long_answer)
-    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", long_answer)
+    async with running_service(worker, settings=LONG_DEADLINES) as harness:
         client = await small_buffer_client(harness)
         await client.send(**LONG_TIMEOUT)
         await harness.wait_until(
@@ -637,14 +643,16 @@
         client.stream.socket._sock.send(raw_request("r2"))  # its next request crosses the eviction
         assert len((await client.reply()).body) == len(LONG_RESULT)
         assert (await client.event()).status_code == 200
-        assert [e.id for e in peer.exchanges] == ["r1", "r2"]
+        assert [e.id for e in worker.exchanges] == ["r1", "r2"]
         await client.stream.aclose()
 
 
 @mock_clock_test
 async def test_client_that_never_reads_its_answer_is_evicted_after_the_send_timeout(monkeypatch):
     monkeypatch.setattr(client_connection, "SEND_TIMEOUT_SECONDS", 0.3)
-    async with running_service(Peer("d1", long_answer), settings=LONG_DEADLINES) as harness:
+    async with running_service(
+        ScriptedWorker("d1", long_answer), settings=LONG_DEADLINES
+    ) as harness:
         client = await small_buffer_client(harness)
         await client.send(**LONG_TIMEOUT)
         await harness.wait_until(
@@ -688,8 +696,8 @@
     close_idle, monkeypatch
 ):
     monkeypatch.setattr(listener, "LINGER_TIMEOUT_SECONDS", 10.0)
-    peer = Peer("d1", long_answer)
-    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", long_answer)
+    async with running_service(worker, settings=LONG_DEADLINES) as harness:
         client = await small_buffer_client(harness)
         await client.send(**LONG_TIMEOUT)
         await harness.wait_until(
@@ -709,14 +717,14 @@
         assert await read_to_end(client) == b""
         await client.stream.aclose()
         await harness.wait_until(lambda: not harness.service.listener.clients)
-        assert [e.id for e in peer.exchanges] == ["r1"]
+        assert [e.id for e in worker.exchanges] == ["r1"]
 
 
 @trio_test
 async def test_answer_written_as_a_drain_closes_survives_the_next_request(monkeypatch):
     monkeypatch.setattr(listener, "LINGER_TIMEOUT_SECONDS", 10.0)
-    peer = Peer("d1", long_answer)
-    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", long_answer)
+    async with running_service(worker, settings=LONG_DEADLINES) as harness:
         client = await small_buffer_client(harness)
         # After the reply was written, so that it can't carry "Connection: close".
         sent = when_reply_is_sent(monkeypatch, lambda: restart(harness))
@@ -734,13 +742,13 @@
         assert await read_to_end(client) == b""
         await client.stream.aclose()
         await harness.wait_until(lambda: not harness.service.listener.clients)
-        assert [e.id for e in peer.exchanges] == ["r1"]
+        assert [e.id for e in worker.exchanges] == ["r1"]
 
 
 @trio_test
 async def test_request_unread_as_a_drain_closes_is_served():
-    peer = Peer("d1", done)
-    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, settings=LONG_DEADLINES) as harness:
         client = await harness.client()
         assert (await client.ask(**LONG_TIMEOUT)).status == 200
         await harness.wait_until(
@@ -752,7 +760,7 @@
         restart(harness)
         reply = await client.reply()
         assert (reply.status, reply.headers["connection"]) == (200, "close")
-        assert [e.id for e in peer.exchanges] == ["r1", "r2"]
+        assert [e.id for e in worker.exchanges] == ["r1", "r2"]
 
 
 PARTIAL_REQUEST = raw_request("half")[:60]
@@ -760,9 +768,9 @@
 
 @mock_clock_test
 async def test_partial_request_completed_before_the_drain_deadline_is_served():
-    peer = Peer("d1", done)
+    worker = ScriptedWorker("d1", done)
     async with running_service(
-        peer, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
+        worker, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
     ) as harness:
         client = await harness.client()
         await client.stream.send_all(PARTIAL_REQUEST)
@@ -781,7 +789,9 @@
 @mock_clock_test
 async def test_partial_request_does_not_extend_a_drain_beyond_its_grace(read):
     async with running_service(
-        Peer("d1", done), settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
+        ScriptedWorker("d1", done),
+        settings=LONG_DEADLINES,
+        timing={"linger_ms": 50, "grace_ms": 1400},
     ) as harness:
         client = await harness.client()
         await harness.wait_until(lambda: harness.service.listener.clients)
@@ -809,13 +819,13 @@
     async def hangs(exchange):
         await trio.sleep_forever()
 
-    peer = Peer("d1", hangs)
+    worker = ScriptedWorker("d1", hangs)
     async with running_service(
-        peer, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
+        worker, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
     ) as harness:
         client = await harness.client()
         await client.stream.send_all(raw_request("waits"))
-        await harness.wait_until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: worker.exchanges)
         began = trio.current_time()
         harness.nursery.start_soon(harness.service.drain)
         assert (await client.stream.receive_some()).startswith(b"HTTP/1.1 502 ")
@@ -826,9 +836,9 @@
 
 @mock_clock_test
 async def test_request_completed_after_the_drain_deadline_is_not_accepted(monkeypatch):
-    peer = Peer("d1", done)
+    worker = ScriptedWorker("d1", done)
     async with running_service(
-        peer, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
+        worker, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
     ) as harness:
         real = harness.service.engine.fail_all
 
@@ -848,7 +858,7 @@
         with suppress(trio.BrokenResourceError):
             assert await client.stream.receive_some() == b""
         await harness.ended.wait()
-        assert not peer.exchanges
+        assert not worker.exchanges
 
 
 @FRONTS
@@ -858,13 +868,13 @@
         await go_on.wait()
         await exchange.done()
 
-    go_on, peer = trio.Event(), Peer("d1", waits)
+    go_on, worker = trio.Event(), ScriptedWorker("d1", waits)
     previous = {
         number: signal.signal(number, lambda *_: None) for number in (signal.SIGTERM, signal.SIGHUP)
     }
     try:
         async with running_service(
-            peer,
+            worker,
             front=front,
             settings=LONG_DEADLINES,
             signals=True,
@@ -872,7 +882,7 @@
         ) as harness:
             client = await harness.client()
             await client.send(**LONG_TIMEOUT)
-            await harness.wait_until(lambda: peer.exchanges)
+            await harness.wait_until(lambda: worker.exchanges)
             harness.raw["timing"] = {"linger_ms": 60, "grace_ms": 4000}
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 os.kill(os.getpid(), number)  # no event loop iteration between them
@@ -904,7 +914,7 @@
     }
     try:
         async with running_service(
-            Peer("d1", done), signals=True, timing={"linger_ms": 20, "grace_ms": 1000}
+            ScriptedWorker("d1", done), signals=True, timing={"linger_ms": 20, "grace_ms": 1000}
         ) as harness:
             real = harness.service.worker_connections.close
 
@@ -925,8 +935,8 @@
 
 @trio_test
 async def test_backlog_at_the_listener_close_is_served_up_to_the_limit_and_reset_beyond():
-    peer = Peer("d1", done)
-    async with running_service(peer, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, settings=LONG_DEADLINES) as harness:
         late = [socket.create_connection(harness.service.listener.address) for _ in range(3)]
         for i, sock in enumerate(late):
             sock.sendall(raw_request(f"r{i}"))
@@ -938,7 +948,7 @@
             assert (await stream.receive_some()).startswith(b"HTTP/1.1 200 ")
         with pytest.raises(trio.BrokenResourceError):
             await streams[2].receive_some()
-        assert sorted(e.id for e in peer.exchanges) == ["r0", "r1"]
+        assert sorted(e.id for e in worker.exchanges) == ["r0", "r1"]
         for stream in streams:
             await stream.aclose()
 
@@ -950,8 +960,8 @@
 @FRONTS
 @trio_test
 async def test_requests_followed_at_once_by_a_close_get_no_attempt(front, raw):
-    peer = Peer("d1", done)
-    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, front=front, settings=LONG_DEADLINES) as harness:
         assert (await harness.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
         # An attempt on the idle connection is sent without waiting.
         await harness.wait_until(lambda: harness.service.worker_connections._idle.get("d1"))
@@ -968,13 +978,15 @@
             )
         )
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
-        assert received_from_leaving_clients(peer) == []
+        assert received_from_leaving_clients(worker) == []
 
 
 @mock_clock_test
 async def test_answer_that_is_not_read_times_out_and_frees_its_place(monkeypatch):
     monkeypatch.setattr(client_connection, "SEND_TIMEOUT_SECONDS", 0.3)
-    async with running_service(Peer("d1", long_answer), settings=LONG_DEADLINES) as harness:
+    async with running_service(
+        ScriptedWorker("d1", long_answer), settings=LONG_DEADLINES
+    ) as harness:
         client = await small_buffer_client(harness)
         await harness.wait_until(lambda: harness.service.listener.clients)
         [served] = harness.service.listener.clients
@@ -994,11 +1006,11 @@
 @FRONTS
 @trio_test
 async def test_timeout_that_is_no_number_of_milliseconds_gets_400_before_any_attempt(front, given):
-    peer = Peer("d1", done)
-    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, front=front, settings=LONG_DEADLINES) as harness:
         assert (await harness.ask(X_Timeout_Ms=given)).status == 400
         assert (
-            not peer.exchanges
+            not worker.exchanges
             and not harness.service.engine.pending
             and not harness.service.open_requests.ids
         )
@@ -1013,14 +1025,14 @@
         raw = head + b"Transfer-Encoding: chunked\r\n\r\n" + b"4000\r\n%s\r\n" % (b"x" * 0x4000) * 5
     else:
         raw = head + b"Content-Length: 81920\r\n\r\n" + b"x" * 81920
-    peer = Peer("d1", done)
-    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, front=front, settings=LONG_DEADLINES) as harness:
         client = await harness.client()
         client.stream.socket._sock.send(raw)
         received = b""
         while b"\r\n\r\n" not in received:
             received += await client.stream.receive_some()
-        assert received.startswith(b"HTTP/1.1 413 ") and not peer.exchanges
+        assert received.startswith(b"HTTP/1.1 413 ") and not worker.exchanges
         await client.stream.aclose()
 
 
@@ -1028,7 +1040,9 @@
 @mock_clock_test
 async def test_flood_of_partial_requests_displaces_no_working_client(front, monkeypatch):
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.05)
-    async with running_service(Peer("d1", done), front=front, limits={"sockets": 80}) as harness:
+    async with running_service(
+        ScriptedWorker("d1", done), front=front, limits={"sockets": 80}
+    ) as harness:
         flood = []
         for i in range(4):
             for _ in range(40):
@@ -1084,11 +1098,11 @@
         await (incomplete_answer if len(all_exchanges()) == 1 else done)(exchange)
 
     def all_exchanges():
-        return [e for p in peers for e in p.exchanges]
+        return [e for p in workers for e in p.exchanges]
 
     for target, attempts in (("/tour", 2), ("/once", 1)):
-        peers = [Peer("d1", script), Peer("d2", script)]
-        async with running_service(*peers, front=front, settings=LONG_DEADLINES) as harness:
+        workers = [ScriptedWorker("d1", script), ScriptedWorker("d2", script)]
+        async with running_service(*workers, front=front, settings=LONG_DEADLINES) as harness:
             reply = await harness.ask(target, **LONG_TIMEOUT)
             assert len(all_exchanges()) == attempts
             if front == "progress":
@@ -1133,8 +1147,8 @@
 @FRONTS
 @trio_test
 async def test_input_after_a_final_message_is_never_another_requests_result(front, unusual_answer):
-    peer = Peer("d1", unusual_answer)
-    async with running_service(peer, front=front, settings=LONG_DEADLINES) as harness:
+    worker = ScriptedWorker("d1", unusual_answer)
+    async with running_service(worker, front=front, settings=LONG_DEADLINES) as harness:
         for i in range(4):
             reply = await harness.ask("/once", X_Request_ID=f"r{i}", **LONG_TIMEOUT)
             assert (
@@ -1142,7 +1156,7 @@
                 and reply.body.count(b"profile") == 1
                 and b"another" not in reply.body
             )
-        assert [e.id for e in peer.exchanges] == ["r0", "r1", "r2", "r3"]
+        assert [e.id for e in worker.exchanges] == ["r0", "r1", "r2", "r3"]
 
 
 async def reports_lost(exchange):
@@ -1154,7 +1168,9 @@
 @trio_test
 async def test_answer_that_arrives_with_the_timeout_is_the_only_one(front, script, served):
     """The policy fails a request in the event loop iteration in which its attempt has ended."""
-    async with running_service(Peer("d1", script), front=front, settings=LONG_DEADLINES) as harness:
+    async with running_service(
+        ScriptedWorker("d1", script), front=front, settings=LONG_DEADLINES
+    ) as harness:
         real, engine = harness.service.subsystem_context.run_attempt, harness.service.engine
 
         async def attempt(attempt):
@@ -1184,8 +1200,8 @@
 async def test_connect_timeout_is_retried_elsewhere_for_any_class(
     monkeypatch,
 ):
-    peers = [Peer("d1", done), Peer("d2", done)]
-    async with running_service(*peers, settings=LONG_DEADLINES) as harness:
+    workers = [ScriptedWorker("d1", done), ScriptedWorker("d2", done)]
+    async with running_service(*workers, settings=LONG_DEADLINES) as harness:
         real, tried = Connection.open, []
 
         async def open_connection(address, *args):
@@ -1198,7 +1214,7 @@
         assert (await harness.ask("/once", **LONG_TIMEOUT)).status == 200
         assert len(tried) == 2 and tried[0] != tried[1]
         assert (
-            sum(len(p.exchanges) for p in peers) == 1
+            sum(len(p.exchanges) for p in workers) == 1
             and harness.service.worker_connections.open == 1
         )
 
@@ -1207,14 +1223,14 @@
 async def test_worker_closing_between_idle_check_and_write_fails_no_idempotent_request(
     monkeypatch,
 ):
-    peer, other = Peer("d1", done), Peer("d2", done)
-    async with running_service(peer, other, settings=LONG_DEADLINES) as harness:
+    worker, other = ScriptedWorker("d1", done), ScriptedWorker("d2", done)
+    async with running_service(worker, other, settings=LONG_DEADLINES) as harness:
         gate = Gate(harness, monkeypatch)
         gate.worker = "d1"
         assert (await harness.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
 
         def closes():
-            for stream in list(peer.live):
+            for stream in list(worker.live):
                 stream.socket.close()
             gate.worker = "d2"
 
@@ -1227,16 +1243,16 @@
             if (
                 connection is idle_connection.http.connection
                 and not connection.closed
-                and peer.live
+                and worker.live
             ):
                 closes()
-                peer.live.clear()
+                worker.live.clear()
             return state
 
         monkeypatch.setattr(Connection, "check_idle", check_idle)
         assert (await harness.ask(X_Request_ID="r1", **LONG_TIMEOUT)).status == 200
-        assert has_no_failures(harness, peer)
-        assert [e.id for p in (peer, other) for e in p.exchanges] == ["r0", "r1"]
+        assert has_no_failures(harness, worker)
+        assert [e.id for p in (worker, other) for e in p.exchanges] == ["r0", "r1"]
 
 
 @trio_test
@@ -1245,12 +1261,12 @@
         await go_on.wait()
         await exchange.done()
 
-    go_on, peers = trio.Event(), [Peer("d1", waits), Peer("d2", waits)]
-    async with running_service(*peers, settings=LONG_DEADLINES) as harness:
+    go_on, workers = trio.Event(), [ScriptedWorker("d1", waits), ScriptedWorker("d2", waits)]
+    async with running_service(*workers, settings=LONG_DEADLINES) as harness:
         harness.service.worker_connections.limit(1)
         first = await harness.client()
         await first.send(**LONG_TIMEOUT)
-        await harness.wait_until(lambda: any(p.exchanges for p in peers))
+        await harness.wait_until(lambda: any(p.exchanges for p in workers))
         # It was not sent, so a request of any class can be rejected.
         assert (await harness.ask("/once", X_Request_ID="r2", **LONG_TIMEOUT)).status == 503
         assert harness.service.worker_connections.open == 1
@@ -1262,37 +1278,37 @@
 
 @mock_clock_test
 async def test_worker_that_stops_reading_until_the_deadline_never_gets_the_last_byte(monkeypatch):
-    peer = SlowReader("d1", done)
-    async with running_service(peer, timing={"answer_margin_ms": 400}) as harness:
+    worker = SlowReader("d1", done)
+    async with running_service(worker, timing={"answer_margin_ms": 400}) as harness:
         open_with_little_room(monkeypatch)
         reply = await harness.ask("/once", body=b"x" * 60000, X_Timeout_Ms="900")
         assert reply.status in (502, 503)
-        peer.reads.set()
-        await peer.ended.wait()
-        assert not peer.exchanges
+        worker.reads.set()
+        await worker.ended.wait()
+        assert not worker.exchanges
 
 
 @pytest.mark.parametrize("after, again", [(1.0, True), (4.8, False)])
 @mock_clock_test
 async def test_keyed_request_that_may_have_run_is_retried_only_within_its_window(after, again):
     async def reset_later(exchange):
-        if len(peers[0].exchanges) + len(peers[1].exchanges) > 1:
+        if len(workers[0].exchanges) + len(workers[1].exchanges) > 1:
             await exchange.done()
         else:
             await trio.sleep(after)
             exchange.reset()
 
     # Both in one cell, in which keys are deduplicated.
-    peers = [Peer("d1", reset_later), Peer("d2", reset_later)]
+    workers = [ScriptedWorker("d1", reset_later), ScriptedWorker("d2", reset_later)]
     # The latency objective leaves time for a second attempt in both cases.
     settings = {
         "request_classes": [{**c, "aim": 16000.0} for c in LONG_DEADLINES["request_classes"]]
     }
-    async with running_service(*peers, settings=settings) as harness:
+    async with running_service(*workers, settings=settings) as harness:
         reply = await harness.ask("/save", Idempotency_Key="k1", **LONG_TIMEOUT)
         # 502 and not 503, which would state that the request never ran.
         assert reply.status == (200 if again else 502)
-        assert attempts_received(peers) == (2 if again else 1)
+        assert attempts_received(workers) == (2 if again else 1)
 
 
 @pytest.mark.parametrize("known", [True, False])
@@ -1301,10 +1317,10 @@
     async def silent(exchange):
         await exchange.closed()
 
-    peer = Peer("d1", done)
+    worker = ScriptedWorker("d1", done)
     async with trio.open_nursery() as nursery:
-        await nursery.start(peer.serve)
-        discovery = Discovery([peer])
+        await nursery.start(worker.serve)
+        discovery = Discovery([worker])
         config = tmp_path / "config.json"
         raw = {
             "listen": "127.0.0.1:0",
@@ -1312,11 +1328,11 @@
             "settings": SETTINGS,
         }
         if known:
-            raw["known"] = {"version": 1, "full": True, "servers": [peer.entry()]}
+            raw["known"] = {"version": 1, "full": True, "servers": [worker.entry()]}
         config.write_text(ujson.dumps(raw))
-        discovery.peer.script = silent
+        discovery.server.script = silent
         async with program(nursery, config) as running:
-            while not discovery.peer.exchanges:
+            while not discovery.server.exchanges:
                 await trio.sleep(0.005)
             # A request from before the signal still gets its answer.
             reply = await running.ask(X_Request_ID="r1")
@@ -1338,7 +1354,7 @@
         await trio.sleep(0.04)  # the next attempt is running by then
         await exchange.status(503, "X-Not-Processed: 1")
 
-    class ConcurrentReader(Peer):
+    class ConcurrentReader(ScriptedWorker):
         async def _converse(self, stream):
             """Read the next request while the script runs, as a worker that sends an answer twice does."""
             async with trio.open_nursery() as nursery:
@@ -1363,9 +1379,9 @@
                         break
                 nursery.cancel_scope.cancel()
 
-    peer = ConcurrentReader("d1", done)
+    worker = ConcurrentReader("d1", done)
     # So that the next attempt follows soon.
     settings = {"specifics": {"tells_start": True, "progress": 0.0}}
-    async with running_service(peer, settings=settings) as harness:
+    async with running_service(worker, settings=settings) as harness:
         assert (await harness.ask("/once")).status == 200
-        assert attempts_received([peer]) == 2  # one rejected, one served
+        assert attempts_received([worker]) == 2  # one rejected, one served
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 
 import pytest
 from fleet_world import World
-from helper import SETTINGS, Peer, done, running_service, trio_test
+from helper import SETTINGS, ScriptedWorker, done, running_service, trio_test
 
 from yewrill import Dispatcher, Settings
 from yewrill.config.errors import ConfigError
@@ -151,8 +151,8 @@
 
 @trio_test
 async def test_discovery_call_answered_with_503_keeps_the_list_and_is_followed_by_a_call_for_changes():
-    peer = Peer("a", done)
-    async with running_service(peer) as harness:
+    worker = ScriptedWorker("a", done)
+    async with running_service(worker) as harness:
 
         async def busy(exchange):
             harness.discovery.calls.append((0.0, exchange.target))
@@ -160,12 +160,12 @@
                 b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
             )
 
-        original_script, harness.discovery.peer.script = harness.discovery.peer.script, busy
+        original_script, harness.discovery.server.script = harness.discovery.server.script, busy
         before = len(harness.discovery.calls)
-        harness.discovery.tell(peer.entry())  # ends the pending call
+        harness.discovery.tell(worker.entry())  # ends the pending call
         await harness.wait_until(lambda: len(harness.discovery.calls) >= before + 3)
         assert all("from=" in target for _, target in harness.discovery.calls[before:])
         assert (await harness.ask()).status == 200
-        harness.discovery.peer.script = original_script
-        harness.discovery.tell({**peer.entry(), "state": "DRAINING"})
+        harness.discovery.server.script = original_script
+        harness.discovery.tell({**worker.entry(), "state": "DRAINING"})
         await harness.wait_until(lambda: not harness.service.endpoints.may_send("a"))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -12,7 +12,7 @@
 
 import pytest
 import ujson
-from helper import SETTINGS, Peer, running_service, trio_test
+from helper import SETTINGS, ScriptedWorker, running_service, trio_test
 
 from yewrill.observability.logs import (
     MAX_QUEUED_LINES,
@@ -167,7 +167,8 @@
     out = io.StringIO()
     with logging_to(out, "INFO", "json"):
         async with running_service(
-            Peer("d1", malformed_response), tracing={"file": str(tmp_path / "t"), "share": 0.0}
+            ScriptedWorker("d1", malformed_response),
+            tracing={"file": str(tmp_path / "t"), "share": 0.0},
         ) as harness:
             assert (await harness.ask("/once", X_Request_ID="r1")).status == 502
             await harness.wait_until(
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 import ujson
-from helper import Peer, done, running_service, trio_test
+from helper import ScriptedWorker, done, running_service, trio_test
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -302,7 +302,7 @@
 @trio_test
 async def test_service_reports_members_on_its_management_listener_only_if_configured():
     async with running_service(
-        Peer("d1", done),
+        ScriptedWorker("d1", done),
         mgmt="127.0.0.1:0",
         members={
             "listen": "127.0.0.1:0",
@@ -316,7 +316,7 @@
         assert [(m["name"], m["zone"]) for m in status["members"]] == [("yewrill", "north")]
         assert b"members_suspected:0|c" in (await harness.call("GET /_vars")).body
         assert (await harness.ask()).status == 200
-    async with running_service(Peer("d1", done), mgmt="127.0.0.1:0") as harness:
+    async with running_service(ScriptedWorker("d1", done), mgmt="127.0.0.1:0") as harness:
         assert (
             not harness.service.subsystems and (await harness.call("GET /_members")).status == 404
         )
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -13,7 +13,7 @@
 import pytest
 import trio
 import trio.testing
-from helper import Client, Peer, done, mock_clock_test, running_service, trio_test
+from helper import Client, ScriptedWorker, done, mock_clock_test, running_service, trio_test
 
 from yewrill.config.reading import read_config
 from yewrill.dispatch.outcome import AttemptOutcome
@@ -32,7 +32,7 @@
 
 @trio_test
 async def test_the_management_listener_answers_ready_and_rejects_wrong_calls():
-    async with running_service(Peer("d1", done), **MGMT) as harness:
+    async with running_service(ScriptedWorker("d1", done), **MGMT) as harness:
         assert (await harness.call("GET /_ready")).status == 200
         for call, status in (
             ("GET /_nothing", 404),
@@ -47,7 +47,7 @@
 
 @mock_clock_test
 async def test_silent_management_callers_delay_no_call_and_are_closed():
-    async with running_service(Peer("d1", done), **MGMT) as harness:
+    async with running_service(ScriptedWorker("d1", done), **MGMT) as harness:
         began = trio.current_time()
         silent = [
             await trio.open_tcp_stream(*harness.service.management.address) for _ in range(40)
@@ -68,7 +68,7 @@
 
 @trio_test
 async def test_without_mgmt_there_is_no_management_listener():
-    async with running_service(Peer("d1", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done)) as harness:
         assert harness.service.management is None
 
 
@@ -91,14 +91,14 @@
 
 
 @asynccontextmanager
-async def hot_restart_service(*peers, **config):
+async def hot_restart_service(*workers, **config):
     with tempfile.TemporaryDirectory() as directory:
         # A path that is longer than a Unix socket address, as a platform may use.
         deep = os.path.join(directory, "d" * 120)
         os.mkdir(deep)
         shared = Shared(deep)
         async with running_service(
-            *peers, environment=shared.environment(), **{**MGMT, **config}
+            *workers, environment=shared.environment(), **{**MGMT, **config}
         ) as harness:
             harness.shared = shared
             harness.old_process = harness.service
@@ -118,19 +118,19 @@
 @pytest.mark.parametrize("front", ["platform", "progress"])
 @trio_test
 async def test_a_hot_restart_leaves_no_gap_and_the_old_process_answers_what_it_accepted(front):
-    peer, gate = Peer("d1", None), trio.Event()
+    worker, gate = ScriptedWorker("d1", None), trio.Event()
 
     async def waits(exchange):
         if exchange.id == "slow":
             await gate.wait()
         await exchange.done()
 
-    peer.script = waits
-    async with hot_restart_service(peer, front=front) as harness:
+    worker.script = waits
+    async with hot_restart_service(worker, front=front) as harness:
         slow, kept, unread = [await harness.shared.client() for _ in range(3)]
         await slow.send(X_Request_ID="slow")
         await harness.wait_until(
-            lambda: peer.exchanges and len(harness.old_process.listener.clients) == 3
+            lambda: worker.exchanges and len(harness.old_process.listener.clients) == 3
         )
         new_process = await start_new_process(harness)
         assert (await harness.call("GET /_ready")).status == 200
@@ -158,7 +158,7 @@
 
 @trio_test
 async def test_the_old_process_knows_the_new_one_as_soon_as_that_is_ready():
-    async with hot_restart_service(Peer("d1", done)) as harness:
+    async with hot_restart_service(ScriptedWorker("d1", done)) as harness:
         new_process = await start_new_process(harness)
         # The platform sends SIGTERM once the new process is ready: the old one must know of it by then.
         assert new_process.run_state.serving and harness.old_process.hot_restart.new_process_ready
@@ -167,17 +167,17 @@
 
 @trio_test
 async def test_an_id_open_in_one_process_is_in_use_in_the_other():
-    gate, peer = trio.Event(), Peer("d1", None)
+    gate, worker = trio.Event(), ScriptedWorker("d1", None)
 
     async def waits(exchange):
         await gate.wait()
         await exchange.done()
 
-    peer.script = waits
-    async with hot_restart_service(peer) as harness:
+    worker.script = waits
+    async with hot_restart_service(worker) as harness:
         before = await harness.shared.client()
         await before.send(X_Request_ID="r7")
-        await harness.wait_until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: worker.exchanges)
         new_process = await start_new_process(harness)
         assert new_process.hot_restart.open_elsewhere("r7")  # from the old process's snapshot
         harness.old_process.listener.stop_accepting()
@@ -195,7 +195,7 @@
 @pytest.mark.parametrize("leftover", ["nobody", "silent", "not a socket"])
 @mock_clock_test
 async def test_a_leftover_path_or_a_silent_old_process_does_not_delay_a_start(leftover):
-    async with hot_restart_service(Peer("d1", done)) as harness:
+    async with hot_restart_service(ScriptedWorker("d1", done)) as harness:
         path = harness.shared.link()
         harness.old_process.hot_restart.close()
         other = socket.socket(socket.AF_UNIX)
@@ -223,7 +223,7 @@
     """The two parts must add up to the total, and the old process keeps the descriptors that it uses."""
     # On a slow machine, clients may be connected for longer than this age.
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.0)
-    async with hot_restart_service(Peer("d1", done), limits={"sockets": 384}) as harness:
+    async with hot_restart_service(ScriptedWorker("d1", done), limits={"sockets": 384}) as harness:
         old_process, clients = harness.service, []
         for used in (0, 30, 120, 200, 280, 384):
             while len(old_process.listener.clients) < min(used, old_process.listener._max_clients):
@@ -251,7 +251,7 @@
 
 @trio_test
 async def test_the_old_process_uses_all_descriptors_again_when_the_new_one_dies():
-    async with hot_restart_service(Peer("d1", done)) as harness:
+    async with hot_restart_service(ScriptedWorker("d1", done)) as harness:
         whole = harness.old_process.listener._max_clients
         new_process = await start_new_process(harness)
         assert harness.old_process.listener._max_clients < whole
@@ -270,7 +270,7 @@
 async def test_a_detached_worker_gets_no_requests_whatever_discovery_lists_until_attached(
     front,
 ):
-    one, other = Peer("d1", done), Peer("d2", done)
+    one, other = ScriptedWorker("d1", done), ScriptedWorker("d2", done)
     async with running_service(one, other, front=front, **MGMT) as harness:
         ids = iter(range(1000))
 
@@ -316,7 +316,7 @@
 
 @trio_test
 async def test_an_attempt_already_picked_is_not_sent_to_a_detached_worker():
-    one = Peer("d1", done)
+    one = ScriptedWorker("d1", done)
     async with running_service(one, **MGMT) as harness:
         service = harness.service
         request = Request("r1", 0, service.engine.now() + 2000.0)
@@ -329,8 +329,8 @@
 
 @trio_test
 async def test_detached_workers_stay_detached_over_a_hot_restart_and_either_process_attaches():
-    peers = [Peer(f"d{i}", done) for i in range(5)]
-    async with hot_restart_service(*peers) as harness:
+    workers = [ScriptedWorker(f"d{i}", done) for i in range(5)]
+    async with hot_restart_service(*workers) as harness:
         for name in ("d0", "d1", "d2"):
             assert (await harness.call(DETACH + name)).status == 200
         assert (await harness.call(ATTACH + "d2")).status == 200
@@ -351,13 +351,13 @@
             "d3",
         ]
         old_process.listener.stop_accepting()
-        harness.discovery.tell(*(p.entry() for p in peers), full=True)
+        harness.discovery.tell(*(p.entry() for p in workers), full=True)
         await harness.wait_until(lambda: new_process.endpoints.version == harness.discovery.version)
         client, ids = await harness.shared.client(), iter(range(10_000))
         with trio.fail_after(5):
-            while not peers[0].exchanges:
+            while not workers[0].exchanges:
                 assert (await client.ask(X_Request_ID=f"r{next(ids)}")).status == 200
-        assert not peers[1].exchanges and not peers[3].exchanges
+        assert not workers[1].exchanges and not workers[3].exchanges
 
 
 def test_a_reattached_worker_is_cold_not_ejected_and_first_in_line_until_it_starts_one():
@@ -408,12 +408,12 @@
             await gate.wait()
         await exchange.done()
 
-    peers = [Peer(f"d{i}", waits) for i in range(4)]
-    async with running_service(*peers, front=front, **MGMT) as harness:
+    workers = [ScriptedWorker(f"d{i}", waits) for i in range(4)]
+    async with running_service(*workers, front=front, **MGMT) as harness:
         asks, idle, works, slow = [await harness.client() for _ in range(4)]
         assert (await asks.ask("/up", "GET")).status == 200
         await slow.send(X_Request_ID="slow", X_Timeout_Ms="3000")
-        await harness.wait_until(lambda: any(p.exchanges for p in peers))
+        await harness.wait_until(lambda: any(p.exchanges for p in workers))
         assert (await harness.call("PUT /_lameduck/on")).status == 200
         began = trio.current_time()
         up = await asks.ask("/up", "GET")  # immediately, also on an open connection
@@ -450,7 +450,7 @@
 
 @trio_test
 async def test_the_operators_drain_applies_to_both_processes_of_a_hot_restart():
-    async with hot_restart_service(Peer("d1", done)) as harness:
+    async with hot_restart_service(ScriptedWorker("d1", done)) as harness:
         assert (await harness.call("PUT /_lameduck/on")).status == 200
         old_process, new_process = harness.old_process, await start_new_process(harness)
         assert (
@@ -483,7 +483,7 @@
         else:
             await exchange.done()
 
-    one = Peer("d1", script)
+    one = ScriptedWorker("d1", script)
     async with running_service(one, front=front, **MGMT) as harness:
         counts = await metrics(harness)
         assert counts == {
@@ -554,7 +554,7 @@
         await gate.wait()
         await exchange.done()
 
-    one = Peer("d1", waits)
+    one = ScriptedWorker("d1", waits)
     async with running_service(one, **MGMT) as harness:
         client = await harness.client()
         await client.send()
@@ -604,12 +604,12 @@
         else:
             await exchange.done()
 
-    seen, peers = set(), [Peer(f"d{i}", fails) for i in range(3)]
+    seen, workers = set(), [ScriptedWorker(f"d{i}", fails) for i in range(3)]
 
     def served(reply):
         return reply.status == 200 and (front == "platform" or b"event: served" in reply.body)
 
-    async with running_service(*peers, front=front, signals=True, **MGMT) as harness:
+    async with running_service(*workers, front=front, signals=True, **MGMT) as harness:
         old, dropped, new = [await harness.client() for _ in range(3)]
         await old.send("/tour", X_Request_ID="old")  # idempotent
         await dropped.send("/once", X_Request_ID="dropped")  # not idempotent
@@ -649,22 +649,22 @@
             await gate.wait()
         await exchange.status(503, "X-Not-Processed: 1")
 
-    peers = [Peer(f"d{i}", errs) for i in range(8)]
-    async with running_service(*peers, **MGMT) as harness:
+    workers = [ScriptedWorker(f"d{i}", errs) for i in range(8)]
+    async with running_service(*workers, **MGMT) as harness:
         held = await harness.client()
         await held.send(X_Request_ID="open")
-        await harness.wait_until(lambda: any(p.exchanges for p in peers))
+        await harness.wait_until(lambda: any(p.exchanges for p in workers))
         reconfigure(harness, limits={"try_limit": 2})
         gate.set()
         assert (await held.reply()).status == 503
         await harness.ask(X_Request_ID="later")
         for id in ("open", "later"):
-            assert sum(e.id == id for p in peers for e in p.exchanges) == 2
+            assert sum(e.id == id for p in workers for e in p.exchanges) == 2
 
 
 @trio_test
 async def test_a_faulty_configuration_is_rejected_as_a_whole():
-    one = Peer("d1", done)
+    one = ScriptedWorker("d1", done)
     async with running_service(one, **MGMT) as harness:
         good, calls = copy.deepcopy(harness.raw), len(harness.discovery.calls)
         old_config = harness.service.config
@@ -805,7 +805,7 @@
 
 @trio_test
 async def test_new_processes_find_the_old_one_after_an_exception_in_its_accept_loop(monkeypatch):
-    async with hot_restart_service(Peer("d1", done)) as harness:
+    async with hot_restart_service(ScriptedWorker("d1", done)) as harness:
         accept, faults = HotRestart._accept, []
 
         async def fails_once(self, sock):
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -5,7 +5,7 @@
 """
 
 import pytest
-from helper import Peer, done, running_service, trio_test
+from helper import ScriptedWorker, done, running_service, trio_test
 
 CLASS_DEADLINE_MS = 3000  # of the helper's settings
 REQUESTS = 20
@@ -17,8 +17,8 @@
 async def test_one_client_with_a_long_timeout_does_not_cause_rejections_on_an_idle_fleet(
     longest, usual
 ):
-    peers = [Peer(f"d{i}", done) for i in range(3)]
-    async with running_service(*peers) as harness:
+    workers = [ScriptedWorker(f"d{i}", done) for i in range(3)]
+    async with running_service(*workers) as harness:
         for number in range(REQUESTS):
             reply = await harness.ask(X_Request_ID=f"before{number}", X_Timeout_Ms=str(usual))
             assert reply.status == 200
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,7 +11,7 @@
 from helper import (
     SETTINGS,
     Discovery,
-    Peer,
+    ScriptedWorker,
     done,
     hang,
     mock_clock_test,
@@ -30,8 +30,8 @@
 
 @trio_test
 async def test_request_is_forwarded_whole_and_its_result_is_the_body():
-    peer = Peer("d1", done)
-    async with running_service(peer) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker) as harness:
         client = await harness.client()
         for i in range(3):
             reply = await client.ask(
@@ -42,11 +42,11 @@
                 Cookie="user=7",
             )
             assert (reply.status, reply.body) == (200, b"profile")
-        seen = peer.exchanges[-1]
+        seen = worker.exchanges[-1]
         assert (seen.target, seen.body, seen.id) == ("/tour/a?b=%20c", b"route", "r2")
         assert seen.headers["idempotency-key"] == "k1" and seen.headers["cookie"] == "user=7"
         assert 0 < int(seen.headers["x-timeout-ms"]) < 2000
-        assert peer.connections == 1  # reused for all requests
+        assert worker.connections == 1  # reused for all requests
 
 
 def fail_first_attempt(failure):
@@ -142,16 +142,16 @@
 async def test_attempt_that_may_have_run_is_retried_only_as_its_class_allows(failure, never_ran):
     for target, again in (("/tour", True), ("/once", never_ran)):
         script = fail_first_attempt(failure)
-        peers = [Peer("d1", script), Peer("d2", script)]
-        async with running_service(*peers) as harness:
+        workers = [ScriptedWorker("d1", script), ScriptedWorker("d2", script)]
+        async with running_service(*workers) as harness:
             reply = await harness.ask(target)
             assert reply.status == (200 if again else 502)
-            assert sum(len(p.exchanges) for p in peers) == (2 if again else 1)
+            assert sum(len(p.exchanges) for p in workers) == (2 if again else 1)
 
 
 @trio_test
 async def test_refused_connection_is_retried_elsewhere_for_any_class():
-    dead, alive = Peer("d0", done), Peer("d1", done)
+    dead, alive = ScriptedWorker("d0", done), ScriptedWorker("d1", done)
     async with running_service(dead, alive) as harness:
         with socket.socket() as unused:  # a port without a listener
             unused.bind(("127.0.0.1", 0))
@@ -170,7 +170,9 @@
         await exchange.closed()
         connection_closed.set()
 
-    async with running_service(Peer("d1", silent), timing={"answer_margin_ms": 400}) as harness:
+    async with running_service(
+        ScriptedWorker("d1", silent), timing={"answer_margin_ms": 400}
+    ) as harness:
         began = trio.current_time()
         reply = await harness.ask(X_Timeout_Ms="900")
         assert reply.status == 502 and 0.4 < trio.current_time() - began < 0.9
@@ -179,25 +181,25 @@
 
 @trio_test
 async def test_client_that_leaves_stops_its_pending_retry():
-    peers = [Peer("d1", hang), Peer("d2", hang)]
-    async with running_service(*peers) as harness:
+    workers = [ScriptedWorker("d1", hang), ScriptedWorker("d2", hang)]
+    async with running_service(*workers) as harness:
         client = await harness.client()
         await client.send(X_Timeout_Ms="600")
-        await harness.wait_until(lambda: any(p.exchanges for p in peers))
+        await harness.wait_until(lambda: any(p.exchanges for p in workers))
         await client.stream.aclose()
         await harness.wait_until(lambda: not harness.service.listener.clients)
-        for peer in peers:
-            for stream in list(peer.live):
+        for worker in workers:
+            for stream in list(worker.live):
                 await trio.aclose_forcefully(stream)  # ends the attempt: no second one may follow
-        for peer in peers:
-            peer.script = done
+        for worker in workers:
+            worker.script = done
         assert (await harness.ask(X_Request_ID="r2")).status == 200
-        assert [e.id for p in peers for e in p.exchanges if e.id == "r1"] == ["r1"]
+        assert [e.id for p in workers for e in p.exchanges if e.id == "r1"] == ["r1"]
 
 
 @mock_clock_test
 async def test_request_without_any_worker_is_rejected_at_once_with_retry_after():
-    async with running_service(Peer("d1", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done)) as harness:
         harness.discovery.tell(full=True)  # a full list without workers removes all of them
         await harness.wait_until(lambda: len(harness.service.endpoints) == 0)
         began = trio.current_time()
@@ -214,11 +216,11 @@
 
 @trio_test
 async def test_draining_worker_gets_no_request_and_its_idle_connections_are_closed():
-    peers = [Peer("d1", done), Peer("d2", done)]
-    async with running_service(*peers) as harness:
+    workers = [ScriptedWorker("d1", done), ScriptedWorker("d2", done)]
+    async with running_service(*workers) as harness:
         for i in range(8):
             await harness.ask(X_Request_ID=f"a{i}")
-        used = max(peers, key=lambda p: len(p.exchanges))
+        used = max(workers, key=lambda p: len(p.exchanges))
         assert used.live
         harness.discovery.tell({**used.entry(), "state": "DRAINING"})
         await harness.wait_until(lambda: not used.live)
@@ -234,18 +236,18 @@
 
     monkeypatch.setattr(discovery, "ANSWER_GRACE_SECONDS", 0.1)
     monkeypatch.setattr(discovery, "HOLD_MS", 100)
-    peer = Peer("d1", done)
-    async with running_service(peer) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker) as harness:
         calls = harness.discovery.calls
         await harness.wait_until(lambda: len(calls) >= 2)
-        harness.discovery.tell(peer.entry())
+        harness.discovery.tell(worker.entry())
         changed_at = trio.current_time()
         await harness.wait_until(lambda: len(calls) >= 3 and harness.service.endpoints.version == 2)
         assert calls[-1][0] - changed_at < 0.2 and "from=2" in calls[-1][1]
         harness.discovery.silent = True
         await harness.wait_until(lambda: len(calls) >= 6)
         harness.discovery.silent = False
-        harness.discovery.tell({**peer.entry(), "state": "DRAINING"})
+        harness.discovery.tell({**worker.entry(), "state": "DRAINING"})
         await harness.wait_until(lambda: harness.service.endpoints.version == 3)
 
 
@@ -254,20 +256,20 @@
 async def test_sighup_moves_the_watch_at_once_and_an_invalid_file_changes_nothing(front, caplog):
     # Without a receiver the test is to fail, not the process to be killed.
     previous = signal.signal(signal.SIGHUP, lambda *_: None)
-    peers = [Peer("d1", hang), Peer("d2", done)]
+    workers = [ScriptedWorker("d1", hang), ScriptedWorker("d2", done)]
     try:
-        async with running_service(peers[0], front=front, signals=True) as harness:
+        async with running_service(workers[0], front=front, signals=True) as harness:
             client = await harness.client()
             await client.send()
-            await harness.wait_until(lambda: peers[0].exchanges)
+            await harness.wait_until(lambda: workers[0].exchanges)
             learned = harness.service.engine._module.fleet.workers["d1"]
             del harness.raw["settings"]
             os.kill(os.getpid(), signal.SIGHUP)
             await harness.wait_until(lambda: "reload_rejected settings: missing" in caplog.text)
             harness.raw["settings"] = SETTINGS
-            peers[1].front = front
-            await harness.nursery.start(peers[1].serve)
-            other_discovery = Discovery(peers)
+            workers[1].front = front
+            await harness.nursery.start(workers[1].serve)
+            other_discovery = Discovery(workers)
             # Lower than the version that the watch has seen: each discovery has its own numbers.
             other_discovery.version = 1
             harness.raw.update(discovery=await other_discovery.serve(harness.nursery), name="other")
@@ -280,9 +282,9 @@
             assert "from=" not in other_discovery.calls[0][1]
             assert "reload_ignored keys=name" in caplog.text
             assert harness.service.engine._module.fleet.workers["d1"] is learned
-            peers[0].script = done
+            workers[0].script = done
             assert (await harness.ask(X_Request_ID="r2")).status == 200
-            await harness.nursery.start(finish, peers[0].exchanges[0])
+            await harness.nursery.start(finish, workers[0].exchanges[0])
             # A request accepted before the reload is served to its end.
             assert (await client.reply()).status == 200
     finally:
@@ -305,13 +307,13 @@
         await exchange.stream.send_all(b"HTTP/1.1 200 OK\r\n")
 
     for script in (then_closes, then_talks):
-        peer = Peer("d1", script)
-        async with running_service(peer) as harness:
+        worker = ScriptedWorker("d1", script)
+        async with running_service(worker) as harness:
             for i in range(5):
                 # This class is not retried after a reset.
                 reply = await harness.ask("/once", X_Request_ID=f"r{i}")
                 assert reply.status == 200
-            assert peer.connections == 5 and len(peer.exchanges) == 5
+            assert worker.connections == 5 and len(worker.exchanges) == 5
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
@@ -324,8 +326,11 @@
             used.add(exchange.stream)
             await exchange.done()
 
-    used, peers = set(), [Peer("d1", resets_second_use), Peer("d2", resets_second_use)]
-    async with running_service(*peers, front=front) as harness:
+    used, scripted_workers = (
+        set(),
+        [ScriptedWorker("d1", resets_second_use), ScriptedWorker("d2", resets_second_use)],
+    )
+    async with running_service(*scripted_workers, front=front) as harness:
         for i in range(12):
             client = await harness.client()
             await client.send(X_Request_ID=f"r{i}")
@@ -338,7 +343,7 @@
             for worker in harness.service.engine._module.fleet.workers.values()
         )
         # One reset for each worker, then only new connections.
-        assert sum(len(p.exchanges) for p in peers) <= 12 + 2
+        assert sum(len(p.exchanges) for p in scripted_workers) <= 12 + 2
 
 
 @pytest.mark.parametrize("front", ["platform", "progress"])
@@ -354,16 +359,16 @@
             await exchange.say("started")
             await exchange.done()
 
-    given_up, peer = trio.Event(), Peer("d1", first_is_silent)
+    given_up, worker = trio.Event(), ScriptedWorker("d1", first_is_silent)
     start_reports = {"specifics": {"tells_start": True, "progress": 1000.0, "queue_order": "fifo"}}
-    async with running_service(peer, front=front, settings=start_reports) as harness:
+    async with running_service(worker, front=front, settings=start_reports) as harness:
         silent = await harness.client()
         await silent.send(X_Request_ID="r0")
-        await harness.wait_until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: worker.exchanges)
         await trio.sleep(0.03)  # so that the order of arrival is certain
         assert (await harness.ask(X_Request_ID="r1")).status == 200
         await given_up.wait()  # long before its timeout: the later request had started
-        assert peer.exchanges[1].id == "r1"
+        assert worker.exchanges[1].id == "r1"
         assert not harness.service.engine._module.fleet.workers["d1"].ejection.failures
 
 
@@ -374,22 +379,22 @@
         while True:
             await exchange.raw("more\n" * 1500)
 
-    peer = Peer("d1", sends_after_answer)
-    async with running_service(peer) as harness:
+    worker = ScriptedWorker("d1", sends_after_answer)
+    async with running_service(worker) as harness:
         for i in range(3):
             assert (await harness.ask(X_Request_ID=f"r{i}")).status == 200
-        await harness.wait_until(lambda: not peer.live)  # its connections are closed
+        await harness.wait_until(lambda: not worker.live)  # its connections are closed
 
 
 @mock_clock_test
 async def test_idle_worker_connections_are_closed_before_the_worker_closes_them():
-    peer = Peer("d1", done)
+    worker = ScriptedWorker("d1", done)
     async with running_service(
-        peer, settings={"limits": {**SETTINGS["limits"], "idle_close": 1000.0}}
+        worker, settings={"limits": {**SETTINGS["limits"], "idle_close": 1000.0}}
     ) as harness:
         assert (await harness.ask()).status == 200
         used = trio.current_time()
-        await harness.wait_until(lambda: not peer.live)
+        await harness.wait_until(lambda: not worker.live)
         assert trio.current_time() - used < 1.0
 
 
@@ -397,7 +402,7 @@
 @trio_test
 async def test_first_try_with_a_short_timeout_is_served_and_a_marked_retry_is_rejected(front):
     async with running_service(
-        Peer("d1", done), front=front, settings={"client_habits": {"marks_retry": True}}
+        ScriptedWorker("d1", done), front=front, settings={"client_habits": {"marks_retry": True}}
     ) as harness:
 
         def served(reply):
@@ -441,10 +446,10 @@
 @pytest.mark.parametrize("given, status", BAD, ids=[str(i) for i in range(len(BAD))])
 @trio_test
 async def test_bad_request_is_rejected_before_any_attempt(given, status):
-    peer = Peer("d1", done)
-    async with running_service(peer) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker) as harness:
         assert (await harness.ask(**given)).status == status
-        assert not peer.exchanges
+        assert not worker.exchanges
         assert (await harness.ask()).status == 200
 
 
@@ -468,24 +473,24 @@
 @pytest.mark.parametrize("outer", SMUGGLING, ids=[str(i) for i in range(len(SMUGGLING))])
 @trio_test
 async def test_ambiguous_framing_is_rejected_and_nothing_after_it_is_read(outer, front):
-    peer = Peer("d1", done)
-    async with running_service(peer, front=front) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, front=front) as harness:
         stream = await trio.open_tcp_stream(*harness.service.listener.address)
         await stream.send_all(outer + INNER)
         reply = b""
         while data := await stream.receive_some():
             reply += data
         assert reply[9:12] in (b"400", b"505") and reply.count(b"HTTP/1.1 ") == 1
-        assert not peer.exchanges
+        assert not worker.exchanges
 
 
 @trio_test
 async def test_only_known_valid_headers_reach_a_worker():
-    peer = Peer("d1", done)
-    async with running_service(peer) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker) as harness:
         odd = {"Transfer-Coding": "chunked", "X-Odd": "\xff", "Upgrade": "h2c", "Cookie": "user=7"}
         assert (await harness.ask(**odd)).status == 200
-        assert set(peer.exchanges[0].headers) == {
+        assert set(worker.exchanges[0].headers) == {
             "host",
             "x-request-id",
             "x-tenant-id",
@@ -500,7 +505,7 @@
 )
 @trio_test
 async def test_malformed_http_gets_400(raw):
-    async with running_service(Peer("d1", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done)) as harness:
         stream = await trio.open_tcp_stream(*harness.service.listener.address)
         await stream.send_all(raw)
         assert (await stream.receive_some()).startswith(b"HTTP/1.1 400 ")
@@ -515,7 +520,7 @@
         await exchange.done()
 
     async with running_service(
-        Peer("d1", slow), timing={"linger_ms": 150, "grace_ms": 1050}
+        ScriptedWorker("d1", slow), timing={"linger_ms": 150, "grace_ms": 1050}
     ) as harness:
         early, idle = await harness.client(), await harness.client()
         await early.send()
@@ -543,7 +548,7 @@
         await (hang if exchange.id == "last" else done)(exchange)
 
     async with running_service(
-        Peer("d1", script), timing={"linger_ms": 50, "grace_ms": 1400}
+        ScriptedWorker("d1", script), timing={"linger_ms": 50, "grace_ms": 1400}
     ) as harness:
         kept, slow = await harness.client(), await harness.client()
         assert (await kept.ask()).status == 200
@@ -563,7 +568,7 @@
 
 @trio_test
 async def test_exception_in_policy_or_attempt_fails_one_request_only(monkeypatch):
-    async with running_service(Peer("d1", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done)) as harness:
         handle = harness.service.engine._module.handle
 
         def faulty(now, events):
@@ -582,7 +587,7 @@
 
 @trio_test
 async def test_accept_without_descriptors_serves_waiting_clients_later(monkeypatch):
-    async with running_service(Peer("d1", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done)) as harness:
         real, failures = harness.service.listener.sock, []
 
         class Short:
@@ -604,7 +609,7 @@
 
 @mock_clock_test
 async def test_local_descriptor_shortage_does_not_eject_a_worker(monkeypatch):
-    async with running_service(Peer("d1", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done)) as harness:
         real = Connection.open
 
         async def short(*args, **kwargs):
@@ -623,29 +628,29 @@
 
 @trio_test
 async def test_probe_outcome_follows_the_workers_health():
-    peer = Peer("d1", done)
+    worker = ScriptedWorker("d1", done)
 
     async def script(exchange):
         assert exchange.target == "/alive" and not exchange.id
         await exchange.status(script.status)
 
-    peer.script = script
-    async with running_service(peer) as harness:
+    worker.script = script
+    async with running_service(worker) as harness:
         for script.status, outcome in (
             (200, AttemptOutcome.SERVED),
             (503, AttemptOutcome.REJECTED),
             (404, AttemptOutcome.FAILED),
         ):
             assert (await harness.service.worker_client.probe("d1"))[0] is outcome
-        peer.script = hang
+        worker.script = hang
         assert (await harness.service.worker_client.probe("d1"))[0] is AttemptOutcome.UNREACHABLE
         # Each probe opens a connection: an old one says little about the worker.
-        assert peer.connections == 4
+        assert worker.connections == 4
 
 
 @trio_test
 async def test_exception_in_a_supervised_task_does_not_end_the_process(monkeypatch):
-    async with running_service(Peer("d1", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done)) as harness:
 
         def faulty(answer, cached=False):
             monkeypatch.undo()
@@ -659,7 +664,7 @@
 
 @mock_clock_test
 async def test_client_connections_are_bounded_and_the_longest_idle_is_evicted():
-    async with running_service(Peer("d1", done), limits={"sockets": 80}) as harness:
+    async with running_service(ScriptedWorker("d1", done), limits={"sockets": 80}) as harness:
         clients = []
         for i in range(40):
             clients.append(await harness.client())
@@ -677,7 +682,7 @@
     front, monkeypatch
 ):
     monkeypatch.setattr(listener, "REQUEST_TIMEOUT_SECONDS", 0.15)
-    async with running_service(Peer("d1", done), front=front) as harness:
+    async with running_service(ScriptedWorker("d1", done), front=front) as harness:
         kept, silent, half = await harness.client(), await harness.client(), await harness.client()
         await kept.ask("/up", method="GET")
         await half.stream.send_all(OUTER + b"Content-Length: 5\r\n\r\nab")
@@ -693,7 +698,9 @@
 @mock_clock_test
 async def test_flood_of_silent_connections_displaces_no_working_client(front, monkeypatch):
     monkeypatch.setattr(listener, "MIN_EVICTION_AGE_SECONDS", 0.05)
-    async with running_service(Peer("d1", done), front=front, limits={"sockets": 80}) as harness:
+    async with running_service(
+        ScriptedWorker("d1", done), front=front, limits={"sockets": 80}
+    ) as harness:
         kept = await harness.client()
         if front == "platform":
             assert (await kept.ask()).status == 200
@@ -710,8 +717,8 @@
 @FRONTS
 @trio_test
 async def test_pipelined_requests_are_rejected_before_any_attempt(front):
-    peer = Peer("d1", done)
-    async with running_service(peer, front=front) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, front=front) as harness:
         stream = await trio.open_tcp_stream(*harness.service.listener.address)
         await stream.send_all((OUTER + b"Content-Length: 0\r\n\r\n") * 200)
         reply = b""
@@ -719,7 +726,7 @@
             while data := await stream.receive_some():
                 reply += data
         assert reply.startswith(b"HTTP/1.1 400 ") and reply.count(b"HTTP/1.1 ") == 1
-        assert not peer.exchanges
+        assert not worker.exchanges
 
 
 @FRONTS
@@ -732,23 +739,23 @@
         await exchange.go_on.wait()
         await exchange.done()
 
-    peer = Peer("d1", waits)
-    async with running_service(peer, front=front) as harness:
+    worker = ScriptedWorker("d1", waits)
+    async with running_service(worker, front=front) as harness:
         holder = await harness.client()
         await holder.send()
-        await harness.wait_until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: worker.exchanges)
         assert (await harness.ask()).status == 409
-        peer.exchanges[0].go_on.set()
+        worker.exchanges[0].go_on.set()
         assert (await holder.reply()).status == 200
         left = await harness.client()
         await left.send(X_Request_ID="r2")
-        await harness.wait_until(lambda: len(peer.exchanges) == 2)
+        await harness.wait_until(lambda: len(worker.exchanges) == 2)
         await left.stream.aclose()
         assert (await harness.ask(X_Request_ID="r2")).status == 409  # its attempt is still running
-        assert [e.id for e in peer.exchanges] == ["r1", "r2"]
-        peer.exchanges[1].go_on.set()
+        assert [e.id for e in worker.exchanges] == ["r1", "r2"]
+        worker.exchanges[1].go_on.set()
         await harness.wait_until(lambda: not harness.service.engine._live)
-        peer.script = done
+        worker.script = done
         assert (await harness.ask(X_Request_ID="r2")).status == 200
 
 
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 import ujson
-from helper import Peer, done, hang, mock_clock_test, running_service, trio_test
+from helper import ScriptedWorker, done, hang, mock_clock_test, running_service, trio_test
 
 from yewrill.dispatch.request import Attempt, Request
 from yewrill.frontends.progress import EventStreamParser, _ProgressBuffer, encode_event
@@ -43,8 +43,8 @@
 
 @trio_test
 async def test_progress_is_forwarded_immediately_and_the_answer_is_the_last_event():
-    peer = Peer("d1", reports_then_waits)
-    async with running_service(peer, front="progress") as harness:
+    worker = ScriptedWorker("d1", reports_then_waits)
+    async with running_service(worker, front="progress") as harness:
         client = await harness.client()
         await client.send()
         head = await client.event()
@@ -59,11 +59,11 @@
             "progress",
             {"id": "r1", "attempt": 0, "share": 0.4},
         )
-        peer.exchanges[0].seen.set()
+        worker.exchanges[0].seen.set()
         while len(events) < 2:
             events += parser.feed(bytes((await client.event()).data))
         assert (events[1].type, ujson.loads(events[1].data)["result"]) == ("served", {"climb": 812})
-        assert peer.exchanges[0].headers["accept"] == "text/event-stream"
+        assert worker.exchanges[0].headers["accept"] == "text/event-stream"
 
 
 def reset_first(then):
@@ -86,34 +86,34 @@
 @trio_test
 async def test_worker_reset_during_stream_is_retried_only_as_the_class_allows(target, final):
     script = reset_first(done)
-    peers = [Peer("d1", script), Peer("d2", script)]
-    async with running_service(*peers, front="progress") as harness:
+    workers = [ScriptedWorker("d1", script), ScriptedWorker("d2", script)]
+    async with running_service(*workers, front="progress") as harness:
         script.passed.set()
         reply, events = await ask(harness, target=target)
         assert [e.type for e in events if e.type in FINAL] == [final] and events[-1].type == final
-        assert sum(len(p.exchanges) for p in peers) == (2 if final == "served" else 1)
+        assert sum(len(p.exchanges) for p in workers) == (2 if final == "served" else 1)
 
 
 @trio_test
 async def test_client_that_leaves_while_a_retry_is_pending_stops_the_retry():
     script = reset_first(done)
-    peers = [Peer("d1", script), Peer("d2", script)]
-    async with running_service(*peers, front="progress") as harness:
+    workers = [ScriptedWorker("d1", script), ScriptedWorker("d2", script)]
+    async with running_service(*workers, front="progress") as harness:
         client = await harness.client()
         await client.send()
-        await harness.wait_until(lambda: any(p.exchanges for p in peers))
+        await harness.wait_until(lambda: any(p.exchanges for p in workers))
         # The retry finds no worker, so it stays pending until its client has left.
-        harness.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in peers))
+        harness.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in workers))
         await harness.wait_until(lambda: harness.service.endpoints.version == 2)
         script.passed.set()
-        await harness.wait_until(lambda: not any(p.live for p in peers))
+        await harness.wait_until(lambda: not any(p.live for p in workers))
         await client.stream.aclose()
         await harness.wait_until(lambda: not harness.service.listener.clients)
-        harness.discovery.tell(*(p.entry() for p in peers))
+        harness.discovery.tell(*(p.entry() for p in workers))
         await harness.wait_until(lambda: harness.service.endpoints.version == 3)
         reply, events = await ask(harness, X_Request_ID="r2")
         assert events[-1].type == "served"
-        assert [e.id for p in peers for e in p.exchanges if e.id == "r1"] == ["r1"]
+        assert [e.id for p in workers for e in p.exchanges if e.id == "r1"] == ["r1"]
 
 
 @mock_clock_test
@@ -124,7 +124,9 @@
             await trio.sleep(0.01)
 
     async with running_service(
-        Peer("d1", reports_progress_forever), front="progress", timing={"answer_margin_ms": 400}
+        ScriptedWorker("d1", reports_progress_forever),
+        front="progress",
+        timing={"answer_margin_ms": 400},
     ) as harness:
         began = trio.current_time()
         reply, events = await ask(harness, X_Timeout_Ms="900")
@@ -153,18 +155,20 @@
         script_calls.append(exchange)
         await (plain if len(script_calls) == 1 else done)(exchange)
 
-    async with running_service(Peer("d1", script), Peer("d2", script), front="progress") as harness:
+    async with running_service(
+        ScriptedWorker("d1", script), ScriptedWorker("d2", script), front="progress"
+    ) as harness:
         reply, events = await ask(harness)
         assert events[-1].type == "served" and len(script_calls) == 2
 
 
 @trio_test
 async def test_reconnecting_reader_gets_204_and_bad_request_gets_no_stream():
-    peer = Peer("d1", done)
-    async with running_service(peer, front="progress") as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, front="progress") as harness:
         assert (await harness.ask(Last_Event_ID="3")).status == 204
         assert (await harness.ask(X_Timeout_Ms="x")).status == 400
-        assert not peer.exchanges
+        assert not worker.exchanges
 
 
 @trio_test
@@ -175,7 +179,9 @@
         while True:
             await exchange.say("running", share=0.1)
 
-    async with running_service(Peer("d1", sends_progress_forever), front="progress") as harness:
+    async with running_service(
+        ScriptedWorker("d1", sends_progress_forever), front="progress"
+    ) as harness:
         client = await harness.client()
         await harness.wait_until(lambda: harness.service.listener.clients)
         served_client = next(iter(harness.service.listener.clients))
@@ -193,17 +199,17 @@
 
 @trio_test
 async def test_while_draining_new_streams_get_503_and_open_ones_their_final_event():
-    peer = Peer("d1", reports_then_waits)
+    worker = ScriptedWorker("d1", reports_then_waits)
     async with running_service(
-        peer, front="progress", timing={"linger_ms": 100, "grace_ms": 1000}
+        worker, front="progress", timing={"linger_ms": 100, "grace_ms": 1000}
     ) as harness:
         client = await harness.client()
         await client.send()
-        await harness.wait_until(lambda: peer.exchanges and hasattr(peer.exchanges[0], "seen"))
+        await harness.wait_until(lambda: worker.exchanges and hasattr(worker.exchanges[0], "seen"))
         harness.nursery.start_soon(harness.service.drain)
         await harness.wait_until(lambda: harness.service.run_state.draining)
         assert (await harness.ask(X_Request_ID="r2")).status == 503
-        peer.exchanges[0].seen.set()
+        worker.exchanges[0].seen.set()
         reply, events = await read_stream(client)
         assert events[-1].type == "served"
         await harness.ended.wait()
@@ -254,16 +260,16 @@
         finally:
             slots.release()
 
-    peers = [Peer(f"d{i}", mixed_outcomes, cell=i % 2) for i in range(8)]
-    async with running_service(*peers, front="progress", timing={"linger_ms": 1000}) as harness:
+    workers = [ScriptedWorker(f"d{i}", mixed_outcomes, cell=i % 2) for i in range(8)]
+    async with running_service(*workers, front="progress", timing={"linger_ms": 1000}) as harness:
         slots = trio.Semaphore(40)
         # Whether any of the many streams is refused is random; so the first one finds no running worker.
-        harness.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in peers))
+        harness.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in workers))
         await harness.wait_until(lambda: harness.service.endpoints.version == 2)
         reply, events = await ask(harness, X_Request_ID="r0")
         assert [e.type for e in events] == ["refused"]
         finals.append(events[-1].type)
-        harness.discovery.tell(*(p.entry() for p in peers))
+        harness.discovery.tell(*(p.entry() for p in workers))
         await harness.wait_until(lambda: harness.service.endpoints.version == 3)
         async with trio.open_nursery() as nursery:
             for number in range(1, total):
@@ -272,11 +278,11 @@
                 if number == total - 20:
                     harness.nursery.start_soon(harness.service.drain)
         await harness.ended.wait()
-        ended = sum(len(p.exchanges) for p in peers)
+        ended = sum(len(p.exchanges) for p in workers)
         assert not harness.service.listener.clients and harness.service.engine.pending == 0
     assert len(finals) + left + rejected_while_draining == total
     assert {"served", "failed", "refused"} <= set(finals) and left > 100
-    assert ended == sum(len(p.exchanges) for p in peers)  # nothing was sent after the drain
+    assert ended == sum(len(p.exchanges) for p in workers)  # nothing was sent after the drain
 
 
 @trio_test
@@ -320,7 +326,7 @@
 @trio_test
 async def test_hanging_stream_without_progress_fails_before_the_client_timeout():
     async with running_service(
-        Peer("d1", hang), front="progress", timing={"answer_margin_ms": 400}
+        ScriptedWorker("d1", hang), front="progress", timing={"answer_margin_ms": 400}
     ) as harness:
         reply, events = await ask(harness, target="/save", X_Timeout_Ms="900")
         assert [e.type for e in events] == ["failed"]
--- a/tests/test_rejection_watch.py
+++ b/tests/test_rejection_watch.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from helper import Peer, done, running_service, trio_test
+from helper import ScriptedWorker, done, running_service, trio_test
 
 from yewrill.dispatch.rejection_watch import (
     MIN_REJECTIONS,
@@ -35,7 +35,7 @@
     caplog, monkeypatch
 ):
     monkeypatch.setattr("yewrill.dispatch.rejection_watch.SHUT_OUT_MS", 0.0)
-    async with running_service(Peer("d1", done)) as harness:
+    async with running_service(ScriptedWorker("d1", done)) as harness:
         assert (await harness.ask()).status == 200
         with caplog.at_level(logging.WARNING):
             for number in range(MIN_REJECTIONS):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -12,7 +12,7 @@
 import trio.testing
 import ujson
 from fleet_world import World
-from helper import Peer, done, running_service, trio_test
+from helper import ScriptedWorker, done, running_service, trio_test
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -102,7 +102,7 @@
             )
             await exchange.stream.send_all(b"0\r\n\r\n")
 
-    async with running_service(Peer("d1", script), settings=REPORTING) as harness:
+    async with running_service(ScriptedWorker("d1", script), settings=REPORTING) as harness:
         worker = harness.service.engine._module.fleet.workers["d1"]
         seen = []
         for i in range(len(said)):
@@ -122,15 +122,15 @@
 
 @trio_test
 async def test_requests_with_the_same_user_cookie_go_to_the_same_worker():
-    peers = [Peer(f"d{i}", done) for i in range(6)]
-    async with running_service(*peers, settings={"specifics": {"tells_start": True}}) as harness:
+    workers = [ScriptedWorker(f"d{i}", done) for i in range(6)]
+    async with running_service(*workers, settings={"specifics": {"tells_start": True}}) as harness:
         for i in range(12):
             reply = await harness.ask(
                 X_Request_ID=f"r{i}", Cookie="theme=dark; user=7f3a9c21e0b4d655"
             )
             assert reply.status == 200
         # All go to one worker unless it is busy for a moment; without the key they would go to all six.
-        assert max(len(p.exchanges) for p in peers) >= 9
+        assert max(len(p.exchanges) for p in workers) >= 9
         for odd in ("user", "user=" + "x" * 200, ";;=;", "users=1"):
             assert (
                 await harness.ask(X_Request_ID="odd" + odd[:8].strip(";="), Cookie=odd)
--- a/tests/test_rules_checks.py
+++ b/tests/test_rules_checks.py
@@ -1,7 +1,7 @@
 """The safety rules in `yewrill.dispatch.safety`, and how the running service applies them."""
 
 import pytest
-from helper import Peer, done, mock_clock_test, running_service, trio_test
+from helper import ScriptedWorker, done, mock_clock_test, running_service, trio_test
 
 from yewrill.dispatch.safety import (
     AttemptFacts,
@@ -61,8 +61,8 @@
     async def reset_connection(exchange):
         exchange.reset()
 
-    peers = [Peer("d1", reset_connection), Peer("d2", done)]
-    async with running_service(*peers) as harness:
+    scripted_workers = [ScriptedWorker("d1", reset_connection), ScriptedWorker("d2", done)]
+    async with running_service(*scripted_workers) as harness:
         # Simulates a bug in the decision module: it forgets that a non-idempotent request may have run.
         monkeypatch.setattr(
             "yewrill.policy.requests.PendingRequest.must_not_repeat", lambda job, now: False
@@ -72,7 +72,7 @@
         )
         for number in range(6):
             assert (await harness.ask("/once", X_Request_ID=f"r{number}")).status in (200, 502, 503)
-        ids = [e.id for peer in peers for e in peer.exchanges]
+        ids = [e.id for scripted_worker in scripted_workers for e in scripted_worker.exchanges]
         assert len(ids) == len(set(ids))
         assert harness.service.engine.violations.counts[Rule.UNSAFE_REPEAT] > 0
         assert "rule_violation rule=unsafe_repeat request=r" in caplog.text
@@ -80,7 +80,7 @@
 
 @trio_test
 async def test_a_close_without_an_answer_is_counted_as_a_violation(caplog, monkeypatch):
-    async with running_service(Peer("d1", done), mgmt="127.0.0.1:0") as harness:
+    async with running_service(ScriptedWorker("d1", done), mgmt="127.0.0.1:0") as harness:
 
         async def no_answer(client, request, carried, closing):
             await carried()
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -8,7 +8,15 @@
 import pytest
 import trio
 from fleet_world import World
-from helper import Discovery, Peer, done, hang, mock_clock_test, running_service, trio_test
+from helper import (
+    Discovery,
+    ScriptedWorker,
+    done,
+    hang,
+    mock_clock_test,
+    running_service,
+    trio_test,
+)
 from test_discovery import set_draining
 from test_endings import FRONTS, LONG_DEADLINES, LONG_TIMEOUT, raw_request
 
@@ -25,9 +33,9 @@
 async def test_a_client_accepted_in_the_turn_of_the_shutdown_gets_its_answer(
     sent_before_accept, monkeypatch
 ):
-    peer, accepted = Peer("d1", done), []
+    worker, accepted = ScriptedWorker("d1", done), []
     async with running_service(
-        peer, settings=LONG_DEADLINES, timing={"linger_ms": 0, "grace_ms": 1500}
+        worker, settings=LONG_DEADLINES, timing={"linger_ms": 0, "grace_ms": 1500}
     ) as harness:
         real = Listener._accept_one
 
@@ -48,16 +56,16 @@
             await client.stream.send_all(raw_request("r1"))
         assert (await client.reply()).status == 200
         assert await client.stream.receive_some() == b""
-        assert [e.id for e in peer.exchanges] == ["r1"]
+        assert [e.id for e in worker.exchanges] == ["r1"]
         await harness.ended.wait()
 
 
 @FRONTS
 @mock_clock_test
 async def test_a_shutdown_answers_every_request_although_workers_never_answer(front):
-    peers = [Peer(f"d{i}", hang) for i in range(3)]
+    workers = [ScriptedWorker(f"d{i}", hang) for i in range(3)]
     async with running_service(
-        *peers, front=front, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
+        *workers, front=front, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 1400}
     ) as harness:
         clients = [await harness.client() for _ in range(30)]
         for number, client in enumerate(clients):
@@ -113,20 +121,20 @@
 
 @mock_clock_test
 async def test_a_workers_drain_right_after_a_reload_that_moves_discovery_is_noticed():
-    peers = [Peer("d1", done), Peer("d2", done)]
-    async with running_service(*peers, settings=LONG_DEADLINES) as harness:
-        new_discovery = Discovery(peers)
+    workers = [ScriptedWorker("d1", done), ScriptedWorker("d2", done)]
+    async with running_service(*workers, settings=LONG_DEADLINES) as harness:
+        new_discovery = Discovery(workers)
         harness.raw["discovery"] = await new_discovery.serve(harness.nursery)
         began = trio.current_time()
         harness.service.reload()
         # Set before the first call to the new discovery.
-        new_discovery.tell(set_draining(peers[0]), full=True)
+        new_discovery.tell(set_draining(workers[0]), full=True)
         await harness.wait_until(lambda: not harness.service.endpoints.may_send("d1"))
         assert trio.current_time() - began < 4.0
-        sent = len(peers[0].exchanges)
+        sent = len(workers[0].exchanges)
         for number in range(10):
             assert (await harness.ask(X_Request_ID=f"r{number}", **LONG_TIMEOUT)).status == 200
-        assert len(peers[0].exchanges) == sent and len(peers[1].exchanges) >= 10
+        assert len(workers[0].exchanges) == sent and len(workers[1].exchanges) >= 10
 
 
 @FRONTS
@@ -136,17 +144,17 @@
         await release.wait()
         await exchange.done()
 
-    release, peer = trio.Event(), Peer("d1", wait_then_answer)
+    release, worker = trio.Event(), ScriptedWorker("d1", wait_then_answer)
     async with running_service(
-        peer, front=front, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 4000}
+        worker, front=front, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 4000}
     ) as harness:
-        new_discovery = Discovery([peer])
+        new_discovery = Discovery([worker])
         new_discovery.silent = True  # no answer from the new discovery: the known list stays
         address = await new_discovery.serve(harness.nursery)
         clients = [await harness.client() for _ in range(8)]
         for number, client in enumerate(clients[:4]):
             await client.send(X_Request_ID=f"r{number}", **LONG_TIMEOUT)
-        await harness.wait_until(lambda: peer.exchanges)
+        await harness.wait_until(lambda: worker.exchanges)
         harness.raw["discovery"] = address
         harness.service.reload()
         harness.nursery.start_soon(harness.service.drain)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -14,7 +14,7 @@
 import pytest
 import trio
 import ujson
-from helper import SETTINGS, Client, Discovery, Peer, done, running_service, trio_test
+from helper import SETTINGS, Client, Discovery, ScriptedWorker, done, running_service, trio_test
 from machine_faults import FaultyDisk
 
 from yewrill.config.errors import ConfigError
@@ -94,7 +94,9 @@
         self.effects: Counter = Counter()
         self.seen: set[tuple[int, str]] = set()
         self.received: list[tuple[str, str]] = []  # worker and idempotency key, in order of arrival
-        self.peers = [Peer(f"d{i}", self.script(i), cell=i // 2) for i in range(4)]
+        self.scripted_workers = [
+            ScriptedWorker(f"d{i}", self.script(i), cell=i // 2) for i in range(4)
+        ]
 
     def script(self, i: int):
         async def run(exchange):
@@ -119,9 +121,9 @@
     rng = random.Random(seed)
     workers = EffectCountingWorkers(rng)
     async with trio.open_nursery() as nursery:
-        for peer in workers.peers:
-            await nursery.start(peer.serve)
-        discovery = Discovery(workers.peers)
+        for scripted_worker in workers.scripted_workers:
+            await nursery.start(scripted_worker.serve)
+        discovery = Discovery(workers.scripted_workers)
         config = tmp_path / "config.json"
         config.write_text(
             ujson.dumps(
@@ -211,8 +213,8 @@
 async def test_no_attempt_that_is_unsafe_to_repeat_is_sent_before_its_record_is_on_disk(
     tmp_path,
 ):
-    peer = Peer("d1", done)
-    async with running_service(peer, **state_settings(tmp_path)) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, **state_settings(tmp_path)) as harness:
         store, gate, waiting = harness.service.persistent_state._disk.store, trio.Event(), []
         write = store.awrite
 
@@ -229,9 +231,9 @@
                 )
             await harness.wait_until(lambda: len(waiting) >= 2)
             assert (await harness.ask(X_Request_ID="plain")).status == 200  # needs no record
-            assert [x.id for x in peer.exchanges] == ["plain"]
+            assert [x.id for x in worker.exchanges] == ["plain"]
             gate.set()
-        assert {x.id for x in peer.exchanges} == {"plain", "save", "once"}
+        assert {x.id for x in worker.exchanges} == {"plain", "save", "once"}
         # The records are deleted once the requests have finished.
         await harness.wait_until(lambda: not list(store.scan(prefix=b"sent/")))
 
@@ -242,8 +244,8 @@
 ):
     caplog.set_level("INFO")
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
-    peer = Peer("d1", done)
-    async with running_service(peer, **state_settings(tmp_path)) as harness:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, **state_settings(tmp_path)) as harness:
         # Waits for the write of the endpoint list.
         await harness.wait_until(
             lambda: b"app.state_kept:1|c" in harness.service.metrics.text({}).encode()
@@ -262,7 +264,7 @@
         assert not harness.service.endpoints.may_send("d1")
         counted = re.search(rb"app.state_failed:(\d+)", (await harness.call("GET /_vars")).body)
         assert int(counted[1]) >= 4
-        assert {e.id for e in peer.exchanges} == {"plain0", "plain1", "plain2"}
+        assert {e.id for e in worker.exchanges} == {"plain0", "plain1", "plain2"}
         logged = [r for r in caplog.records if "persistent_state_write_failed" in r.getMessage()]
         assert len(logged) == 1
         disk.error = 0
@@ -280,8 +282,10 @@
 @trio_test
 async def test_endpoint_list_reattached_workers_and_operator_drain_survive_a_restart(tmp_path):
     config = state_settings(tmp_path)
-    peer = Peer("d1", done)
-    async with running_service(peer, Peer("d2", done), Peer("d3", done), **config) as harness:
+    scripted_worker = ScriptedWorker("d1", done)
+    async with running_service(
+        scripted_worker, ScriptedWorker("d2", done), ScriptedWorker("d3", done), **config
+    ) as harness:
         for call in ("detach?name=d1", "attach?name=d1", "detach?name=d2"):
             assert (await harness.call(f"PUT /_profilers/{call}")).status == 200
         assert harness.service.endpoints.recently_attached["d1"] < 20_000.0  # ms
@@ -292,14 +296,14 @@
         harness.service.engine.fail_all()
         await trio.to_thread.run_sync(harness.service.persistent_state.close_store)
     async with trio.open_nursery() as nursery:
-        await nursery.start(peer.serve)
+        await nursery.start(scripted_worker.serve)
         nobody = Discovery([])
         nobody.silent = True
         address = await nobody.serve(nursery)
         kept = Store(tmp_path / "state")
         listed = ujson.loads(kept.get(b"list"))
         for server in listed["servers"]:
-            server["addr"] = f"127.0.0.1:{peer.port}"
+            server["addr"] = f"127.0.0.1:{scripted_worker.port}"
         kept.put(b"list", ujson.dumps(listed).encode())
         kept.close()
         from yewrill.service.service import Service
@@ -327,7 +331,7 @@
 
     caplog.set_level("INFO")
     async with hot_restart_service(
-        Peer("d1", done), Peer("d2", done), **state_settings(tmp_path)
+        ScriptedWorker("d1", done), ScriptedWorker("d2", done), **state_settings(tmp_path)
     ) as harness:
         await harness.call("PUT /_profilers/detach?name=d1")
         new_process = await start_new_process(harness)
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -15,7 +15,7 @@
 import trio
 import ujson
 from click.testing import CliRunner
-from helper import Peer, running_service, trio_test
+from helper import ScriptedWorker, running_service, trio_test
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from opentelemetry.proto.collector.trace.v1 import trace_service_pb2 as service
@@ -421,8 +421,8 @@
     ]
     statuses: dict[str, int | None] = {}
     async with running_service(
-        Peer("d1", script),
-        Peer("d2", script),
+        ScriptedWorker("d1", script),
+        ScriptedWorker("d2", script),
         settings={"request_classes": classes},
         **tracing,
         **MGMT,
@@ -530,7 +530,7 @@
 
     paths = tmp_path / "elder", tmp_path / "heir"
     async with hot_restart_service(
-        Peer("d1", waits), tracing={"file": str(paths[0]), "share": 1.0}
+        ScriptedWorker("d1", waits), tracing={"file": str(paths[0]), "share": 1.0}
     ) as harness:
         slow = await harness.shared.client()
         await slow.send(X_Request_ID="slow", traceparent=f"00-{TRACE}-{SPAN}-01")
@@ -571,7 +571,7 @@
         await x.done()
 
     async with running_service(
-        Peer("d1", slow), tracing={"file": str(path), "share": 1.0}
+        ScriptedWorker("d1", slow), tracing={"file": str(path), "share": 1.0}
     ) as harness:
         assert (await harness.ask(X_Request_ID="a")).status == 200
         await harness.wait_until(lambda: "a" in read_records(path))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 
 import pytest
-from helper import Peer, done, running_service, trio_test
+from helper import ScriptedWorker, done, running_service, trio_test
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -471,9 +471,9 @@
 
 @trio_test
 async def test_the_service_follows_operators_orders_and_counts_attempts_by_zone():
-    peer = Peer("d1", done)
+    worker = ScriptedWorker("d1", done)
     async with running_service(
-        peer, settings={"areas": ["room", "hall"]}, mgmt="127.0.0.1:0", **ZONES
+        worker, settings={"areas": ["room", "hall"]}, mgmt="127.0.0.1:0", **ZONES
     ) as harness:
         assert (await harness.ask()).status == 200
         zones = harness.service.subsystems[1]
