--- a/tests/helper.py
+++ b/tests/helper.py
@@ -103,33 +103,33 @@
         self.target = request.target.decode()
         self.headers = {k.decode(): v.decode() for k, v in request.headers}
         self.id = self.headers.get("x-request-id", "")
-        self.begun = False
+        self.head_sent = False
 
-    async def say(self, state: str, **more) -> None:
+    async def send_message(self, state: str, **more) -> None:
         line = ujson.dumps({"id": self.id, "from": "d", "state": state, **more})
-        await self.raw(f"data: {line}\n\n" if self.front == "progress" else line + "\n")
+        await self.send_raw(f"data: {line}\n\n" if self.front == "progress" else line + "\n")
 
-    async def raw(self, text: str) -> None:
+    async def send_raw(self, text: str) -> None:
         kind = "text/event-stream" if self.front == "progress" else "application/json"
         head = (
             ""
-            if self.begun
+            if self.head_sent
             else f"HTTP/1.1 200 OK\r\nContent-Type: {kind}\r\nTransfer-Encoding: chunked\r\n\r\n"
         )
-        self.begun = True
+        self.head_sent = True
         await self.stream.send_all(f"{head}{len(text.encode()):x}\r\n{text}\r\n".encode())
 
     async def done(self, result="profile") -> None:
-        await self.say("done", result=result)
+        await self.send_message("done", result=result)
         await self.stream.send_all(b"0\r\n\r\n")
 
-    async def status(self, code: int, *headers: str) -> None:
+    async def send_status(self, code: int, *headers: str) -> None:
         lines = "".join(f"{h}\r\n" for h in headers)
         await self.stream.send_all(
             f"HTTP/1.1 {code} X\r\n{lines}Content-Length: 0\r\n\r\n".encode()
         )
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the dispatcher closes this connection."""
         with suppress(trio.BrokenResourceError):
             while await self.stream.receive_some():
@@ -154,7 +154,7 @@
     state: str = "SERVING"
     exchanges: list[Exchange] = field(default_factory=list)
     connections: int = 0
-    live: set = field(default_factory=set)
+    open_streams: set = field(default_factory=set)
     port: int = 0
 
     async def serve(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
@@ -164,7 +164,7 @@
 
     async def _converse(self, stream: trio.SocketStream) -> None:
         self.connections += 1
-        self.live.add(stream)
+        self.open_streams.add(stream)
         parser = h11.Connection(h11.SERVER)
         with suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             while True:
@@ -182,7 +182,7 @@
                 self.exchanges.append(exchange)
                 await self.script(exchange)
                 parser = h11.Connection(h11.SERVER)
-        self.live.discard(stream)
+        self.open_streams.discard(stream)
         await trio.aclose_forcefully(stream)
 
     def entry(self) -> dict:
@@ -210,7 +210,7 @@
         body = ujson.dumps({"version": self.version, "full": full, "servers": servers}).encode()
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
-    def tell(self, *entries: dict, full: bool = False) -> None:
+    def publish(self, *entries: dict, full: bool = False) -> None:
         self.version += 1
         self.changes.append((full, list(entries)))
         self.changed.set()
@@ -225,7 +225,7 @@
     async def script(self, exchange: Exchange) -> None:
         self.calls.append((trio.current_time(), exchange.target))
         if self.silent:
-            await exchange.closed()
+            await exchange.wait_closed()
         elif "from=" not in exchange.target:
             await exchange.stream.send_all(self.answer(True, [p.entry() for p in self.workers]))
         else:
@@ -365,4 +365,4 @@
 
 
 async def hang(exchange: Exchange) -> None:
-    await exchange.closed()
+    await exchange.wait_closed()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -28,7 +28,7 @@
 
 async def publish(harness, entry) -> None:
     before = harness.service.endpoints.version
-    harness.discovery.tell(entry)
+    harness.discovery.publish(entry)
     await harness.wait_until(lambda: harness.service.endpoints.version > before)
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -41,12 +41,12 @@
 
 
 async def silent(exchange):
-    await exchange.closed()
+    await exchange.wait_closed()
 
 
 async def partial_answer_then_silence(exchange):
     await exchange.stream.send_all(b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"version":')
-    await exchange.closed()
+    await exchange.wait_closed()
 
 
 async def partial_answer_then_close(exchange):
@@ -82,7 +82,7 @@
 async def begin_failure(harness, worker, failure):
     """End the current call and make the following ones fail; returns discovery's healthy script."""
     healthy, harness.discovery.server.script = harness.discovery.server.script, failure
-    harness.discovery.tell(worker.entry())
+    harness.discovery.publish(worker.entry())
     calls_before = len(harness.discovery.server.exchanges)
     await harness.wait_until(lambda: len(harness.discovery.server.exchanges) > calls_before)
     return healthy
@@ -106,7 +106,7 @@
         healthy = await begin_failure(harness, worker, failure)
         await trio.sleep(failing_for)
         harness.discovery.server.script = healthy
-        harness.discovery.tell(set_draining(worker), full=True)
+        harness.discovery.publish(set_draining(worker), full=True)
         assert await seconds_until_known(harness, worker) < KNOWN_WITHIN_SECONDS
 
 
@@ -117,7 +117,7 @@
         healthy = await begin_failure(harness, worker, silent)
         # The call that is open is never answered; every later one is.
         harness.discovery.server.script = healthy
-        harness.discovery.tell(set_draining(worker), full=True)
+        harness.discovery.publish(set_draining(worker), full=True)
         assert await seconds_until_known(harness, worker) < KNOWN_WITHIN_SECONDS
 
 
@@ -177,12 +177,12 @@
         real_open = discovery_module.Connection.open
         monkeypatch.setattr(discovery_module.Connection, "open", connect)
         harness.discovery.server.script = reset
-        harness.discovery.tell(worker.entry())
+        harness.discovery.publish(worker.entry())
         while len(opened) < 3:
             await trio.sleep(0.05)
         # From here on connections are accepted, but the SYN of the connect in progress was dropped.
         harness.discovery.server.script = harness.discovery.script
-        harness.discovery.tell(set_draining(worker), full=True)
+        harness.discovery.publish(set_draining(worker), full=True)
         assert await seconds_until_known(harness, worker) < KNOWN_WITHIN_SECONDS
         assert len(opened) == 4
     full_backlog.close()
@@ -198,7 +198,7 @@
         calls = len(harness.discovery.calls)
         watch.move(full_backlog.address)
         await trio.sleep(1.3)
-        harness.discovery.tell(set_draining(worker), full=True)
+        harness.discovery.publish(set_draining(worker), full=True)
         watch.move(home)
         began = trio.current_time()
         await harness.wait_until(lambda: not harness.service.endpoints.may_send("d1"))
@@ -214,7 +214,7 @@
     worker = ScriptedWorker("d1", done)
     async with running_service(worker) as harness:
         for _ in range(9):
-            harness.discovery.tell(worker.entry())
+            harness.discovery.publish(worker.entry())
         await harness.wait_until(lambda: harness.service.endpoints.version == 10)
         other_discovery = Discovery([worker])
         other_discovery.version = 3
@@ -223,7 +223,7 @@
         harness.service.watch.move(("127.0.0.1", int(address.partition(":")[2])))
         await harness.wait_until(lambda: other_discovery.server.exchanges)
         other_discovery.server.script = healthy
-        other_discovery.tell(set_draining(worker))
+        other_discovery.publish(set_draining(worker))
         assert await seconds_until_known(harness, worker) < KNOWN_WITHIN_SECONDS
 
 
@@ -232,7 +232,7 @@
     worker = ScriptedWorker("d1", done)
     async with running_service(worker) as harness:
         for _ in range(9):
-            harness.discovery.tell(worker.entry())
+            harness.discovery.publish(worker.entry())
         await harness.wait_until(lambda: harness.service.endpoints.version == 10)
 
         async def restarted_versions(exchange):
@@ -245,7 +245,7 @@
         other_discovery = Discovery([worker])
         other_discovery.version = 3
         harness.discovery.server.script = restarted_versions
-        harness.discovery.tell(worker.entry())
+        harness.discovery.publish(worker.entry())
         assert await seconds_until_known(harness, worker) < KNOWN_WITHIN_SECONDS
         assert harness.service.endpoints.version == 3
 
@@ -254,7 +254,7 @@
 async def test_full_list_in_indented_json_after_changes_is_applied():
     workers = [ScriptedWorker("d1", done), ScriptedWorker("d2", done)]
     async with running_service(*workers) as harness:
-        harness.discovery.tell(set_draining(workers[0]))
+        harness.discovery.publish(set_draining(workers[0]))
         await harness.wait_until(lambda: not harness.service.endpoints.may_send("d1"))
         version, workers[0].state = harness.discovery.version + 1, "SERVING"
 
@@ -268,7 +268,7 @@
             harness.discovery.server.script = silent
 
         harness.discovery.server.script = indented
-        harness.discovery.tell(workers[1].entry())
+        harness.discovery.publish(workers[1].entry())
         await harness.wait_until(
             lambda: (
                 harness.service.endpoints.may_send("d1")
@@ -329,7 +329,7 @@
             while (await running.ask("/up", "GET", b"")).status != 200:
                 await trio.sleep(0.01)
             healthy, discovery.server.script = discovery.server.script, reset
-            discovery.tell(workers[0].entry())
+            discovery.publish(workers[0].entry())
             await running.said("discovery_unavailable")
             address = await running.said(r" ready .*listen=([\d.]+):(\d+)")
             idle = []
@@ -342,7 +342,7 @@
             # Discovery is back with a change: it is applied, and the next request goes to the new worker.
             discovery.server.script = healthy
             discovery.workers = workers
-            discovery.tell(set_draining(workers[0]), workers[1].entry())
+            discovery.publish(set_draining(workers[0]), workers[1].entry())
             await running.said("discovery_recovered")
             while (
                 await running.ask(X_Request_ID=f"after{len(workers[1].exchanges)}")
--- a/tests/test_drawn.py
+++ b/tests/test_drawn.py
@@ -97,7 +97,7 @@
             try:
                 await END[how](exchange)
                 if how in ("garbled", "half", "silent", "lost"):
-                    await exchange.closed()
+                    await exchange.wait_closed()
             finally:
                 seen["over"] = trio.current_time()
 
@@ -120,14 +120,14 @@
 
 END = {
     "done": lambda exchange: exchange.done(result=f"for {exchange.id}"),
-    "failed": lambda exchange: exchange.status(500),
+    "failed": lambda exchange: exchange.send_status(500),
     "reset": resets,
     "half": half,
     "silent": silent,
-    "lost": lambda exchange: exchange.say("lost"),
-    "garbled": lambda exchange: exchange.raw("{]\n"),
-    "returned": lambda exchange: exchange.say("returned"),
-    "turned away": lambda exchange: exchange.status(503, "X-Not-Processed: 1"),
+    "lost": lambda exchange: exchange.send_message("lost"),
+    "garbled": lambda exchange: exchange.send_raw("{]\n"),
+    "returned": lambda exchange: exchange.send_message("returned"),
+    "turned away": lambda exchange: exchange.send_status(503, "X-Not-Processed: 1"),
 }
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -413,7 +413,7 @@
         hang_up(client)
         [left] = harness.service.listener.clients
         await harness.wait_until(lambda: left.disconnected)
-        assert len(worker.live) == 1
+        assert len(worker.open_streams) == 1
         go_on.set()
         # The connection completed its exchange and is kept.
         await harness.wait_until(lambda: harness.service.worker_connections._idle.get("d1"))
@@ -1063,21 +1063,21 @@
 
 
 async def partial_line_then_reset(exchange):
-    await exchange.say("started")
-    await exchange.raw('{"id":"r1","from":"d","state":"do')
+    await exchange.send_message("started")
+    await exchange.send_raw('{"id":"r1","from":"d","state":"do')
     exchange.reset()
 
 
 async def end_without_final_message(exchange):
-    await exchange.say("started")
+    await exchange.send_message("started")
     await exchange.stream.send_all(b"0\r\n\r\n")
 
 
 async def partial_chunk_then_eof(exchange):
-    await exchange.say("started")
+    await exchange.send_message("started")
     await exchange.stream.send_all(b"ff\r\n{")
     await exchange.stream.send_eof()
-    await exchange.closed()
+    await exchange.wait_closed()
 
 
 @pytest.mark.parametrize(
@@ -1117,19 +1117,19 @@
 
 
 async def done_twice(exchange):
-    await exchange.say("done", result="profile")
-    await exchange.say("done", result="another")
+    await exchange.send_message("done", result="profile")
+    await exchange.send_message("done", result="another")
     await exchange.stream.send_all(b"0\r\n\r\n")
 
 
 async def done_without_end(exchange):
-    await exchange.say("done", result="profile")
-    await exchange.closed()
+    await exchange.send_message("done", result="profile")
+    await exchange.wait_closed()
 
 
 async def second_answer(exchange):
     await exchange.done()
-    exchange.begun = False
+    exchange.head_sent = False
     await exchange.done("another")
 
 
@@ -1137,7 +1137,7 @@
     line = ujson.dumps({"id": exchange.id, "from": "d", "state": "done", "result": "profile"})
     text = f"data: {line}\n\n" if exchange.front == "progress" else line + "\n"
     for letter in text:
-        await exchange.raw(letter)
+        await exchange.send_raw(letter)
     await exchange.stream.send_all(b"0\r\n\r\n")
 
 
@@ -1160,7 +1160,7 @@
 
 
 async def reports_lost(exchange):
-    await exchange.say("lost")
+    await exchange.send_message("lost")
 
 
 @pytest.mark.parametrize("script, served", [(done, True), (reports_lost, False)])
@@ -1230,7 +1230,7 @@
         assert (await harness.ask(X_Request_ID="r0", **LONG_TIMEOUT)).status == 200
 
         def closes():
-            for stream in list(worker.live):
+            for stream in list(worker.open_streams):
                 stream.socket.close()
             gate.worker = "d2"
 
@@ -1243,10 +1243,10 @@
             if (
                 connection is idle_connection.http.connection
                 and not connection.closed
-                and worker.live
+                and worker.open_streams
             ):
                 closes()
-                worker.live.clear()
+                worker.open_streams.clear()
             return state
 
         monkeypatch.setattr(Connection, "check_idle", check_idle)
@@ -1315,7 +1315,7 @@
 @trio_test
 async def test_sigterm_while_discovery_is_silent_ends_the_process_normally(known, tmp_path):
     async def silent(exchange):
-        await exchange.closed()
+        await exchange.wait_closed()
 
     worker = ScriptedWorker("d1", done)
     async with trio.open_nursery() as nursery:
@@ -1350,9 +1350,9 @@
             await trio.sleep(0.1)
             await exchange.done()
             return
-        await exchange.status(503, "X-Not-Processed: 1")
+        await exchange.send_status(503, "X-Not-Processed: 1")
         await trio.sleep(0.04)  # the next attempt is running by then
-        await exchange.status(503, "X-Not-Processed: 1")
+        await exchange.send_status(503, "X-Not-Processed: 1")
 
     class ConcurrentReader(ScriptedWorker):
         async def _converse(self, stream):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -162,10 +162,10 @@
 
         original_script, harness.discovery.server.script = harness.discovery.server.script, busy
         before = len(harness.discovery.calls)
-        harness.discovery.tell(worker.entry())  # ends the pending call
+        harness.discovery.publish(worker.entry())  # ends the pending call
         await harness.wait_until(lambda: len(harness.discovery.calls) >= before + 3)
         assert all("from=" in target for _, target in harness.discovery.calls[before:])
         assert (await harness.ask()).status == 200
         harness.discovery.server.script = original_script
-        harness.discovery.tell({**worker.entry(), "state": "DRAINING"})
+        harness.discovery.publish({**worker.entry(), "state": "DRAINING"})
         await harness.wait_until(lambda: not harness.service.endpoints.may_send("a"))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -161,8 +161,8 @@
 @trio_test
 async def test_log_lines_of_a_request_have_its_id_and_trace(tmp_path, caplog):
     async def malformed_response(exchange):
-        await exchange.raw("no line of the protocol\n")
-        await exchange.closed()
+        await exchange.send_raw("no line of the protocol\n")
+        await exchange.wait_closed()
 
     out = io.StringIO()
     with logging_to(out, "INFO", "json"):
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -292,13 +292,13 @@
         ):
             assert (await harness.call(call)).status == status
         before = len(one.exchanges)
-        await harness.wait_until(lambda: not one.live)  # its idle connections are closed
+        await harness.wait_until(lambda: not one.open_streams)  # its idle connections are closed
         d1, watch = one.entry(), harness.discovery
         for change in ([d1], [{**d1, "state": "DELETED"}], [d1], [{**d1, "started_ms": 1e12}]):
-            watch.tell(*change)
+            watch.publish(*change)
             await harness.wait_until(lambda: harness.service.endpoints.version == watch.version)
             await send_requests(5)
-        watch.tell(d1, other.entry(), full=True)
+        watch.publish(d1, other.entry(), full=True)
         await harness.wait_until(lambda: harness.service.endpoints.version == watch.version)
         await send_requests(5)
         assert len(one.exchanges) == before
@@ -309,7 +309,7 @@
             while len(one.exchanges) == before:
                 await send_requests(1)
         assert (await harness.call(ATTACH + "d1")).status == 200
-        watch.tell({**d1, "state": "DELETED"})
+        watch.publish({**d1, "state": "DELETED"})
         await harness.wait_until(lambda: harness.service.endpoints.version == watch.version)
         assert (await harness.call(DETACH + "d1")).status == 404
 
@@ -351,7 +351,7 @@
             "d3",
         ]
         old_process.listener.stop_accepting()
-        harness.discovery.tell(*(p.entry() for p in workers), full=True)
+        harness.discovery.publish(*(p.entry() for p in workers), full=True)
         await harness.wait_until(lambda: new_process.endpoints.version == harness.discovery.version)
         client, ids = await harness.shared.client(), iter(range(10_000))
         with trio.fail_after(5):
@@ -477,9 +477,9 @@
 async def test_the_metrics_count_answers_attempts_workers_and_reloads(front):
     async def script(exchange):
         if exchange.id.startswith("fails"):
-            await exchange.status(500)
+            await exchange.send_status(500)
         elif exchange.id == "waits":
-            await exchange.closed()
+            await exchange.wait_closed()
         else:
             await exchange.done()
 
@@ -535,7 +535,7 @@
         assert reply.status == 503 or b"refused" in reply.body
         counts = await metrics(harness)
         assert counts["overload.tour"] == 1 and counts["targets"] == 1
-        harness.discovery.tell({**one.entry(), "state": "DELETED"})
+        harness.discovery.publish({**one.entry(), "state": "DELETED"})
         await harness.wait_until(lambda: not len(harness.service.endpoints))
         counts = await metrics(harness)
         assert counts["targets"] == counts["targets_disabled"] == 0
@@ -600,7 +600,7 @@
         if exchange.id in gates and exchange.id not in seen:
             seen.add(exchange.id)
             await gates[exchange.id].wait()
-            await exchange.status(500)
+            await exchange.send_status(500)
         else:
             await exchange.done()
 
@@ -647,7 +647,7 @@
     async def errs(exchange):
         if exchange.id == "open" and not gate.is_set():
             await gate.wait()
-        await exchange.status(503, "X-Not-Processed: 1")
+        await exchange.send_status(503, "X-Not-Processed: 1")
 
     workers = [ScriptedWorker(f"d{i}", errs) for i in range(8)]
     async with running_service(*workers, **MGMT) as harness:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -62,41 +62,41 @@
 
 
 async def reset_after_start(exchange):
-    await exchange.say("started")
+    await exchange.send_message("started")
     exchange.reset()
 
 
 async def reports_lost(exchange):
-    await exchange.say("lost")
+    await exchange.send_message("lost")
 
 
 async def other_id(exchange):
-    await exchange.say("done", id="r9", result="another's")
+    await exchange.send_message("done", id="r9", result="another's")
 
 
 async def malformed_json(exchange):
-    await exchange.raw("{]\n")
+    await exchange.send_raw("{]\n")
 
 
 async def no_result(exchange):
-    await exchange.say("done")
+    await exchange.send_message("done")
 
 
 async def unencodable_result(exchange):
-    await exchange.raw('{"id":"r1","from":"d","state":"done","result":[1e999]}\n')
+    await exchange.send_raw('{"id":"r1","from":"d","state":"done","result":[1e999]}\n')
 
 
 async def lone_surrogate_result(exchange):
-    await exchange.raw('{"id":"r1","from":"d","state":"done","result":"\\ud800"}\n')
+    await exchange.send_raw('{"id":"r1","from":"d","state":"done","result":"\\ud800"}\n')
 
 
 async def share_above_one(exchange):
-    await exchange.say("running", share=7)
+    await exchange.send_message("running", share=7)
 
 
 async def endless_line(exchange):
     while True:
-        await exchange.raw("x" * 9000)
+        await exchange.send_raw("x" * 9000)
 
 
 async def not_http(exchange):
@@ -104,19 +104,19 @@
 
 
 async def status_503_not_processed(exchange):
-    await exchange.status(503, "X-Not-Processed: 1")
+    await exchange.send_status(503, "X-Not-Processed: 1")
 
 
 async def reports_returned(exchange):
-    await exchange.say("returned")
+    await exchange.send_message("returned")
 
 
 async def status_500(exchange):
-    await exchange.status(500)
+    await exchange.send_status(500)
 
 
 async def status_503(exchange):
-    await exchange.status(503)
+    await exchange.send_status(503)
 
 
 @pytest.mark.parametrize(
@@ -155,7 +155,9 @@
     async with running_service(dead, alive) as harness:
         with socket.socket() as unused:  # a port without a listener
             unused.bind(("127.0.0.1", 0))
-            harness.discovery.tell({**dead.entry(), "addr": f"127.0.0.1:{unused.getsockname()[1]}"})
+            harness.discovery.publish(
+                {**dead.entry(), "addr": f"127.0.0.1:{unused.getsockname()[1]}"}
+            )
             await harness.wait_until(lambda: harness.service.endpoints.version == 2)
             for i in range(6):
                 assert (await harness.ask("/once", X_Request_ID=f"r{i}")).status == 200
@@ -167,7 +169,7 @@
     connection_closed = trio.Event()
 
     async def silent(exchange):
-        await exchange.closed()
+        await exchange.wait_closed()
         connection_closed.set()
 
     async with running_service(
@@ -189,7 +191,7 @@
         await client.stream.aclose()
         await harness.wait_until(lambda: not harness.service.listener.clients)
         for worker in workers:
-            for stream in list(worker.live):
+            for stream in list(worker.open_streams):
                 await trio.aclose_forcefully(stream)  # ends the attempt: no second one may follow
         for worker in workers:
             worker.script = done
@@ -200,7 +202,7 @@
 @mock_clock_test
 async def test_request_without_any_worker_is_rejected_at_once_with_retry_after():
     async with running_service(ScriptedWorker("d1", done)) as harness:
-        harness.discovery.tell(full=True)  # a full list without workers removes all of them
+        harness.discovery.publish(full=True)  # a full list without workers removes all of them
         await harness.wait_until(lambda: len(harness.service.endpoints) == 0)
         began = trio.current_time()
         replies = []
@@ -221,9 +223,9 @@
         for i in range(8):
             await harness.ask(X_Request_ID=f"a{i}")
         used = max(workers, key=lambda p: len(p.exchanges))
-        assert used.live
-        harness.discovery.tell({**used.entry(), "state": "DRAINING"})
-        await harness.wait_until(lambda: not used.live)
+        assert used.open_streams
+        harness.discovery.publish({**used.entry(), "state": "DRAINING"})
+        await harness.wait_until(lambda: not used.open_streams)
         before = len(used.exchanges)
         for i in range(8):
             assert (await harness.ask(X_Request_ID=f"b{i}")).status == 200
@@ -240,14 +242,14 @@
     async with running_service(worker) as harness:
         calls = harness.discovery.calls
         await harness.wait_until(lambda: len(calls) >= 2)
-        harness.discovery.tell(worker.entry())
+        harness.discovery.publish(worker.entry())
         changed_at = trio.current_time()
         await harness.wait_until(lambda: len(calls) >= 3 and harness.service.endpoints.version == 2)
         assert calls[-1][0] - changed_at < 0.2 and "from=2" in calls[-1][1]
         harness.discovery.silent = True
         await harness.wait_until(lambda: len(calls) >= 6)
         harness.discovery.silent = False
-        harness.discovery.tell({**worker.entry(), "state": "DRAINING"})
+        harness.discovery.publish({**worker.entry(), "state": "DRAINING"})
         await harness.wait_until(lambda: harness.service.endpoints.version == 3)
 
 
@@ -353,10 +355,10 @@
 ):
     async def first_is_silent(exchange):
         if exchange.id == "r0":
-            await exchange.closed()
+            await exchange.wait_closed()
             given_up.set()
         else:
-            await exchange.say("started")
+            await exchange.send_message("started")
             await exchange.done()
 
     given_up, worker = trio.Event(), ScriptedWorker("d1", first_is_silent)
@@ -375,15 +377,15 @@
 @trio_test
 async def test_worker_that_keeps_sending_after_its_answer_delays_no_request():
     async def sends_after_answer(exchange):
-        await exchange.say("done", result="profile")
+        await exchange.send_message("done", result="profile")
         while True:
-            await exchange.raw("more\n" * 1500)
+            await exchange.send_raw("more\n" * 1500)
 
     worker = ScriptedWorker("d1", sends_after_answer)
     async with running_service(worker) as harness:
         for i in range(3):
             assert (await harness.ask(X_Request_ID=f"r{i}")).status == 200
-        await harness.wait_until(lambda: not worker.live)  # its connections are closed
+        await harness.wait_until(lambda: not worker.open_streams)  # its connections are closed
 
 
 @mock_clock_test
@@ -394,7 +396,7 @@
     ) as harness:
         assert (await harness.ask()).status == 200
         used = trio.current_time()
-        await harness.wait_until(lambda: not worker.live)
+        await harness.wait_until(lambda: not worker.open_streams)
         assert trio.current_time() - used < 1.0
 
 
@@ -632,7 +634,7 @@
 
     async def script(exchange):
         assert exchange.target == "/alive" and not exchange.id
-        await exchange.status(script.status)
+        await exchange.send_status(script.status)
 
     worker.script = script
     async with running_service(worker) as harness:
@@ -657,7 +659,7 @@
             raise KeyError("a bug for the test")
 
         monkeypatch.setattr(harness.service.endpoints, "apply", faulty)
-        harness.discovery.tell()
+        harness.discovery.publish()
         await harness.wait_until(lambda: harness.service.endpoints.version == 2)
         assert (await harness.ask()).status == 200
 
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -34,8 +34,8 @@
 
 
 async def reports_then_waits(exchange):
-    await exchange.say("started")
-    await exchange.say("running", share=0.4)
+    await exchange.send_message("started")
+    await exchange.send_message("running", share=0.4)
     exchange.seen = trio.Event()
     await exchange.seen.wait()
     await exchange.done({"climb": 812})
@@ -72,7 +72,7 @@
     async def script(exchange):
         if script.first:
             script.first = False
-            await exchange.say("running", share=0.9)
+            await exchange.send_message("running", share=0.9)
             await script.passed.wait()
             exchange.reset()
         else:
@@ -103,13 +103,13 @@
         await client.send()
         await harness.wait_until(lambda: any(p.exchanges for p in workers))
         # The retry finds no worker, so it stays pending until its client has left.
-        harness.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in workers))
+        harness.discovery.publish(*({**p.entry(), "state": "DRAINING"} for p in workers))
         await harness.wait_until(lambda: harness.service.endpoints.version == 2)
         script.passed.set()
-        await harness.wait_until(lambda: not any(p.live for p in workers))
+        await harness.wait_until(lambda: not any(p.open_streams for p in workers))
         await client.stream.aclose()
         await harness.wait_until(lambda: not harness.service.listener.clients)
-        harness.discovery.tell(*(p.entry() for p in workers))
+        harness.discovery.publish(*(p.entry() for p in workers))
         await harness.wait_until(lambda: harness.service.endpoints.version == 3)
         reply, events = await ask(harness, X_Request_ID="r2")
         assert events[-1].type == "served"
@@ -120,7 +120,7 @@
 async def test_deadline_applies_while_progress_is_reported():
     async def reports_progress_forever(exchange):
         while True:
-            await exchange.say("running", share=0.1)
+            await exchange.send_message("running", share=0.1)
             await trio.sleep(0.01)
 
     async with running_service(
@@ -177,7 +177,7 @@
 
     async def sends_progress_forever(exchange):
         while True:
-            await exchange.say("running", share=0.1)
+            await exchange.send_message("running", share=0.1)
 
     async with running_service(
         ScriptedWorker("d1", sends_progress_forever), front="progress"
@@ -225,13 +225,13 @@
         """Some attempts are reset during the stream, some are returned, some fail; most are served."""
         draw = rng.random()
         if draw < 0.8:
-            await exchange.say("running", share=0.5)
+            await exchange.send_message("running", share=0.5)
         if draw < 0.15:
             exchange.reset()
         elif draw < 0.2:
-            await exchange.say("returned")
+            await exchange.send_message("returned")
         elif draw < 0.25:
-            await exchange.say("failed")
+            await exchange.send_message("failed")
         else:
             await exchange.done()
 
@@ -264,12 +264,12 @@
     async with running_service(*workers, front="progress", timing={"linger_ms": 1000}) as harness:
         slots = trio.Semaphore(40)
         # Whether any of the many streams is refused is random; so the first one finds no running worker.
-        harness.discovery.tell(*({**p.entry(), "state": "DRAINING"} for p in workers))
+        harness.discovery.publish(*({**p.entry(), "state": "DRAINING"} for p in workers))
         await harness.wait_until(lambda: harness.service.endpoints.version == 2)
         reply, events = await ask(harness, X_Request_ID="r0")
         assert [e.type for e in events] == ["refused"]
         finals.append(events[-1].type)
-        harness.discovery.tell(*(p.entry() for p in workers))
+        harness.discovery.publish(*(p.entry() for p in workers))
         await harness.wait_until(lambda: harness.service.endpoints.version == 3)
         async with trio.open_nursery() as nursery:
             for number in range(1, total):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -92,12 +92,14 @@
                 f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode()
             )
         elif exchange.body == b"full":
-            await exchange.status(503, "X-Not-Processed: 1", "X-Server-Load: x0=0,qps=5,inflight=9")
+            await exchange.send_status(
+                503, "X-Not-Processed: 1", "X-Server-Load: x0=0,qps=5,inflight=9"
+            )
         else:
             load = said[int(exchange.body)]
             # json and not ujson, because of NaN
             extra = "" if load is None else f', "load": {json.dumps(load)}'
-            await exchange.raw(
+            await exchange.send_raw(
                 f'{{"id": "{exchange.id}", "state": "done", "result": "r"{extra}}}\n'
             )
             await exchange.stream.send_all(b"0\r\n\r\n")
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -128,7 +128,7 @@
         began = trio.current_time()
         harness.service.reload()
         # Set before the first call to the new discovery.
-        new_discovery.tell(set_draining(workers[0]), full=True)
+        new_discovery.publish(set_draining(workers[0]), full=True)
         await harness.wait_until(lambda: not harness.service.endpoints.may_send("d1"))
         assert trio.current_time() - began < 4.0
         sent = len(workers[0].exchanges)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -106,7 +106,7 @@
                 self.effects[key] += 1
                 self.seen.add((i // 2, key))
             if not self.reliable and self.rng.random() < 0.4:
-                await exchange.closed()
+                await exchange.wait_closed()
             else:
                 await exchange.done()
 
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -396,21 +396,21 @@
         seen.setdefault(x.id, []).append(x.headers)
         first = len(seen[x.id]) == 1
         if x.id.startswith("late"):
-            await x.say("started")
+            await x.send_message("started")
             await trio.sleep(0.25)
             await x.done()
         elif x.id.startswith("retry") and first:
-            await x.status(503, "X-Not-Processed: 1")
+            await x.send_status(503, "X-Not-Processed: 1")
         elif x.id.startswith("reset") and first:
             x.reset()
         elif x.id.startswith("fail"):
-            await x.say("failed")
+            await x.send_message("failed")
         elif x.id.startswith(("gone", "vanish", "quit")) and not (
             x.id.startswith("quit") and first
         ):
-            await x.closed()
+            await x.wait_closed()
         elif x.id.startswith("quit"):
-            await x.status(503, "X-Not-Processed: 1")
+            await x.send_status(503, "X-Not-Processed: 1")
         else:
             await x.done()
 
