--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -60,7 +60,7 @@
         self.received_work: list[tuple[float, float]] = []
 
 
-class World:
+class FleetSimulation:
     """The simulated fleet; `load` is the offered load as a fraction of all slots."""
 
     def __init__(
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -10,7 +10,7 @@
 from math import sqrt
 
 import pytest
-from fleet_world import World
+from fleet_world import FleetSimulation
 
 from yewrill.policy import interface as api
 
@@ -30,7 +30,7 @@
         "usual": (0.7, mean, widths, aim, 2.0, 1.0),
         "long": (0.3, 2.0 * mean, widths, aim, 2.0, 2.0),
     }
-    return World(
+    return FleetSimulation(
         rng.getrandbits(32),
         dispatchers,
         workers,
@@ -47,84 +47,86 @@
     )
 
 
-def overload(world):
+def overload(simulation):
     """Raises the offered load to the capacity of the present workers plus twice the slow start budget."""
-    settings = world.settings
-    world.rate = (
-        world.slots
-        * len(world.workers)
+    settings = simulation.settings
+    simulation.rate = (
+        simulation.slots
+        * len(simulation.workers)
         * (1.0 + 2.0 * settings["slow_start_multiple"])
-        / world.work
+        / simulation.work
     )
 
 
-def replace_workers(world, errs=0.0):
+def replace_workers(simulation, errs=0.0):
     """Replaces all workers by new ones, so that new requests have no other workers; returns the new ones."""
-    old = list(world.workers.values())
-    new = [world.add_worker(launched=world.now, errs=errs) for _ in old]
-    world.deliver_list_changes(
-        [*map(world.entry, new), *(world.entry(h, api.WorkerState.DRAINING) for h in old)]
+    old = list(simulation.workers.values())
+    new = [simulation.add_worker(launched=simulation.now, errs=errs) for _ in old]
+    simulation.deliver_list_changes(
+        [*map(simulation.entry, new), *(simulation.entry(h, api.WorkerState.DRAINING) for h in old)]
     )
     return new
 
 
 def held(rng, dispatchers):
     """Many requests are queued when the new workers start, and more arrive."""
-    world = random_fleet(rng, dispatchers).run(3000.0)
-    overload(world)
-    new = replace_workers(world.run(1500.0))
-    return world.run(world.settings["warm_after"]), new
+    simulation = random_fleet(rng, dispatchers).run(3000.0)
+    overload(simulation)
+    new = replace_workers(simulation.run(1500.0))
+    return simulation.run(simulation.settings["warm_after"]), new
 
 
 def quiet(rng, dispatchers):
     """No request arrives while unused budget is saved up; then many arrive at once."""
-    world = random_fleet(rng, dispatchers).run(4000.0)
-    world.rate = 1e-6
-    new = replace_workers(world)
-    world.run(rng.uniform(0.3, 0.8) * world.settings["warm_after"])
+    simulation = random_fleet(rng, dispatchers).run(4000.0)
+    simulation.rate = 1e-6
+    new = replace_workers(simulation)
+    simulation.run(rng.uniform(0.3, 0.8) * simulation.settings["warm_after"])
     for _ in range(
         int(
             3
-            * world.settings["slow_start_multiple"]
-            * world.slots
+            * simulation.settings["slow_start_multiple"]
+            * simulation.slots
             * WORKERS
-            * world.settings["slow_start_window"]
-            / world.work
+            * simulation.settings["slow_start_window"]
+            / simulation.work
         )
         + 2 * dispatchers
     ):
-        world.at(world.now + 20.0 * world.rng.random(), world.send_request)
-    overload(world)
-    return world.run(world.settings["warm_after"]), new
+        simulation.at(simulation.now + 20.0 * simulation.rng.random(), simulation.send_request)
+    overload(simulation)
+    return simulation.run(simulation.settings["warm_after"]), new
 
 
 def restarted(rng, dispatchers):
     """Dispatchers restart under overload in the middle of the slow start, each at a different time."""
-    world = random_fleet(rng, dispatchers).run(3000.0)
-    overload(world)
-    new = replace_workers(world.run(500.0))
+    simulation = random_fleet(rng, dispatchers).run(3000.0)
+    overload(simulation)
+    new = replace_workers(simulation.run(500.0))
     for i in range(dispatchers):
         if dispatchers == 1 or rng.random() < 0.7:
-            world.at(
-                world.now + rng.uniform(0.2, 0.6) * world.settings["warm_after"], world.restart, i
+            simulation.at(
+                simulation.now + rng.uniform(0.2, 0.6) * simulation.settings["warm_after"],
+                simulation.restart,
+                i,
             )
-    return world.run(world.settings["warm_after"]), new
+    return simulation.run(simulation.settings["warm_after"]), new
 
 
 def begun(rng, dispatchers):
     """All dispatchers and workers start together under overload, before any run time is known."""
-    world = random_fleet(rng, dispatchers)
-    overload(world)
-    new = replace_workers(world)
-    return world.run(world.settings["warm_after"]), new
+    simulation = random_fleet(rng, dispatchers)
+    overload(simulation)
+    new = replace_workers(simulation)
+    return simulation.run(simulation.settings["warm_after"]), new
 
 
 def erring(rng, dispatchers):
     """The new workers answer half of their requests with an error, and these are retried."""
-    world = random_fleet(rng, dispatchers).run(3000.0)
-    overload(world)
-    new = replace_workers(world.run(500.0), errs=0.5)
-    return world.run(world.settings["warm_after"]), new
+    simulation = random_fleet(rng, dispatchers).run(3000.0)
+    overload(simulation)
+    new = replace_workers(simulation.run(500.0), errs=0.5)
+    return simulation.run(simulation.settings["warm_after"]), new
 
 
 def parted(rng, dispatchers):
@@ -135,13 +137,13 @@
         {"index": i if zones > 1 else -1, "zone": min(zones - 1, int(i / first))}
         for i in range(dispatchers)
     ]
-    world = random_fleet(
+    simulation = random_fleet(
         rng, dispatchers, 12, MEANS[2:], zones=zones, places=places, fees={"cross_zone": 0.1}
     )
-    world.run(3000.0)
-    overload(world)
-    new = replace_workers(world.run(500.0))
-    return world.run(world.settings["warm_after"]), new
+    simulation.run(3000.0)
+    overload(simulation)
+    new = replace_workers(simulation.run(500.0))
+    return simulation.run(simulation.settings["warm_after"]), new
 
 
 # Draws, of the first ten of each case, that exceed the budget at some number of dispatchers if the budget is
@@ -157,9 +159,9 @@
 }
 
 
-def excess(world, worker):
+def excess(simulation, worker):
     """Returns the largest excess over N and random variation in a window of the slow start, and that N."""
-    settings, sent = world.settings, worker.received_work
+    settings, sent = simulation.settings, worker.received_work
     window, worst, of = settings["slow_start_window"], -1e9, 0.0
     first, work = 0, 0.0
     for at, more in sent:
@@ -169,19 +171,23 @@
         while sent[first][0] <= at - window:
             work -= sent[first][1]
             first += 1
-        capacity = world.slots * world.warm_up_progress(worker, at)
-        n = settings["slow_start_multiple"] * capacity * window / world.work
-        over = work / world.work - n - 2.0 * sqrt(n) - 2.0
+        capacity = simulation.slots * simulation.warm_up_progress(worker, at)
+        n = settings["slow_start_multiple"] * capacity * window / simulation.work
+        over = work / simulation.work - n - 2.0 * sqrt(n) - 2.0
         if over > worst:
             worst, of = over, n
     return worst, of
 
 
-def used(world, new):
+def used(simulation, new):
     """Returns the fraction of their slow start budget that the new workers received during the slow start."""
-    settings = world.settings
+    settings = simulation.settings
     capacity = (
-        len(new) * world.slots * (1.0 + settings["start_capacity"]) / 2.0 * settings["warm_after"]
+        len(new)
+        * simulation.slots
+        * (1.0 + settings["start_capacity"])
+        / 2.0
+        * settings["warm_after"]
     )
     sent = sum(
         work
@@ -196,9 +202,9 @@
 @pytest.mark.parametrize("dispatchers", SIZES)
 def test_slow_start_budget_is_kept_by_the_sum_of_all_dispatchers(dispatchers, case):
     for draw in DRAWS[case][: 1 if dispatchers == 200 else None]:
-        world, new = case(random.Random(f"{case.__name__} {draw}"), dispatchers)
+        simulation, new = case(random.Random(f"{case.__name__} {draw}"), dispatchers)
         for worker in new:
-            over, n = excess(world, worker)
+            over, n = excess(simulation, worker)
             assert over <= 0.0, (
                 f"draw {draw}: {over:.1f} requests above N = {n:.1f} and its variation"
             )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from fleet_world import World
+from fleet_world import FleetSimulation
 from helper import SETTINGS, ScriptedWorker, done, running_service, trio_test
 
 from yewrill import Dispatcher, Settings
@@ -96,27 +96,27 @@
 
 def test_slow_worker_affects_only_the_few_dispatchers_that_have_it_in_their_subset():
     # Guards against each of 40 dispatchers losing a request or two to each slow worker before it avoids it.
-    world = World(5, load=0.6)
-    bad = next(iter(world.workers.values()))
+    simulation = FleetSimulation(5, load=0.6)
+    bad = next(iter(simulation.workers.values()))
     bad.slow = 40.0
-    world.run(8000.0)
-    affected = sum(bad.name in used for used in world.used)
+    simulation.run(8000.0)
+    affected = sum(bad.name in used for used in simulation.used)
     assert affected <= 15, "without subsets nearly all 40 dispatchers are affected"
     # Each dispatcher uses few workers, and each worker is used by some dispatcher.
-    assert sum(map(len, world.used)) / 40 < 20 and len(set().union(*world.used)) == 60
+    assert sum(map(len, simulation.used)) / 40 < 20 and len(set().union(*simulation.used)) == 60
 
 
 def test_new_workers_are_used_soon_and_not_overloaded_by_all_dispatchers_together():
     # Guards against 40 dispatchers whose parts of the slow start budget are below one request: new workers
     # would stay idle while requests pile up at the old ones.
-    world = World(3, load=0.6)
-    world.run(4000.0)
-    old = list(world.workers.values())[:20]
-    new = [world.add_worker(launched=world.now) for _ in old]
-    world.deliver_list_changes([world.entry(h) for h in new])
-    world.run(500.0)
-    world.deliver_list_changes([world.entry(h, api.WorkerState.DRAINING) for h in old])
-    world.run(6000.0)
+    simulation = FleetSimulation(3, load=0.6)
+    simulation.run(4000.0)
+    old = list(simulation.workers.values())[:20]
+    new = [simulation.add_worker(launched=simulation.now) for _ in old]
+    simulation.deliver_list_changes([simulation.entry(h) for h in new])
+    simulation.run(500.0)
+    simulation.deliver_list_changes([simulation.entry(h, api.WorkerState.DRAINING) for h in old])
+    simulation.run(6000.0)
     warm = [0.31 + 0.69 * k / 62 for k in range(62)]
     for worker in new:
         for start in range(0, 5000, 500):  # the budget: 3 times the capacity, in any 3 s
@@ -133,14 +133,14 @@
 
 
 def test_workers_that_replace_most_of_a_busy_fleet_get_the_used_part_of_the_slow_start_budget():
-    world = World(3, load=1.0)
-    world.run(3000.0)
-    old = list(world.workers.values())[:50]
-    new = [world.add_worker(launched=world.now) for _ in old]
-    world.deliver_list_changes(
-        [*map(world.entry, new), *(world.entry(h, api.WorkerState.DRAINING) for h in old)]
+    simulation = FleetSimulation(3, load=1.0)
+    simulation.run(3000.0)
+    old = list(simulation.workers.values())[:50]
+    new = [simulation.add_worker(launched=simulation.now) for _ in old]
+    simulation.deliver_list_changes(
+        [*map(simulation.entry, new), *(simulation.entry(h, api.WorkerState.DRAINING) for h in old)]
     )
-    world.run(3100.0)
+    simulation.run(3100.0)
     sent = sum(
         work for worker in new for at, work in worker.received_work if at - worker.launched < 3000.0
     )
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -11,7 +11,7 @@
 import trio
 import trio.testing
 import ujson
-from fleet_world import World
+from fleet_world import FleetSimulation
 from helper import ScriptedWorker, done, running_service, trio_test
 from hypothesis import given
 from hypothesis import strategies as st
@@ -395,7 +395,7 @@
     were recorded again when the slow start budget came to hold for the sum of all dispatchers, and those at a
     load of 0.7 when expected arrivals came to be bounded by the present drain time."""
     digest = hashlib.sha256()
-    fleet = World(seed, dispatchers=6, workers=12, load=load, warm_after=warm_after)
+    fleet = FleetSimulation(seed, dispatchers=6, workers=12, load=load, warm_after=warm_after)
     deliver = fleet.deliver
 
     def deliver_recorded(i, events, deliver=deliver, fleet=fleet):
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -7,7 +7,7 @@
 
 import pytest
 import trio
-from fleet_world import World
+from fleet_world import FleetSimulation
 from helper import (
     Discovery,
     ScriptedWorker,
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("dispatchers, seed", [(20, 1), (24, 2), (30, 3)])
 def test_every_one_of_many_dispatchers_sends_requests_while_all_workers_are_cold(dispatchers, seed):
-    fleet = World(seed, dispatchers=dispatchers, workers=12, load=0.3)
+    fleet = FleetSimulation(seed, dispatchers=dispatchers, workers=12, load=0.3)
     arrived: list[list[float]] = [[] for _ in range(dispatchers)]
     sent: list[list[float]] = [[] for _ in range(dispatchers)]
     tell, reach = fleet.deliver, fleet.arrive_at_worker
