--- a/tests/machine_faults.py
+++ b/tests/machine_faults.py
@@ -23,7 +23,7 @@
         return call
 
 
-class SetClock:
+class SteppedClock:
     """Steps the wall clock by `offset` seconds; the monotonic clock is unaffected."""
 
     def __init__(self, monkeypatch):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -8,7 +8,7 @@
 
 import pytest
 from helper import ScriptedWorker, done, running_service, trio_test
-from machine_faults import SetClock
+from machine_faults import SteppedClock
 
 from yewrill.dispatch.start_times import MAX_STARTS, OFFSET_RETENTION_MS, StartTimes
 
@@ -37,7 +37,7 @@
 async def test_a_worker_that_starts_after_a_step_of_the_wall_clock_has_its_slow_start(
     step, monkeypatch
 ):
-    clock = SetClock(monkeypatch)
+    clock = SteppedClock(monkeypatch)
     old, new = ScriptedWorker("old", done), ScriptedWorker("new", done)
     async with running_service(old, new) as harness:
         clock.offset = step
@@ -53,7 +53,7 @@
 async def test_a_start_listed_before_and_after_a_step_of_the_wall_clock_is_one_start(
     step, monkeypatch
 ):
-    clock = SetClock(monkeypatch)
+    clock = SteppedClock(monkeypatch)
     worker = ScriptedWorker("d1", done)
     async with running_service(worker) as harness:
         entry = entry_started(worker, ago=60.0)
@@ -71,7 +71,7 @@
 async def test_a_start_before_a_step_that_is_first_listed_after_it_counts_as_recent(
     step, monkeypatch
 ):
-    clock = SetClock(monkeypatch)
+    clock = SteppedClock(monkeypatch)
     worker = ScriptedWorker("d1", done)
     async with running_service(worker) as harness:
         entry = entry_started(worker, ago=0.0)
@@ -87,7 +87,7 @@
 async def test_a_reattached_workers_age_does_not_change_with_a_step_of_the_wall_clock(
     step, monkeypatch
 ):
-    clock = SetClock(monkeypatch)
+    clock = SteppedClock(monkeypatch)
     async with running_service(ScriptedWorker("d1", done), mgmt="127.0.0.1:0") as harness:
         await harness.call("PUT /_profilers/detach?name=d1")
         await harness.call("PUT /_profilers/attach?name=d1")
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 from helper import ScriptedWorker, done, hang, running_service, trio_test
-from machine_faults import FaultyDisk, SetClock
+from machine_faults import FaultyDisk, SteppedClock
 from test_operators import hot_restart_service, start_new_process
 
 from yewrill.persistence.attempt_journal import ATTEMPT_PREFIX
@@ -95,7 +95,7 @@
 async def test_a_record_is_valid_for_its_window_however_the_wall_clock_is_set(
     step, tmp_path, monkeypatch
 ):
-    clock = SetClock(monkeypatch)
+    clock = SteppedClock(monkeypatch)
     worker = ScriptedWorker("d1", hang)
     await copy_state_with_attempt_in_flight(worker, tmp_path)
     clock.offset = step
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -86,15 +86,15 @@
     fleet = FleetSimulation(seed, dispatchers=dispatchers, workers=12, load=0.3)
     arrived: list[list[float]] = [[] for _ in range(dispatchers)]
     sent: list[list[float]] = [[] for _ in range(dispatchers)]
-    tell, reach = fleet.deliver, fleet.arrive_at_worker
+    deliver, arrive_at_worker = fleet.deliver, fleet.arrive_at_worker
 
     def record_arrivals(index, events):
         arrived[index] += [fleet.now for event in events if isinstance(event, api.RequestArrived)]
-        tell(index, events)
+        deliver(index, events)
 
     def record_sent(index, job, number, name):
         sent[index].append(fleet.now)
-        reach(index, job, number, name)
+        arrive_at_worker(index, job, number, name)
 
     fleet.deliver, fleet.arrive_at_worker = record_arrivals, record_sent
     for host in fleet.workers.values():
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -277,9 +277,9 @@
         flipped[len(flipped) // 2] ^= 4
         file.write_bytes(flipped)
         before = sorted((p.name, p.read_bytes()) for p in tmp_path.iterdir())
-        told = run("verify", tmp_path, "--json")
-        (finding,) = ujson.loads(told.stdout)["findings"]
-        assert told.exit_code == 1 and (finding["what"], finding["file"]) == (what, file.name)
+        result = run("verify", tmp_path, "--json")
+        (finding,) = ujson.loads(result.stdout)["findings"]
+        assert result.exit_code == 1 and (finding["what"], finding["file"]) == (what, file.name)
         if what == "damage":
             assert finding["start"] <= len(flipped) // 2 < finding["end"]
         run("stat", tmp_path)
--- a/tests/test_store_crash.py
+++ b/tests/test_store_crash.py
@@ -113,9 +113,9 @@
     disk = SimulatedDisk.of({**disk.dump(), name: bytes(data)})
     engine = open_engine(disk, 1)
     assert not engine.findings
-    with pytest.raises(DamagedValue) as told:
+    with pytest.raises(DamagedValue) as raised:
         engine.get(b"k07", 0)
-    assert told.value.segment == name and engine.get(b"k08", 0).value == b"value 8"
+    assert raised.value.segment == name and engine.get(b"k08", 0).value == b"value 8"
     assert compact_once(engine, 0)
     assert len(read_all(engine)) == 19 and any(n.startswith(QUARANTINE) for n in disk.dump())
 
