--- a/tests/fixture_files.py
+++ b/tests/fixture_files.py
@@ -7,7 +7,7 @@
 
 import ujson
 
-VERSION = "f4043a5"  # the version that wrote the fixtures
+VERSION = "f4043a5"  # The fixtures were written by this version.
 DIRECTORY = Path(__file__).parent / "fixtures" / VERSION
 
 Encoded = dict[str, list[bytes]]  # encoded values by label, each in one or several parts
--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -77,7 +77,7 @@
     return {"to a stranger": [first], "hello": [greeting], **encoded, "as much as fits": [full]}
 
 
-# -- parts
+# -- fragments of payloads
 
 PAYLOADS = (
     ("empty", b"", 0),
--- a/tests/fixture_service.py
+++ b/tests/fixture_service.py
@@ -125,7 +125,7 @@
 async def _status(harness: ServiceHarness, part: str) -> list[Any]:
     reply = await harness.call(f"GET /_{part}")
     status = ujson.loads(reply.body)
-    if part == "members":  # which other kinds of datagrams have been sent by now varies
+    if part == "members":  # the other kinds of datagrams depend on the timing of the run
         status["sent"] = {"ping": status["sent"]["ping"]}
     indented = ujson.dumps(ujson.loads(reply.body), indent=1).encode() + b"\n" == reply.body
     return [part, reply.status, reply.headers["content-type"], indented, shape_of(status)]
@@ -133,7 +133,8 @@
 
 # -- the link between the two processes of a hot restart
 
-# Lines of the new process, then those of the old one. Responses of the other side come in between.
+# Lines that the new process sends, then those that the old one sends. Responses of the other process come in
+# between.
 NEW_PROCESS_LINES = (
     b'{"hello":1}\n',
     b'{"ready":true,"number":1}\n',
--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -41,7 +41,7 @@
 
 STATE, VOTER, VIEW, COMPACTED = "state", "ownership_log", "views_kept", "compacted"
 DIRECTORIES = (STATE, VOTER, VIEW, COMPACTED)
-PROCESS_FILES = ("LOCK", "RESERVE")  # files of the running process, which hold no records
+PROCESS_FILES = ("LOCK", "RESERVE")  # files of the running process, without records
 WALL = 4_102_444_800_000.0  # 2100-01-01, in ms
 BOOT = "0f1e2d3c-boot"
 WRITTEN = Clocks(WALL, 50_000_000.0, BOOT)
@@ -132,7 +132,8 @@
     ended = _request(9, "once", "k9")
     persistent_state.attempts.begin_request(ended, classes["once"], "acme")
     assert await persistent_state.attempts.record_attempt(Attempt(ended, 0, "d0", 1e9))
-    persistent_state.attempts.request_finished(ended)  # the next write deletes its record
+    # The next write deletes the record of this attempt.
+    persistent_state.attempts.request_finished(ended)
     for number, (request_class, key, worker) in enumerate(REQUESTS):
         request = _request(number, request_class, key)
         persistent_state.attempts.begin_request(request, classes[request_class], "acme")
--- a/tests/fixture_traces.py
+++ b/tests/fixture_traces.py
@@ -43,7 +43,7 @@
         self.tracer = Tracer(
             sampling_config, clock=self.clock, wall=lambda: WALL_SECONDS, rng=random.Random(5)
         )
-        self.headers: list[list[tuple[str, str]]] = []  # of each attempt
+        self.headers: list[list[tuple[str, str]]] = []  # the arguments of each attempt
 
     def begin(self, id: str, **given: Any) -> RequestTrace:
         self.clock.now += 1.0
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -1,6 +1,6 @@
 """Simulation of many decision modules that share many workers, in virtual time with a seeded generator.
 
-It shows effects of the sum of all dispatchers. Workers have a few slots and start requests in order of
+It shows effects of all dispatchers together. Workers have a few slots and start requests in order of
 arrival; a wide request waits at the head of the queue until enough slots are free. Workers report the starts
 of requests, and warm up after their own start. Changes of the endpoint list reach each dispatcher at a
 different time. Dispatchers may restart. Times are milliseconds.
@@ -16,7 +16,7 @@
 from yewrill import Dispatcher, Settings
 from yewrill.policy import interface as api
 
-ONE_WAY_MS = 0.5  # between a dispatcher and a worker
+ONE_WAY_MS = 0.5  # delay of a message between a dispatcher and a worker
 # Request classes: fraction of the traffic, mean run time, probabilities of needing 1, 2 and 4 slots, latency
 # objective, run time factor of the objective, priority weight.
 CLASSES = {
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,4 +1,4 @@
-"""Scripted workers, a fake discovery and clients on loopback sockets, and a whole service between them."""
+"""Scripted workers, a fake discovery and clients on loopback sockets, and a running service between them."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
     return ScaledClock(_pace_sample[1])
 
 
-# Runs an async test under trio with a time limit; its clock is slowed down as far as the machine is slow now.
+# Runs an async test under trio with a time limit. The clock is slowed down by the slowdown of the machine.
 trio_test = _trio_test_with_clock(_slow_clock)
 # Like `trio_test`, for tests of times: the clock advances only while all tasks are blocked. It does not suit
 # tests with threads. The slow rate lets the time limit end a test that never blocks.
@@ -130,7 +130,7 @@
         )
 
     async def wait_closed(self) -> None:
-        """Wait until the dispatcher closes this connection."""
+        """Waits until the dispatcher closes this connection."""
         with suppress(trio.BrokenResourceError):
             while await self.stream.receive_some():
                 pass
@@ -217,7 +217,7 @@
         self.changed = trio.Event()
 
     async def serve(self, nursery: trio.Nursery) -> str:
-        """Start serving; returns the address."""
+        """Starts serving and returns the address."""
         self.server = ScriptedWorker("discovery", self.script)
         await nursery.start(self.server.serve)
         return f"127.0.0.1:{self.server.port}"
@@ -286,7 +286,7 @@
 
 
 class ServiceHarness:
-    """A running service and its scripted peers."""
+    """A running service with its scripted workers and its discovery."""
 
     def __init__(self, service: Service, discovery: Discovery, nursery: trio.Nursery, raw: dict):
         self.service, self.discovery, self.nursery = service, discovery, nursery
@@ -304,7 +304,7 @@
             await client.stream.aclose()
 
     async def call(self, call: str, raw: bytes | None = None) -> Reply:
-        """Make one management call, such as "GET /_ready"."""
+        """Makes one management call, such as "GET /_ready"."""
         client = Client(await trio.open_tcp_stream(*self.service.management.address))
         method, _, target = call.partition(" ")
         client.parser.send(
@@ -320,7 +320,7 @@
         return reply
 
     async def wait_until(self, true: Callable[[], bool]) -> None:
-        """Wait until a condition on a peer or the service holds."""
+        """Waits until a condition on a worker, discovery or the service holds."""
         while not true():
             await trio.sleep(0.002)
 
@@ -333,7 +333,7 @@
     environment: dict | None = None,
     **config,
 ):
-    """Run a service between scripted workers, on ports assigned by the system."""
+    """Runs a service between scripted workers, on ports assigned by the system."""
     async with trio.open_nursery() as nursery:
         for worker in workers:
             worker.front = config.get("front", "platform")
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -15,8 +15,8 @@
 
 from yewrill.net.backlog import Backlog
 
-WAITING_CLIENTS = 10  # in the backlog
-MAX_FAILED_CALLS = 5000  # then calls succeed again, so that a test of a loop without a pause ends
+WAITING_CLIENTS = 10  # clients in the backlog
+MAX_FAILED_CALLS = 5000  # later calls succeed, so that the test of a loop without a pause ends
 
 
 class FaultyListeningSocket:
@@ -55,7 +55,7 @@
         for number, client in enumerate(clients):
             await client.send(X_Request_ID=f"r{number}")
         began = trio.current_time()
-        await harness.wait_until(lambda: trio.current_time() > began + 0.5)  # beyond linger_ms
+        await harness.wait_until(lambda: trio.current_time() > began + 0.5)  # longer than linger_ms
         failing.clear()
         assert [(await client.reply()).status for client in clients] == [200] * WAITING_CLIENTS
         await harness.ended.wait()
@@ -127,7 +127,7 @@
     with socket.create_server(("127.0.0.1", 0)) as listening:
         listening.setblocking(False)
         backlog = Backlog(SimpleNamespace(sock=listening))
-        backlog.note_readable()  # a client waited, and another process accepted it
+        backlog.note_readable()  # a client waited, and another process has accepted it
         assert not backlog.has_waiting()
         await trio.sleep(5.0)
         with socket.create_connection(listening.getsockname()):
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -20,7 +20,7 @@
 
 
 class IgnoresAcceptedValue(Agreement):
-    """Faulty: the opener proposes its own value even if a member has accepted another one."""
+    """Faulty variant: the opener proposes its own value even if a member has accepted another one."""
 
     def _advance(self):
         vote_state = self.state
@@ -35,7 +35,7 @@
 
 
 class ForgetsAcceptedValue(Agreement):
-    """Faulty: a promise leaves out what was accepted before."""
+    """Faulty variant: a promise leaves out what was accepted before."""
 
     def _promise(self, vote_state):
         self.accepted = None
@@ -43,7 +43,7 @@
 
 
 class ProposesWithoutMajority(Agreement):
-    """Faulty: the opener does not wait for promises of a majority."""
+    """Faulty variant: the opener does not wait for promises of a majority."""
 
     def _advance(self):
         vote_state = self.state
@@ -55,7 +55,7 @@
 
 
 class AcceptsLessThanMajority(Agreement):
-    """Faulty: one member less than a majority is enough."""
+    """Faulty variant: one member less than a majority is enough."""
 
     @property
     def majority(self):
@@ -63,7 +63,7 @@
 
 
 class AcceptsLowerBallot(Agreement):
-    """Faulty: accepts under a lower ballot than the promised one."""
+    """Faulty variant: a member accepts under a lower ballot than the promised one."""
 
     def merge(self, other):
         if other.ballot < self.state.ballot and other.proposal:
--- a/tests/test_call_errors.py
+++ b/tests/test_call_errors.py
@@ -88,7 +88,7 @@
 
 
 def fail_waits(monkeypatch, name, error, times=3):
-    """Make a wait function of the event loop fail `times` times, as epoll_ctl may."""
+    """Makes a wait function of the event loop fail `times` times, as epoll_ctl may."""
     real, failed = getattr(trio.lowlevel, name), []
 
     async def wait(sock):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -13,7 +13,7 @@
 from yewrill.dispatch.start_times import MAX_STARTS, OFFSET_RETENTION_MS, StartTimes
 
 HOUR_SECONDS = 3600.0
-WARM_AFTER_MS = 6000.0  # of the helper's settings
+WARM_AFTER_MS = 6000.0  # warm_after in the settings of helper.py
 
 
 def worker_state(harness, name):
@@ -22,7 +22,7 @@
 
 
 def entry_started(worker: ScriptedWorker, ago: float) -> dict:
-    """Returns the peer's list entry with a start `ago` seconds in the past by the current wall clock."""
+    """Returns the worker's list entry with a start `ago` seconds in the past by the current wall clock."""
     return {**worker.entry(), "started_ms": (time.time() - ago) * 1000.0}
 
 
@@ -102,16 +102,16 @@
     assert starts.monotonic_start("old", 0.0, now) is None
     assert starts.monotonic_start("w", base + 40_000.0, now) == 40_000.0
     starts.observe_clocks(base + hour + now, now)
-    # Listed again: the same start.
+    # A worker that is listed again with the same start has not restarted.
     assert starts.monotonic_start("w", base + 40_000.0, now) == 40_000.0
     assert starts.monotonic_start("before", base + 45_000.0, now) == 45_000.0
     assert starts.monotonic_start("after", base + hour + 45_000.0, now) == 45_000.0
-    # Listed with another start: a restart.
+    # A worker that is listed with another start has restarted.
     assert starts.monotonic_start("w", base + hour + 49_000.0, now) == 49_000.0
     starts.observe_clocks(base - hour + now, now)
     assert starts.monotonic_start("future", base + 7 * hour, now) == now
     later = now + OFFSET_RETENTION_MS + 1.0
-    # Only the current offset is used.
+    # Only the current offset of the wall clock is used.
     assert starts.monotonic_start("late", base + hour + 45_000.0, later) == later
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -169,8 +169,8 @@
         ([sent(0), late(1, 0.3), late(2, 0.3)], 0.0),
         ([sent(0), late(1, 0.5)], 0.5),
         ([sent(0), *(late(i, 0.25) for i in range(12))], 3.0),
-        ([late(0, 0.9), sent(1)], 0.0),  # before the first request
-        ([late(0, 0.9)], 0.9),  # without any request
+        ([late(0, 0.9), sent(1)], 0.0),  # the event loop was late before the first request
+        ([late(0, 0.9)], 0.9),  # the event loop was late in a run without requests
         ([sent(0), line(5, "d", "resume"), late(5.1, 4.0)], 0.0),
         ([sent(0), line(5, "d", "resume"), late(5.1, 4.0, "e")], 4.0),
     ],
@@ -241,7 +241,7 @@
                 await rig.call_management("d0", "/_members")
 
 
-SCENARIOS_UNDER_TEST = (  # benchmarks/cluster.py runs all
+SCENARIOS_UNDER_TEST = (  # benchmarks/cluster.py runs all scenarios
     "zone-dies",
     "zone-mute",
     "zone-fails-jobs",
@@ -305,7 +305,7 @@
                         nursery.start_soon(cancel_once_found, rig, nursery.cancel_scope)
                         nursery.start_soon(run_ignoring_time_outs, rig)
 
-        with suppress(BaseExceptionGroup):  # raised when starved
+        with suppress(BaseExceptionGroup):  # raised if the run was starved of CPU time
             trio.run(run, clock=clock)
         return bool(found), found, [line for rig in rigs for line in rig.history.lines]
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -16,7 +16,7 @@
 
 SIZES = (1, 5, 20, 30, 200)
 WORKERS = 3  # workers at the beginning; the same number of new ones replaces them
-MEANS = (100.0, 215.0, 600.0, 1500.0, 3500.0)  # run times
+MEANS = (100.0, 215.0, 600.0, 1500.0, 3500.0)  # mean run times in ms
 
 
 def random_fleet(rng, dispatchers, workers=WORKERS, means=MEANS, **fleet):
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -205,7 +205,7 @@
 # -- the simulator's protocol
 
 
-IDENTICAL_LINES = 365  # of 467 lines of the session
+IDENTICAL_LINES = 365  # out of 467 lines of the session
 
 
 def _message_forms(lines):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -28,8 +28,9 @@
 from yewrill.net.discovery import DiscoveryWatch
 from yewrill.net.endpoint_list import EndpointList
 
-LARGE_FLEET = {"instances": 200, "registry_mode": "ask"}  # all poll one discovery
-KNOWN_WITHIN_SECONDS = 6.0  # after discovery has a change and is reachable
+# Dispatchers that all poll the same discovery.
+LARGE_FLEET = {"instances": 200, "registry_mode": "ask"}
+KNOWN_WITHIN_SECONDS = 6.0  # counted from when discovery has a change and is reachable
 
 
 async def rejected(exchange):
@@ -74,13 +75,13 @@
 
 
 def set_draining(worker):
-    """Set a worker to draining, for full lists too; returns its entry."""
+    """Sets a worker to draining, also in later full lists, and returns its entry."""
     worker.state = "DRAINING"
     return worker.entry()
 
 
 async def begin_failure(harness, worker, failure):
-    """End the current call and make the following ones fail; returns discovery's healthy script."""
+    """Ends the current call and makes later ones fail. Returns discovery's healthy script."""
     healthy, harness.discovery.server.script = harness.discovery.server.script, failure
     harness.discovery.publish(worker.entry())
     calls_before = len(harness.discovery.server.exchanges)
@@ -115,7 +116,7 @@
     worker = ScriptedWorker("d1", done)
     async with running_service(worker, settings=LARGE_FLEET) as harness:
         healthy = await begin_failure(harness, worker, silent)
-        # The call that is open is never answered; every later one is.
+        # Discovery never answers the open call, but answers every later one.
         harness.discovery.server.script = healthy
         harness.discovery.publish(set_draining(worker), full=True)
         assert await seconds_until_known(harness, worker) < KNOWN_WITHIN_SECONDS
@@ -210,7 +211,8 @@
 
 @mock_clock_test
 async def test_new_discovery_that_rejects_the_first_call_is_not_asked_with_the_old_version():
-    # Each discovery has its own version numbers: asked for changes since the old one's version, it has none.
+    # Each discovery has its own version numbers. Asked for changes since a version of the old one, the new
+    # one has none.
     worker = ScriptedWorker("d1", done)
     async with running_service(worker) as harness:
         for _ in range(9):
@@ -236,7 +238,7 @@
         await harness.wait_until(lambda: harness.service.endpoints.version == 10)
 
         async def restarted_versions(exchange):
-            if "from=" in exchange.target:  # no newer version: answer after the hold time
+            if "from=" in exchange.target:  # there is no newer version: answer after the hold time
                 await trio.sleep(int(exchange.target.rpartition("=")[2]) / 1000.0)
                 await exchange.stream.send_all(other_discovery.answer(False, []))
             else:
@@ -279,8 +281,8 @@
 
 @pytest.mark.parametrize("callers, a_second", [(1, 3), (40, 38), (200, 175)])
 def test_rejected_fleet_spreads_its_calls_and_each_dispatcher_retries_in_time(callers, a_second):
-    # Both limits hold: at most so many calls a second over the fleet, and the next answer of each dispatcher
-    # within 6 s of its rejection. With a fixed pause of 0.1 s each dispatcher would call ten times a second.
+    # Two limits are checked: the calls per second of the whole fleet, and the time until each dispatcher gets
+    # an answer after its rejection, 6 s. With a fixed pause of 0.1 s each would call ten times a second.
     rngs = [random.Random(seed) for seed in range(callers)]
     calls = []
     for rng in rngs:
@@ -307,8 +309,8 @@
 async def test_idle_clients_filling_the_descriptors_block_no_request_while_discovery_is_down(
     tmp_path,
 ):
-    # The real program under a descriptor limit, with more idle connections than descriptors: half of them
-    # kept open after a request, half without any request.
+    # The program runs under a descriptor limit, with more idle connections than descriptors: half of them are
+    # kept open after a request, half have sent no request.
     workers = [ScriptedWorker("d1", done), ScriptedWorker("d2", done)]
     async with trio.open_nursery() as nursery:
         for worker in workers:
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -64,9 +64,10 @@
             reply = await harness.ask(
                 target, X_Request_ID=f"r{number}", Idempotency_Key=f"k{number}"
             )
-            assert reply.status == 503  # it never ran, so it is safe to repeat
+            assert reply.status == 503  # the request never ran, so its client may repeat it
         assert worker.exchanges == []
-        assert (await harness.ask(X_Request_ID="safe")).status == 200  # needs no record
+        # An idempotent request needs no record.
+        assert (await harness.ask(X_Request_ID="safe")).status == 200
 
 
 @trio_test
@@ -155,7 +156,7 @@
         gate.set()
         assert (await client.reply()).status == 200
         persistent_state = harness.service.persistent_state
-        # The deletion was tried and failed.
+        # The deletion of the record was tried and failed.
         await harness.wait_until(lambda: persistent_state._disk._failure_logged)
         disk.error = 0
         await harness.wait_until(
@@ -177,11 +178,11 @@
     worker = ScriptedWorker("d1", hang)
     async with hot_restart_service(worker, **state_settings(tmp_path)) as harness:
         busy = await harness.client()
-        await busy.send(X_Request_ID="busy")  # keeps the old process running
+        await busy.send(X_Request_ID="busy")  # this request keeps the old process running
         await harness.wait_until(lambda: worker.exchanges)
         new = await start_new_process(harness)
         assert not new.persistent_state.store_open
-        harness.old_process.listener.stop_accepting()  # only the new process accepts
+        harness.old_process.listener.stop_accepting()  # from here on only the new process accepts
         client = await harness.client()
         await client.send("/once", X_Request_ID="out", Idempotency_Key="k")
         await harness.wait_until(lambda: len(worker.exchanges) == 2)
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -148,7 +148,7 @@
     process = subprocess.Popen(["/bin/sh", "-c", run])
     try:
         while Path(f"/proc/{process.pid}/comm").read_text() != "sleep\n":
-            pass  # until the shell has executed the program in the same process
+            pass  # wait until the shell has executed the program in the same process
         status = Path(f"/proc/{process.pid}/status").read_text()
         ignored = int(re.search(r"SigIgn:\s+(\w+)", status)[1], 16)
         assert ignored >> (signal.SIGHUP - 1) & 1
@@ -169,7 +169,7 @@
     worker = ScriptedWorker("d1", note)
     real, sent = Service._restore_state, {}
 
-    async def slow(service):  # the socket listens already
+    async def slow(service):  # the socket is listening already
         stream = await trio.open_tcp_stream(*service.listener.address)
         sent["stream"], sent["at"] = stream, trio.current_time()
         await stream.send_all(
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -49,12 +49,12 @@
 
 
 def attempts_received(workers, id="r1"):
-    """Return how many attempts of a request any of the workers received completely."""
+    """Returns the number of attempts of a request that the workers received completely."""
     return sum(e.id == id for p in workers for e in p.exchanges)
 
 
 def hang_up(client: Client) -> None:
-    """Close without an iteration of the event loop, so that the service has not read the end yet."""
+    """Closes without an iteration of the event loop, so that the service has not read the end yet."""
     client.stream.socket.close()
 
 
@@ -69,7 +69,7 @@
         async def open_connection(*args, **kwargs):
             connection = await real(*args, **kwargs)
             if not opened:
-                hang_up(client)  # no iteration of the event loop until the last check
+                hang_up(client)  # the last check follows without an event loop iteration
             opened.append(connection)
             return connection
 
@@ -82,9 +82,10 @@
 
 
 def when_connection_is_taken(monkeypatch, act) -> list[str]:
-    """Call `act` as the first attempt takes its connection; no event loop iteration precedes its last check.
+    """Calls `act` as the first attempt takes its connection.
 
-    Returns the workers of all attempts begun.
+    No event loop iteration follows until the last check of that connection.
+    Returns the workers of all attempts that have begun.
     """
     real, begun = WorkerConnectionPool.take_idle, []
 
@@ -131,7 +132,7 @@
         return sum(map(len, self.module.queues.values()))
 
     def open(self, worker: str) -> None:
-        """Send every held request to a worker, without an iteration of the event loop."""
+        """Sends every held request to a worker, without an iteration of the event loop."""
         self.worker = worker
         self.module.release_needed = True
         self.engine.set_zone_weights({})  # any event makes the policy run
@@ -139,7 +140,7 @@
 
 
 async def keep_connections(harness, gate: Gate, worker: ScriptedWorker, count: int) -> None:
-    """Create idle connections to a worker, on which attempts are sent without waiting."""
+    """Creates idle connections to a worker, on which attempts are sent without waiting."""
     together = trio.Event()
 
     async def waits_for_all(exchange):
@@ -236,7 +237,7 @@
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
         assert (
             not attempts_received([worker]) and worker.connections == 1
-        )  # the opened one was kept
+        )  # the opened connection was kept
 
 
 def reset(client: Client) -> None:
@@ -245,7 +246,7 @@
 
 
 def fill_buffers(client: Client) -> None:
-    """Fill every buffer on the way, so that the end follows bytes that have not arrived yet."""
+    """Fills every buffer up to the service, so that the client's end follows bytes that have not arrived."""
     with suppress(BlockingIOError):
         while True:
             client.stream.socket._sock.send(b"x" * 65536)
@@ -301,12 +302,12 @@
         fill_buffers(client)
         [sender] = harness.service.listener.clients
         sender._drop_input()
-        assert len(reads) == 1 and reads[0] <= 65536  # however much is available
+        assert len(reads) == 1 and reads[0] <= 65536  # bounded, however many bytes are available
         assert len(sender.connection.inbound) == RING_BYTES
         gate.open("d1")
         reply = await client.reply()
         assert (reply.status, reply.headers["connection"]) == (200, "close")
-        assert len(reads) == 1  # only the one above, because the pause never ends
+        assert len(reads) == 1  # the only read is that above, since the pause never ends
         await client.stream.aclose()
 
 
@@ -327,7 +328,7 @@
 
 
 def open_with_little_room(monkeypatch) -> list[Connection]:
-    """Give connections to workers a small send buffer. Returns the connections opened."""
+    """Gives connections to workers a small send buffer. Returns the connections that were opened."""
     real, opened = Connection.open, []
 
     async def open_connection(*args, **kwargs):
@@ -365,7 +366,7 @@
         assert not worker.exchanges and not harness.service.worker_connections.open
         await harness.wait_until(
             lambda: not harness.service.engine._events
-        )  # the policy has the outcome
+        )  # the policy has received the outcome
         assert has_no_failures(harness, worker)
         assert (await harness.ask(X_Request_ID="r2", **LONG_TIMEOUT)).status == 200
 
@@ -381,9 +382,9 @@
             await real(connection, wait)
             if connection in opened and not raced and wait is trio.lowlevel.wait_writable:
                 raced.append(connection)
-                # Room for all remaining bytes.
+                # The buffer has room for all remaining bytes.
                 connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 200_000)
-                left.disconnect()  # in the event loop iteration in which there is room again
+                left.disconnect()  # in the event loop iteration in which the buffer has room again
 
         monkeypatch.setattr(Connection, "_wait_ready", ready)
         client = await harness.client()
@@ -415,7 +416,7 @@
         await harness.wait_until(lambda: left.disconnected)
         assert len(worker.open_streams) == 1
         go_on.set()
-        # The connection completed its exchange and is kept.
+        # The connection is kept, since its exchange was completed.
         await harness.wait_until(lambda: harness.service.worker_connections._idle.get("d1"))
 
 
@@ -514,7 +515,7 @@
         one.stream.socket._sock.send(raw_request("r2"))
         assert harness.service.listener._evict()
         assert (await one.reply()).status == 200
-        # The other one has been idle for a shorter time, but has no request.
+        # The other client has been idle for a shorter time, but has sent no request.
         assert await other.stream.receive_some() == b""
 
 
@@ -539,7 +540,7 @@
 
 
 async def small_buffer_client(harness) -> Client:
-    """Connect a client with a small receive buffer, so that most of an answer stays with the service."""
+    """Connects a client with a small receive buffer, so that most of an answer stays with the service."""
     sock = trio.socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     await sock.connect(harness.service.listener.address)
@@ -547,7 +548,7 @@
 
 
 async def read_to_end(client: Client) -> bytes:
-    """Read until the end of the stream; a reset raises."""
+    """Reads until the end of the stream. A reset raises an exception."""
     received = b""
     while data := await client.stream.receive_some():
         received += data
@@ -555,7 +556,7 @@
 
 
 def when_reply_is_sent(monkeypatch, act) -> trio.Event:
-    """Call `act` after the first reply was written, before the listener continues."""
+    """Calls `act` after the first reply was written, before the listener continues."""
     real, sent = ServerClientConnection.send, trio.Event()
 
     async def send(client, data):
@@ -583,14 +584,15 @@
     async with running_service(
         ScriptedWorker("d1", long_answer), settings=LONG_DEADLINES
     ) as harness:
-        harness.service.listener.limit(1)  # more than half of the places are taken: a flood
-        # So this is the last answer on its connection.
+        # More than half of the client limit is used, which counts as a flood.
+        harness.service.listener.limit(1)
+        # The drain makes this the last answer on its connection.
         harness.service.run_state.closing_connections = True
         client = await small_buffer_client(harness)
         sent = when_reply_is_sent(monkeypatch, lambda: None)
         await client.send(**LONG_TIMEOUT)
         await sent.wait()
-        await trio.testing.wait_all_tasks_blocked()  # a close would have happened by now
+        await trio.testing.wait_all_tasks_blocked()  # by now the connection would have been closed
         client.stream.socket._sock.send(raw_request("r2"))
         reply = await client.reply()
         assert (reply.status, len(reply.body)) == (200, len(LONG_RESULT))
@@ -639,8 +641,9 @@
                 c.has_sent_request and not c.answering for c in harness.service.listener.clients
             )
         )
-        harness.service.listener._evict()  # it is the only candidate
-        client.stream.socket._sock.send(raw_request("r2"))  # its next request crosses the eviction
+        harness.service.listener._evict()  # this client is the only candidate
+        # The client's next request crosses the eviction.
+        client.stream.socket._sock.send(raw_request("r2"))
         assert len((await client.reply()).body) == len(LONG_RESULT)
         assert (await client.event()).status_code == 200
         assert [e.id for e in worker.exchanges] == ["r1", "r2"]
@@ -668,7 +671,7 @@
 
 
 def when_idle_is_checked(monkeypatch, act) -> None:
-    """Call `act` between the first check of an idle connection and the decision based on it."""
+    """Calls `act` between the first check of an idle connection and the decision based on it."""
     real, checked = Connection.check_idle, []
 
     def check_idle(connection):
@@ -726,7 +729,7 @@
     worker = ScriptedWorker("d1", long_answer)
     async with running_service(worker, settings=LONG_DEADLINES) as harness:
         client = await small_buffer_client(harness)
-        # After the reply was written, so that it can't carry "Connection: close".
+        # The drain starts after the reply was written, so the reply can't carry "Connection: close".
         sent = when_reply_is_sent(monkeypatch, lambda: restart(harness))
         when_idle_is_checked(
             monkeypatch, lambda: client.stream.socket._sock.send(raw_request("r2"))
@@ -800,7 +803,7 @@
         if read:
             await harness.wait_until(lambda: not harness.service.listener.accepting)
             await client.stream.send_all(PARTIAL_REQUEST)
-        else:  # it arrives in the event loop iteration of the close
+        else:  # the rest arrives in the event loop iteration of the close
             real = harness.service.listener.close
 
             def closes():
@@ -847,7 +850,7 @@
             client.stream.socket._sock.send(raw_request("half")[60:])
 
         monkeypatch.setattr(harness.service.engine, "fail_all", gives_up)
-        held = Gate(harness, monkeypatch)  # so that a request is still open at the drain deadline
+        held = Gate(harness, monkeypatch)  # keeps a request open at the drain deadline
         client, other = await harness.client(), await harness.client()
         harness.nursery.start_soon(harness.service.drain)
         await harness.wait_until(lambda: not harness.service.listener.accepting)
@@ -885,7 +888,7 @@
             await harness.wait_until(lambda: worker.exchanges)
             harness.raw["timing"] = {"linger_ms": 60, "grace_ms": 4000}
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-                os.kill(os.getpid(), number)  # no event loop iteration between them
+                os.kill(os.getpid(), number)  # no event loop iteration between the signals
             await harness.wait_until(
                 lambda: (
                     harness.service.run_state.draining and harness.service.config.linger_ms == 60
@@ -919,7 +922,7 @@
             real = harness.service.worker_connections.close
 
             def closes():
-                # The listener has finished, and everything else is about to be closed.
+                # The listener has finished, and all other parts of the service are about to be closed.
                 os.kill(os.getpid(), signal.SIGTERM)
                 os.kill(os.getpid(), signal.SIGINT)
                 real()
@@ -941,7 +944,7 @@
         for i, sock in enumerate(late):
             sock.sendall(raw_request(f"r{i}"))
         harness.service.listener.limit(2)
-        # No event loop iteration since they connected, and no time to wait for capacity.
+        # No event loop iteration since the clients connected, and no time left to wait for capacity.
         await harness.service.listener.drain_backlog(deadline=trio.current_time())
         streams = [trio.SocketStream(trio.socket.from_stdlib_socket(sock)) for sock in late]
         for stream in streams[:2]:
@@ -970,7 +973,7 @@
         ]
         for i, sock in enumerate(closed_clients):
             sock.sendall(raw_request(f"left{i}") * raw)
-            sock.close()  # before the service has accepted any of them
+            sock.close()  # before the service has accepted any of the clients
         seen = []
         await harness.wait_until(
             lambda: (
@@ -1112,7 +1115,7 @@
                 )
             else:
                 assert reply.status == (200 if attempts == 2 else 502)
-            # The connection of the incomplete answer is not kept.
+            # The connection that carried the incomplete answer is not kept.
             await harness.wait_until(lambda: harness.service.worker_connections.open <= 1)
 
 
@@ -1267,7 +1270,7 @@
         first = await harness.client()
         await first.send(**LONG_TIMEOUT)
         await harness.wait_until(lambda: any(p.exchanges for p in workers))
-        # It was not sent, so a request of any class can be rejected.
+        # The request was not sent, so it can be rejected whatever its class.
         assert (await harness.ask("/once", X_Request_ID="r2", **LONG_TIMEOUT)).status == 503
         assert harness.service.worker_connections.open == 1
         go_on.set()
@@ -1298,7 +1301,7 @@
             await trio.sleep(after)
             exchange.reset()
 
-    # Both in one cell, in which keys are deduplicated.
+    # Both workers are in one cell, in which keys are deduplicated.
     workers = [ScriptedWorker("d1", reset_later), ScriptedWorker("d2", reset_later)]
     # The latency objective leaves time for a second attempt in both cases.
     settings = {
@@ -1356,7 +1359,7 @@
 
     class ConcurrentReader(ScriptedWorker):
         async def _converse(self, stream):
-            """Read the next request while the script runs, as a worker that sends an answer twice does."""
+            """Reads the next request while the script runs, as a worker that sends an answer twice does."""
             async with trio.open_nursery() as nursery:
                 parser = h11.Connection(h11.SERVER)
                 with suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
@@ -1380,8 +1383,8 @@
                 nursery.cancel_scope.cancel()
 
     worker = ConcurrentReader("d1", done)
-    # So that the next attempt follows soon.
+    # These settings make the next attempt follow soon.
     settings = {"specifics": {"tells_start": True, "progress": 0.0}}
     async with running_service(worker, settings=settings) as harness:
         assert (await harness.ask("/once")).status == 200
-        assert attempts_received([worker]) == 2  # one rejected, one served
+        assert attempts_received([worker]) == 2  # one attempt was rejected, one was served
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -160,7 +160,7 @@
     assert link.state(15.0) == LinkState.OUTBOUND_LOSS
     link.record_report(15.0, 0.1)
     assert link.state(15.0) == LinkState.HEALTHY
-    # A report that is older than the last one changes nothing.
+    # A report that is older than the last report changes nothing.
     link.record_report(15.1, 100.0)
     assert link.state(15.1) == LinkState.HEALTHY and link.state(22.0) == LinkState.PARTITIONED
 
@@ -237,7 +237,7 @@
     net.run(120.0)
     assert not net.false_deaths and net.agreed()
     states = [link_states(net, name)["m0001"] for name in cut_off]
-    # Third members report that they exchange messages with it.
+    # Other members report that they exchange messages with this one.
     assert (
         states.count(LinkState.INBOUND_LOSS) > len(states) / 2 and LinkState.HEALTHY not in states
     )
--- a/tests/test_expired_requests.py
+++ b/tests/test_expired_requests.py
@@ -13,7 +13,7 @@
 from yewrill.dispatch.engine import DecisionEngine
 from yewrill.dispatch.request import Failure, Rejection, Request
 
-IDEMPOTENT, BY_KEY, NON_IDEMPOTENT = range(3)  # the positions of the helper's classes
+IDEMPOTENT, BY_KEY, NON_IDEMPOTENT = range(3)  # indexes of the request classes in helper.SETTINGS
 RAN_AGO_MS = 100.0
 
 
@@ -36,7 +36,8 @@
         deadline = engine.now() - 50.0  # the request waited in the backlog past its deadline
         request = Request("late", request_class, deadline, ran_ago=ran_ago)
         assert isinstance(await engine.pick(request), answer)
-        assert engine.pending == 1 and request.closed  # the module learns of it at the next tick
+        # The module receives the request at the next tick.
+        assert engine.pending == 1 and request.closed
         engine.tick()
         assert engine.pending == 0
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -146,7 +146,7 @@
         for i in range(MAX_QUEUED_LINES + 500):
             logging.getLogger("t").info(f"line{i}")
         lost = queue_handler.lost
-        assert 490 <= lost <= 500  # one or two are at the blocked reader
+        assert 490 <= lost <= 500  # the blocked reader has one or two lines
         may_read.set()
         while not queue_handler.queue.empty():
             threading.Event().wait(0.001)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -75,7 +75,7 @@
         c.record_test(1, now)
     assert c.gapped_levels == 1
     c.record_test(1, now + 1.0)
-    assert c.gapped_levels == 1  # not before X has passed
+    assert c.gapped_levels == 1  # the level does not change again before X has passed
     seen = []
     for _ in range(4):
         now += 100_000.0
@@ -103,7 +103,7 @@
 def test_call_gap_admits_one_request_per_interval_and_a_burst_of_five():
     gap = CallGap()
     assert not gap.admits(0.0)  # the guaranteed rate is 0
-    gap.rate = 0.01  # every 100 ms
+    gap.rate = 0.01  # one request every 100 ms
     passed = [now for now in range(1000, 2000, 10) if gap.admits(float(now))]
     assert passed == [1000, 1010, 1020, 1030, 1040, *range(1100, 2000, 100)]
 
@@ -144,7 +144,7 @@
     assert [a.request_id for a in first if isinstance(a, api.Send)] == ["a"]
     d.handle(2.0, [api.AttemptEnded("a", 0, "w", api.PolicyOutcome.REJECTED, 1.0)])
     assert "a" in d.requests and d.requests["a"].queued
-    early = api.RequestArrived("early", 0, 8900.0, retry=True)  # first try 103 ms ago
+    early = api.RequestArrived("early", 0, 8900.0, retry=True)  # the first try was 103 ms ago
     out = d.handle(3.0, [api.RequestArrived("late", 0, 9003.0), early])
     assert not [a for a in out if isinstance(a, api.Send)]
     assert [entry[2].id for entry in d.queues[-1]][0] == "early"
@@ -237,7 +237,7 @@
         out = d.handle(10.0 + i, [api.WorkerList(api.ListForm.FAILED)])
         delays.append(next(a.delay for a in out if isinstance(a, api.SetTimer)))
     assert delays[-1] > 4.0 * delays[0]
-    assert d.fleet.workers["w"].usable  # the old list remains in use
+    assert d.fleet.workers["w"].usable  # the dispatcher still uses the old list
     assert api.WatchList(True) in d.handle(9999.0, [api.TimerFired(3)])
 
 
@@ -507,7 +507,8 @@
 def test_first_requests_after_a_start_are_sent_at_once_including_wide_ones():
     # Guards against a restarted dispatcher that rejects requests while the slots are still unknown.
     d = with_two_workers(latency_objective=200.0)
-    d.fleet.estimate.residual_run_time = 2000.0  # a request without a free slot would wait too long
+    # a request that waits for a slot would miss its latest start.
+    d.fleet.estimate.residual_run_time = 2000.0
     out = d.handle(1.0, [api.RequestArrived("wide", 0, 9001.0, width=8.0)])
     out += d.handle(2.0, [api.RequestArrived(f"j{i}", 0, 9002.0) for i in range(5)])
     assert len([a for a in out if isinstance(a, api.Send)]) == 6
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -123,7 +123,7 @@
     peers = [("127.0.0.1", port) for port in range(100, 110)]
     budget.set_members(peers)
     admitted_unknown = admitted_members = 0
-    # One second of forged datagrams beside the usual traffic of the members.
+    # For one second, forged datagrams arrive beside the usual traffic of the members.
     for i in range(100_000):
         now = i / 100_000
         admitted_unknown += budget.admits(now, ("127.0.0.1", 20_000 + i % 40_000), 400)
@@ -167,7 +167,7 @@
     net = joined(5)
     net.default = Path(delay=0.02, jitter=0.03, loss=0.2, duplication=0.1)
     net.run(60.0)
-    # At most one false death, declared by all 24 members, in one minute of 24 members.
+    # As many false declarations as if all 24 members declared the same healthy member dead.
     assert len(net.false_deaths) <= 24
     net.default = Path()
     assert net.until(net.agreed, 20.0) is not None
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,6 +1,6 @@
 """What operators do: management calls, hot restarts, drains, reloads and metrics.
 
-Most tests run a service over loopback sockets between clients and scripted workers (peers).
+Most tests run a service over loopback sockets between clients and scripted workers.
 """
 
 import copy
@@ -42,7 +42,8 @@
         ):
             assert (await harness.call(call)).status == status
         assert (await harness.call("x", b"no call\r\n\r\n")).status == 400
-        assert (await harness.ask("/_ready", "GET")).status == 404  # not on the clients' listener
+        # The clients' listener has no management calls.
+        assert (await harness.ask("/_ready", "GET")).status == 404
 
 
 @mock_clock_test
@@ -63,7 +64,8 @@
                         pass
                 except trio.BrokenResourceError:
                     pass  # the incomplete call was never read
-        assert len(harness.service.listener.clients) == 0  # they are not clients
+        # Callers of the management listener are not clients.
+        assert len(harness.service.listener.clients) == 0
 
 
 @trio_test
@@ -138,7 +140,7 @@
         await harness.wait_until(lambda: harness.old_process.run_state.draining)
         # A shutdown without a new process would accept for another 0.7 s.
         assert not harness.old_process.listener.accepting
-        for i in range(20):  # new connections go to the new process
+        for i in range(20):  # the new process accepts new connections
             assert (await harness.ask("/up", "GET")).status == 200
             assert (await harness.ask(X_Request_ID=f"n{i}")).status == 200
         assert len(harness.old_process.listener.clients) == 3
@@ -149,7 +151,8 @@
         gate.set()
         assert (await slow.reply()).status == 200
         for client in (slow, kept, unread):
-            assert await client.stream.receive_some() == b""  # closed after their answers
+            # The old process closes a connection after its answer.
+            assert await client.stream.receive_some() == b""
             await client.stream.aclose()
         await harness.ended.wait()
         # All descriptors that are not reserved, times CLIENT_SHARE.
@@ -179,7 +182,7 @@
         await before.send(X_Request_ID="r7")
         await harness.wait_until(lambda: worker.exchanges)
         new_process = await start_new_process(harness)
-        assert new_process.hot_restart.open_elsewhere("r7")  # from the old process's snapshot
+        assert new_process.hot_restart.open_elsewhere("r7")  # known from the old process's snapshot
         harness.old_process.listener.stop_accepting()
         assert (await (await harness.shared.client()).ask(X_Request_ID="r7")).status == 409
         after = await harness.shared.client()
@@ -292,7 +295,8 @@
         ):
             assert (await harness.call(call)).status == status
         before = len(one.exchanges)
-        await harness.wait_until(lambda: not one.open_streams)  # its idle connections are closed
+        # The idle connections of the worker are closed.
+        await harness.wait_until(lambda: not one.open_streams)
         d1, watch = one.entry(), harness.discovery
         for change in ([d1], [{**d1, "state": "DELETED"}], [d1], [{**d1, "started_ms": 1e12}]):
             watch.publish(*change)
@@ -302,9 +306,9 @@
         await harness.wait_until(lambda: harness.service.endpoints.version == watch.version)
         await send_requests(5)
         assert len(one.exchanges) == before
-        # A single call is enough, although detach was called twice.
+        # A single call of attach is enough, although detach was called twice.
         assert (await harness.call(ATTACH + "d1")).status == 200
-        # It gets requests soon, although it counts as cold and the other worker is idle.
+        # The worker gets requests soon, although it counts as cold and the other worker is idle.
         with trio.fail_after(5):
             while len(one.exchanges) == before:
                 await send_requests(1)
@@ -337,7 +341,8 @@
         old_process, new_process = harness.old_process, await start_new_process(harness)
         assert (
             new_process.endpoints.detached == ["d0", "d1"]
-            and "d2" in new_process.endpoints.recently_attached  # attached again, but still cold
+            # d2 is attached again, but still cold.
+            and "d2" in new_process.endpoints.recently_attached
         )
         harness.service = old_process
         assert (
@@ -388,12 +393,12 @@
     handle_batch(7000.0, api.RequestArrived("a", 0, 16000.0))
     assert sends.pop().worker == "w3"
     handle_batch(7100.0, api.RequestArrived("b", 0, 16100.0))
-    assert sends.pop().worker != "w3"  # it is cold, and an attempt is on its way to it
+    assert sends.pop().worker != "w3"  # w3 is cold, and an attempt is on its way there
     handle_batch(
         7200.0, api.AttemptEnded("a", 0, "w3", api.PolicyOutcome.NO_CONNECTION, 10.0, final=True)
     )
     handle_batch(7700.0, api.RequestArrived("c", 0, 16700.0))
-    assert sends.pop().worker == "w3"  # it was not up yet, so it is still first in line
+    assert sends.pop().worker == "w3"  # w3 was not up yet, so it is still preferred
     handle_batch(7800.0, api.AttemptStarted("c", 0, "w3"))
     assert w.reattached_at < 0 and not module.fleet.reattached
 
@@ -416,7 +421,7 @@
         await harness.wait_until(lambda: any(p.exchanges for p in workers))
         assert (await harness.call("PUT /_lameduck/on")).status == 200
         began = trio.current_time()
-        up = await asks.ask("/up", "GET")  # immediately, also on an open connection
+        up = await asks.ask("/up", "GET")  # the answer changes at once, also on an open connection
         assert up.status == 503 and "connection" not in up.headers
         assert (await harness.call("GET /_ready")).status == 200  # the process itself stays ready
         while True:  # requests are served; from 0.2 s on, connections close after the answer
@@ -430,7 +435,7 @@
         for client in (works, asks, idle):
             assert await client.stream.receive_some() == b""
         assert trio.current_time() - began < 2.0
-        late = await harness.client()  # the listener stays open
+        late = await harness.client()  # the listener still accepts connections
         assert (await late.ask(X_Request_ID="late", X_Timeout_Ms="3000")).status == 200
         await harness.wait_until(lambda: len(harness.service.listener.clients) == 1)
         gate.set()
@@ -515,7 +520,8 @@
         for i in range(3):
             await harness.ask("/tour", X_Request_ID=f"r{i}")
         await harness.ask("/once", X_Request_ID="fails")
-        assert (await harness.ask("/nothing")).status == 404  # no request class, no metrics
+        # a target without a request class counts in no metric.
+        assert (await harness.ask("/nothing")).status == 404
         assert (await harness.ask("/save", X_Request_ID=None)).status == 400
         counts = await metrics(harness)
         assert (counts["success.tour"], counts["error.once"], counts["dispatches"]) == (3, 1, 4)
@@ -611,8 +617,8 @@
 
     async with running_service(*workers, front=front, signals=True, **MGMT) as harness:
         old, dropped, new = [await harness.client() for _ in range(3)]
-        await old.send("/tour", X_Request_ID="old")  # idempotent
-        await dropped.send("/once", X_Request_ID="dropped")  # not idempotent
+        await old.send("/tour", X_Request_ID="old")  # an idempotent class
+        await dropped.send("/once", X_Request_ID="dropped")  # a non-idempotent class
         await harness.wait_until(lambda: len(seen) == 2)
         assert (await harness.ask("/fresh", X_Request_ID="f0")).status == 404
         settings = harness.raw["settings"]
@@ -697,7 +703,8 @@
         for count, (value, *path) in enumerate(faults, 1):
             harness.raw.clear()
             harness.raw.update(copy.deepcopy(good))
-            harness.raw["discovery"] = "127.0.0.1:9"  # must not be applied without the rest
+            # Valid, but must not be applied without the rest of the file.
+            harness.raw["discovery"] = "127.0.0.1:9"
             harness.raw["settings"]["request_classes"][2]["name"] = "other"
             put(value, *path)
             harness.service.reload()
@@ -738,7 +745,7 @@
     ] and module.admission.classes[1] is y
     assert y.index == 1
     assert module.admission.tenants == [b] and set(b.gaps) == set(module.admission.classes)
-    assert module.requests["held"].class_state is x  # it arrived before the change
+    assert module.requests["held"].class_state is x  # the request arrived before the change
     module.handle(20.0, [api.RequestArrived("new", 1, 9020.0)])
     assert module.requests["new"].class_state is y
     module.handle(
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -7,7 +7,7 @@
 import pytest
 from helper import ScriptedWorker, done, running_service, trio_test
 
-CLASS_DEADLINE_MS = 3000  # of the helper's settings
+CLASS_DEADLINE_MS = 3000  # deadline in the settings of helper.py
 REQUESTS = 20
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -46,7 +46,7 @@
         assert (seen.target, seen.body, seen.id) == ("/tour/a?b=%20c", b"route", "r2")
         assert seen.headers["idempotency-key"] == "k1" and seen.headers["cookie"] == "user=7"
         assert 0 < int(seen.headers["x-timeout-ms"]) < 2000
-        assert worker.connections == 1  # reused for all requests
+        assert worker.connections == 1  # the connection is reused for all requests
 
 
 def fail_first_attempt(failure):
@@ -192,7 +192,8 @@
         await harness.wait_until(lambda: not harness.service.listener.clients)
         for worker in workers:
             for stream in list(worker.open_streams):
-                await trio.aclose_forcefully(stream)  # ends the attempt: no second one may follow
+                # Ends the attempt; a second one must not follow.
+                await trio.aclose_forcefully(stream)
         for worker in workers:
             worker.script = done
         assert (await harness.ask(X_Request_ID="r2")).status == 200
@@ -280,7 +281,7 @@
             await harness.wait_until(
                 lambda: len(harness.service.endpoints) == 2 and len(other_discovery.calls) == 2
             )
-            assert trio.current_time() - began < 1.0  # during a held call
+            assert trio.current_time() - began < 1.0  # the service moved although a call was held
             assert "from=" not in other_discovery.calls[0][1]
             assert "reload_ignored keys=name" in caplog.text
             assert harness.service.engine._module.fleet.workers["d1"] is learned
@@ -344,7 +345,7 @@
             worker.ejection.until <= harness.service.engine.now() and not worker.ejection.failures
             for worker in harness.service.engine._module.fleet.workers.values()
         )
-        # One reset for each worker, then only new connections.
+        # Each worker resets one request, after which only new connections are used.
         assert sum(len(p.exchanges) for p in scripted_workers) <= 12 + 2
 
 
@@ -367,9 +368,10 @@
         silent = await harness.client()
         await silent.send(X_Request_ID="r0")
         await harness.wait_until(lambda: worker.exchanges)
-        await trio.sleep(0.03)  # so that the order of arrival is certain
+        await trio.sleep(0.03)  # ensures the order of arrival
         assert (await harness.ask(X_Request_ID="r1")).status == 200
-        await given_up.wait()  # long before its timeout: the later request had started
+        # Given up long before its timeout, since the later request had started.
+        await given_up.wait()
         assert worker.exchanges[1].id == "r1"
         assert not harness.service.engine._module.fleet.workers["d1"].ejection.failures
 
@@ -385,7 +387,8 @@
     async with running_service(worker) as harness:
         for i in range(3):
             assert (await harness.ask(X_Request_ID=f"r{i}")).status == 200
-        await harness.wait_until(lambda: not worker.open_streams)  # its connections are closed
+        # The connections of the worker are closed.
+        await harness.wait_until(lambda: not worker.open_streams)
 
 
 @mock_clock_test
@@ -624,7 +627,7 @@
         monkeypatch.setattr(Connection, "open", real)
         began = trio.current_time()
         assert (await harness.ask("/once", X_Request_ID="r2")).status == 200
-        # An ejected worker would get no request for longer than this.
+        # An ejected worker would get no request for longer than 0.2 s.
         assert trio.current_time() - began < 0.2
 
 
@@ -709,7 +712,7 @@
         flood = []
         for i in range(4):
             flood += [await harness.client() for _ in range(40)]
-            # A client behind them gets its answer and is not evicted.
+            # A client that connects after them gets its answer and is not evicted.
             assert (await harness.ask(X_Request_ID=f"n{i}")).status == 200
             assert len(harness.service.listener.clients) <= 22
         if front == "platform":
@@ -753,7 +756,8 @@
         await left.send(X_Request_ID="r2")
         await harness.wait_until(lambda: len(worker.exchanges) == 2)
         await left.stream.aclose()
-        assert (await harness.ask(X_Request_ID="r2")).status == 409  # its attempt is still running
+        # The attempt of the first r2 is still running.
+        assert (await harness.ask(X_Request_ID="r2")).status == 409
         assert [e.id for e in worker.exchanges] == ["r1", "r2"]
         worker.exchanges[1].go_on.set()
         await harness.wait_until(lambda: not harness.service.engine._live)
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -17,7 +17,7 @@
 
 
 async def read_stream(client):
-    """Read a reply to the end of its stream; returns the reply and its events."""
+    """Reads a reply to the end of its stream. Returns the reply and its events."""
     reply = await client.reply()
     return reply, EventStreamParser().feed(reply.body)
 
@@ -67,7 +67,7 @@
 
 
 def reset_first(then):
-    """A script whose first attempt over all workers reports progress and is reset; later ones run `then`."""
+    """Returns a script whose first attempt on any worker reports progress and is reset; others run `then`."""
 
     async def script(exchange):
         if script.first:
@@ -290,7 +290,7 @@
     request = Request("r1", 0, 0.0)
     dead, live = (Attempt(request, number, "d1", 0.0) for number in (0, 1))
     buffer = _ProgressBuffer(request)
-    buffer.progress(dead, 0.9)  # not sent before its attempt ended
+    buffer.progress(dead, 0.9)  # progress that was not sent before its attempt ended
     request.live = live
     with trio.move_on_after(0.05) as waited:
         await buffer.next()
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -138,7 +138,7 @@
 
 
 def run_with_random_faults(seed, create_raft=Raft, duration_seconds=30.0, lose_tails=True):
-    """Run three or five voters with random faults, then without: they must be able to commit again."""
+    """Runs three or five voters with random faults, then without: they must be able to commit again."""
     rng = random.Random(seed)
     voters = rng.choice((3, 5))
     path = Path(
@@ -205,7 +205,7 @@
     nodes = {name: Raft(name, 1, disk, trust_disk=True) for name in names}
 
     def run(*cut):
-        """Deliver messages until there are none."""
+        """Delivers messages until there are none."""
         pending = [message for raft in nodes.values() for message in raft.take().messages]
         while pending:
             message = pending.pop(0)
@@ -220,7 +220,7 @@
     nodes["a"].send_heartbeats()
     run("c")
     assert nodes["b"].commit_index == 2
-    nodes["b"] = Raft("b", 2, disk)  # its disk has lost everything
+    nodes["b"] = Raft("b", 2, disk)  # b restarts after its disk has lost everything
     nodes["b"].send_heartbeats()
     run("a")
     nodes["c"].campaign()
@@ -263,9 +263,10 @@
     assert leader.read(1) and run(cut="bc") == []
     assert leader.read(2) and 2 in run()
     assert leader.propose(VOTERS, voters=("a", "b", "c", "d"))
-    assert not leader.propose(VOTERS, voters=("a", "b", "c"))  # only one change at a time
+    # Refused, as another change is not committed yet.
+    assert not leader.propose(VOTERS, voters=("a", "b", "c"))
     run()
     assert leader.commit_index == leader.last_index and peers["d"].voters() == ("a", "b", "c", "d")
     assert leader.propose(VOTERS, voters=("b", "c", "d"))
     run()
-    assert leader.role != "leader"  # it is no voter any more
+    assert leader.role != "leader"  # a has been removed from the voters
--- a/tests/test_rejection_watch.py
+++ b/tests/test_rejection_watch.py
@@ -39,7 +39,7 @@
         assert (await harness.ask()).status == 200
         with caplog.at_level(logging.WARNING):
             for number in range(MIN_REJECTIONS):
-                late_retry = {"X_Retried": "1", "X_Timeout_Ms": "2000"}  # asked for 1 s ago
+                late_retry = {"X_Retried": "1", "X_Timeout_Ms": "2000"}  # the first try was 1 s ago
                 reply = await harness.ask(X_Request_ID=f"late{number}", **late_retry)
                 assert reply.status == 503
         (line,) = [r.getMessage() for r in caplog.records if "class_shut_out" in r.getMessage()]
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -97,7 +97,7 @@
             )
         else:
             load = said[int(exchange.body)]
-            # json and not ujson, because of NaN
+            # json, since ujson does not encode NaN
             extra = "" if load is None else f', "load": {json.dumps(load)}'
             await exchange.send_raw(
                 f'{{"id": "{exchange.id}", "state": "done", "result": "r"{extra}}}\n'
@@ -131,7 +131,7 @@
                 X_Request_ID=f"r{i}", Cookie="theme=dark; user=7f3a9c21e0b4d655"
             )
             assert reply.status == 200
-        # All go to one worker unless it is busy for a moment; without the key they would go to all six.
+        # All requests go to one worker unless it is briefly busy. Without the key they would go to all six.
         assert max(len(p.exchanges) for p in workers) >= 9
         for odd in ("user", "user=" + "x" * 200, ";;=;", "users=1"):
             assert (
@@ -177,7 +177,7 @@
             report_load(d, 1000.0 * goal + 10.0 * i, goal - i % 4, i % 4)
         assert kind.slots == pytest.approx(goal, abs=0.1)
     report_load(d, 90_000.0, 0.0, 10.0)
-    # The requests that wait there count as negative free slots.
+    # Requests that wait at the worker count as negative free slots.
     assert d.fleet.workers["w0"].free_slots == pytest.approx(-6.0, abs=0.3)
 
 
@@ -228,7 +228,7 @@
     now = 1000.0
     for i in range(80):  # each start is reported 50 ms after the send
         d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
-        # Guards against an overload found for requests in transit.
+        # Guards against an overload that is detected because of requests in transit.
         assert not (i > 40 and d.attempts.waiting)
         d.handle(now + 50.0, [api.AttemptStarted(f"j{i}", 0, "w0")])
         d.handle(
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -122,7 +122,7 @@
     lists = [attested_by(rank, random.Random(rank).sample(names, len(names))) for rank in range(9)]
     for attested in lists:
         assert len(attested) > MAX_ATTESTED and attested == sorted(attested, key=admission.sort_key)
-    enough = watermarks(8)[1]  # attestations that a joiner needs
+    enough = watermarks(8)[1]  # number of attestations that a joiner needs
     admitted = [name for name in names if sum(name in v[:MAX_ATTESTED] for v in lists) >= enough]
     assert len(admitted) >= MAX_ATTESTED // 2
 
@@ -144,7 +144,7 @@
     recipients = {e.name for e in attestations.recipients(1.0, frozenset())}
     turns = [view.entries[rank].name for rank in view.proposal_order()]
     assert recipients == set(turns[:PROPOSERS]) - {"m0000"}
-    assert attestations.recipients(1.1, frozenset()) == []  # not repeated at once
+    assert attestations.recipients(1.1, frozenset()) == []  # attestations are not repeated at once
     later = {e.name for e in attestations.recipients(1.0 + SHIFT_SECONDS, frozenset())}
     assert later == set(turns[: 2 * PROPOSERS]) - {"m0000"}
     dead = frozenset(view.proposal_order()[:PROPOSERS])
@@ -188,7 +188,8 @@
     assert first.vote is not None and first.tally is None
     other.merge(1.0, first, to_one, "m0000")
     second = other._message(to_one, 1.1)
-    assert second.vote is None and second.tally is not None  # the peer itself sent the proposal
+    # The peer holds the proposal, since it sent it.
+    assert second.vote is None and second.tally is not None
     one.merge(1.2, second, to_other, "m0001")
     assert one.vote.state.accepted == 0b111
     parts = MessageAssembler()
@@ -258,7 +259,7 @@
     assert taken * 100 <= 0.25 * 10_000.0 * BURST_SECONDS
     assert sum(intake.admits(0.0, ("strange", i), 100) for i in range(1000)) * 100 <= 5000.0
     rest = sum(intake.admits(0.0, member, 100) for member in members[1:] for _ in range(5))
-    assert rest == 5 * 19  # a healthy peer may send this many at once
+    assert rest == 5 * 19  # a healthy peer may send five datagrams at once
     assert sum(intake.admits(0.0, m, 100) for m in members for _ in range(99)) * 100 <= 20_000.0
 
 
--- a/tests/test_scale_real.py
+++ b/tests/test_scale_real.py
@@ -1,7 +1,7 @@
 """Real dispatchers with the shipped configuration (`deploy/cluster.json`), started at once on loopback.
 
 Guards against a start of many dispatchers that uses up their send budgets, so that no view forms, and against
-hollow dispatchers that behave differently from real ones.
+simulated ("hollow") dispatchers that behave differently from real ones.
 """
 
 from yewrill.lab.cluster.pace import measured_slowdown
@@ -9,7 +9,7 @@
 from yewrill.lab.scale.measure import wait_for_one_view
 from yewrill.lab.scale.plan import FleetMix
 
-LIMIT_S = 30.0  # on an idle machine
+LIMIT_S = 30.0  # sufficient on an idle machine
 
 
 def test_24_real_dispatchers_started_at_once_form_one_view_and_hold_no_datagram_back(tmp_path):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak test with real processes on two seeds. For many: `python -m yewrill lab soak --seeds 100`."""
+"""The soak test with real processes on two seeds; for many: `python -m yewrill lab soak --seeds 100`."""
 
 import pytest
 
--- a/tests/test_soak_oracle.py
+++ b/tests/test_soak_oracle.py
@@ -192,13 +192,14 @@
     history.process_events.insert(2, process_event(ProcessState.KILLED, 10.05, pid=2))
     history.process_events.insert(2, process_event(ProcessState.STARTED, 0.0, pid=2))
     history.process_events.insert(3, process_event(ProcessState.READY, 0.5, pid=2))
-    assert judge(history, TERMS) == []  # its process was killed meanwhile
+    assert judge(history, TERMS) == []  # the process was killed while the request was open
     history.requests[0].begun_at = history.requests[0].sent = 10.2
     history.requests[0].finished = 10.3
     assert [breach.rule for breach in judge(history, TERMS)] == [Rule.NOT_CLOSED]
     history.requests[0].reused_connection = True
     history.attempts.pop(0)
-    assert judge(history, TERMS) == []  # unread on a reused connection: its client sends it again
+    # The request was unread on a reused connection, so its client sends it again.
+    assert judge(history, TERMS) == []
 
 
 def test_two_sends_of_a_request_are_told_apart_by_the_send_number_that_the_worker_got():
@@ -212,7 +213,7 @@
     # The first send was read and forwarded before the close.
     history.attempts.append(attempt("a", at=10.01, finished=10.05, send_number=1))
     assert [breach.rule for breach in judge(history, TERMS)] == [Rule.NOT_CLOSED]
-    # Half of it was forwarded.
+    # Half of the request was forwarded.
     history.attempts[-1].send_number, history.attempts[-1].received_at = 0, None
     assert [breach.rule for breach in judge(history, TERMS)] == [Rule.NOT_CLOSED]
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -100,8 +100,9 @@
     for host in fleet.workers.values():
         host.launched = fleet.now
     for index in range(dispatchers):
-        fleet.restart(index)  # with the endpoint list, but without estimates
-    fleet.rate = dispatchers * 10.0 / 1000.0  # ten a second at each: more than cold workers can run
+        fleet.restart(index)  # restarted with the endpoint list, but without estimates
+    # Ten requests per second at each dispatcher, more than cold workers can run.
+    fleet.rate = dispatchers * 10.0 / 1000.0
     fleet.next_arrival()
     fleet.run(3 * WINDOW_MS)
     windows = 0
@@ -127,7 +128,7 @@
         harness.raw["discovery"] = await new_discovery.serve(harness.nursery)
         began = trio.current_time()
         harness.service.reload()
-        # Set before the first call to the new discovery.
+        # The drain is published before the first call to the new discovery.
         new_discovery.publish(set_draining(workers[0]), full=True)
         await harness.wait_until(lambda: not harness.service.endpoints.may_send("d1"))
         assert trio.current_time() - began < 4.0
@@ -149,7 +150,8 @@
         worker, front=front, settings=LONG_DEADLINES, timing={"linger_ms": 50, "grace_ms": 4000}
     ) as harness:
         new_discovery = Discovery([worker])
-        new_discovery.silent = True  # no answer from the new discovery: the known list stays
+        # The new discovery does not answer, so the known list stays in use.
+        new_discovery.silent = True
         address = await new_discovery.serve(harness.nursery)
         clients = [await harness.client() for _ in range(8)]
         for number, client in enumerate(clients[:4]):
@@ -163,7 +165,7 @@
             await client.send(X_Request_ID=f"r{number}", **LONG_TIMEOUT)
         if front == "platform":
             await harness.wait_until(lambda: harness.service.engine.pending == 8)
-        else:  # this front rejects new requests during a drain
+        else:  # the progress front rejects new requests during a drain
             assert [(await client.reply()).status for client in clients[4:]] == [503] * 4
         release.set()
         served = clients if front == "platform" else clients[:4]
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -137,7 +137,8 @@
                 }
             )
         )
-        detached: dict[str, bool | None] = {}  # None: the outcome of the call is unknown
+        # By worker; None if the outcome of the call is unknown.
+        detached: dict[str, bool | None] = {}
         operator_drain: list[bool | None] = [False]
         keys: dict[str, str] = {}
         answered = set()
@@ -230,7 +231,8 @@
                     lambda t=target: harness.ask(t, X_Request_ID=t[1:], Idempotency_Key="k" + t[1:])
                 )
             await harness.wait_until(lambda: len(waiting) >= 2)
-            assert (await harness.ask(X_Request_ID="plain")).status == 200  # needs no record
+            # An idempotent request needs no record.
+            assert (await harness.ask(X_Request_ID="plain")).status == 200
             assert [x.id for x in worker.exchanges] == ["plain"]
             gate.set()
         assert {x.id for x in worker.exchanges} == {"plain", "save", "once"}
@@ -252,7 +254,7 @@
         )
         disk.error = errno.EIO
         for i in range(3):
-            # A later run could not know of these, so they are rejected without being sent.
+            # A later run could not know of these requests, so they are rejected without being sent.
             reply = await harness.ask("/save", X_Request_ID=f"r{i}", Idempotency_Key=f"k{i}")
             assert reply.status == 503
             assert (await harness.ask(X_Request_ID=f"plain{i}")).status == 200
@@ -288,7 +290,8 @@
     ) as harness:
         for call in ("detach?name=d1", "attach?name=d1", "detach?name=d2"):
             assert (await harness.call(f"PUT /_profilers/{call}")).status == 200
-        assert harness.service.endpoints.recently_attached["d1"] < 20_000.0  # ms
+        # Time since the attach in ms.
+        assert harness.service.endpoints.recently_attached["d1"] < 20_000.0
         assert (await harness.call("PUT /_lameduck/on")).status == 200
         await harness.wait_until(
             lambda: harness.service.persistent_state._disk.store.get(b"list") is not None
@@ -493,7 +496,7 @@
     assert estimate_earlier_attempt([record()], now, 7500.0).age_ms == 4000.0
     assert (
         estimate_earlier_attempt([record(monotonic=2000.0), record()], now, 7500.0).age_ms == 4000.0
-    )  # the age is that of the oldest
+    )  # the age is that of the oldest attempt
     assert (
         estimate_earlier_attempt([record(), record(cell=1)], now, 7500.0).age_ms == LONG_AGO_MS
     )  # two cells: neither can detect both duplicates
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -99,7 +99,7 @@
 def test_interval_acknowledges_first_and_syncs_later():
     disk, synced = SimulatedDisk(), threading.Event()
     with Store(disk, mode="interval", interval=0.01, reserve=0) as store:
-        store.put(b"first", b"")  # creates the segment, whose header is synced at once
+        store.put(b"first", b"")  # this write creates the segment, whose header is synced at once
         disk.fail = lambda number, word, name: synced.set() if word == "sync" else None
         store.put(b"k", b"v")
         assert store.get(b"k") == b"v" and synced.wait(5)
@@ -168,7 +168,7 @@
     assert choose(full, rules) == []
     assert choose([*full, SegmentStats(3, 900, 900)], rules) == [1, 2, 3]
     assert choose([*full, SegmentStats(4, 1000, 480)], rules) == [4]
-    # Too little garbage for a new file.
+    # The segment has too little garbage to be worth a new file.
     assert choose([full[0], SegmentStats(4, 150, 60)], rules) == []
     assert choose([*full, SegmentStats(5, 10**6, 400, damaged=True)], rules) == [5]
     # Tombstones that have to stay are not garbage, otherwise they would be rewritten again and again.
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -14,7 +14,7 @@
 
 KEYS = st.sampled_from([b"a", b"aa", b"ab", b"a\xff", b"b", b"\x00", b"\xff", b"\xff\xff"])
 VALUES = st.binary(max_size=40)
-# 0: the value never expires.
+# A value with lifetime 0 never expires.
 LIFETIMES_MS = st.sampled_from([0, 0, 0, 1, 5, 50])
 
 
@@ -58,7 +58,7 @@
         first = Batch().require(key, held if right else held + 1).put(key, value)
         second = Batch().require(key, held).put(key, b"second")
         results = self.engine.commit([first, second], self.now)
-        # Within one group the condition of the second is checked after the first.
+        # Within one group the second batch's condition is checked after the first batch was applied.
         assert isinstance(results[0], int) == right and isinstance(results[1], Conflict) == right
         self.apply_to_model(first if right else second, results[0] if right else results[1])
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -47,7 +47,7 @@
 def fleet():
     worlds = []
     yield worlds
-    assert worlds[0].net.violations == []  # no two partitions went on at once
+    assert worlds[0].net.violations == []  # two sides of a partition never both continued
 
 
 def step_text(pattern):
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -263,7 +263,7 @@
             url=await collector.serve(nursery), timeout=0.2, retry_policy=RETRY_POLICY
         )
         exporter = Exporter(t, target, {"service.name": "y"}, "0", rng=random.Random(1))
-        for i in range(700):  # more than a batch
+        for i in range(700):  # more spans than one batch holds
             assert finish_request(t, f"r{i}")["kept"] == ["failed"]
         await run_until(exporter, t, nursery, until=lambda: exporter.counts["exported"] == 700)
         nursery.cancel_scope.cancel()
@@ -291,7 +291,7 @@
             await trio.sleep(0.002)
         nursery.cancel_scope.cancel()
     assert exporter.counts["rejected"] == 3 and t.queue.dropped == {"status_400": 1}
-    assert collector.posts == 3  # none of them is sent twice
+    assert collector.posts == 3  # no rejected batch is sent twice
 
 
 @trio_test
@@ -371,7 +371,8 @@
         and ids[-1] == "third"
         and len(ids) == len(set(ids)) == before + 1
     )
-    assert not await spool(max_bytes=10).put(b"x" * 11)  # larger than the spool
+    # An item that is larger than the spool is not stored.
+    assert not await spool(max_bytes=10).put(b"x" * 11)
 
 
 # -- a whole service
@@ -566,7 +567,8 @@
     path = tmp_path / "t.jsonl"
 
     async def slow(x):
-        monkeypatch.setattr("time.time", lambda: 5.0)  # the clock is set back decades while it runs
+        # Sets the clock back by decades while the request runs.
+        monkeypatch.setattr("time.time", lambda: 5.0)
         await trio.sleep(0.05)
         await x.done()
 
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -279,16 +279,16 @@
 
 
 def test_old_rounds_read_after_a_pause_prove_no_lease():
-    """A member reads the others' old bits after a pause and opens a round on them: nobody has heard it."""
+    """After a pause a member reads the others' old bits and opens a round that nobody has received yet."""
     renewals = [LeaseRenewal(rank, 5, 0.0, 0.25, 0.75) for rank in range(5)]
     for other in renewals[1:4]:
-        assert renewals[0].merge(10.0, other.round)  # sent at 0, read at 10
+        assert renewals[0].merge(10.0, other.round)  # the bits were sent at 0 and are read at 10
     assert renewals[0].tick(11.0) and renewals[0].round.number == 1
     assert renewals[0].proven_at < 0.0
-    for other in renewals[1:3]:  # these hear it, and it hears them
+    for other in renewals[1:3]:  # these two members receive its bit, and it receives theirs
         other.merge(12.0, renewals[0].round)
         renewals[0].merge(13.0, other.round)
-    assert renewals[0].proven_at == 0.0  # when it added its bit to the previous round
+    assert renewals[0].proven_at == 0.0  # the time at which it added its bit to the previous round
 
 
 def test_round_waits_longer_while_a_member_is_missing():
@@ -330,7 +330,8 @@
         net = ViewNet(
             seed, 5, founders=5, formed=False, path=Path(delay=0.02, jitter=0.02, loss=0.3)
         )
-        for _ in range(2):  # at most two: a majority of a view formed meanwhile must survive
+        # At most two restarts, so that a majority of a view formed meanwhile survives.
+        for _ in range(2):
             net.run(0.2 + 0.5 * net.rng.random())
             name = net.rng.choice(NAMES[:5])
             net.exempt.add(name)
@@ -389,7 +390,7 @@
 
 
 def test_three_members_that_receive_nothing_are_removed_in_time():
-    """Each finds all its edges faulty, takes itself for the cause and reports none of them."""
+    """Each of the three finds all its edges faulty, takes itself for the cause and reports none of them."""
     net = settled_net(15)
     deaf = ["m0001", "m0002", "m0003"]
     net.exempt.update(deaf)
@@ -470,7 +471,7 @@
     assert net.until(net.agreed, 20.0) is not None
     assert (
         machine.me.incarnation != before and highest_number(net) == 3
-    )  # its removal, its return, and no other change
+    )  # the member's removal, its return, and no other change
     assert_no_violations(net)
 
 
@@ -543,7 +544,8 @@
     for name in NAMES[:4]:
         net.restart(name)
     net.run(15.0)
-    assert highest_number(net) == before  # the founders are there, but no majority of the names
+    # The founders are running, but not a majority of the persisted view.
+    assert highest_number(net) == before
     assert "m0004" in net.nodes["m0000"].machine.describe(net.now)
     for name in NAMES[4:9]:
         net.restart(name)
@@ -659,7 +661,7 @@
 def test_lost_registers_are_sent_again_after_checksum_mismatches():
     one, other = member_of(0), member_of(1)
     one.publish(0b10)
-    for at in range(1, 5):  # nothing arrives at the other member
+    for at in range(1, 5):  # the other member receives nothing
         assert one.heartbeats(float(at))[0][1].registers == (one.registers[0],) * (at == 1)
     for at in range(5, 5 + MAX_CHECKSUM_MISMATCHES + 1):
         other.merge(float(at), one.heartbeats(float(at))[0][1], one.edges[1], "m0000")
--- a/tests/test_views_hook.py
+++ b/tests/test_views_hook.py
@@ -204,7 +204,7 @@
     await views._carry_out(link, step_with_message(persist=True))
     await views._carry_out(
         link, step_with_message(persist=False)
-    )  # the machine assumes by now that it is persisted
+    )  # by now the machine assumes that the view is persisted
     assert link.datagrams == []
     store.error = None
     await views._carry_out(link, step_with_message(persist=False))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -164,7 +164,7 @@
 
 
 def make_faulty(net, name, *, plan=None):
-    """Make a member report in every answer that all zones fail, and send a plan of its own otherwise."""
+    """Makes a member answer each poll with a failure of all zones, and otherwise send a plan of its own."""
     rng = random.Random(1)
 
     def rewrite(data):
@@ -323,7 +323,8 @@
     net.run(72)
     leave_count = max(
         sum(
-            b.get("z0", 1.0) < 0.05 < a.get("z0", 1.0)  # without failed trials
+            # Drops of the weight, not counting failed trials.
+            b.get("z0", 1.0) < 0.05 < a.get("z0", 1.0)
             for (_, _, a), (_, _, b) in pairwise(m.changes)
         )
         for m in net.members.values()
@@ -334,7 +335,7 @@
         if "z0" in m.machine.plan.zones
     )
     assert penalty_count >= 3
-    assert 1 <= leave_count <= 6  # of the twelve failures
+    assert 1 <= leave_count <= 6  # the zone fails twelve times
     assert versions_only_rise(net)
 
 
@@ -396,7 +397,7 @@
     assert [m.name for m in net.members.values() if m.machine.statistics.plans_made] == ["m0001"]
     late_plan = FailoverPlan(
         PLANS_PER_EPOCH + 9, {"z2": ZoneEntry(0)}
-    )  # of the lease with number 1
+    )  # a plan of the lease with number 1
     for member in net.living():
         member.machine.receive(
             net.now,
@@ -451,7 +452,8 @@
     assert count_by_zone({0: 0.0}, WORKERS, cross_zone=0.3) == {1: 200}
     counts_at_quarter = count_by_zone({0: 0.25}, WORKERS, cross_zone=0.3)
     assert 45 <= counts_at_quarter[0] <= 55 and counts_at_quarter[0] + counts_at_quarter[1] == 200
-    assert set(count_by_zone({1: 0.0}, WORKERS)) == {0}  # without a fee all zones are equal
+    # Without a cost of crossing zones all zones are equal.
+    assert set(count_by_zone({1: 0.0}, WORKERS)) == {0}
 
 
 def test_the_policy_uses_a_left_zone_if_there_is_no_other():
