--- a/tests/test_extras.py
+++ b/tests/test_extras.py
@@ -60,7 +60,7 @@
     assert "pip install 'yewrill[" not in stderr
 
 
-def test_extra_by_module_each_extra_installs_its_module():
+def test_each_extra_installs_the_module_that_its_error_is_about():
     extras = tomllib.loads(PROJECT.read_text())["project"]["optional-dependencies"]
     distributions = {"google": "protobuf", "opentelemetry": "opentelemetry-proto"}
     distributions |= {"google_crc32c": "google-crc32c", "dateutil": "python-dateutil"}
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -184,7 +184,7 @@
         assert max(d.admission.classes, key=lambda c: c.priority_level).spec.name == higher
 
 
-def test_x_is_the_run_time_quantile_divided_by_the_available_slots():
+def test_drain_time_x_is_the_run_time_quantile_divided_by_the_available_slots():
     d = dispatcher(dispatchers=4, reports_start=True)
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry(f"w{i}") for i in range(8)])])
     d.fleet.estimate.run_time_quantile, d.fleet.estimate.kinds[0].free_slots = 600.0, 2.0
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -365,7 +365,7 @@
         assert not workers[1].exchanges and not workers[3].exchanges
 
 
-def test_a_reattached_worker_is_cold_not_ejected_and_first_in_line_until_it_starts_one():
+def test_a_reattached_worker_is_cold_not_ejected_and_preferred_until_it_starts_a_request():
     settings = api.Settings(
         [api.RequestClass("tour", 2000.0, 9000.0)],
         reports_start=True,
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -155,12 +155,12 @@
     return ""
 
 
-def test_the_simulation_finds_a_lease_that_its_holder_counts_too_long(monkeypatch):
+def test_the_simulation_detects_a_holder_that_counts_its_lease_too_long(monkeypatch):
     monkeypatch.setattr(lease_table_module, "MAX_CLOCK_DRIFT", -4.0)
     assert "act at once" in (violation := first_violation(range(12))) or "owns with" in violation
 
 
-def test_the_simulation_finds_a_fence_that_admits_every_number(monkeypatch):
+def test_the_simulation_detects_a_fence_that_admits_every_number(monkeypatch):
     monkeypatch.setattr(Fence, "admits", lambda self, role, number: True)
     assert "obeyed" in first_violation(range(12))
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -236,7 +236,7 @@
     assert nodes["b"].is_voting and nodes["b"].commit_index == nodes["a"].commit_index == 2
 
 
-def test_voter_changes_are_refused_beyond_one_and_reads_need_a_majority():
+def test_voter_change_during_another_one_is_refused_and_reads_need_a_majority():
     names = ("a", "b", "c")
     leader = Raft("a", 1, PersistentRaftState(snapshot=Snapshot(0, 0, names)), trust_disk=True)
     peers = {
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("sent_before_accept", [True, False])
 @trio_test
-async def test_a_client_accepted_in_the_turn_of_the_shutdown_gets_its_answer(
+async def test_a_client_accepted_in_the_event_loop_iteration_of_the_shutdown_gets_its_answer(
     sent_before_accept, monkeypatch
 ):
     worker, accepted = ScriptedWorker("d1", done), []
@@ -140,7 +140,9 @@
 
 @FRONTS
 @mock_clock_test
-async def test_a_reload_in_the_turn_of_the_shutdown_leaves_no_request_unanswered(front):
+async def test_a_reload_in_the_event_loop_iteration_of_the_shutdown_leaves_no_request_unanswered(
+    front,
+):
     async def wait_then_answer(exchange):
         await release.wait()
         await exchange.done()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -96,7 +96,7 @@
         store.put(b"k", b"v")
 
 
-def test_interval_acknowledges_first_and_syncs_later():
+def test_store_in_interval_mode_acknowledges_first_and_syncs_later():
     disk, synced = SimulatedDisk(), threading.Event()
     with Store(disk, mode="interval", interval=0.01, reserve=0) as store:
         store.put(b"first", b"")  # this write creates the segment, whose header is synced at once
@@ -122,7 +122,7 @@
     assert [record.getMessage()[:14] for record in caplog.records] == ["store_poisoned"]
 
 
-def test_bounds_of_keys_values_and_batches():
+def test_keys_values_and_batches_beyond_their_bounds_are_rejected():
     for bad in (
         lambda: Batch().put(b"", b""),
         lambda: Batch().put(b"k" * 4097, b""),
@@ -198,7 +198,7 @@
     assert len(segments) < 40 and written < 8 * 3000 * 3000
 
 
-def test_the_pacer_keeps_its_rate_and_syncs_are_due_as_the_mode_says():
+def test_pacer_keeps_its_rate_and_each_sync_mode_has_its_sync_times():
     pacer, now, spent = Pacer(1000.0, 250.0), 0.0, 0
     while now < 20.0:
         now += pacer.spend(100, now)
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -107,7 +107,7 @@
         assert len(context.state_header(found, "c")) <= 512
 
 
-def test_examples_of_the_trace_context_standard():
+def test_trace_context_reads_the_examples_of_the_standard():
     parent = f"00-{TRACE}-{SPAN}-01"
     found = context.read(
         parent, "rojo=00f067aa0ba902b7,ot=th:c;rv:12345678901234,congo=t61rcWkgMzE"
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -410,7 +410,7 @@
     assert_no_violations(net)
 
 
-def test_larger_side_that_hears_all_but_is_not_heard_keeps_its_leases_and_the_view():
+def test_larger_side_that_cannot_send_to_the_smaller_one_keeps_its_leases_and_the_view():
     net = settled_net(16)
     net.exempt.update(NAMES[15:])
     net.cut(NAMES[:15], NAMES[15:], both=False, heal_after=12.0)
