--- a/tests/test_calm_start.py
+++ b/tests/test_calm_start.py
@@ -34,13 +34,13 @@
     traffic = [Traffic(27.0 / len(objectives), 60.0, CLIENT_TIMEOUTS_MS, TIMEOUT_WEIGHTS)] * len(
         objectives
     )
-    world = OverloadWorld(
+    simulation = OverloadWorld(
         settings(objectives, quota, dispatchers=3), traffic, workers=5, idle_time=idle_time
     )
-    world.run_until(idle_time + OBSERVED_MS + 3000.0)
-    assert len(world.answers_between(idle_time, idle_time + OBSERVED_MS)) > 150
-    assert not world.not_served_between(idle_time, idle_time + OBSERVED_MS)
-    assert world.dispatcher.admission.controller.changes == 0
+    simulation.run_until(idle_time + OBSERVED_MS + 3000.0)
+    assert len(simulation.answers_between(idle_time, idle_time + OBSERVED_MS)) > 150
+    assert not simulation.not_served_between(idle_time, idle_time + OBSERVED_MS)
+    assert simulation.dispatcher.admission.controller.changes == 0
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -48,7 +48,7 @@
     # Guards against a time constraint of a few milliseconds and a high quantile of the first run times.
     traffic = [Traffic(9.0, 60.0, CLIENT_TIMEOUTS_MS, TIMEOUT_WEIGHTS)] * 3
     first = [350.0, 390.0, 360.0, 380.0]
-    world = OverloadWorld(
+    simulation = OverloadWorld(
         settings(dispatchers=3),
         traffic,
         workers=5,
@@ -56,8 +56,8 @@
         first_run_times=first,
         idle_time=1500.0,
     )
-    world.run_until(1500.0 + OBSERVED_MS + 3000.0)
-    assert not world.not_served_between(1500.0, 1500.0 + OBSERVED_MS)
+    simulation.run_until(1500.0 + OBSERVED_MS + 3000.0)
+    assert not simulation.not_served_between(1500.0, 1500.0 + OBSERVED_MS)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -67,8 +67,8 @@
         Traffic(32.0 * part / run_time * 1000.0, run_time, (1500.0, 2500.0))
         for part, run_time in ((0.2, 40.0), (0.5, 150.0), (0.3, 250.0))
     ]
-    world = OverloadWorld(
+    simulation = OverloadWorld(
         settings((360.0, 900.0, 2000.0), 0.0), traffic, workers=8, slots=8, seed=seed
     )
-    world.run_until(30000.0)
-    assert not world.not_served_between(4000.0, 27000.0)
+    simulation.run_until(30000.0)
+    assert not simulation.not_served_between(4000.0, 27000.0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -332,8 +332,8 @@
                 await trio.sleep(0.01)
             healthy, discovery.server.script = discovery.server.script, reset
             discovery.publish(workers[0].entry())
-            await running.said("discovery_unavailable")
-            address = await running.said(r" ready .*listen=([\d.]+):(\d+)")
+            await running.wait_for_line("discovery_unavailable")
+            address = await running.wait_for_line(r" ready .*listen=([\d.]+):(\d+)")
             idle = []
             for i in range(160):
                 idle.append(Client(await trio.open_tcp_stream(address[1], int(address[2]))))
@@ -345,7 +345,7 @@
             discovery.server.script = healthy
             discovery.workers = workers
             discovery.publish(set_draining(workers[0]), workers[1].entry())
-            await running.said("discovery_recovered")
+            await running.wait_for_line("discovery_recovered")
             while (
                 await running.ask(X_Request_ID=f"after{len(workers[1].exchanges)}")
             ).status != 200:
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -114,24 +114,24 @@
     )
 
 
-def link_after_heartbeats(here=True, there=True, span=20.0, loss=0.0, seed=2):
+def link_after_heartbeats(inbound=True, outbound=True, span=20.0, loss=0.0, seed=2):
     """Returns a link after `span` seconds of heartbeats in both directions, and that span.
 
-    After 10 s heartbeats from the peer only arrive if `here`, those to the peer only if `there`.
+    After 10 s heartbeats from the peer only arrive if `inbound`, those to the peer only if `outbound`.
     """
     rng, link, peer_received_at = random.Random(seed), PeerLink(HEARTBEAT_SECONDS, 0.0), 0.0
     for i in range(int(span / HEARTBEAT_SECONDS)):
         now = i * HEARTBEAT_SECONDS
         early = now < 10.0
-        if (early or there) and rng.random() >= loss:
+        if (early or outbound) and rng.random() >= loss:
             peer_received_at = now
-        if (early or here) and rng.random() >= loss:
+        if (early or inbound) and rng.random() >= loss:
             link.record_report(now + 0.1, now + 0.1 - peer_received_at)
     return link, span
 
 
 @pytest.mark.parametrize(
-    "here, there, state",
+    "inbound, outbound, state",
     [
         (True, True, LinkState.HEALTHY),
         (False, True, LinkState.PARTITIONED),
@@ -139,11 +139,11 @@
         (False, False, LinkState.PARTITIONED),
     ],
 )
-def test_link_state_shows_which_direction_works(here, there, state):
+def test_link_state_shows_which_direction_works(inbound, outbound, state):
     for loss in (0.0, 0.3):
-        link, now = link_after_heartbeats(here, there, loss=loss)
+        link, now = link_after_heartbeats(inbound, outbound, loss=loss)
         assert link.state(now) == state
-        assert (link.receives(now), link.received_by(now)) == (here, here and there)
+        assert (link.receives(now), link.received_by(now)) == (inbound, inbound and outbound)
         link.record_relay(now)
         assert link.state(now) == (
             LinkState.INBOUND_LOSS if state == LinkState.PARTITIONED else state
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -37,17 +37,17 @@
     ANY
     | st.dictionaries(st.sampled_from([*FIELDS, "odd"]), st.floats(-1.0, 2e6) | st.just(math.nan))
 )
-def test_load_report_is_either_complete_and_valid_or_ignored(said):
-    report = load_report.read(said, FIELDS)
+def test_load_report_is_either_complete_and_valid_or_ignored(reported):
+    report = load_report.read(reported, FIELDS)
     if report is not None:
         assert tuple(report) == FIELDS and all(
             0.0 <= value <= load_report.MAX_VALUE for value in report.values()
         )
-        assert report == {name: said[name] for name in FIELDS}
-    elif isinstance(said, dict) and set(FIELDS) <= set(said):
+        assert report == {name: reported[name] for name in FIELDS}
+    elif isinstance(reported, dict) and set(FIELDS) <= set(reported):
         assert any(
             type(v) not in (int, float) or not 0 <= v <= load_report.MAX_VALUE
-            for name, v in said.items()
+            for name, v in reported.items()
             if name in FIELDS
         )
 
@@ -73,7 +73,7 @@
 
 @trio_test
 async def test_load_reports_in_answers_headers_and_probes_reach_the_module_and_invalid_ones_are_skipped():
-    said = [
+    reported = [
         GOOD,
         {**GOOD, "x0": -1.0},
         {**GOOD, "x0": math.nan},
@@ -96,7 +96,7 @@
                 503, "X-Not-Processed: 1", "X-Server-Load: x0=0,qps=5,inflight=9"
             )
         else:
-            load = said[int(exchange.body)]
+            load = reported[int(exchange.body)]
             # json, since ujson does not encode NaN
             extra = "" if load is None else f', "load": {json.dumps(load)}'
             await exchange.send_raw(
@@ -107,7 +107,7 @@
     async with running_service(ScriptedWorker("d1", script), settings=REPORTING) as harness:
         worker = harness.service.engine._module.fleet.workers["d1"]
         seen = []
-        for i in range(len(said)):
+        for i in range(len(reported)):
             assert (await harness.ask(body=b"%d" % i, X_Request_ID=f"r{i}")).body == b"r"
             await trio.testing.wait_all_tasks_blocked()
             seen.append(worker.last_report)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -102,14 +102,14 @@
 # -- joining members
 
 
-def attested_by(rank, heard):
+def attested_by(rank, joiners):
     """Returns the joiners that a member of a view of nine attests after four join requests of each."""
     view = View(1, entries(9))
     machine = ViewMachine(view.entries[rank], (), None, random.Random(rank), 0.0)
     machine.install(view, 0.0)
     for call in range(4):
         now = 0.1 + 0.3 * call
-        for name in heard:
+        for name in joiners:
             caller = Entry(name, 5, (name, 1))
             machine.receive(
                 now, JoinRequest(caller, 1, 300, 1 if call else -1, 0), name, caller.address
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -49,7 +49,7 @@
             self.changed.set()
             self.changed = trio.Event()
 
-    async def said(self, pattern: str) -> re.Match:
+    async def wait_for_line(self, pattern: str) -> re.Match:
         while True:
             for line in self.lines:
                 if match := re.search(pattern, line):
@@ -57,7 +57,7 @@
             await self.changed.wait()
 
     async def ask(self, *args, management: bool = False, **kwargs):
-        address = await self.said(
+        address = await self.wait_for_line(
             ("management_listening " if management else " ready .*") + r"listen=([\d.]+):(\d+)"
         )
         stream = await trio.open_tcp_stream(address[1], int(address[2]))
@@ -78,7 +78,7 @@
     running = Program(process)
     nursery.start_soon(running.read)
     try:
-        await running.said(" ready ")
+        await running.wait_for_line(" ready ")
         yield running
     finally:
         process.kill()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -145,10 +145,10 @@
     with Store(tmp_path):
         import os
 
-        said = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout
+        output = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout
         assert (
-            said.startswith(f"{tmp_path}: held by process {os.getpid()} on ")
-            and said.count("\n") == 1
+            output.startswith(f"{tmp_path}: held by process {os.getpid()} on ")
+            and output.count("\n") == 1
         )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == ""
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -45,9 +45,9 @@
 
 @pytest.fixture
 def fleet():
-    worlds = []
-    yield worlds
-    assert worlds[0].net.violations == []  # two sides of a partition never both continued
+    simulated_fleets = []
+    yield simulated_fleets
+    assert simulated_fleets[0].net.violations == []  # two sides of a partition never both continued
 
 
 def step_text(pattern):
@@ -65,12 +65,12 @@
 
 @given(step_text(r"(?P<count>\d+) dispatchers that start without " + WHO + r", (a|no) founder"))
 def starting_dispatchers(fleet, count, who):
-    world = Fleet(int(count), formed=False)
-    assert set(member_names(who)) & set(world.net.founders) == (
+    simulated_fleet = Fleet(int(count), formed=False)
+    assert set(member_names(who)) & set(simulated_fleet.net.founders) == (
         set(member_names(who)) if member_names(who)[0] < "m0003" else set()
     )
-    world.net.kill(*member_names(who))
-    fleet.append(world)
+    simulated_fleet.net.kill(*member_names(who))
+    fleet.append(simulated_fleet)
 
 
 @given(step_text(r"(?P<part>\d+)% of all datagrams are lost"))
@@ -199,10 +199,12 @@
 
 @then(step_text(r"(within (?P<max_seconds>\d+) seconds )?" + WHO + r" (is|are) in no view"))
 def are_in_no_view(fleet, max_seconds, who):
-    world = fleet[0]
+    simulated_fleet = fleet[0]
     assert (
-        world.net.until(
-            lambda: not any(map(world.view, member_names(who))), float(max_seconds or 0), 0.1
+        simulated_fleet.net.until(
+            lambda: not any(map(simulated_fleet.view, member_names(who))),
+            float(max_seconds or 0),
+            0.1,
         )
         is not None
     )
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -508,8 +508,12 @@
     listed = run.invoke(main, ["trace", "list", str(path), "--cause", "late"]).stdout
     assert len(listed.splitlines()) == len(late)
     assert "lost" in run.invoke(main, ["trace", "show", retried["id"], str(path)]).stdout
-    said = run.invoke(main, ["trace", "why", retried["id"], str(path)]).stdout
-    assert "sent it back unstarted" in said and "then: tried again" in said and "was served" in said
+    output = run.invoke(main, ["trace", "why", retried["id"], str(path)]).stdout
+    assert (
+        "sent it back unstarted" in output
+        and "then: tried again" in output
+        and "was served" in output
+    )
     page = tmp_path / "r.html"
     assert run.invoke(main, ["trace", "report", str(path), "--output", str(page)]).exit_code == 0
     assert "turned away" in page.read_text() and "<script" not in page.read_text()
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -392,10 +392,10 @@
 def test_three_members_that_receive_nothing_are_removed_in_time():
     """Each of the three finds all its edges faulty, takes itself for the cause and reports none of them."""
     net = settled_net(15)
-    deaf = ["m0001", "m0002", "m0003"]
-    net.exempt.update(deaf)
-    net.cut([name for name in NAMES if name not in deaf], deaf, both=False)
-    assert net.until(lambda: net.removed(deaf, NAMES[4:]), 30.0, 0.1) < 7.0
+    isolated = ["m0001", "m0002", "m0003"]
+    net.exempt.update(isolated)
+    net.cut([name for name in NAMES if name not in isolated], isolated, both=False)
+    assert net.until(lambda: net.removed(isolated, NAMES[4:]), 30.0, 0.1) < 7.0
     net.run(3.0)
     assert_no_violations(net)
 
