--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -190,7 +190,7 @@
 
 def declared_by(net, among):
     """Returns the false deaths that the members in `among` declared."""
-    return [(who, whom) for _, who, whom in net.false_deaths if who in among]
+    return [(observer, subject) for _, observer, subject in net.false_deaths if observer in among]
 
 
 def link_states(net, of):
@@ -227,7 +227,7 @@
     net.cut(["m0001"], names_except(net, "m0001"), both=False)
     net.run(120.0)
     assert not declared_by(net, ["m0001"]) and len(net.nodes["m0001"].machine.members()) == 24
-    assert {whom for _, _, whom in net.false_deaths} == {"m0001"}
+    assert {subject for _, _, subject in net.false_deaths} == {"m0001"}
 
 
 def test_member_that_only_half_of_the_others_can_reach_stays_listed_by_all():
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -74,7 +74,7 @@
         assert harness.service.management is None
 
 
-class Shared:
+class SharedResources:
     """The clients' listening socket, as the platform holds it, and a directory that the processes share."""
 
     def __init__(self, directory: str):
@@ -98,7 +98,7 @@
         # A path that is longer than a Unix socket address, as a platform may use.
         deep = os.path.join(directory, "d" * 120)
         os.mkdir(deep)
-        shared = Shared(deep)
+        shared = SharedResources(deep)
         async with running_service(
             *workers, environment=shared.environment(), **{**MGMT, **config}
         ) as harness:
@@ -415,24 +415,26 @@
 
     workers = [ScriptedWorker(f"d{i}", waits) for i in range(4)]
     async with running_service(*workers, front=front, **MGMT) as harness:
-        asks, idle, works, slow = [await harness.client() for _ in range(4)]
-        assert (await asks.ask("/up", "GET")).status == 200
+        status_client, idle, request_client, slow = [await harness.client() for _ in range(4)]
+        assert (await status_client.ask("/up", "GET")).status == 200
         await slow.send(X_Request_ID="slow", X_Timeout_Ms="3000")
         await harness.wait_until(lambda: any(p.exchanges for p in workers))
         assert (await harness.call("PUT /_lameduck/on")).status == 200
         began = trio.current_time()
-        up = await asks.ask("/up", "GET")  # the answer changes at once, also on an open connection
+        up = await status_client.ask(
+            "/up", "GET"
+        )  # the answer changes at once, also on an open connection
         assert up.status == 503 and "connection" not in up.headers
         assert (await harness.call("GET /_ready")).status == 200  # the process itself stays ready
         while True:  # requests are served; from 0.2 s on, connections close after the answer
-            reply = await works.ask(X_Request_ID="w", X_Timeout_Ms="3000")
+            reply = await request_client.ask(X_Request_ID="w", X_Timeout_Ms="3000")
             assert reply.status == 200
             await trio.sleep(0.01)
             if reply.headers.get("connection") == "close":
                 break
         if front == "platform":
             assert trio.current_time() - began > 0.19
-        for client in (works, asks, idle):
+        for client in (request_client, status_client, idle):
             assert await client.stream.receive_some() == b""
         assert trio.current_time() - began < 2.0
         late = await harness.client()  # the listener still accepts connections
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -188,15 +188,17 @@
     net = ZoneNet(3, members, zones)
     make_faulty(net, "m0001")
     net.run(20)
-    honest = [m for m in net.living() if m.name != "m0001"]
-    assert not any(m.machine.plan.zones for m in honest)
-    assert sum(m.machine.statistics.polls for m in honest) < 20 * 2.6 * len(
-        honest
+    other_members = [m for m in net.living() if m.name != "m0001"]
+    assert not any(m.machine.plan.zones for m in other_members)
+    assert sum(m.machine.statistics.polls for m in other_members) < 20 * 2.6 * len(
+        other_members
     )  # the faulty member can't cause many polls
     net.loss["z0"] = 1.0
     net.run(6)
-    assert all(m.machine.traffic_weights().get("z0", 1.0) < 0.1 for m in honest if m.zone != "z0")
-    assert all(set(m.machine.plan.zones) == {"z0"} for m in honest)
+    assert all(
+        m.machine.traffic_weights().get("z0", 1.0) < 0.1 for m in other_members if m.zone != "z0"
+    )
+    assert all(set(m.machine.plan.zones) == {"z0"} for m in other_members)
 
 
 def test_a_zone_that_only_one_other_zone_cannot_reach_is_not_left():
