--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,4 +1,4 @@
-"""Scripted workers, a fake discovery and clients on loopback sockets, and a whole service between them."""
+"""Scripted workers, a fake discovery and clients on loopback sockets, and a running service between them."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 }
 
 
-def _trio_test(clock: Callable[[], trio.abc.Clock]):
+def _trio_test_with_clock(clock: Callable[[], trio.abc.Clock]):
     def decorate(test: Callable[..., Awaitable[None]]):
         @functools.wraps(test)
         def run(**given):
@@ -75,9 +75,8 @@
     return decorate
 
 
-_pace_sample: list[
-    float
-] = []  # monotonic time of the last measurement, and the machine's pace then
+# Monotonic time of the last measurement, and the machine's pace then.
+_pace_sample: list[float] = []
 
 
 def _slow_clock() -> ScaledClock:
@@ -86,11 +85,11 @@
     return ScaledClock(_pace_sample[1])
 
 
-# Runs an async test under trio with a time limit; its clock is slowed down as far as the machine is slow now.
-story = _trio_test(_slow_clock)
-# Like `story`, for tests of times: the clock advances only while all tasks are blocked. Not for tests with
-# threads. The slow rate lets the time limit end a test that never blocks.
-timed_story = _trio_test(lambda: MockClock(rate=0.02, autojump_threshold=0.005))
+# Runs an async test under trio with a time limit. The clock is slowed down by the slowdown of the machine.
+trio_test = _trio_test_with_clock(_slow_clock)
+# Like `trio_test`, for tests of times: the clock advances only while all tasks are blocked. It does not suit
+# tests with threads. The slow rate lets the time limit end a test that never blocks.
+mock_clock_test = _trio_test_with_clock(lambda: MockClock(rate=0.02, autojump_threshold=0.005))
 
 
 class Exchange:
@@ -103,34 +102,34 @@
         self.target = request.target.decode()
         self.headers = {k.decode(): v.decode() for k, v in request.headers}
         self.id = self.headers.get("x-request-id", "")
-        self.begun = False
+        self.head_sent = False
 
-    async def say(self, state: str, **more) -> None:
+    async def send_message(self, state: str, **more) -> None:
         line = ujson.dumps({"id": self.id, "from": "d", "state": state, **more})
-        await self.raw(f"data: {line}\n\n" if self.front == "progress" else line + "\n")
+        await self.send_raw(f"data: {line}\n\n" if self.front == "progress" else line + "\n")
 
-    async def raw(self, text: str) -> None:
+    async def send_raw(self, text: str) -> None:
         kind = "text/event-stream" if self.front == "progress" else "application/json"
         head = (
             ""
-            if self.begun
+            if self.head_sent
             else f"HTTP/1.1 200 OK\r\nContent-Type: {kind}\r\nTransfer-Encoding: chunked\r\n\r\n"
         )
-        self.begun = True
+        self.head_sent = True
         await self.stream.send_all(f"{head}{len(text.encode()):x}\r\n{text}\r\n".encode())
 
     async def done(self, result="profile") -> None:
-        await self.say("done", result=result)
+        await self.send_message("done", result=result)
         await self.stream.send_all(b"0\r\n\r\n")
 
-    async def status(self, code: int, *headers: str) -> None:
+    async def send_status(self, code: int, *headers: str) -> None:
         lines = "".join(f"{h}\r\n" for h in headers)
         await self.stream.send_all(
             f"HTTP/1.1 {code} X\r\n{lines}Content-Length: 0\r\n\r\n".encode()
         )
 
-    async def closed(self) -> None:
-        """Wait until the dispatcher closes this connection."""
+    async def wait_closed(self) -> None:
+        """Waits until the dispatcher closes this connection."""
         with suppress(trio.BrokenResourceError):
             while await self.stream.receive_some():
                 pass
@@ -144,7 +143,7 @@
 
 
 @dataclass
-class Peer:
+class ScriptedWorker:
     """A scripted worker: runs `script` for each request it receives."""
 
     name: str
@@ -154,7 +153,7 @@
     state: str = "SERVING"
     exchanges: list[Exchange] = field(default_factory=list)
     connections: int = 0
-    live: set = field(default_factory=set)
+    open_streams: set = field(default_factory=set)
     port: int = 0
 
     async def serve(self, *, task_status=trio.TASK_STATUS_IGNORED) -> None:
@@ -164,7 +163,7 @@
 
     async def _converse(self, stream: trio.SocketStream) -> None:
         self.connections += 1
-        self.live.add(stream)
+        self.open_streams.add(stream)
         parser = h11.Connection(h11.SERVER)
         with suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             while True:
@@ -182,7 +181,7 @@
                 self.exchanges.append(exchange)
                 await self.script(exchange)
                 parser = h11.Connection(h11.SERVER)
-        self.live.discard(stream)
+        self.open_streams.discard(stream)
         await trio.aclose_forcefully(stream)
 
     def entry(self) -> dict:
@@ -201,8 +200,8 @@
 class Discovery:
     """A fake discovery: returns full lists, and holds watches until the next change."""
 
-    def __init__(self, peers: list[Peer]):
-        self.peers, self.version, self.calls = peers, 1, []
+    def __init__(self, workers: list[ScriptedWorker]):
+        self.workers, self.version, self.calls = workers, 1, []
         self.changed, self.changes = trio.Event(), []
         self.silent = False
 
@@ -210,24 +209,24 @@
         body = ujson.dumps({"version": self.version, "full": full, "servers": servers}).encode()
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
-    def tell(self, *entries: dict, full: bool = False) -> None:
+    def publish(self, *entries: dict, full: bool = False) -> None:
         self.version += 1
         self.changes.append((full, list(entries)))
         self.changed.set()
         self.changed = trio.Event()
 
     async def serve(self, nursery: trio.Nursery) -> str:
-        """Start serving; returns the address."""
-        self.peer = Peer("discovery", self.script)
-        await nursery.start(self.peer.serve)
-        return f"127.0.0.1:{self.peer.port}"
+        """Starts serving and returns the address."""
+        self.server = ScriptedWorker("discovery", self.script)
+        await nursery.start(self.server.serve)
+        return f"127.0.0.1:{self.server.port}"
 
     async def script(self, exchange: Exchange) -> None:
         self.calls.append((trio.current_time(), exchange.target))
         if self.silent:
-            await exchange.closed()
+            await exchange.wait_closed()
         elif "from=" not in exchange.target:
-            await exchange.stream.send_all(self.answer(True, [p.entry() for p in self.peers]))
+            await exchange.stream.send_all(self.answer(True, [p.entry() for p in self.workers]))
         else:
             known = int(exchange.target.partition("from=")[2].partition("&")[0])
             while known >= self.version:
@@ -285,8 +284,8 @@
         return await self.reply()
 
 
-class World:
-    """A running service and its scripted peers."""
+class ServiceHarness:
+    """A running service with its scripted workers and its discovery."""
 
     def __init__(self, service: Service, discovery: Discovery, nursery: trio.Nursery, raw: dict):
         self.service, self.discovery, self.nursery = service, discovery, nursery
@@ -304,7 +303,7 @@
             await client.stream.aclose()
 
     async def call(self, call: str, raw: bytes | None = None) -> Reply:
-        """Make one management call, such as "GET /_ready"."""
+        """Makes one management call, such as "GET /_ready"."""
         client = Client(await trio.open_tcp_stream(*self.service.management.address))
         method, _, target = call.partition(" ")
         client.parser.send(
@@ -319,44 +318,44 @@
         await client.stream.aclose()
         return reply
 
-    async def until(self, true: Callable[[], bool]) -> None:
-        """Wait until a condition on a peer or the service holds."""
+    async def wait_until(self, true: Callable[[], bool]) -> None:
+        """Waits until a condition on a worker, discovery or the service holds."""
         while not true():
             await trio.sleep(0.002)
 
 
 @asynccontextmanager
-async def world(
-    *peers: Peer,
+async def running_service(
+    *workers: ScriptedWorker,
     settings: dict | None = None,
     signals: bool = False,
     environment: dict | None = None,
     **config,
 ):
-    """Run a service between scripted workers, on ports assigned by the system."""
+    """Runs a service between scripted workers, on ports assigned by the system."""
     async with trio.open_nursery() as nursery:
-        for peer in peers:
-            peer.front = config.get("front", "platform")
-            await nursery.start(peer.serve)
-        discovery = Discovery(list(peers))
+        for worker in workers:
+            worker.front = config.get("front", "platform")
+            await nursery.start(worker.serve)
+        discovery = Discovery(list(workers))
         raw = {
             "listen": "127.0.0.1:0",
             "discovery": await discovery.serve(nursery),
-            "known": {"version": 1, "full": True, "servers": [p.entry() for p in peers]},
+            "known": {"version": 1, "full": True, "servers": [p.entry() for p in workers]},
             "settings": {**SETTINGS, **(settings or {})},
             "seed": "5",
             **config,
         }
         service = Service(read_config(raw, environment), lambda: read_config(raw, environment))
-        running = World(service, discovery, nursery, raw)
+        harness = ServiceHarness(service, discovery, nursery, raw)
 
         async def run(*, task_status=trio.TASK_STATUS_IGNORED) -> None:
             await service.run(signals=signals, task_status=task_status)
-            running.ended.set()
+            harness.ended.set()
 
         await nursery.start(run)
-        await running.until(lambda: any("from=" in target for _, target in discovery.calls))
-        yield running
+        await harness.wait_until(lambda: any("from=" in target for _, target in discovery.calls))
+        yield harness
         nursery.cancel_scope.cancel()
 
 
@@ -365,4 +364,4 @@
 
 
 async def hang(exchange: Exchange) -> None:
-    await exchange.closed()
+    await exchange.wait_closed()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,93 +7,93 @@
 import time
 
 import pytest
-from helper import Peer, done, story, world
-from machine_faults import SetClock
+from helper import ScriptedWorker, done, running_service, trio_test
+from machine_faults import SteppedClock
 
 from yewrill.dispatch.start_times import MAX_STARTS, OFFSET_RETENTION_MS, StartTimes
 
 HOUR_SECONDS = 3600.0
-WARM_AFTER_MS = 6000.0  # of the helper's settings
+WARM_AFTER_MS = 6000.0  # warm_after in the settings of helper.py
 
 
-def worker_state(w, name):
-    w.service.engine.tick()
-    return w.service.engine._module.fleet.workers[name]
+def worker_state(harness, name):
+    harness.service.engine.tick()
+    return harness.service.engine._module.fleet.workers[name]
 
 
-def entry_started(peer: Peer, ago: float) -> dict:
-    """Returns the peer's list entry with a start `ago` seconds in the past by the current wall clock."""
-    return {**peer.entry(), "started_ms": (time.time() - ago) * 1000.0}
+def entry_started(worker: ScriptedWorker, ago: float) -> dict:
+    """Returns the worker's list entry with a start `ago` seconds in the past by the current wall clock."""
+    return {**worker.entry(), "started_ms": (time.time() - ago) * 1000.0}
 
 
-async def publish(w, entry) -> None:
-    before = w.service.endpoints.version
-    w.discovery.tell(entry)
-    await w.until(lambda: w.service.endpoints.version > before)
+async def publish(harness, entry) -> None:
+    before = harness.service.endpoints.version
+    harness.discovery.publish(entry)
+    await harness.wait_until(lambda: harness.service.endpoints.version > before)
 
 
 @pytest.mark.parametrize("step", [-HOUR_SECONDS, HOUR_SECONDS, -3.0, 3.0])
-@story
+@trio_test
 async def test_a_worker_that_starts_after_a_step_of_the_wall_clock_has_its_slow_start(
     step, monkeypatch
 ):
-    clock = SetClock(monkeypatch)
-    old, new = Peer("old", done), Peer("new", done)
-    async with world(old, new) as w:
+    clock = SteppedClock(monkeypatch)
+    old, new = ScriptedWorker("old", done), ScriptedWorker("new", done)
+    async with running_service(old, new) as harness:
         clock.offset = step
-        await publish(w, entry_started(new, ago=0.0))
-        found = worker_state(w, "new")
+        await publish(harness, entry_started(new, ago=0.0))
+        found = worker_state(harness, "new")
         assert found.slow_start.started_at >= 0
-        age = w.service.engine.now() - found.slow_start.started_at
+        age = harness.service.engine.now() - found.slow_start.started_at
         assert 0.0 <= age < WARM_AFTER_MS / 2
 
 
 @pytest.mark.parametrize("step", [-HOUR_SECONDS, HOUR_SECONDS])
-@story
+@trio_test
 async def test_a_start_listed_before_and_after_a_step_of_the_wall_clock_is_one_start(
     step, monkeypatch
 ):
-    clock = SetClock(monkeypatch)
-    peer = Peer("d1", done)
-    async with world(peer) as w:
-        entry = entry_started(peer, ago=60.0)
-        await publish(w, entry)
-        before = worker_state(w, "d1").launched
-        assert worker_state(w, "d1").slow_start.started_at < 0
+    clock = SteppedClock(monkeypatch)
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker) as harness:
+        entry = entry_started(worker, ago=60.0)
+        await publish(harness, entry)
+        before = worker_state(harness, "d1").launched
+        assert worker_state(harness, "d1").slow_start.started_at < 0
         clock.offset = step
-        await publish(w, entry)
-        assert worker_state(w, "d1").launched == before
-        assert worker_state(w, "d1").slow_start.started_at < 0
+        await publish(harness, entry)
+        assert worker_state(harness, "d1").launched == before
+        assert worker_state(harness, "d1").slow_start.started_at < 0
 
 
 @pytest.mark.parametrize("step", [-HOUR_SECONDS, HOUR_SECONDS])
-@story
+@trio_test
 async def test_a_start_before_a_step_that_is_first_listed_after_it_counts_as_recent(
     step, monkeypatch
 ):
-    clock = SetClock(monkeypatch)
-    peer = Peer("d1", done)
-    async with world(peer) as w:
-        entry = entry_started(peer, ago=0.0)
+    clock = SteppedClock(monkeypatch)
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker) as harness:
+        entry = entry_started(worker, ago=0.0)
         clock.offset = step
-        await publish(w, entry)
-        found = worker_state(w, "d1")
-        age = w.service.engine.now() - found.slow_start.started_at
+        await publish(harness, entry)
+        found = worker_state(harness, "d1")
+        age = harness.service.engine.now() - found.slow_start.started_at
         assert found.slow_start.started_at >= 0 and 0.0 <= age < WARM_AFTER_MS / 2
 
 
 @pytest.mark.parametrize("step", [-HOUR_SECONDS, HOUR_SECONDS])
-@story
+@trio_test
 async def test_a_reattached_workers_age_does_not_change_with_a_step_of_the_wall_clock(
     step, monkeypatch
 ):
-    clock = SetClock(monkeypatch)
-    async with world(Peer("d1", done), mgmt="127.0.0.1:0") as w:
-        await w.call("PUT /_profilers/detach?name=d1")
-        await w.call("PUT /_profilers/attach?name=d1")
+    clock = SteppedClock(monkeypatch)
+    async with running_service(ScriptedWorker("d1", done), mgmt="127.0.0.1:0") as harness:
+        await harness.call("PUT /_profilers/detach?name=d1")
+        await harness.call("PUT /_profilers/attach?name=d1")
         clock.offset = step
-        assert 0.0 <= w.service.endpoints.recently_attached["d1"] < 20_000.0
-        assert worker_state(w, "d1").slow_start.started_at >= 0
+        assert 0.0 <= harness.service.endpoints.recently_attached["d1"] < 20_000.0
+        assert worker_state(harness, "d1").slow_start.started_at >= 0
 
 
 def test_starts_are_converted_with_the_offsets_before_and_after_a_step():
@@ -102,16 +102,16 @@
     assert starts.monotonic_start("old", 0.0, now) is None
     assert starts.monotonic_start("w", base + 40_000.0, now) == 40_000.0
     starts.observe_clocks(base + hour + now, now)
-    # Listed again: the same start.
+    # A worker that is listed again with the same start has not restarted.
     assert starts.monotonic_start("w", base + 40_000.0, now) == 40_000.0
     assert starts.monotonic_start("before", base + 45_000.0, now) == 45_000.0
     assert starts.monotonic_start("after", base + hour + 45_000.0, now) == 45_000.0
-    # Listed with another start: a restart.
+    # A worker that is listed with another start has restarted.
     assert starts.monotonic_start("w", base + hour + 49_000.0, now) == 49_000.0
     starts.observe_clocks(base - hour + now, now)
     assert starts.monotonic_start("future", base + 7 * hour, now) == now
     later = now + OFFSET_RETENTION_MS + 1.0
-    # Only the current offset is used.
+    # Only the current offset of the wall clock is used.
     assert starts.monotonic_start("late", base + hour + 45_000.0, later) == later
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 from click.testing import CliRunner
-from helper import story
+from helper import trio_test
 
 from yewrill.cli import main
 from yewrill.lab.cluster import pace
@@ -109,7 +109,7 @@
     assert [breach.kind for breach in audit(history, TERMS)] == kinds
 
 
-@story
+@trio_test
 async def test_a_fault_of_one_direction_of_a_link_does_not_affect_the_other():
     async with trio.open_nursery() as nursery:
 
@@ -169,8 +169,8 @@
         ([sent(0), late(1, 0.3), late(2, 0.3)], 0.0),
         ([sent(0), late(1, 0.5)], 0.5),
         ([sent(0), *(late(i, 0.25) for i in range(12))], 3.0),
-        ([late(0, 0.9), sent(1)], 0.0),  # before the first request
-        ([late(0, 0.9)], 0.9),  # without any request
+        ([late(0, 0.9), sent(1)], 0.0),  # the event loop was late before the first request
+        ([late(0, 0.9)], 0.9),  # the event loop was late in a run without requests
         ([sent(0), line(5, "d", "resume"), late(5.1, 4.0)], 0.0),
         ([sent(0), line(5, "d", "resume"), late(5.1, 4.0, "e")], 4.0),
     ],
@@ -218,7 +218,7 @@
     assert reports and max(reports) >= 0.002
 
 
-@story
+@trio_test
 async def test_a_management_call_that_timed_out_is_repeated_and_a_rejected_one_raises(
     tmp_path,
 ):
@@ -241,7 +241,7 @@
                 await rig.call_management("d0", "/_members")
 
 
-SCENARIOS_UNDER_TEST = (  # benchmarks/cluster.py runs all
+SCENARIOS_UNDER_TEST = (  # benchmarks/cluster.py runs all scenarios
     "zone-dies",
     "zone-mute",
     "zone-fails-jobs",
@@ -305,7 +305,7 @@
                         nursery.start_soon(cancel_once_found, rig, nursery.cancel_scope)
                         nursery.start_soon(run_ignoring_time_outs, rig)
 
-        with suppress(BaseExceptionGroup):  # raised when starved
+        with suppress(BaseExceptionGroup):  # raised if the run was starved of CPU time
             trio.run(run, clock=clock)
         return bool(found), found, [line for rig in rigs for line in rig.history.lines]
 
--- a/tests/test_drawn.py
+++ b/tests/test_drawn.py
@@ -8,7 +8,7 @@
 import string
 
 import trio
-from helper import SETTINGS, Peer, timed_story, world
+from helper import SETTINGS, ScriptedWorker, mock_clock_test, running_service
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
@@ -97,7 +97,7 @@
             try:
                 await END[how](exchange)
                 if how in ("garbled", "half", "silent", "lost"):
-                    await exchange.closed()
+                    await exchange.wait_closed()
             finally:
                 seen["over"] = trio.current_time()
 
@@ -120,14 +120,14 @@
 
 END = {
     "done": lambda exchange: exchange.done(result=f"for {exchange.id}"),
-    "failed": lambda exchange: exchange.status(500),
+    "failed": lambda exchange: exchange.send_status(500),
     "reset": resets,
     "half": half,
     "silent": silent,
-    "lost": lambda exchange: exchange.say("lost"),
-    "garbled": lambda exchange: exchange.raw("{]\n"),
-    "returned": lambda exchange: exchange.say("returned"),
-    "turned away": lambda exchange: exchange.status(503, "X-Not-Processed: 1"),
+    "lost": lambda exchange: exchange.send_message("lost"),
+    "garbled": lambda exchange: exchange.send_raw("{]\n"),
+    "returned": lambda exchange: exchange.send_message("returned"),
+    "turned away": lambda exchange: exchange.send_status(503, "X-Not-Processed: 1"),
 }
 
 
@@ -172,18 +172,18 @@
     played(customer=customer, seed=seed)
 
 
-@timed_story
+@mock_clock_test
 async def played(customer, seed):
     recorder = AttemptRecorder(seed)
-    peers = [Peer(f"d{i}", recorder.script(i // 2), cell=i // 2) for i in range(4)]
-    async with world(*peers, settings=customer) as w:
+    workers = [ScriptedWorker(f"d{i}", recorder.script(i // 2), cell=i // 2) for i in range(4)]
+    async with running_service(*workers, settings=customer) as harness:
 
         async def send_one(i: int, request_class: dict) -> None:
             id, began = f"r{i}-{request_class['name']}", trio.current_time()
             tenants = [party["name"] for party in customer["parties"]]
             tenant = tenants[i % len(tenants)] if tenants else None
             timeout = request_class["deadline"]
-            reply = await w.ask(
+            reply = await harness.ask(
                 f"/{request_class['name']}",
                 X_Request_ID=id,
                 X_Tenant_Id=tenant,
@@ -204,6 +204,6 @@
             for i in range(5):
                 for request_class in customer["request_classes"]:
                     nursery.start_soon(send_one, i, request_class)
-        while w.service.engine.pending or w.service.open_requests.ids:
+        while harness.service.engine.pending or harness.service.open_requests.ids:
             await trio.sleep(0.05)
-        assert (await w.ask("/up", method="GET")).status == 200
+        assert (await harness.ask("/up", method="GET")).status == 200
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -15,11 +15,11 @@
 import pytest
 import trio
 import ujson
-from helper import SETTINGS, Peer, story, world
+from helper import SETTINGS, ScriptedWorker, running_service, trio_test
 
 from yewrill.service.service import Service
 
-# Sends itself SIGHUP during the imports of the program.
+# Program that sends itself SIGHUP during its imports.
 SIGHUP_DURING_IMPORTS = """
 import builtins, os, runpy, signal
 real = builtins.__import__
@@ -31,7 +31,7 @@
 builtins.__import__ = hooked
 runpy.run_module("yewrill", run_name="__main__")
 """
-# Sends itself SIGHUP after the configuration was read, before the service receives signals.
+# Program that sends itself SIGHUP after it has read the configuration, before the service receives signals.
 SIGHUP_AFTER_READING = """
 import os, runpy, signal, sys
 import yewrill.config.reading
@@ -47,7 +47,7 @@
 yewrill.config.reading.load_config = loads
 runpy.run_module("yewrill", run_name="__main__")
 """
-# Sends itself SIGTERM when the socket listens, before the service receives signals.
+# Program that sends itself SIGTERM when the socket listens, before the service receives signals.
 SIGTERM_AT_LISTEN = """
 import os, runpy, signal
 from yewrill.service import service
@@ -58,7 +58,8 @@
 service.Service._restore_state = restoring
 runpy.run_module("yewrill", run_name="__main__")
 """
-# Sends itself SIGTERM, and both signals again after the event loop has ended and when the interpreter exits.
+# Program that sends itself SIGTERM, then SIGHUP and SIGTERM after the event loop has ended, and both again
+# when the interpreter exits.
 SIGNALS_AT_EXIT = """
 import atexit, os, runpy, signal
 from yewrill.service import service
@@ -106,7 +107,7 @@
     return trio.lowlevel.open_process(command, stderr=subprocess.PIPE, env=environment)
 
 
-@story
+@trio_test
 async def test_a_sighup_during_the_imports_does_not_end_the_program(tmp_path):
     process = await start_program(SIGHUP_DURING_IMPORTS, write_config(tmp_path, "127.0.0.1:9"))
     try:
@@ -116,7 +117,7 @@
         await process.wait()
 
 
-@story
+@trio_test
 async def test_a_sighup_before_the_service_receives_signals_causes_a_reload(tmp_path):
     path = write_config(tmp_path, "127.0.0.1:9")
     write_config(tmp_path, "127.0.0.1:10", "config.json.new")
@@ -134,7 +135,7 @@
 @pytest.mark.parametrize(
     "code", [SIGTERM_AT_LISTEN, SIGNALS_AT_EXIT], ids=["as it listens", "as it ends"]
 )
-@story
+@trio_test
 async def test_signals_during_the_start_or_the_exit_end_the_program_gracefully(tmp_path, code):
     process = await start_program(code, write_config(tmp_path, "127.0.0.1:9"))
     text = b"".join([data async for data in process.stderr])
@@ -148,7 +149,7 @@
     process = subprocess.Popen(["/bin/sh", "-c", run])
     try:
         while Path(f"/proc/{process.pid}/comm").read_text() != "sleep\n":
-            pass  # until the shell has executed the program in the same process
+            pass  # wait until the shell has executed the program in the same process
         status = Path(f"/proc/{process.pid}/status").read_text()
         ignored = int(re.search(r"SigIgn:\s+(\w+)", status)[1], 16)
         assert ignored >> (signal.SIGHUP - 1) & 1
@@ -157,7 +158,7 @@
         process.wait()
 
 
-@story
+@trio_test
 async def test_the_timeout_sent_to_a_worker_counts_from_the_arrival_during_the_start(monkeypatch):
     seen = {}
     client_timeout_ms, start_seconds = 2500.0, 0.6
@@ -166,10 +167,10 @@
         seen[exchange.id] = trio.current_time(), float(exchange.headers["x-timeout-ms"])
         await exchange.done()
 
-    peer = Peer("d1", note)
+    worker = ScriptedWorker("d1", note)
     real, sent = Service._restore_state, {}
 
-    async def slow(service):  # the socket listens already
+    async def slow(service):  # the socket is listening already
         stream = await trio.open_tcp_stream(*service.listener.address)
         sent["stream"], sent["at"] = stream, trio.current_time()
         await stream.send_all(
@@ -181,8 +182,8 @@
         return await real(service)
 
     monkeypatch.setattr(Service, "_restore_state", slow)
-    async with world(peer) as w:
-        await w.until(lambda: "r1" in seen)
+    async with running_service(worker) as harness:
+        await harness.wait_until(lambda: "r1" in seen)
         at, timeout_ms = seen["r1"]
         assert timeout_ms <= client_timeout_ms - (at - sent["at"]) * 1000.0 + 150.0
         assert (await sent["stream"].receive_some()).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -114,24 +114,24 @@
     )
 
 
-def link_after_heartbeats(here=True, there=True, span=20.0, loss=0.0, seed=2):
+def link_after_heartbeats(inbound=True, outbound=True, span=20.0, loss=0.0, seed=2):
     """Returns a link after `span` seconds of heartbeats in both directions, and that span.
 
-    After 10 s heartbeats from the peer only arrive if `here`, those to the peer only if `there`.
+    After 10 s heartbeats from the peer only arrive if `inbound`, those to the peer only if `outbound`.
     """
     rng, link, peer_received_at = random.Random(seed), PeerLink(HEARTBEAT_SECONDS, 0.0), 0.0
     for i in range(int(span / HEARTBEAT_SECONDS)):
         now = i * HEARTBEAT_SECONDS
         early = now < 10.0
-        if (early or there) and rng.random() >= loss:
+        if (early or outbound) and rng.random() >= loss:
             peer_received_at = now
-        if (early or here) and rng.random() >= loss:
+        if (early or inbound) and rng.random() >= loss:
             link.record_report(now + 0.1, now + 0.1 - peer_received_at)
     return link, span
 
 
 @pytest.mark.parametrize(
-    "here, there, state",
+    "inbound, outbound, state",
     [
         (True, True, LinkState.HEALTHY),
         (False, True, LinkState.PARTITIONED),
@@ -139,11 +139,11 @@
         (False, False, LinkState.PARTITIONED),
     ],
 )
-def test_link_state_shows_which_direction_works(here, there, state):
+def test_link_state_shows_which_direction_works(inbound, outbound, state):
     for loss in (0.0, 0.3):
-        link, now = link_after_heartbeats(here, there, loss=loss)
+        link, now = link_after_heartbeats(inbound, outbound, loss=loss)
         assert link.state(now) == state
-        assert (link.receives(now), link.received_by(now)) == (here, here and there)
+        assert (link.receives(now), link.received_by(now)) == (inbound, inbound and outbound)
         link.record_relay(now)
         assert link.state(now) == (
             LinkState.INBOUND_LOSS if state == LinkState.PARTITIONED else state
@@ -160,7 +160,7 @@
     assert link.state(15.0) == LinkState.OUTBOUND_LOSS
     link.record_report(15.0, 0.1)
     assert link.state(15.0) == LinkState.HEALTHY
-    # A report that is older than the last one changes nothing.
+    # A report that is older than the last report changes nothing.
     link.record_report(15.1, 100.0)
     assert link.state(15.1) == LinkState.HEALTHY and link.state(22.0) == LinkState.PARTITIONED
 
@@ -190,7 +190,7 @@
 
 def declared_by(net, among):
     """Returns the false deaths that the members in `among` declared."""
-    return [(who, whom) for _, who, whom in net.false_deaths if who in among]
+    return [(observer, subject) for _, observer, subject in net.false_deaths if observer in among]
 
 
 def link_states(net, of):
@@ -227,7 +227,7 @@
     net.cut(["m0001"], names_except(net, "m0001"), both=False)
     net.run(120.0)
     assert not declared_by(net, ["m0001"]) and len(net.nodes["m0001"].machine.members()) == 24
-    assert {whom for _, _, whom in net.false_deaths} == {"m0001"}
+    assert {subject for _, _, subject in net.false_deaths} == {"m0001"}
 
 
 def test_member_that_only_half_of_the_others_can_reach_stays_listed_by_all():
@@ -237,7 +237,7 @@
     net.run(120.0)
     assert not net.false_deaths and net.agreed()
     states = [link_states(net, name)["m0001"] for name in cut_off]
-    # Third members report that they exchange messages with it.
+    # Other members report that they exchange messages with this one.
     assert (
         states.count(LinkState.INBOUND_LOSS) > len(states) / 2 and LinkState.HEALTHY not in states
     )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,8 +4,8 @@
 from collections import Counter
 
 import pytest
-from fleet_world import World
-from helper import SETTINGS, Peer, done, story, world
+from fleet_world import FleetSimulation
+from helper import SETTINGS, ScriptedWorker, done, running_service, trio_test
 
 from yewrill import Dispatcher, Settings
 from yewrill.config.errors import ConfigError
@@ -96,27 +96,27 @@
 
 def test_slow_worker_affects_only_the_few_dispatchers_that_have_it_in_their_subset():
     # Guards against each of 40 dispatchers losing a request or two to each slow worker before it avoids it.
-    world = World(5, load=0.6)
-    bad = next(iter(world.workers.values()))
+    simulation = FleetSimulation(5, load=0.6)
+    bad = next(iter(simulation.workers.values()))
     bad.slow = 40.0
-    world.run(8000.0)
-    affected = sum(bad.name in used for used in world.used)
+    simulation.run(8000.0)
+    affected = sum(bad.name in used for used in simulation.used)
     assert affected <= 15, "without subsets nearly all 40 dispatchers are affected"
     # Each dispatcher uses few workers, and each worker is used by some dispatcher.
-    assert sum(map(len, world.used)) / 40 < 20 and len(set().union(*world.used)) == 60
+    assert sum(map(len, simulation.used)) / 40 < 20 and len(set().union(*simulation.used)) == 60
 
 
 def test_new_workers_are_used_soon_and_not_overloaded_by_all_dispatchers_together():
     # Guards against 40 dispatchers whose parts of the slow start budget are below one request: new workers
     # would stay idle while requests pile up at the old ones.
-    world = World(3, load=0.6)
-    world.run(4000.0)
-    old = list(world.workers.values())[:20]
-    new = [world.add_worker(launched=world.now) for _ in old]
-    world.deliver_list_changes([world.entry(h) for h in new])
-    world.run(500.0)
-    world.deliver_list_changes([world.entry(h, api.WorkerState.DRAINING) for h in old])
-    world.run(6000.0)
+    simulation = FleetSimulation(3, load=0.6)
+    simulation.run(4000.0)
+    old = list(simulation.workers.values())[:20]
+    new = [simulation.add_worker(launched=simulation.now) for _ in old]
+    simulation.deliver_list_changes([simulation.entry(h) for h in new])
+    simulation.run(500.0)
+    simulation.deliver_list_changes([simulation.entry(h, api.WorkerState.DRAINING) for h in old])
+    simulation.run(6000.0)
     warm = [0.31 + 0.69 * k / 62 for k in range(62)]
     for worker in new:
         for start in range(0, 5000, 500):  # the budget: 3 times the capacity, in any 3 s
@@ -133,14 +133,14 @@
 
 
 def test_workers_that_replace_most_of_a_busy_fleet_get_the_used_part_of_the_slow_start_budget():
-    world = World(3, load=1.0)
-    world.run(3000.0)
-    old = list(world.workers.values())[:50]
-    new = [world.add_worker(launched=world.now) for _ in old]
-    world.deliver_list_changes(
-        [*map(world.entry, new), *(world.entry(h, api.WorkerState.DRAINING) for h in old)]
+    simulation = FleetSimulation(3, load=1.0)
+    simulation.run(3000.0)
+    old = list(simulation.workers.values())[:50]
+    new = [simulation.add_worker(launched=simulation.now) for _ in old]
+    simulation.deliver_list_changes(
+        [*map(simulation.entry, new), *(simulation.entry(h, api.WorkerState.DRAINING) for h in old)]
     )
-    world.run(3100.0)
+    simulation.run(3100.0)
     sent = sum(
         work for worker in new for at, work in worker.received_work if at - worker.launched < 3000.0
     )
@@ -149,23 +149,23 @@
     assert 0.3 <= sent / (50 * 3.0 * 3000.0 * 5 * 0.31) <= 0.6
 
 
-@story
+@trio_test
 async def test_discovery_call_answered_with_503_keeps_the_list_and_is_followed_by_a_call_for_changes():
-    peer = Peer("a", done)
-    async with world(peer) as w:
+    worker = ScriptedWorker("a", done)
+    async with running_service(worker) as harness:
 
         async def busy(exchange):
-            w.discovery.calls.append((0.0, exchange.target))
+            harness.discovery.calls.append((0.0, exchange.target))
             await exchange.stream.send_all(
                 b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
             )
 
-        original_script, w.discovery.peer.script = w.discovery.peer.script, busy
-        before = len(w.discovery.calls)
-        w.discovery.tell(peer.entry())  # ends the pending call
-        await w.until(lambda: len(w.discovery.calls) >= before + 3)
-        assert all("from=" in target for _, target in w.discovery.calls[before:])
-        assert (await w.ask()).status == 200
-        w.discovery.peer.script = original_script
-        w.discovery.tell({**peer.entry(), "state": "DRAINING"})
-        await w.until(lambda: not w.service.endpoints.may_send("a"))
+        original_script, harness.discovery.server.script = harness.discovery.server.script, busy
+        before = len(harness.discovery.calls)
+        harness.discovery.publish(worker.entry())  # ends the pending call
+        await harness.wait_until(lambda: len(harness.discovery.calls) >= before + 3)
+        assert all("from=" in target for _, target in harness.discovery.calls[before:])
+        assert (await harness.ask()).status == 200
+        harness.discovery.server.script = original_script
+        harness.discovery.publish({**worker.entry(), "state": "DRAINING"})
+        await harness.wait_until(lambda: not harness.service.endpoints.may_send("a"))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -12,7 +12,7 @@
 
 import pytest
 import ujson
-from helper import SETTINGS, Peer, story, world
+from helper import SETTINGS, ScriptedWorker, running_service, trio_test
 
 from yewrill.observability.logs import (
     MAX_QUEUED_LINES,
@@ -146,7 +146,7 @@
         for i in range(MAX_QUEUED_LINES + 500):
             logging.getLogger("t").info(f"line{i}")
         lost = queue_handler.lost
-        assert 490 <= lost <= 500  # one or two are at the blocked reader
+        assert 490 <= lost <= 500  # the blocked reader has one or two lines
         may_read.set()
         while not queue_handler.queue.empty():
             threading.Event().wait(0.001)
@@ -158,19 +158,20 @@
     assert out.getvalue().endswith("INFO t heard\n")
 
 
-@story
+@trio_test
 async def test_log_lines_of_a_request_have_its_id_and_trace(tmp_path, caplog):
     async def malformed_response(exchange):
-        await exchange.raw("no line of the protocol\n")
-        await exchange.closed()
+        await exchange.send_raw("no line of the protocol\n")
+        await exchange.wait_closed()
 
     out = io.StringIO()
     with logging_to(out, "INFO", "json"):
-        async with world(
-            Peer("d1", malformed_response), tracing={"file": str(tmp_path / "t"), "share": 0.0}
-        ) as w:
-            assert (await w.ask("/once", X_Request_ID="r1")).status == 502
-            await w.until(
+        async with running_service(
+            ScriptedWorker("d1", malformed_response),
+            tracing={"file": str(tmp_path / "t"), "share": 0.0},
+        ) as harness:
+            assert (await harness.ask("/once", X_Request_ID="r1")).status == 502
+            await harness.wait_until(
                 lambda: (tmp_path / "t").exists() and (tmp_path / "t").read_text().endswith("\n")
             )
     lines = [ujson.loads(line) for line in out.getvalue().splitlines()]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 import ujson
-from helper import Peer, done, story, world
+from helper import ScriptedWorker, done, running_service, trio_test
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -123,7 +123,7 @@
     peers = [("127.0.0.1", port) for port in range(100, 110)]
     budget.set_members(peers)
     admitted_unknown = admitted_members = 0
-    # One second of forged datagrams beside the usual traffic of the members.
+    # For one second, forged datagrams arrive beside the usual traffic of the members.
     for i in range(100_000):
         now = i / 100_000
         admitted_unknown += budget.admits(now, ("127.0.0.1", 20_000 + i % 40_000), 400)
@@ -167,7 +167,7 @@
     net = joined(5)
     net.default = Path(delay=0.02, jitter=0.03, loss=0.2, duplication=0.1)
     net.run(60.0)
-    # At most one false death, declared by all 24 members, in one minute of 24 members.
+    # As many false declarations as if all 24 members declared the same healthy member dead.
     assert len(net.false_deaths) <= 24
     net.default = Path()
     assert net.until(net.agreed, 20.0) is not None
@@ -270,7 +270,7 @@
     )
 
 
-@story
+@trio_test
 async def test_three_members_on_loopback_find_each_other_during_a_flood_and_one_leaves():
     first = Members(config("a", [("127.0.0.1", 9)]))
     async with trio.open_nursery() as nursery:
@@ -299,10 +299,10 @@
         nursery.cancel_scope.cancel()
 
 
-@story
+@trio_test
 async def test_service_reports_members_on_its_management_listener_only_if_configured():
-    async with world(
-        Peer("d1", done),
+    async with running_service(
+        ScriptedWorker("d1", done),
         mgmt="127.0.0.1:0",
         members={
             "listen": "127.0.0.1:0",
@@ -310,14 +310,16 @@
             "keys": ["cd" * 16],
             "zone": "north",
         },
-    ) as w:
-        await w.until(lambda: w.service.subsystems[0].status()["members"])
-        status = ujson.loads((await w.call("GET /_members")).body)
+    ) as harness:
+        await harness.wait_until(lambda: harness.service.subsystems[0].status()["members"])
+        status = ujson.loads((await harness.call("GET /_members")).body)
         assert [(m["name"], m["zone"]) for m in status["members"]] == [("yewrill", "north")]
-        assert b"members_suspected:0|c" in (await w.call("GET /_vars")).body
-        assert (await w.ask()).status == 200
-    async with world(Peer("d1", done), mgmt="127.0.0.1:0") as w:
-        assert not w.service.subsystems and (await w.call("GET /_members")).status == 404
+        assert b"members_suspected:0|c" in (await harness.call("GET /_vars")).body
+        assert (await harness.ask()).status == 200
+    async with running_service(ScriptedWorker("d1", done), mgmt="127.0.0.1:0") as harness:
+        assert (
+            not harness.service.subsystems and (await harness.call("GET /_members")).status == 404
+        )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -59,9 +59,8 @@
         clock, command = clock + elapsed_ms, replace(drawn, id=i)
         before = LeaseTable.unpack(table.pack())
         result = table.apply(clock, command)
-        assert (
-            before.apply(clock, command) == result and before == table
-        )  # a table restored from bytes agrees
+        # A table restored from bytes agrees.
+        assert before.apply(clock, command) == result and before == table
         current = table.view(command.role, table.clock)
         if result.ok and command.action == CLAIM:
             assert result.number == highest.get(command.role, 0) + 1
@@ -155,12 +154,12 @@
     return ""
 
 
-def test_the_simulation_finds_a_lease_that_its_holder_counts_too_long(monkeypatch):
+def test_the_simulation_detects_a_holder_that_counts_its_lease_too_long(monkeypatch):
     monkeypatch.setattr(lease_table_module, "MAX_CLOCK_DRIFT", -4.0)
     assert "act at once" in (violation := first_violation(range(12))) or "owns with" in violation
 
 
-def test_the_simulation_finds_a_fence_that_admits_every_number(monkeypatch):
+def test_the_simulation_detects_a_fence_that_admits_every_number(monkeypatch):
     monkeypatch.setattr(Fence, "admits", lambda self, role, number: True)
     assert "obeyed" in first_violation(range(12))
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -11,8 +11,8 @@
 import trio
 import trio.testing
 import ujson
-from fleet_world import World
-from helper import Peer, done, story, world
+from fleet_world import FleetSimulation
+from helper import ScriptedWorker, done, running_service, trio_test
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -37,17 +37,17 @@
     ANY
     | st.dictionaries(st.sampled_from([*FIELDS, "odd"]), st.floats(-1.0, 2e6) | st.just(math.nan))
 )
-def test_load_report_is_either_complete_and_valid_or_ignored(said):
-    report = load_report.read(said, FIELDS)
+def test_load_report_is_either_complete_and_valid_or_ignored(reported):
+    report = load_report.read(reported, FIELDS)
     if report is not None:
         assert tuple(report) == FIELDS and all(
             0.0 <= value <= load_report.MAX_VALUE for value in report.values()
         )
-        assert report == {name: said[name] for name in FIELDS}
-    elif isinstance(said, dict) and set(FIELDS) <= set(said):
+        assert report == {name: reported[name] for name in FIELDS}
+    elif isinstance(reported, dict) and set(FIELDS) <= set(reported):
         assert any(
             type(v) not in (int, float) or not 0 <= v <= load_report.MAX_VALUE
-            for name, v in said.items()
+            for name, v in reported.items()
             if name in FIELDS
         )
 
@@ -71,9 +71,9 @@
 GOOD = {"qps": 2.0, "inflight": 3.0, "x0": 1.0}
 
 
-@story
+@trio_test
 async def test_load_reports_in_answers_headers_and_probes_reach_the_module_and_invalid_ones_are_skipped():
-    said = [
+    reported = [
         GOOD,
         {**GOOD, "x0": -1.0},
         {**GOOD, "x0": math.nan},
@@ -92,45 +92,51 @@
                 f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode()
             )
         elif exchange.body == b"full":
-            await exchange.status(503, "X-Not-Processed: 1", "X-Server-Load: x0=0,qps=5,inflight=9")
+            await exchange.send_status(
+                503, "X-Not-Processed: 1", "X-Server-Load: x0=0,qps=5,inflight=9"
+            )
         else:
-            load = said[int(exchange.body)]
-            # json and not ujson, because of NaN
+            load = reported[int(exchange.body)]
+            # json, since ujson does not encode NaN
             extra = "" if load is None else f', "load": {json.dumps(load)}'
-            await exchange.raw(
+            await exchange.send_raw(
                 f'{{"id": "{exchange.id}", "state": "done", "result": "r"{extra}}}\n'
             )
             await exchange.stream.send_all(b"0\r\n\r\n")
 
-    async with world(Peer("d1", script), settings=REPORTING) as w:
-        worker = w.service.engine._module.fleet.workers["d1"]
+    async with running_service(ScriptedWorker("d1", script), settings=REPORTING) as harness:
+        worker = harness.service.engine._module.fleet.workers["d1"]
         seen = []
-        for i in range(len(said)):
-            assert (await w.ask(body=b"%d" % i, X_Request_ID=f"r{i}")).body == b"r"
+        for i in range(len(reported)):
+            assert (await harness.ask(body=b"%d" % i, X_Request_ID=f"r{i}")).body == b"r"
             await trio.testing.wait_all_tasks_blocked()
             seen.append(worker.last_report)
         assert seen == [(2.0, 3.0, 1.0)] * 6 + [(2.0, 3.0, 2.0)]
-        await w.ask(body=b"full", X_Request_ID="full")
+        await harness.ask(body=b"full", X_Request_ID="full")
         await trio.testing.wait_all_tasks_blocked()
         assert worker.last_report == (5.0, 9.0, 0.0)
-        assert await w.service.worker_client.probe("d1") == (
+        assert await harness.service.worker_client.probe("d1") == (
             AttemptOutcome.SERVED,
             {**GOOD, "x0": 4.0},
         )
         assert paths[-1] == "/metrics/load"
 
 
-@story
+@trio_test
 async def test_requests_with_the_same_user_cookie_go_to_the_same_worker():
-    peers = [Peer(f"d{i}", done) for i in range(6)]
-    async with world(*peers, settings={"specifics": {"tells_start": True}}) as w:
+    workers = [ScriptedWorker(f"d{i}", done) for i in range(6)]
+    async with running_service(*workers, settings={"specifics": {"tells_start": True}}) as harness:
         for i in range(12):
-            reply = await w.ask(X_Request_ID=f"r{i}", Cookie="theme=dark; user=7f3a9c21e0b4d655")
+            reply = await harness.ask(
+                X_Request_ID=f"r{i}", Cookie="theme=dark; user=7f3a9c21e0b4d655"
+            )
             assert reply.status == 200
-        # All go to one worker unless it is busy for a moment; without the key they would go to all six.
-        assert max(len(p.exchanges) for p in peers) >= 9
+        # All requests go to one worker unless it is briefly busy. Without the key they would go to all six.
+        assert max(len(p.exchanges) for p in workers) >= 9
         for odd in ("user", "user=" + "x" * 200, ";;=;", "users=1"):
-            assert (await w.ask(X_Request_ID="odd" + odd[:8].strip(";="), Cookie=odd)).status == 200
+            assert (
+                await harness.ask(X_Request_ID="odd" + odd[:8].strip(";="), Cookie=odd)
+            ).status == 200
 
 
 # ----------------------------------------------------------------------------- estimates from load reports
@@ -171,7 +177,7 @@
             report_load(d, 1000.0 * goal + 10.0 * i, goal - i % 4, i % 4)
         assert kind.slots == pytest.approx(goal, abs=0.1)
     report_load(d, 90_000.0, 0.0, 10.0)
-    # The requests that wait there count as negative free slots.
+    # Requests that wait at the worker count as negative free slots.
     assert d.fleet.workers["w0"].free_slots == pytest.approx(-6.0, abs=0.3)
 
 
@@ -222,7 +228,7 @@
     now = 1000.0
     for i in range(80):  # each start is reported 50 ms after the send
         d.handle(now, [api.RequestArrived(f"j{i}", 0, now + 9000.0)])
-        # Guards against an overload found for requests in transit.
+        # Guards against an overload that is detected because of requests in transit.
         assert not (i > 40 and d.attempts.waiting)
         d.handle(now + 50.0, [api.AttemptStarted(f"j{i}", 0, "w0")])
         d.handle(
@@ -389,7 +395,7 @@
     were recorded again when the slow start budget came to hold for the sum of all dispatchers, and those at a
     load of 0.7 when expected arrivals came to be bounded by the present drain time."""
     digest = hashlib.sha256()
-    fleet = World(seed, dispatchers=6, workers=12, load=load, warm_after=warm_after)
+    fleet = FleetSimulation(seed, dispatchers=6, workers=12, load=load, warm_after=warm_after)
     deliver = fleet.deliver
 
     def deliver_recorded(i, events, deliver=deliver, fleet=fleet):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -102,14 +102,14 @@
 # -- joining members
 
 
-def attested_by(rank, heard):
+def attested_by(rank, joiners):
     """Returns the joiners that a member of a view of nine attests after four join requests of each."""
     view = View(1, entries(9))
     machine = ViewMachine(view.entries[rank], (), None, random.Random(rank), 0.0)
     machine.install(view, 0.0)
     for request_number in range(4):
         now = 0.1 + 0.3 * request_number
-        for name in heard:
+        for name in joiners:
             joiner = Entry(name, 5, (name, 1))
             machine.receive(
                 now,
@@ -125,7 +125,7 @@
     lists = [attested_by(rank, random.Random(rank).sample(names, len(names))) for rank in range(9)]
     for attested in lists:
         assert len(attested) > MAX_ATTESTED and attested == sorted(attested, key=admission.sort_key)
-    enough = watermarks(8)[1]  # attestations that a joiner needs
+    enough = watermarks(8)[1]  # number of attestations that a joiner needs
     admitted = [name for name in names if sum(name in v[:MAX_ATTESTED] for v in lists) >= enough]
     assert len(admitted) >= MAX_ATTESTED // 2
 
@@ -147,7 +147,7 @@
     recipients = {e.name for e in attestations.recipients(1.0, frozenset())}
     proposers = [view.entries[rank].name for rank in view.proposal_order()]
     assert recipients == set(proposers[:PROPOSERS]) - {"m0000"}
-    assert attestations.recipients(1.1, frozenset()) == []  # not repeated at once
+    assert attestations.recipients(1.1, frozenset()) == []  # attestations are not repeated at once
     later = {e.name for e in attestations.recipients(1.0 + SHIFT_SECONDS, frozenset())}
     assert later == set(proposers[: 2 * PROPOSERS]) - {"m0000"}
     dead = frozenset(view.proposal_order()[:PROPOSERS])
@@ -263,7 +263,7 @@
     assert taken * 100 <= 0.25 * 10_000.0 * BURST_SECONDS
     assert sum(intake.admits(0.0, ("strange", i), 100) for i in range(1000)) * 100 <= 5000.0
     rest = sum(intake.admits(0.0, member, 100) for member in members[1:] for _ in range(5))
-    assert rest == 5 * 19  # a healthy peer may send this many at once
+    assert rest == 5 * 19  # a healthy peer may send five datagrams at once
     assert sum(intake.admits(0.0, m, 100) for m in members for _ in range(99)) * 100 <= 20_000.0
 
 
@@ -288,9 +288,8 @@
     other.apply(Claim("c", ("h", 9)))
     (answer,) = other.receive(0.2, request, "a", ("h", 0))
     assert {claim.name for claim in answer[1].updates} == {"a", "b", "c"}
-    assert other.receive(
-        0.3, Message("list", about="a"), "a", ("h", 0)
-    )  # an older member sends no digest
+    # An older member sends no digest.
+    assert other.receive(0.3, Message("list", about="a"), "a", ("h", 0))
 
 
 # -- limits of the machine, and fitted lines
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -14,7 +14,7 @@
 import pytest
 import trio
 import ujson
-from helper import SETTINGS, Client, Discovery, Peer, done, story, world
+from helper import SETTINGS, Client, Discovery, ScriptedWorker, done, running_service, trio_test
 from machine_faults import FaultyDisk
 
 from yewrill.config.errors import ConfigError
@@ -49,7 +49,7 @@
             self.changed.set()
             self.changed = trio.Event()
 
-    async def said(self, pattern: str) -> re.Match:
+    async def wait_for_line(self, pattern: str) -> re.Match:
         while True:
             for line in self.lines:
                 if match := re.search(pattern, line):
@@ -57,7 +57,7 @@
             await self.changed.wait()
 
     async def ask(self, *args, management: bool = False, **kwargs):
-        address = await self.said(
+        address = await self.wait_for_line(
             ("management_listening " if management else " ready .*") + r"listen=([\d.]+):(\d+)"
         )
         stream = await trio.open_tcp_stream(address[1], int(address[2]))
@@ -78,7 +78,7 @@
     running = Program(process)
     nursery.start_soon(running.read)
     try:
-        await running.said(" ready ")
+        await running.wait_for_line(" ready ")
         yield running
     finally:
         process.kill()
@@ -94,7 +94,9 @@
         self.effects: Counter = Counter()
         self.seen: set[tuple[int, str]] = set()
         self.received: list[tuple[str, str]] = []  # worker and idempotency key, in order of arrival
-        self.peers = [Peer(f"d{i}", self.script(i), cell=i // 2) for i in range(4)]
+        self.scripted_workers = [
+            ScriptedWorker(f"d{i}", self.script(i), cell=i // 2) for i in range(4)
+        ]
 
     def script(self, i: int):
         async def run(exchange):
@@ -104,7 +106,7 @@
                 self.effects[key] += 1
                 self.seen.add((i // 2, key))
             if not self.reliable and self.rng.random() < 0.4:
-                await exchange.closed()
+                await exchange.wait_closed()
             else:
                 await exchange.done()
 
@@ -112,16 +114,16 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-@story
+@trio_test
 async def test_after_a_kill_during_requests_and_management_calls_every_guarantee_holds(
     seed, tmp_path
 ):
     rng = random.Random(seed)
     workers = EffectCountingWorkers(rng)
     async with trio.open_nursery() as nursery:
-        for peer in workers.peers:
-            await nursery.start(peer.serve)
-        discovery = Discovery(workers.peers)
+        for scripted_worker in workers.scripted_workers:
+            await nursery.start(scripted_worker.serve)
+        discovery = Discovery(workers.scripted_workers)
         config = tmp_path / "config.json"
         config.write_text(
             ujson.dumps(
@@ -135,7 +137,8 @@
                 }
             )
         )
-        detached: dict[str, bool | None] = {}  # None: the outcome of the call is unknown
+        # By worker; None if the outcome of the call is unknown.
+        detached: dict[str, bool | None] = {}
         operator_drain: list[bool | None] = [False]
         keys: dict[str, str] = {}
         answered = set()
@@ -207,13 +210,13 @@
     return {"state_dir": str(tmp_path / "state"), "state": {"patience_ms": 5000, **more}, **MGMT}
 
 
-@story
+@trio_test
 async def test_no_attempt_that_is_unsafe_to_repeat_is_sent_before_its_record_is_on_disk(
     tmp_path,
 ):
-    peer = Peer("d1", done)
-    async with world(peer, **state_settings(tmp_path)) as w:
-        store, gate, waiting = w.service.persistent_state._disk.store, trio.Event(), []
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, **state_settings(tmp_path)) as harness:
+        store, gate, waiting = harness.service.persistent_state._disk.store, trio.Event(), []
         write = store.awrite
 
         async def held(batch):
@@ -225,75 +228,85 @@
         async with trio.open_nursery() as nursery:
             for target in ("/save", "/once"):
                 nursery.start_soon(
-                    lambda t=target: w.ask(t, X_Request_ID=t[1:], Idempotency_Key="k" + t[1:])
+                    lambda t=target: harness.ask(t, X_Request_ID=t[1:], Idempotency_Key="k" + t[1:])
                 )
-            await w.until(lambda: len(waiting) >= 2)
-            assert (await w.ask(X_Request_ID="plain")).status == 200  # needs no record
-            assert [x.id for x in peer.exchanges] == ["plain"]
+            await harness.wait_until(lambda: len(waiting) >= 2)
+            # An idempotent request needs no record.
+            assert (await harness.ask(X_Request_ID="plain")).status == 200
+            assert [x.id for x in worker.exchanges] == ["plain"]
             gate.set()
-        assert {x.id for x in peer.exchanges} == {"plain", "save", "once"}
+        assert {x.id for x in worker.exchanges} == {"plain", "save", "once"}
         # The records are deleted once the requests have finished.
-        await w.until(lambda: not list(store.scan(prefix=b"sent/")))
+        await harness.wait_until(lambda: not list(store.scan(prefix=b"sent/")))
 
 
-@story
+@trio_test
 async def test_a_failing_store_affects_no_idempotent_request_and_is_logged_once(
     tmp_path, caplog, monkeypatch
 ):
     caplog.set_level("INFO")
     disk = FaultyDisk(monkeypatch, ("fdatasync", "pwrite"))
-    peer = Peer("d1", done)
-    async with world(peer, **state_settings(tmp_path)) as w:
+    worker = ScriptedWorker("d1", done)
+    async with running_service(worker, **state_settings(tmp_path)) as harness:
         # Waits for the write of the endpoint list.
-        await w.until(lambda: b"app.state_kept:1|c" in w.service.metrics.text({}).encode())
+        await harness.wait_until(
+            lambda: b"app.state_kept:1|c" in harness.service.metrics.text({}).encode()
+        )
         disk.error = errno.EIO
         for i in range(3):
-            # A later run could not know of these, so they are rejected without being sent.
-            reply = await w.ask("/save", X_Request_ID=f"r{i}", Idempotency_Key=f"k{i}")
+            # A later run could not know of these requests, so they are rejected without being sent.
+            reply = await harness.ask("/save", X_Request_ID=f"r{i}", Idempotency_Key=f"k{i}")
             assert reply.status == 503
-            assert (await w.ask(X_Request_ID=f"plain{i}")).status == 200
-        detached = await w.call("PUT /_profilers/detach?name=d1")
+            assert (await harness.ask(X_Request_ID=f"plain{i}")).status == 200
+        detached = await harness.call("PUT /_profilers/detach?name=d1")
         assert (detached.status, detached.body) == (
             200,
             b"detached, but not on disk: a restart forgets it\n",
         )
-        assert not w.service.endpoints.may_send("d1")
-        counted = re.search(rb"app.state_failed:(\d+)", (await w.call("GET /_vars")).body)
+        assert not harness.service.endpoints.may_send("d1")
+        counted = re.search(rb"app.state_failed:(\d+)", (await harness.call("GET /_vars")).body)
         assert int(counted[1]) >= 4
-        assert {e.id for e in peer.exchanges} == {"plain0", "plain1", "plain2"}
+        assert {e.id for e in worker.exchanges} == {"plain0", "plain1", "plain2"}
         logged = [r for r in caplog.records if "persistent_state_write_failed" in r.getMessage()]
         assert len(logged) == 1
         disk.error = 0
-        await w.until(
+        await harness.wait_until(
             lambda: any(
                 "persistent_state_write_recovered" in r.getMessage() for r in caplog.records
             )
         )
-        store = w.service.persistent_state._disk.store
-        await w.until(lambda: [key for key, _ in store.scan(prefix=b"out/")] == [b"out/d1"])
+        store = harness.service.persistent_state._disk.store
+        await harness.wait_until(
+            lambda: [key for key, _ in store.scan(prefix=b"out/")] == [b"out/d1"]
+        )
 
 
-@story
+@trio_test
 async def test_endpoint_list_reattached_workers_and_operator_drain_survive_a_restart(tmp_path):
     config = state_settings(tmp_path)
-    peer = Peer("d1", done)
-    async with world(peer, Peer("d2", done), Peer("d3", done), **config) as w:
+    scripted_worker = ScriptedWorker("d1", done)
+    async with running_service(
+        scripted_worker, ScriptedWorker("d2", done), ScriptedWorker("d3", done), **config
+    ) as harness:
         for call in ("detach?name=d1", "attach?name=d1", "detach?name=d2"):
-            assert (await w.call(f"PUT /_profilers/{call}")).status == 200
-        assert w.service.endpoints.recently_attached["d1"] < 20_000.0  # ms
-        assert (await w.call("PUT /_lameduck/on")).status == 200
-        await w.until(lambda: w.service.persistent_state._disk.store.get(b"list") is not None)
-        w.service.engine.fail_all()
-        await trio.to_thread.run_sync(w.service.persistent_state.close_store)
+            assert (await harness.call(f"PUT /_profilers/{call}")).status == 200
+        # Time since the attach in ms.
+        assert harness.service.endpoints.recently_attached["d1"] < 20_000.0
+        assert (await harness.call("PUT /_lameduck/on")).status == 200
+        await harness.wait_until(
+            lambda: harness.service.persistent_state._disk.store.get(b"list") is not None
+        )
+        harness.service.engine.fail_all()
+        await trio.to_thread.run_sync(harness.service.persistent_state.close_store)
     async with trio.open_nursery() as nursery:
-        await nursery.start(peer.serve)
+        await nursery.start(scripted_worker.serve)
         nobody = Discovery([])
         nobody.silent = True
         address = await nobody.serve(nursery)
         kept = Store(tmp_path / "state")
         listed = ujson.loads(kept.get(b"list"))
         for server in listed["servers"]:
-            server["addr"] = f"127.0.0.1:{peer.port}"
+            server["addr"] = f"127.0.0.1:{scripted_worker.port}"
         kept.put(b"list", ujson.dumps(listed).encode())
         kept.close()
         from yewrill.service.service import Service
@@ -315,21 +328,23 @@
         nursery.cancel_scope.cancel()
 
 
-@story
+@trio_test
 async def test_a_new_process_opens_the_store_when_the_old_one_has_exited(tmp_path, caplog):
-    from test_operators import shared_world, start_new_process
+    from test_operators import hot_restart_service, start_new_process
 
     caplog.set_level("INFO")
-    async with shared_world(Peer("d1", done), Peer("d2", done), **state_settings(tmp_path)) as w:
-        await w.call("PUT /_profilers/detach?name=d1")
-        new_process = await start_new_process(w)
+    async with hot_restart_service(
+        ScriptedWorker("d1", done), ScriptedWorker("d2", done), **state_settings(tmp_path)
+    ) as harness:
+        await harness.call("PUT /_profilers/detach?name=d1")
+        new_process = await start_new_process(harness)
         assert not new_process.persistent_state.store_open and new_process.endpoints.detached == [
             "d1"
         ]
-        assert (await w.ask("/save", X_Request_ID="r", Idempotency_Key="k")).status == 200
-        w.nursery.start_soon(w.old_process.drain)
-        await w.ended.wait()
-        await w.until(
+        assert (await harness.ask("/save", X_Request_ID="r", Idempotency_Key="k")).status == 200
+        harness.nursery.start_soon(harness.old_process.drain)
+        await harness.ended.wait()
+        await harness.wait_until(
             lambda: any("persistent_state_taken_over" in r.getMessage() for r in caplog.records)
         )
         assert [
@@ -416,9 +431,10 @@
     assert {type(action) for action in decisions(api.Idempotency.NON_IDEMPOTENT, 10.0)} == {
         api.Fail
     }
+    # The window is nearly over.
     assert {type(action) for action in decisions(api.Idempotency.IDEMPOTENT_BY_KEY, 7000.0)} == {
         api.Fail
-    }  # the window is nearly over
+    }
     assert {
         type(action)
         for action in decisions(api.Idempotency.IDEMPOTENT_BY_KEY, LONG_AGO_MS, now=1e13)
@@ -479,12 +495,12 @@
 
     assert AttemptRecord.decode(record().encode()) == record()
     assert estimate_earlier_attempt([record()], now, 7500.0).age_ms == 4000.0
+    # The age is that of the oldest attempt.
     assert (
         estimate_earlier_attempt([record(monotonic=2000.0), record()], now, 7500.0).age_ms == 4000.0
-    )  # the age is that of the oldest
-    assert (
-        estimate_earlier_attempt([record(), record(cell=1)], now, 7500.0).age_ms == LONG_AGO_MS
-    )  # two cells: neither can detect both duplicates
+    )
+    # The attempts ran in two cells, neither of which can detect both duplicates.
+    assert estimate_earlier_attempt([record(), record(cell=1)], now, 7500.0).age_ms == LONG_AGO_MS
     assert estimate_earlier_attempt([record()], now, 3000.0) is None
     assert (
         estimate_earlier_attempt([record(boot="b")], Clocks(0.0, 0.0, "a"), 7500.0).age_ms
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -96,10 +96,10 @@
         store.put(b"k", b"v")
 
 
-def test_interval_acknowledges_first_and_syncs_later():
+def test_store_in_interval_mode_acknowledges_first_and_syncs_later():
     disk, synced = SimulatedDisk(), threading.Event()
     with Store(disk, mode="interval", interval=0.01, reserve=0) as store:
-        store.put(b"first", b"")  # creates the segment, whose header is synced at once
+        store.put(b"first", b"")  # this write creates the segment, whose header is synced at once
         disk.fail = lambda number, word, name: synced.set() if word == "sync" else None
         store.put(b"k", b"v")
         assert store.get(b"k") == b"v" and synced.wait(5)
@@ -122,7 +122,7 @@
     assert [record.getMessage()[:14] for record in caplog.records] == ["store_poisoned"]
 
 
-def test_bounds_of_keys_values_and_batches():
+def test_keys_values_and_batches_beyond_their_bounds_are_rejected():
     for bad in (
         lambda: Batch().put(b"", b""),
         lambda: Batch().put(b"k" * 4097, b""),
@@ -145,10 +145,10 @@
     with Store(tmp_path):
         import os
 
-        said = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout
+        output = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout
         assert (
-            said.startswith(f"{tmp_path}: held by process {os.getpid()} on ")
-            and said.count("\n") == 1
+            output.startswith(f"{tmp_path}: held by process {os.getpid()} on ")
+            and output.count("\n") == 1
         )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == ""
 
@@ -168,12 +168,12 @@
     assert choose(full, rules) == []
     assert choose([*full, SegmentStats(3, 900, 900)], rules) == [1, 2, 3]
     assert choose([*full, SegmentStats(4, 1000, 480)], rules) == [4]
-    # Too little garbage for a new file.
+    # The segment has too little garbage to be worth a new file.
     assert choose([full[0], SegmentStats(4, 150, 60)], rules) == []
     assert choose([*full, SegmentStats(5, 10**6, 400, damaged=True)], rules) == [5]
     # Tombstones that have to stay are not garbage, otherwise they would be rewritten again and again.
     assert choose([SegmentStats(1, 1000, 100, 850)], rules) == []
-    # On a full disk: the segments that free most, within the bytes that can be written.
+    # On a full disk the policy chooses the segments that free most, within the bytes that can be written.
     assert choose([SegmentStats(1, 1000, 900), SegmentStats(2, 4000, 300)], rules, 350) == [2]
     assert choose([SegmentStats(1, 1000, 1000)], rules, 10**6) == []
     assert choose_everything([SegmentStats(1, 1000, 1000)], rules) == []
@@ -198,7 +198,7 @@
     assert len(segments) < 40 and written < 8 * 3000 * 3000
 
 
-def test_the_pacer_keeps_its_rate_and_syncs_are_due_as_the_mode_says():
+def test_pacer_keeps_its_rate_and_each_sync_mode_has_its_sync_times():
     pacer, now, spent = Pacer(1000.0, 250.0), 0.0, 0
     while now < 20.0:
         now += pacer.spend(100, now)
@@ -277,9 +277,9 @@
         flipped[len(flipped) // 2] ^= 4
         file.write_bytes(flipped)
         before = sorted((p.name, p.read_bytes()) for p in tmp_path.iterdir())
-        told = run("verify", tmp_path, "--json")
-        (finding,) = ujson.loads(told.stdout)["findings"]
-        assert told.exit_code == 1 and (finding["what"], finding["file"]) == (what, file.name)
+        result = run("verify", tmp_path, "--json")
+        (finding,) = ujson.loads(result.stdout)["findings"]
+        assert result.exit_code == 1 and (finding["what"], finding["file"]) == (what, file.name)
         if what == "damage":
             assert finding["start"] <= len(flipped) // 2 < finding["end"]
         run("stat", tmp_path)
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -15,7 +15,7 @@
 import trio
 import ujson
 from click.testing import CliRunner
-from helper import Peer, story, world
+from helper import ScriptedWorker, running_service, trio_test
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from opentelemetry.proto.collector.trace.v1 import trace_service_pb2 as service
@@ -107,7 +107,7 @@
         assert len(context.state_header(found, "c")) <= 512
 
 
-def test_examples_of_the_trace_context_standard():
+def test_trace_context_reads_the_examples_of_the_standard():
     parent = f"00-{TRACE}-{SPAN}-01"
     found = context.read(
         parent, "rojo=00f067aa0ba902b7,ot=th:c;rv:12345678901234,congo=t61rcWkgMzE"
@@ -253,7 +253,7 @@
 @pytest.mark.parametrize(
     "script", [(), (429, 503, 502, 504), ("reset", "cut", "silent"), ("reset", 503, "reset")]
 )
-@story
+@trio_test
 async def test_exporter_with_failing_collector_delivers_each_span_once(script, monkeypatch):
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     t = make_tracer()
@@ -263,7 +263,7 @@
             url=await collector.serve(nursery), timeout=0.2, retry_policy=RETRY_POLICY
         )
         exporter = Exporter(t, target, {"service.name": "y"}, "0", rng=random.Random(1))
-        for i in range(700):  # more than a batch
+        for i in range(700):  # more spans than one batch holds
             assert finish_request(t, f"r{i}")["kept"] == ["failed"]
         await run_until(exporter, t, nursery, until=lambda: exporter.counts["exported"] == 700)
         nursery.cancel_scope.cancel()
@@ -273,7 +273,7 @@
     assert not t.queue.dropped and exporter.counts["retries"] == len(script)
 
 
-@story
+@trio_test
 async def test_exporter_counts_rejected_spans_and_never_resends_an_accepted_batch(monkeypatch):
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     t = make_tracer()
@@ -291,10 +291,10 @@
             await trio.sleep(0.002)
         nursery.cancel_scope.cancel()
     assert exporter.counts["rejected"] == 3 and t.queue.dropped == {"status_400": 1}
-    assert collector.posts == 3  # none of them is sent twice
+    assert collector.posts == 3  # no rejected batch is sent twice
 
 
-@story
+@trio_test
 async def test_full_queue_drops_ordinary_records_first_and_counts_them(
     tmp_path,
 ):
@@ -308,7 +308,7 @@
     assert exporter.metrics()["trace_dropped_file_failed"] == 10
 
 
-@story
+@trio_test
 async def test_spooled_batches_are_delivered_after_a_restart(monkeypatch):
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     kept: dict[bytes, bytes] = {}
@@ -342,7 +342,7 @@
         await run_until(gone, t, nursery, until=lambda: gone.counts["spooled"] == 5)
         for i in range(5):
             finish_request(t, f"second{i}")
-        nursery.cancel_scope.cancel()  # as if killed: the second five may have been spooled or not
+        nursery.cancel_scope.cancel()  # cancelled as if killed: the second five may have been spooled or not
     before = sum(len(gzip.decompress(v).splitlines()) for v in kept.values())
     assert before >= 5
     t = make_tracer()
@@ -371,7 +371,8 @@
         and ids[-1] == "third"
         and len(ids) == len(set(ids)) == before + 1
     )
-    assert not await spool(max_bytes=10).put(b"x" * 11)  # larger than the spool
+    # An item that is larger than the spool is not stored.
+    assert not await spool(max_bytes=10).put(b"x" * 11)
 
 
 # -- a whole service
@@ -385,7 +386,7 @@
     )
 
 
-@story
+@trio_test
 async def test_service_sampling_one_percent_keeps_every_bad_request_with_its_causes(
     tmp_path, monkeypatch
 ):
@@ -396,21 +397,21 @@
         seen.setdefault(x.id, []).append(x.headers)
         first = len(seen[x.id]) == 1
         if x.id.startswith("late"):
-            await x.say("started")
+            await x.send_message("started")
             await trio.sleep(0.25)
             await x.done()
         elif x.id.startswith("retry") and first:
-            await x.status(503, "X-Not-Processed: 1")
+            await x.send_status(503, "X-Not-Processed: 1")
         elif x.id.startswith("reset") and first:
             x.reset()
         elif x.id.startswith("fail"):
-            await x.say("failed")
+            await x.send_message("failed")
         elif x.id.startswith(("gone", "vanish", "quit")) and not (
             x.id.startswith("quit") and first
         ):
-            await x.closed()
+            await x.wait_closed()
         elif x.id.startswith("quit"):
-            await x.status(503, "X-Not-Processed: 1")
+            await x.send_status(503, "X-Not-Processed: 1")
         else:
             await x.done()
 
@@ -420,19 +421,19 @@
         {"name": "once", "aim": 200.0, "deadline": 3000.0, "repeat": "side_effect", "value": 1.0},
     ]
     statuses: dict[str, int | None] = {}
-    async with world(
-        Peer("d1", script),
-        Peer("d2", script),
+    async with running_service(
+        ScriptedWorker("d1", script),
+        ScriptedWorker("d2", script),
         settings={"request_classes": classes},
         **tracing,
         **MGMT,
-    ) as w:
+    ) as harness:
 
         async def ask(id, **headers):
             target = "/once" if id.startswith("fail") else "/tour"
             statuses[id] = None
             with trio.move_on_after(0.1 if id.startswith(("gone", "quit")) else 15):
-                statuses[id] = (await w.ask(target, X_Request_ID=id, **headers)).status
+                statuses[id] = (await harness.ask(target, X_Request_ID=id, **headers)).status
 
         def expected(id) -> set[str]:
             causes = {{503: "refused", 502: "failed", None: "left"}.get(statuses[id])}
@@ -456,8 +457,8 @@
         await ask("odd2", traceparent=f"00-{TRACE}-{SPAN}-00", tracestate="x=1,,bad==")
         bad = {id for id in statuses if expected(id)}
         assert len(bad) >= 20 and {c for id in bad for c in expected(id)} == set(sampling.BAD)
-        await w.until(lambda: bad <= read_records(path).keys())
-        counts = (await w.call("GET /_vars")).body.decode()
+        await harness.wait_until(lambda: bad <= read_records(path).keys())
+        counts = (await harness.call("GET /_vars")).body.decode()
         assert f"app.trace_finished:{len(statuses)}|c" in counts
         assert f"app.trace_kept_bad:{len(bad)}|c" in counts
     found = read_records(path)
@@ -473,7 +474,8 @@
             assert record["kept"] in (["sampled"], ["asked"]) and kind in ("plain", "asked", "odd")
         for attempt, headers in zip(record["attempts"], seen.get(id, ()), strict=False):
             assert headers["traceparent"].split("-")[1:3] == [record["trace"], attempt["span"]]
-    assert sum(k.startswith("plain") for k in found) <= 4 + 4 * 2  # binomial: mean 4, deviation 2
+    # The number of sampled requests has a binomial distribution with mean 4 and deviation 2.
+    assert sum(k.startswith("plain") for k in found) <= 4 + 4 * 2
     asked = [r for k, r in found.items() if k.startswith("asked")]
     assert 1 <= len(asked) < 30 and all(r["trace"] == TRACE and r["parent"] == SPAN for r in asked)
     retried = next(r for k, r in found.items() if k.startswith("retry") and r["answer"] == "served")
@@ -507,8 +509,12 @@
     listed = run.invoke(main, ["trace", "list", str(path), "--cause", "late"]).stdout
     assert len(listed.splitlines()) == len(late)
     assert "lost" in run.invoke(main, ["trace", "show", retried["id"], str(path)]).stdout
-    said = run.invoke(main, ["trace", "why", retried["id"], str(path)]).stdout
-    assert "sent it back unstarted" in said and "then: tried again" in said and "was served" in said
+    output = run.invoke(main, ["trace", "why", retried["id"], str(path)]).stdout
+    assert (
+        "sent it back unstarted" in output
+        and "then: tried again" in output
+        and "was served" in output
+    )
     page = tmp_path / "r.html"
     assert run.invoke(main, ["trace", "report", str(path), "--output", str(page)]).exit_code == 0
     assert "turned away" in page.read_text() and "<script" not in page.read_text()
@@ -516,9 +522,9 @@
     assert run.invoke(main, ["trace", "list", str(tmp_path / "absent")]).exit_code == 2
 
 
-@story
+@trio_test
 async def test_reload_and_hot_restart_are_events_of_the_open_traces(tmp_path, monkeypatch):
-    from test_operators import shared_world, start_new_process
+    from test_operators import hot_restart_service, start_new_process
 
     monkeypatch.setattr(export, "BATCH_DELAY_SECONDS", 0.001)
     gate = trio.Event()
@@ -529,18 +535,24 @@
         await x.done()
 
     paths = tmp_path / "elder", tmp_path / "heir"
-    async with shared_world(Peer("d1", waits), tracing={"file": str(paths[0]), "share": 1.0}) as w:
-        slow = await w.shared.client()
+    async with hot_restart_service(
+        ScriptedWorker("d1", waits), tracing={"file": str(paths[0]), "share": 1.0}
+    ) as harness:
+        slow = await harness.shared.client()
         await slow.send(X_Request_ID="slow", traceparent=f"00-{TRACE}-{SPAN}-01")
-        await w.until(lambda: w.old_process.tracing_hooks.tracer.open == 1)
-        w.old_process.reload()
-        await start_new_process(w, tracing={"file": str(paths[1]), "share": 1.0})
-        w.nursery.start_soon(w.old_process.drain)
-        await w.until(lambda: w.old_process.run_state.draining)
-        assert (await w.ask(X_Request_ID="next", traceparent=f"00-{TRACE}-{SPAN}-01")).status == 200
+        await harness.wait_until(lambda: harness.old_process.tracing_hooks.tracer.open == 1)
+        harness.old_process.reload()
+        await start_new_process(harness, tracing={"file": str(paths[1]), "share": 1.0})
+        harness.nursery.start_soon(harness.old_process.drain)
+        await harness.wait_until(lambda: harness.old_process.run_state.draining)
+        assert (
+            await harness.ask(X_Request_ID="next", traceparent=f"00-{TRACE}-{SPAN}-01")
+        ).status == 200
         gate.set()
         assert (await slow.reply()).status == 200
-        await w.until(lambda: "slow" in read_records(paths[0]) and "next" in read_records(paths[1]))
+        await harness.wait_until(
+            lambda: "slow" in read_records(paths[0]) and "next" in read_records(paths[1])
+        )
     old_process, new_process = read_records(paths[0])["slow"], read_records(paths[1])["next"]
     assert (
         old_process["trace"] == new_process["trace"] == TRACE
@@ -552,7 +564,7 @@
     ] and not new_process["events"]
 
 
-@story
+@trio_test
 async def test_wall_clock_set_back_keeps_durations_and_reload_changes_the_share(
     tmp_path, monkeypatch
 ):
@@ -560,17 +572,22 @@
     path = tmp_path / "t.jsonl"
 
     async def slow(x):
-        monkeypatch.setattr("time.time", lambda: 5.0)  # the clock is set back decades while it runs
+        # Sets the clock back by decades while the request runs.
+        monkeypatch.setattr("time.time", lambda: 5.0)
         await trio.sleep(0.05)
         await x.done()
 
-    async with world(Peer("d1", slow), tracing={"file": str(path), "share": 1.0}) as w:
-        assert (await w.ask(X_Request_ID="a")).status == 200
-        await w.until(lambda: "a" in read_records(path))
-        w.raw["tracing"]["share"] = 0.0
-        w.service.reload()
-        assert (await w.ask(X_Request_ID="b")).status == 200
-        await w.until(lambda: w.service.tracing_hooks.tracer.counts["thinned"] == 1)
+    async with running_service(
+        ScriptedWorker("d1", slow), tracing={"file": str(path), "share": 1.0}
+    ) as harness:
+        assert (await harness.ask(X_Request_ID="a")).status == 200
+        await harness.wait_until(lambda: "a" in read_records(path))
+        harness.raw["tracing"]["share"] = 0.0
+        harness.service.reload()
+        assert (await harness.ask(X_Request_ID="b")).status == 200
+        await harness.wait_until(
+            lambda: harness.service.tracing_hooks.tracer.counts["thinned"] == 1
+        )
     record = read_records(path)["a"]
     assert 50e6 <= record["parts"]["running"] <= record["end"] - record["start"] < 3e9
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 
 import pytest
-from helper import Peer, done, story, world
+from helper import ScriptedWorker, done, running_service, trio_test
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -164,7 +164,7 @@
 
 
 def make_faulty(net, name, *, plan=None):
-    """Make a member report in every answer that all zones fail, and send a plan of its own otherwise."""
+    """Makes a member answer each poll with a failure of all zones, and otherwise send a plan of its own."""
     rng = random.Random(1)
 
     def rewrite(data):
@@ -188,15 +188,16 @@
     net = ZoneNet(3, members, zones)
     make_faulty(net, "m0001")
     net.run(20)
-    honest = [m for m in net.living() if m.name != "m0001"]
-    assert not any(m.machine.plan.zones for m in honest)
-    assert sum(m.machine.statistics.polls for m in honest) < 20 * 2.6 * len(
-        honest
-    )  # the faulty member can't cause many polls
+    other_members = [m for m in net.living() if m.name != "m0001"]
+    assert not any(m.machine.plan.zones for m in other_members)
+    # The faulty member can't cause many polls.
+    assert sum(m.machine.statistics.polls for m in other_members) < 20 * 2.6 * len(other_members)
     net.loss["z0"] = 1.0
     net.run(6)
-    assert all(m.machine.traffic_weights().get("z0", 1.0) < 0.1 for m in honest if m.zone != "z0")
-    assert all(set(m.machine.plan.zones) == {"z0"} for m in honest)
+    assert all(
+        m.machine.traffic_weights().get("z0", 1.0) < 0.1 for m in other_members if m.zone != "z0"
+    )
+    assert all(set(m.machine.plan.zones) == {"z0"} for m in other_members)
 
 
 def test_a_zone_that_only_one_other_zone_cannot_reach_is_not_left():
@@ -323,7 +324,8 @@
     net.run(72)
     leave_count = max(
         sum(
-            b.get("z0", 1.0) < 0.05 < a.get("z0", 1.0)  # without failed trials
+            # Drops of the weight, not counting failed trials.
+            b.get("z0", 1.0) < 0.05 < a.get("z0", 1.0)
             for (_, _, a), (_, _, b) in pairwise(m.changes)
         )
         for m in net.members.values()
@@ -334,7 +336,7 @@
         if "z0" in m.machine.plan.zones
     )
     assert penalty_count >= 3
-    assert 1 <= leave_count <= 6  # of the twelve failures
+    assert 1 <= leave_count <= 6  # the zone fails twelve times
     assert versions_only_rise(net)
 
 
@@ -394,9 +396,8 @@
     net.loss["z0"] = 1.0
     assert net.until(lambda: is_left(net, "z0"), 6) is not None
     assert [m.name for m in net.members.values() if m.machine.statistics.plans_made] == ["m0001"]
-    late_plan = FailoverPlan(
-        PLANS_PER_EPOCH + 9, {"z2": ZoneEntry(0)}
-    )  # of the lease with number 1
+    # A plan of the lease with number 1.
+    late_plan = FailoverPlan(PLANS_PER_EPOCH + 9, {"z2": ZoneEntry(0)})
     for member in net.living():
         member.machine.receive(
             net.now,
@@ -451,7 +452,8 @@
     assert count_by_zone({0: 0.0}, WORKERS, cross_zone=0.3) == {1: 200}
     counts_at_quarter = count_by_zone({0: 0.25}, WORKERS, cross_zone=0.3)
     assert 45 <= counts_at_quarter[0] <= 55 and counts_at_quarter[0] + counts_at_quarter[1] == 200
-    assert set(count_by_zone({1: 0.0}, WORKERS)) == {0}  # without a fee all zones are equal
+    # Without a cost of crossing zones all zones are equal.
+    assert set(count_by_zone({1: 0.0}, WORKERS)) == {0}
 
 
 def test_the_policy_uses_a_left_zone_if_there_is_no_other():
@@ -469,23 +471,23 @@
 }
 
 
-@story
+@trio_test
 async def test_the_service_follows_operators_orders_and_counts_attempts_by_zone():
-    peer = Peer("d1", done)
-    async with world(
-        peer, settings={"areas": ["room", "hall"]}, mgmt="127.0.0.1:0", **ZONES
-    ) as here:
-        assert (await here.ask()).status == 200
-        zones = here.service.subsystems[1]
-        shown = (await here.call("GET /_zones")).body
+    worker = ScriptedWorker("d1", done)
+    async with running_service(
+        worker, settings={"areas": ["room", "hall"]}, mgmt="127.0.0.1:0", **ZONES
+    ) as harness:
+        assert (await harness.ask()).status == 200
+        zones = harness.service.subsystems[1]
+        shown = (await harness.call("GET /_zones")).body
         assert b'"zone": "room"' in shown and zones.status()["zones"][0]["ended"] == 1
-        assert (await here.call("PUT /_zones/leave?name=nowhere")).status == 404
-        assert (await here.call("PUT /_zones/leave?name=room")).status == 200
-        fleet = here.service.engine._module.fleet
-        await here.until(lambda: fleet.zone_weights == {0: 0.0})
-        assert (await here.ask(X_Request_ID="r2")).status == 200  # there is no other zone
-        assert (await here.call("PUT /_zones/return?name=room")).status == 200
-        await here.until(lambda: fleet.zone_weights == {})
+        assert (await harness.call("PUT /_zones/leave?name=nowhere")).status == 404
+        assert (await harness.call("PUT /_zones/leave?name=room")).status == 200
+        fleet = harness.service.engine._module.fleet
+        await harness.wait_until(lambda: fleet.zone_weights == {0: 0.0})
+        assert (await harness.ask(X_Request_ID="r2")).status == 200  # there is no other zone
+        assert (await harness.call("PUT /_zones/return?name=room")).status == 200
+        await harness.wait_until(lambda: fleet.zone_weights == {})
         assert zones.status()["zones"][0]["order"] == ""
 
 
