--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -89,5 +89,5 @@
     settings = decode_settings(CONFIG)
     assert settings.dispatchers == 1 and not settings.tenants and not settings.report_fields
     tick, end = {"what": "Tick", "sim_time": 1.0}, {"what": "End"}
-    with pytest.raises(ValueError, match="no job classes"):
+    with pytest.raises(ValueError, match="no request classes"):
         run(lines(tick, {"what": "Boot", "dispatcher_id": 1, "entropy": 1, "config": {}}, end))
--- a/yewrill/policy/interface.py
+++ b/yewrill/policy/interface.py
@@ -148,7 +148,7 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ValueError("settings name no job classes")
+            raise ValueError("settings name no request classes")
         for spec in self.classes:
             if spec.deadline <= 0:
                 raise ValueError(f"class {spec.name!r} has no positive deadline")
