--- a/yewrill/lab/soak/clients.py
+++ b/yewrill/lab/soak/clients.py
@@ -111,7 +111,8 @@
             id, kind, key, client_timeout, style, on_new_connection=False
         )
         if request.end is RequestEnd.CLOSED and request.reused_connection and request.well_formed:
-            # The dispatcher closed the idle connection without reading the request: it is sent again.
+            # The close and the request crossed: the request was already on its way when the dispatcher closed
+            # the idle connection, so it was not read and is sent again.
             request = await self._send_once(
                 id, kind, key, client_timeout, Style.WHOLE, on_new_connection=True, send_number=2
             )
