--- a/yewrill/dispatch/request.py
+++ b/yewrill/dispatch/request.py
@@ -44,7 +44,7 @@
     ran_at: float | None = None
     on_progress: Callable[[Attempt, float], None] | None = None
     # Polls the connection and returns whether the client has left.
-    has_left: Callable[[], bool] | None = None
+    poll_client_left: Callable[[], bool] | None = None
     trace: Any = None
     # The fields below are internal to the decision engine.
     key: str = ""  # unique key of the request; empty until it is submitted
--- a/yewrill/net/worker_client.py
+++ b/yewrill/net/worker_client.py
@@ -320,7 +320,9 @@
 
 
 def _client_left(request: Request) -> bool:
-    return request.client_left or (request.has_left is not None and request.has_left())
+    return request.client_left or (
+        request.poll_client_left is not None and request.poll_client_left()
+    )
 
 
 def _outcome_of_status(attempt: Attempt, response: h11.Response) -> AttemptOutcome:
--- a/yewrill/service/request_handler.py
+++ b/yewrill/service/request_handler.py
@@ -101,7 +101,7 @@
             self._engine.client_left,
             True,
         )
-        request.has_left = client.has_left
+        request.poll_client_left = client.has_left
         async with client.reading_ahead(self._tasks.nursery):
             if request.trace is not None:
                 bind_request(request.id, request.trace.context.trace)
