--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1125,7 +1125,11 @@
         else:
             assert reply.status == (200 if served else 502)
         await w.until(
-            lambda: not engine.pending and not engine._live and not w.service.open_requests.ids
+            lambda: (
+                not engine.pending
+                and not engine._active_attempts
+                and not w.service.open_requests.ids
+            )
         )
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -728,7 +728,7 @@
         assert (await w.ask(X_Request_ID="r2")).status == 409  # its attempt is still running
         assert [e.id for e in peer.exchanges] == ["r1", "r2"]
         peer.exchanges[1].go_on.set()
-        await w.until(lambda: not w.service.engine._live)
+        await w.until(lambda: not w.service.engine._active_attempts)
         peer.script = done
         assert (await w.ask(X_Request_ID="r2")).status == 200
 
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -283,7 +283,7 @@
     dead, live = (Attempt(request, number, "d1", 0.0) for number in (0, 1))
     buffer = _ProgressBuffer(request)
     buffer.progress(dead, 0.9)  # not sent before its attempt ended
-    request.live = live
+    request.active_attempt = live
     with trio.move_on_after(0.05) as waited:
         await buffer.next()
     assert waited.cancelled_caught
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -50,7 +50,7 @@
         self._events: list[api.Event] = []
         self._requests: dict[str, Request] = {}
         # Running attempts by request key, including attempts of closed requests.
-        self._live: dict[str, Attempt] = {}
+        self._active_attempts: dict[str, Attempt] = {}
         self._submitted_count = 0
         self._rejection_watch = RejectionWatch()
         self._wake = trio.Event()
@@ -156,7 +156,7 @@
                 return None
             return self._answer_without_decision(request, expired)
         if isinstance(choice, Attempt):
-            request.live = self._live[request.key] = choice
+            request.active_attempt = self._active_attempts[request.key] = choice
         return choice
 
     def _answer_without_decision(self, request: Request, expired: bool) -> Rejection | Failure:
@@ -181,8 +181,8 @@
         request = attempt.request
         if attempt.trace is not None:
             attempt.trace.end, attempt.trace.outcome = trio.current_time(), outcome.value
-        request.live = None
-        self._live.pop(request.key, None)
+        request.active_attempt = None
+        self._active_attempts.pop(request.key, None)
         if outcome.policy_outcome not in api.NEVER_RAN and request.ran_at is None:
             request.ran_at = attempt.sent or self.now()
         if outcome is AttemptOutcome.SERVED:
@@ -240,8 +240,12 @@
         if isinstance(choice, Attempt):  # an attempt was chosen, but not yet returned by `pick`
             request.choice = None
             self.report(choice, AttemptOutcome.NOT_SENT)
-        if request.live is not None and request.live.sent and not request.live.written:
-            request.live.withdraw(AttemptOutcome.NOT_SENT)
+        if (
+            request.active_attempt is not None
+            and request.active_attempt.sent
+            and not request.active_attempt.written
+        ):
+            request.active_attempt.withdraw(AttemptOutcome.NOT_SENT)
         if request.choice_ready is not None:
             request.choice_ready.set()
 
@@ -250,8 +254,8 @@
         for request in list(self._requests.values()):
             if not request.closed:
                 self._close(request, notify=True)
-                if request.live is not None:
-                    request.live.withdraw(AttemptOutcome.CANCELLED)
+                if request.active_attempt is not None:
+                    request.active_attempt.withdraw(AttemptOutcome.CANCELLED)
                 self._set_choice(request, Failure("restarting"))
 
     # -- settings and workers
@@ -339,7 +343,7 @@
         """Fails the requests of a batch in which the policy module raised: it may never answer them."""
         for event in events:
             request = self._requests.get(getattr(event, "request_id", ""))
-            if request is not None and request.choice is None and request.live is None:
+            if request is not None and request.choice is None and request.active_attempt is None:
                 self._close(request, notify=True)
                 self._set_choice(request, Failure("internal fault"))
 
@@ -423,8 +427,8 @@
                 request.attempt_count,
                 action.reason,
             )
-        if request.live is not None:
-            request.live.withdraw(AttemptOutcome.TIMED_OUT)
+        if request.active_attempt is not None:
+            request.active_attempt.withdraw(AttemptOutcome.TIMED_OUT)
         self._set_choice(request, answer)
 
     def _set_timer(self, action: api.SetTimer, now: float) -> None:
@@ -434,7 +438,9 @@
         self._health_checks.request(action.worker)
 
     def _cancel(self, action: api.Cancel, now: float) -> None:
-        attempt = self._live.get(action.request_id)  # None if the attempt has ended already
+        attempt = self._active_attempts.get(
+            action.request_id
+        )  # None if the attempt has ended already
         if attempt is not None and attempt.number == action.attempt:
             attempt.withdraw(AttemptOutcome.CANCELLED)
 
@@ -465,7 +471,7 @@
             now,
             request.idempotency,
             request.window,
-            attempt_out=request.key in self._live or isinstance(request.choice, Attempt),
+            attempt_out=request.key in self._active_attempts or isinstance(request.choice, Attempt),
             ran_at=request.ran_at,
         )
 
--- a/yewrill/dispatch/request.py
+++ b/yewrill/dispatch/request.py
@@ -49,7 +49,7 @@
     # The fields below are internal to the decision engine.
     key: str = ""  # unique key of the request; empty until it is submitted
     attempt_count: int = 0
-    live: Attempt | None = None
+    active_attempt: Attempt | None = None
     choice: Attempt | Rejection | Failure | None = None
     choice_ready: trio.Event | None = None
     closed: bool = False  # whether the final answer is decided, or none is due any more
--- a/yewrill/frontends/progress.py
+++ b/yewrill/frontends/progress.py
@@ -143,7 +143,7 @@
         while not self._ended:
             latest, self._latest = self._latest, None
             # Progress of an attempt that has ended is out of date, even if it was never sent.
-            if latest is not None and self._request.live is latest[0]:
+            if latest is not None and self._request.active_attempt is latest[0]:
                 return latest[0].number, latest[1]
             self._changed = trio.Event()
             await self._changed.wait()
