--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -438,9 +438,8 @@
         self._health_checks.request(action.worker)
 
     def _cancel(self, action: api.Cancel, now: float) -> None:
-        attempt = self._active_attempts.get(
-            action.request_id
-        )  # None if the attempt has ended already
+        # None if the attempt has ended already.
+        attempt = self._active_attempts.get(action.request_id)
         if attempt is not None and attempt.number == action.attempt:
             attempt.withdraw(AttemptOutcome.CANCELLED)
 
