--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -363,10 +363,10 @@
         if request is None:
             log.error("policy_sent_unknown_request request=%s ignored=yes", action.request_id)
             return
-        until = request.deadline
+        deadline = request.deadline
         if action.timeout:
-            until = min(until, now + action.timeout)
-        attempt = Attempt(request, request.attempt_count, action.worker, until)
+            deadline = min(deadline, now + action.timeout)
+        attempt = Attempt(request, request.attempt_count, action.worker, deadline)
         request.attempt_count += 1
         if request.trace is not None:
             attempt.trace = request.trace.begin_attempt(
--- a/yewrill/dispatch/request.py
+++ b/yewrill/dispatch/request.py
@@ -62,7 +62,7 @@
     request: Request
     number: int
     worker: str
-    until: float  # time at which the dispatcher stops waiting for the worker
+    deadline: float  # time at which the dispatcher stops waiting for the worker
     trace: Any = None  # trace of the attempt; None if tracing is off
     sent: float = 0.0  # time at which the attempt's first byte was written
     # Whether the last byte was written; the worker may run the request from then on.
--- a/yewrill/dispatch/safety.py
+++ b/yewrill/dispatch/safety.py
@@ -62,7 +62,7 @@
     """The facts just before an attempt's first byte is written. Times in ms on the engine's clock."""
 
     now: float
-    until: float
+    deadline: float
     worker_available: bool
     client_gone: bool
     record_kept: bool = True
@@ -72,7 +72,7 @@
     """Returns None if the first byte may be written now, else the reason why not."""
     if not facts.record_kept:
         return HeldBack.RECORD_NOT_KEPT
-    if facts.now >= facts.until:
+    if facts.now >= facts.deadline:
         return HeldBack.DEADLINE_PASSED
     if not facts.worker_available:
         return HeldBack.WORKER_UNAVAILABLE
--- a/yewrill/net/worker_client.py
+++ b/yewrill/net/worker_client.py
@@ -91,7 +91,7 @@
         Cancelling the attempt's own scope ends it with an outcome; other cancellations propagate.
         """
         scope = attempt.scope
-        scope.deadline = min(scope.deadline, self._engine.loop_time(attempt.until))
+        scope.deadline = min(scope.deadline, self._engine.loop_time(attempt.deadline))
         answer: tuple[AttemptOutcome, Any] | None = None
         with scope:
             answer = await self._connect_and_exchange(attempt)
@@ -162,7 +162,7 @@
         self, attempt: Attempt, connection: WorkerConnection
     ) -> tuple[AttemptOutcome, Any]:
         attempt.sent = self._engine.now()
-        wait_ms = max(1, int(attempt.until - attempt.sent))
+        wait_ms = max(1, int(attempt.deadline - attempt.sent))
         self._check_stated_time(attempt, wait_ms)
         data = connection.http.encode(*self._codec.encode_request(attempt, wait_ms))
         try:
@@ -206,7 +206,7 @@
         reason = rules.may_send(
             rules.SendFacts(
                 self._engine.now(),
-                attempt.until,
+                attempt.deadline,
                 self._endpoints.may_send(attempt.worker),
                 record_kept and _client_left(attempt.request),
                 record_kept,
