--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -178,7 +178,13 @@
         ):
             request = _request(number, request_class, key)
             persistent_state.attempts.begin_request(request, classes[request_class], "acme")
-            earlier.append([request.ran_ago, request.ran_zone, request.ran_cell])
+            earlier.append(
+                [
+                    request.earlier_attempt_age,
+                    request.earlier_attempt_zone,
+                    request.earlier_attempt_cell,
+                ]
+            )
         held, number = persistent_state.usage_under(SPOOL)
         first = persistent_state.first(SPOOL)
         assert first is not None
--- a/tests/test_expired_requests.py
+++ b/tests/test_expired_requests.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    "request_class, ran_ago, answer",
+    "request_class, earlier_attempt_age, answer",
     [
         (IDEMPOTENT, -1.0, Rejection),
         (BY_KEY, -1.0, Rejection),
@@ -29,12 +29,12 @@
     ],
 )
 def test_an_expired_request_is_rejected_unless_a_retry_is_unsafe(
-    request_class, ran_ago, answer, caplog
+    request_class, earlier_attempt_age, answer, caplog
 ):
     async def pick_expired_request():
         engine = DecisionEngine(read_settings(SETTINGS), 1)
         deadline = engine.now() - 50.0  # the request waited in the backlog past its deadline
-        request = Request("late", request_class, deadline, ran_ago=ran_ago)
+        request = Request("late", request_class, deadline, earlier_attempt_age=earlier_attempt_age)
         assert isinstance(await engine.pick(request), answer)
         assert engine.pending == 1 and request.closed  # the module learns of it at the next tick
         engine.tick()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -404,7 +404,12 @@
             now + i,
             [
                 api.RequestArrived(
-                    f"j{i}", 0, now + i + 5000.0, ran_ago=ago, ran_zone=0, ran_cell=cell
+                    f"j{i}",
+                    0,
+                    now + i + 5000.0,
+                    earlier_attempt_age=ago,
+                    earlier_attempt_zone=0,
+                    earlier_attempt_cell=cell,
                 )
             ],
         )
@@ -454,7 +459,9 @@
     for ago, expected in ((7.1e6, api.Fail), (6.0e6, api.Send)):
         dispatcher = Dispatcher(api.Settings(classes, max_attempts=3), 1)
         dispatcher.handle(1e6, [api.WorkerList(api.ListForm.FULL, [api.WorkerEntry("w")])])
-        out = dispatcher.handle(1e6 + 1, [api.RequestArrived("j", 0, 1e6 + 5000.0, ran_ago=ago)])
+        out = dispatcher.handle(
+            1e6 + 1, [api.RequestArrived("j", 0, 1e6 + 5000.0, earlier_attempt_age=ago)]
+        )
         assert [type(a) for a in out if isinstance(a, (api.Send, api.Fail))] == [expected]
 
 
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -120,8 +120,8 @@
         spec = self._classes[request.request_class]
         request.class_name = spec.name
         request.idempotency, request.window = spec.idempotency, spec.window
-        if request.ran_ago >= 0:
-            request.ran_at = self.now() - request.ran_ago
+        if request.earlier_attempt_age >= 0:
+            request.ran_at = self.now() - request.earlier_attempt_age
         self._queue_event(
             api.RequestArrived(
                 request.key,
@@ -132,9 +132,9 @@
                 request.memory,
                 request.hint,
                 request.retry,
-                request.ran_ago,
-                request.ran_zone,
-                request.ran_cell,
+                request.earlier_attempt_age,
+                request.earlier_attempt_zone,
+                request.earlier_attempt_cell,
                 request.subject,
             )
         )
--- a/yewrill/dispatch/request.py
+++ b/yewrill/dispatch/request.py
@@ -33,9 +33,9 @@
     client_left: bool = False
     # An attempt by an earlier process that may have run: how many milliseconds ago it was sent, and the zone
     # and cell of its worker. -1: there was none.
-    ran_ago: float = -1.0
-    ran_zone: int = -1
-    ran_cell: int = -1
+    earlier_attempt_age: float = -1.0
+    earlier_attempt_zone: int = -1
+    earlier_attempt_cell: int = -1
     class_name: str = ""
     # Input of the safety rules: idempotency and deduplication window of the request class, and the send time
     # of the first attempt that may have run.
--- a/yewrill/persistence/attempt_journal.py
+++ b/yewrill/persistence/attempt_journal.py
@@ -166,9 +166,9 @@
         earlier = self._find_earlier_attempt(identity, window_ms)
         if earlier is None:
             return
-        request.ran_ago = earlier.age_ms
-        request.ran_zone = earlier.zone
-        request.ran_cell = earlier.cell
+        request.earlier_attempt_age = earlier.age_ms
+        request.earlier_attempt_zone = earlier.zone
+        request.earlier_attempt_cell = earlier.cell
         log.info(
             "request_repeats_earlier_run request=%s age_ms=%.0f cell=%d",
             request.id,
--- a/yewrill/policy/interface.py
+++ b/yewrill/policy/interface.py
@@ -217,9 +217,9 @@
     hint: float = 0.0  # expected work as stated by the client, 0 if unknown
     retry: bool = False  # the client marked the request as a retry
     # An attempt from before a restart that may have run: how long ago it was sent (-1: none), and where.
-    ran_ago: float = -1.0
-    ran_zone: int = -1
-    ran_cell: int = -1
+    earlier_attempt_age: float = -1.0
+    earlier_attempt_zone: int = -1
+    earlier_attempt_cell: int = -1
     # Affinity key: requests with the same key need the same data, which a worker caches for a while.
     key: str = ""
 
--- a/yewrill/policy/requests.py
+++ b/yewrill/policy/requests.py
@@ -140,8 +140,8 @@
         self.expected_wait = 0.0  # expected wait at the worker that was selected last
         # Send time of the first attempt that may have run, None if there is none. An attempt that an earlier
         # process sent before a restart counts too; its time may lie before the start of this process's clock.
-        self.ran_at = now - event.ran_ago if event.ran_ago >= 0 else None
-        self.ran_zone, self.ran_cell = event.ran_zone, event.ran_cell
+        self.ran_at = now - event.earlier_attempt_age if event.earlier_attempt_age >= 0 else None
+        self.ran_zone, self.ran_cell = event.earlier_attempt_zone, event.earlier_attempt_cell
         self.last_failed_worker: WorkerEstimate | None = None
         self.sequence = 0
 
--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -111,9 +111,11 @@
             state=",".join(http_request.header_values(b"tracestate")),
             first_byte=http_request.arrived,
         )
-        if request.ran_ago >= 0:
+        if request.earlier_attempt_age >= 0:
             request.trace.event(
-                trio.current_time(), "repeat-of-earlier-run", f"{request.ran_ago:.0f} ms ago"
+                trio.current_time(),
+                "repeat-of-earlier-run",
+                f"{request.earlier_attempt_age:.0f} ms ago",
             )
 
     def answered(self, request: Request, answer: Answer) -> None:
