--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -300,7 +300,7 @@
 def test_hint_of_a_request_determines_its_expected_run_time_and_latest_start():
     d = dispatcher()
     d.handle(0.0, [api.WorkerList(api.ListForm.FULL, [])])
-    d.handle(10.0, [api.RequestArrived("j", 0, 9010.0, hint=300.0)])
+    d.handle(10.0, [api.RequestArrived("j", 0, 9010.0, work_hint=300.0)])
     assert (d.requests["j"].expected_run_time, d.requests["j"].latest_start) == (
         300.0,
         10.0 + 1000.0 - 300.0,
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -68,7 +68,7 @@
     total = sum(part for _, part, *_ in drawn)
     half = WORKERS * SLOTS / 2
     traffic = [
-        Traffic(half * part / total / run_time * 1000.0, run_time, timeouts, hint=hint)
+        Traffic(half * part / total / run_time * 1000.0, run_time, timeouts, work_hint=hint)
         for _, part, run_time, timeouts, hint in drawn
     ]
     rules = api.Settings(
--- a/tests/test_shut_out.py
+++ b/tests/test_shut_out.py
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("hint", [RUN_TIME_MS, 100 * RUN_TIME_MS, 0.01 * RUN_TIME_MS])
 def test_hints_that_are_far_from_the_run_time_do_not_cause_rejections(hint):
     world = OverloadWorld(
-        settings(True, tour_class()), [requests(40.0, hint=hint)], [slow(500.0, 3000.0)]
+        settings(True, tour_class()), [requests(40.0, work_hint=hint)], [slow(500.0, 3000.0)]
     )
     recovered = EPISODE_START_MS + 3000.0 + RECOVERY_MS
     world.run_until(recovered + OBSERVED_MS + 4000.0)
@@ -130,7 +130,7 @@
 def test_many_concurrent_requests_do_not_overcorrect_the_ratio_of_run_time_to_hint(hint):
     # Guards against a ratio that concurrent requests all correct from its value at their arrival.
     world = OverloadWorld(
-        settings(True, tour_class(2.0)), [requests(150.0, 105.0, hint=hint)], slots=8
+        settings(True, tour_class(2.0)), [requests(150.0, 105.0, work_hint=hint)], slots=8
     )
     world.run_until(EPISODE_START_MS)
     assert world.dispatcher.admission.classes[0].hint_ratio == pytest.approx(105.0 / hint, rel=0.15)
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -130,7 +130,7 @@
                 request.tenant,
                 request.width,
                 request.memory,
-                request.hint,
+                request.work_hint,
                 request.retry,
                 request.earlier_attempt_age,
                 request.earlier_attempt_zone,
--- a/yewrill/dispatch/request.py
+++ b/yewrill/dispatch/request.py
@@ -25,7 +25,7 @@
     tenant: int = 0
     width: float = 1.0  # number of slots that the request occupies
     memory: float = 0.0  # memory that the request occupies
-    hint: float = 0.0  # expected work as stated by the client; 0: unknown
+    work_hint: float = 0.0  # expected work as stated by the client; 0: unknown
     retry: bool = False  # the client marked the request as a retry
     # Affinity key: requests with the same subject need the same data, which workers cache.
     subject: str = ""
--- a/yewrill/frontends/platform.py
+++ b/yewrill/frontends/platform.py
@@ -126,7 +126,7 @@
             tenant,
             width=attributes.get("width", attributes.get("slots", 1.0)),
             memory=attributes.get("memory", 0.0),
-            hint=_number(cost, "X-Cost", 0, 1e9)
+            work_hint=_number(cost, "X-Cost", 0, 1e9)
             if cost is not None
             else attributes.get("expected", 0.0),
             retry=retried == "1",
--- a/yewrill/lab/overload_world.py
+++ b/yewrill/lab/overload_world.py
@@ -51,7 +51,7 @@
     run_time: float
     client_timeouts: Sequence[float]
     client_timeout_weights: Sequence[float] | None = None
-    hint: float = 0.0  # expected work of a request as its client states it, 0 for none
+    work_hint: float = 0.0  # expected work of a request as its client states it, 0 for none
     spread: float = 0.3  # largest deviation of a run time from the mean, as a fraction of the mean
 
 
@@ -187,7 +187,9 @@
         name = f"r{next(self._sequence)}"
         request = _Request(name, request_class, self.now, self.now + timeout, run_time)
         self._requests[name] = request
-        self._deliver(api.RequestArrived(name, request_class, request.deadline, hint=traffic.hint))
+        self._deliver(
+            api.RequestArrived(name, request_class, request.deadline, work_hint=traffic.work_hint)
+        )
 
     def _client_timeout(self, traffic: Traffic) -> float:
         """Returns a random client timeout; the first client gets the longest, so that its request ends."""
--- a/yewrill/policy/attempts.py
+++ b/yewrill/policy/attempts.py
@@ -192,7 +192,7 @@
             elapsed = self.estimate.now - attempt.started_at
         run_time = elapsed * attempt.warm_up_progress
         request.class_state.record_run_time(
-            run_time, request.hint, self.estimate.now, request.trial
+            run_time, request.work_hint, self.estimate.now, request.trial
         )
         ratio = min(MAX_RUN_TIME_RATIO, run_time / max(1.0, request.expected_run_time))
         worker.record_run_time(ratio, request.run_time_known)
--- a/yewrill/policy/dispatcher.py
+++ b/yewrill/policy/dispatcher.py
@@ -154,7 +154,9 @@
 
     def _open(self, event: api.RequestArrived) -> PendingRequest:
         state = self.admission.classes[event.request_class]
-        run_time = event.hint * state.hint_ratio if event.hint > 0 else state.mean_run_time
+        run_time = (
+            event.work_hint * state.hint_ratio if event.work_hint > 0 else state.mean_run_time
+        )
         request = PendingRequest(event, state, self.now, run_time, self.settings)
         self.requests[request.id] = request
         self._sequence += 1
--- a/yewrill/policy/interface.py
+++ b/yewrill/policy/interface.py
@@ -214,7 +214,7 @@
     tenant: int = 0
     width: float = 1.0
     memory: float = 0.0
-    hint: float = 0.0  # expected work as stated by the client, 0 if unknown
+    work_hint: float = 0.0  # expected work as stated by the client, 0 if unknown
     retry: bool = False  # the client marked the request as a retry
     # An attempt from before a restart that may have run: how long ago it was sent (-1: none), and where.
     earlier_attempt_age: float = -1.0
--- a/yewrill/policy/requests.py
+++ b/yewrill/policy/requests.py
@@ -83,7 +83,7 @@
         "expected_wait",
         "finished",
         "first_asked_at",
-        "hint",
+        "work_hint",
         "id",
         "key",
         "last_failed_worker",
@@ -121,7 +121,7 @@
         self.tenant = event.tenant
         self.key = event.key
         self.slots_needed = max(event.width, event.memory, 1e-3)
-        self.hint = event.hint
+        self.work_hint = event.work_hint
         self.expected_run_time = expected_run_time  # estimated run time on an average worker
         # Whether `expected_run_time` is based on measurements.
         self.run_time_known = class_state.run_times_seen >= MIN_RUN_TIMES
@@ -181,7 +181,7 @@
     @property
     def hinted(self) -> bool:
         """Whether the client has stated the expected work."""
-        return self.hint > 0
+        return self.work_hint > 0
 
     def late_by_estimate(self, now: float) -> bool:
         """Returns whether only the expected run time makes the request late: a short run would be in time."""
