--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -372,7 +372,7 @@
     )
     w = module.fleet.workers["w3"]
     w.ejection.until, w.ejection.failures, w.ejection.connection_refused = 1e9, 5, True
-    handle_batch(5000.0, api.WorkerReturned("w3", 5000.0))
+    handle_batch(5000.0, api.WorkerReattached("w3", 5000.0))
     assert (
         w.slow_start.started_at == 5000.0 and w.ejection.until <= 5000.0 and not w.ejection.failures
     )
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -292,7 +292,7 @@
 
     def worker_reattached(self, name: str, ago: float) -> None:
         """Handles operators' reattachment of a worker, `ago` milliseconds ago."""
-        self._queue_event(api.WorkerReturned(name, max(1.0, self.now() - ago)))
+        self._queue_event(api.WorkerReattached(name, max(1.0, self.now() - ago)))
 
     # -- event batches
 
--- a/yewrill/policy/dispatcher.py
+++ b/yewrill/policy/dispatcher.py
@@ -77,7 +77,7 @@
             api.ClientLeft: self._on_no_answer_due,
             api.TimerFired: self._on_timer,
             api.WorkerList: self._on_worker_list,
-            api.WorkerReturned: self._on_worker_returned,
+            api.WorkerReattached: self._on_worker_reattached,
             api.SettingsChanged: self._on_settings_changed,
             api.ZoneTrafficWeights: self._on_zone_weights,
         }
@@ -183,7 +183,7 @@
         self.fleet.apply_list(event)
         self.release_needed = True
 
-    def _on_worker_returned(self, event: api.WorkerReturned) -> None:
+    def _on_worker_reattached(self, event: api.WorkerReattached) -> None:
         worker = self.fleet.workers.get(event.worker)
         if worker is not None:
             self.fleet.mark_reattached(worker, event.since)
--- a/yewrill/policy/interface.py
+++ b/yewrill/policy/interface.py
@@ -183,7 +183,7 @@
 
 
 @dataclass(slots=True)
-class WorkerReturned:
+class WorkerReattached:
     """An operator has reattached a worker that had been detached; it may have restarted in between."""
 
     worker: str
@@ -292,7 +292,7 @@
 
 Event = (
     WorkerList
-    | WorkerReturned
+    | WorkerReattached
     | SettingsChanged
     | ZoneTrafficWeights
     | RequestArrived
