--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -141,17 +141,17 @@
         OTHER_RUN_KEY, ujson.dumps(OTHER_RUN.encode())
     )
     spool = StoreSpool(
-        persistent_state.keep,
-        persistent_state.first,
-        persistent_state.drop,
+        persistent_state.put,
+        persistent_state.first_item,
+        persistent_state.delete,
         max_bytes=1000,
         prefix=SPOOL,
     )
     assert await spool.put(SPOOLED)
     unnamed = StoreSpool(
-        persistent_state.keep,
-        persistent_state.first,
-        persistent_state.drop,
+        persistent_state.put,
+        persistent_state.first_item,
+        persistent_state.delete,
         max_bytes=1000,
         number=1,
     )
@@ -159,7 +159,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(persistent_state.run)
         persistent_state.endpoint_list_changed()
-        while persistent_state.first(b"list") is None:
+        while persistent_state.first_item(b"list") is None:
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
     persistent_state.close_store()
@@ -185,8 +185,8 @@
                     request.earlier_attempt_cell,
                 ]
             )
-        held, number = persistent_state.usage_under(SPOOL)
-        first = persistent_state.first(SPOOL)
+        held, number = persistent_state.prefix_usage(SPOOL)
+        first = persistent_state.first_item(SPOOL)
         assert first is not None
         return [state, earlier, [held, number, first[0].hex(), first[1].hex()]]
     finally:
--- a/yewrill/persistence/persistent_state.py
+++ b/yewrill/persistence/persistent_state.py
@@ -190,7 +190,7 @@
 
     # -- values of other subsystems (the trace spool)
 
-    def usage_under(self, prefix: bytes) -> tuple[int, int]:
+    def prefix_usage(self, prefix: bytes) -> tuple[int, int]:
         """Returns the total bytes of the values under a prefix, and the number in the last key. Blocks.
 
         Keys consist of the prefix and a hexadecimal number.
@@ -201,7 +201,7 @@
                 size, number = size + len(value), int(key[len(prefix) :], 16)
         return size, number
 
-    def first(self, prefix: bytes) -> tuple[bytes, bytes] | None:
+    def first_item(self, prefix: bytes) -> tuple[bytes, bytes] | None:
         """Returns the first key under a prefix and its value, None if there is none readable. Blocks."""
         if (store := self._disk.store) is None:
             return None
@@ -211,11 +211,11 @@
             log.error("persistent_state_unreadable records=%s: %s", prefix.decode(), error)
             return None
 
-    async def keep(self, key: bytes, value: bytes) -> bool:
+    async def put(self, key: bytes, value: bytes) -> bool:
         """Writes a value; returns whether it is on disk."""
         return await self._write(Batch().put(key, value))
 
-    async def drop(self, key: bytes) -> bool:
+    async def delete(self, key: bytes) -> bool:
         """Deletes a value; returns whether the deletion is on disk."""
         return await self._write(Batch().delete(key))
 
--- a/yewrill/service/tracing_hooks.py
+++ b/yewrill/service/tracing_hooks.py
@@ -28,16 +28,16 @@
 class SpoolStore(Protocol):
     """The part of `PersistentState` that the spool uses."""
 
-    def usage_under(self, prefix: bytes) -> tuple[int, int]:
+    def prefix_usage(self, prefix: bytes) -> tuple[int, int]:
         """Returns the total bytes of the values under a prefix, and the number at the end of the last key."""
 
-    def first(self, prefix: bytes) -> tuple[bytes, bytes] | None:
+    def first_item(self, prefix: bytes) -> tuple[bytes, bytes] | None:
         """Returns the first key under a prefix, with its value."""
 
-    async def keep(self, key: bytes, value: bytes) -> bool:
+    async def put(self, key: bytes, value: bytes) -> bool:
         """Writes a value; returns whether it is on disk."""
 
-    async def drop(self, key: bytes) -> bool:
+    async def delete(self, key: bytes) -> bool:
         """Deletes a key; returns whether the deletion is on disk."""
 
 
@@ -68,11 +68,11 @@
     def attach_spool(self, store: SpoolStore) -> None:
         """Keeps batches that can't be exported in the store, and exports those left by earlier runs first."""
         if self._config.spool_mb and self._config.collector:
-            used_bytes, number = store.usage_under(SPOOL)
+            used_bytes, number = store.prefix_usage(SPOOL)
             self.exporter.spool = StoreSpool(
-                store.keep,
-                store.first,
-                store.drop,
+                store.put,
+                store.first_item,
+                store.delete,
                 prefix=SPOOL,
                 used_bytes=used_bytes,
                 number=number,
