--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -532,7 +532,7 @@
     async with shared_world(Peer("d1", waits), tracing={"file": str(paths[0]), "share": 1.0}) as w:
         slow = await w.shared.client()
         await slow.send(X_Request_ID="slow", traceparent=f"00-{TRACE}-{SPAN}-01")
-        await w.until(lambda: w.old_process.tracing_hooks.tracer.open == 1)
+        await w.until(lambda: w.old_process.tracing_hooks.tracer.open_count == 1)
         w.old_process.reload()
         await start_new_process(w, tracing={"file": str(paths[1]), "share": 1.0})
         w.nursery.start_soon(w.old_process.drain)
@@ -580,7 +580,7 @@
     for i in range(10_000):
         finish_request(t, f"r{i}", "served", parent=f"00-{i + 1:032x}-{SPAN}-01")
         finish_request(t, f"s{i}", "served", parent=f"00-{TRACE}-{SPAN}-01")
-    assert t.counts["kept_ordinary"] == 5 and t.open == 0 and len(t.queue) == 5
+    assert t.counts["kept_ordinary"] == 5 and t.open_count == 0 and len(t.queue) == 5
 
 
 @pytest.mark.parametrize(
--- a/yewrill/tracing/record.py
+++ b/yewrill/tracing/record.py
@@ -32,8 +32,8 @@
         "span",
         "number",
         "worker",
-        "among",
-        "held",
+        "candidates",
+        "delay_reason",
         "chosen",
         "begin",
         "connected",
@@ -46,12 +46,14 @@
         "headers",
     )
 
-    def __init__(self, span: str, number: int, worker: str, among: int, held: str, chosen: float):
+    def __init__(
+        self, span: str, number: int, worker: str, candidates: int, delay_reason: str, chosen: float
+    ):
         self.span = span
         self.number = number
         self.worker = worker
-        self.among = among  # number of workers that were considered
-        self.held = held  # reason why the attempt was not sent earlier
+        self.candidates = candidates  # number of workers that were considered
+        self.delay_reason = delay_reason  # reason why the attempt was not sent earlier
         self.chosen = chosen
         self.begin = self.connected = self.written = self.started = self.progressed = self.end = 0.0
         self.share = 0.0
@@ -66,8 +68,8 @@
 class RequestTrace:
     """The trace of an open request.
 
-    Timestamps: `start` is the arrival of the request's first byte, `taken` the time at which the dispatcher
-    accepted it, `decided` the time of its final answer.
+    Timestamps: `start` is the arrival of the request's first byte, `accepted_at` the time at which the
+    dispatcher accepted it, `decided` the time of its final answer.
     """
 
     __slots__ = (
@@ -80,7 +82,7 @@
         "objective_run_factor",
         "deadline",
         "start",
-        "taken",
+        "accepted_at",
         "decided",
         "answer",
         "reason",
@@ -102,7 +104,7 @@
         objective_run_factor: float,
         deadline: float,
         start: float,
-        taken: float,
+        accepted_at: float,
     ):
         self._tracer = tracer
         self.context = context
@@ -114,7 +116,7 @@
             objective_run_factor,
             deadline,
         )
-        self.start, self.taken = start, taken
+        self.start, self.accepted_at = start, accepted_at
         self.decided = 0.0
         self.answer = self.reason = ""
         self.retry_after = 0.0  # Retry-After of a rejection, in ms
@@ -122,10 +124,12 @@
         self.events: list[tuple[float, str, str]] = []
 
     def begin_attempt(
-        self, number: int, worker: str, among: int, held: str, at: float
+        self, number: int, worker: str, candidates: int, delay_reason: str, at: float
     ) -> AttemptTrace:
         """Opens the trace of an attempt that the policy module has just decided on."""
-        attempt = AttemptTrace(self._tracer.new_span(), number, worker, among, held, at)
+        attempt = AttemptTrace(
+            self._tracer.new_span(), number, worker, candidates, delay_reason, at
+        )
         attempt.headers = self._tracer.headers(self.context, attempt.span)
         self.attempts.append(attempt)
         return attempt
@@ -165,8 +169,8 @@
                     "span": attempt.span,
                     "number": attempt.number,
                     "to": _truncate(attempt.worker),
-                    "among": attempt.among,
-                    "held": attempt.held,
+                    "among": attempt.candidates,
+                    "held": attempt.delay_reason,
                     "chosen": ns(attempt.chosen),
                     "begin": ns(attempt.begin or attempt.chosen),
                     "connected": ns(attempt.connected),
@@ -188,7 +192,7 @@
             "class": _truncate(self.request_class),
             "tenant": _truncate(self.tenant),
             "start": ns(self.start),
-            "taken": ns(self.taken),
+            "taken": ns(self.accepted_at),
             "decided": ns(self.decided),
             "end": ns(end),
             "deadline_ms": self.deadline,
--- a/yewrill/tracing/tracer.py
+++ b/yewrill/tracing/tracer.py
@@ -160,6 +160,6 @@
             trace.event(at, name, text)
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Number of open traces."""
         return len(self._open)
