--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -187,10 +187,10 @@
         watch = w.service.watch
         home = watch.address
         calls = len(w.discovery.calls)
-        watch.move(full_backlog.address)
+        watch.change_address(full_backlog.address)
         await trio.sleep(1.3)
         w.discovery.tell(set_draining(peer), full=True)
-        watch.move(home)
+        watch.change_address(home)
         began = trio.current_time()
         await w.until(lambda: not w.service.endpoints.may_send("d1"))
         # Stricter than the usual limit: discovery already had the change when the watch moved back.
@@ -211,7 +211,7 @@
         other_discovery.version = 3
         address = await other_discovery.serve(w.nursery)
         healthy, other_discovery.peer.script = other_discovery.peer.script, rejected
-        w.service.watch.move(("127.0.0.1", int(address.partition(":")[2])))
+        w.service.watch.change_address(("127.0.0.1", int(address.partition(":")[2])))
         await w.until(lambda: other_discovery.peer.exchanges)
         other_discovery.peer.script = healthy
         other_discovery.tell(set_draining(peer))
--- a/yewrill/net/discovery.py
+++ b/yewrill/net/discovery.py
@@ -98,7 +98,7 @@
         self._scope = trio.CancelScope()
         self.answered = trio.Event()  # set when discovery has returned a list
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Switches to another address immediately, even during a call, and fetches the full list there."""
         if address != self.address:
             self.address = address
--- a/yewrill/service/reload.py
+++ b/yewrill/service/reload.py
@@ -103,7 +103,7 @@
         self._worker_connections.reconfigure(
             config.connect_timeout_ms / 1000.0, config.idle_close_ms / 1000.0
         )
-        self._watch.move(config.discovery)
+        self._watch.change_address(config.discovery)
 
     def _reconfigure_tracing(self, new_config: Config) -> None:
         if self._tracing_hooks is None:
