--- a/tests/fixture_conversation.py
+++ b/tests/fixture_conversation.py
@@ -110,7 +110,7 @@
         nodes[name] = LeaseNode(
             name, VOTERS, disk, 100 + at, random.Random(at), 0.0, lease_seconds=1.0
         )
-        nodes[name].want("zones")
+        nodes[name].request_lease("zones")
     sent: list[str] = []
     for step in range(STEPS):
         now = STEP_SECONDS * step
--- a/yewrill/lab/ownnet.py
+++ b/yewrill/lab/ownnet.py
@@ -88,7 +88,7 @@
         )
         member.assembler = FragmentAssembler()
         if self.wanting is None or int(member.name[1:]) < self.wanting:
-            member.node.want(self.duty)
+            member.node.request_lease(self.duty)
         self._schedule(member, member.node)
 
     def _schedule(self, member: Member, node: LeaseNode) -> None:
--- a/yewrill/leases/facade.py
+++ b/yewrill/leases/facade.py
@@ -77,11 +77,11 @@
 
     # -- interface for other subsystems
 
-    def want(self, role: str) -> None:
+    def request_lease(self, role: str) -> None:
         """Requests the lease on a role from now on, whenever no other member holds it."""
         self._wanted_roles.add(role)
         if self._node is not None and not self._is_outside_views():
-            self._node.want(role)
+            self._node.request_lease(role)
         self._wake_up.set()
 
     def _is_outside_views(self) -> bool:
@@ -259,7 +259,7 @@
         """Gives up all roles while this member is in no view, and requests them again once it is in one."""
         if not self._is_outside_views():
             for role in self._wanted_roles - node.wanted_roles:
-                node.want(role)
+                node.request_lease(role)
         elif node.wanted_roles:
             for role in sorted(node.wanted_roles):
                 node.give_up(role, now)
@@ -298,7 +298,7 @@
             return False
         if node.owns(role, trio.current_time()):
             node.give_up(role, trio.current_time())
-            node.want(role)
+            node.request_lease(role)
             self._wake_up.set()
         return True
 
--- a/yewrill/leases/node.py
+++ b/yewrill/leases/node.py
@@ -154,7 +154,7 @@
         lease = self.held_leases.get(role)
         return lease.number if lease is not None and lease.holds(now) else 0
 
-    def want(self, role: str) -> None:
+    def request_lease(self, role: str) -> None:
         """Requests the lease on a role from now on, whenever no other member holds it."""
         self.wanted_roles.add(role)
 
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -88,7 +88,7 @@
             self._views.watch(lambda: self._wake_up.set())  # noqa: PLW0108
         self._ownership = context.subsystems.get("ownership")
         if self._ownership is not None:
-            self._ownership.want(ROLE)
+            self._ownership.request_lease(ROLE)
         self._run_attempt = context.run_attempt
         context.run_attempt = self._attempt
 
