--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -389,7 +389,7 @@
     net = ZoneNet(23, 24, 3).run(2)
     for member in net.members.values():
         member.machine.epoch = 2
-        member.machine.owner = "" if member.name == "m0001" else "m0001"
+        member.machine.lease_holder = "" if member.name == "m0001" else "m0001"
     net.unaffected = {"m0001"}
     net.loss["z0"] = 1.0
     assert net.until(lambda: is_left(net, "z0"), 6) is not None
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -195,9 +195,9 @@
         Without leases, any member may make plans.
         """
         if self._ownership is not None:
-            number, owner = self._ownership.last_known_holder(ROLE, now)
+            number, lease_holder = self._ownership.last_known_holder(ROLE, now)
             machine.epoch = max(machine.epoch, number)
-            machine.owner = "" if owner == machine.me else owner
+            machine.lease_holder = "" if lease_holder == machine.me else lease_holder
 
     def _receive(self, data: bytes, sender: str, address: Address) -> list[OutgoingMessage]:
         assert self._machine is not None
--- a/yewrill/zone_failover/machine.py
+++ b/yewrill/zone_failover/machine.py
@@ -194,7 +194,7 @@
         self.health_score = 0
         # The highest fencing number seen on the lease that allows its holder to make plans.
         self.epoch = 0
-        self.owner = ""  # the other member that holds the lease for making plans, if any
+        self.lease_holder = ""  # the other member that holds the lease for making plans, if any
         # Only while this member makes the plans: zones that other members reported as failing, and the times.
         self._hinted_zones: dict[str, float] = {}
         self.last_change_reason = ""  # reason of the last change of the plan, for operators
@@ -503,14 +503,14 @@
         zone, entry = poll.zone, self.plan.zones.get(poll.zone)
         if self.is_degraded():
             return
-        if self.owner:
+        if self.lease_holder:
             # Only the lease holder makes plans. It may send this zone too little traffic to see it fail.
             if verdict.is_failing and (
                 zone not in self.plan.zones or self.plan.zones[zone].is_recovering
             ):
                 hint = pack(ZoneMessage(HINT, self.plan.version, unreachable_zones=(zone,)))
                 outgoing += [
-                    (m.address, hint) for m in self._membership()[1] if m.name == self.owner
+                    (m.address, hint) for m in self._membership()[1] if m.name == self.lease_holder
                 ]
             return
         if any(
@@ -701,7 +701,7 @@
                     self.due = self.now  # the poll is complete: it is judged at once
         elif message.kind == GET:
             outgoing.append((address, pack(ZoneMessage(PLAN, own_version, plan=self.plan))))
-        elif message.kind == HINT and not self.owner:
+        elif message.kind == HINT and not self.lease_holder:
             for zone in message.unreachable_zones[:1]:
                 self._hinted_zones = {
                     **dict(list(self._hinted_zones.items())[-MAX_UNCONFIRMED_PLANS:]),
