--- a/tests/fixture_messages.py
+++ b/tests/fixture_messages.py
@@ -180,7 +180,7 @@
             views.encode_bitmap(value, width).hex()
             for value, width in ((0, 3), (5, 14), (1 << 200, 300), ((1 << 300) - 2, 300))
         ],
-        "founders' agreement": [founding.accept[0], founding.accept[1].hex()],
+        "founders' agreement": [founding.accepted_view[0], founding.accepted_view[1].hex()],
         "digest of a proposal": [views.digest_of(b"proposed").hex()],
     }
 
--- a/yewrill/views/bootstrap.py
+++ b/yewrill/views/bootstrap.py
@@ -67,7 +67,7 @@
         )
         # Time since when all needed processes have been present; negative while some are missing.
         self._all_present_since = -1.0
-        self.accept: tuple[int, bytes] = (0, b"")
+        self.accepted_view: tuple[int, bytes] = (0, b"")
         self.missing: tuple[str, ...] = self.founders
         self.wanted_number = 0  # number of a persisted view whose names are needed; 0 if none is
 
@@ -124,14 +124,14 @@
             self.me if name == self.me.name else requests[name].entry for name in self.founders
         )
         digest = _digest(entries)
-        accepts = [
-            self.accept,
-            *(requests[name].accept for name in self.founders if name != self.me.name),
+        accepted_views = [
+            self.accepted_view,
+            *(requests[name].accepted_view for name in self.founders if name != self.me.name),
         ]
-        number = max(highest + 1, *(n if d == digest else n + 1 for n, d in accepts))
+        number = max(highest + 1, *(n if d == digest else n + 1 for n, d in accepted_views))
         persist = None
-        if self.accept != (number, digest):
-            self.accept = (number, digest)
+        if self.accepted_view != (number, digest):
+            self.accepted_view = (number, digest)
             persist = PersistedView(number, tuple(entry.name for entry in entries))
-        agreed = all(accept == self.accept for accept in accepts[1:])
+        agreed = all(view == self.accepted_view for view in accepted_views[1:])
         return persist, View(number, entries) if agreed else None
--- a/yewrill/views/format.py
+++ b/yewrill/views/format.py
@@ -108,9 +108,9 @@
     """A request of a process that is in no view.
 
     `number`: the view that it knows of, or 0. `received_ago_ms`: ms since a join response of the receiver.
-    `persisted`: number of the view that it persisted, or 0. `accept`: the first view that it agrees to, as
-    number and digest of the entries. `names`: the persisted view, for a founder that asked for its names.
-    `wants_names`: whether the sender needs the names of the highest persisted view.
+    `persisted`: number of the view that it persisted, or 0. `accepted_view`: the first view that it agrees
+    to, as number and digest of the entries. `names`: the persisted view, for a founder that asked for its
+    names. `wants_names`: whether the sender needs the names of the highest persisted view.
     """
 
     entry: Entry
@@ -118,7 +118,7 @@
     interval: Millis
     received_ago_ms: Millis
     persisted: Number
-    accept: tuple[Number, bytes] = (0, b"")
+    accepted_view: tuple[Number, bytes] = (0, b"")
     names: PersistedView | None = None
     wants_names: bool = False
 
--- a/yewrill/views/machine.py
+++ b/yewrill/views/machine.py
@@ -612,7 +612,7 @@
             int(1000 * self._join_interval()),
             -1 if responded_at is None else min(3_600_000, int(1000 * (self._now - responded_at))),
             0 if bootstrap.persisted is None else bootstrap.persisted.number,
-            bootstrap.accept,
+            bootstrap.accepted_view,
             names,
             bootstrap.wanted_number > 0,
         )
