--- a/yewrill/membership/link.py
+++ b/yewrill/membership/link.py
@@ -30,11 +30,11 @@
 
 log = logging.getLogger("yewrill.members")
 
-# Timers of all subsystems fire at common times, called turns, because waking the process costs more than
-# the work done in a turn. The socket is read once per turn.
-MAX_TURN_SECONDS = 0.075
-# Longest turn as a fraction of the time in which a ping must be answered.
-TURN_FRACTION_OF_TIMEOUT = 0.375
+# Timers of all subsystems fire at common wake-up times, because waking the process costs more than the work
+# done then. The socket is read once per wake-up.
+MAX_WAKEUP_INTERVAL_SECONDS = 0.075
+# Longest interval between wake-ups as a fraction of the time in which a ping must be answered.
+WAKEUP_INTERVAL_FRACTION_OF_TIMEOUT = 0.375
 MIN_PAUSE_SECONDS = 1e-4
 
 
@@ -49,8 +49,9 @@
         # Set, and replaced by a new event, when the member list changes.
         self.list_changed = trio.Event()
         self._stopped = False
-        self._turn_seconds = min(
-            MAX_TURN_SECONDS, self.machine.config.timeout * TURN_FRACTION_OF_TIMEOUT
+        self._wakeup_interval_seconds = min(
+            MAX_WAKEUP_INTERVAL_SECONDS,
+            self.machine.config.timeout * WAKEUP_INTERVAL_FRACTION_OF_TIMEOUT,
         )
 
     @property
@@ -68,16 +69,20 @@
         """Socket errors, by call and errno."""
         return self._socket.errors
 
-    def next_turn(self, at: float) -> float:
-        """Returns the time of the first turn at or after a time, on trio's clock."""
-        return math.ceil(at / self._turn_seconds) * self._turn_seconds if at < math.inf else at
+    def next_wakeup(self, at: float) -> float:
+        """Returns the first wake-up time at or after a time, on trio's clock."""
+        return (
+            math.ceil(at / self._wakeup_interval_seconds) * self._wakeup_interval_seconds
+            if at < math.inf
+            else at
+        )
 
     async def run(self) -> None:
         """Receives datagrams and ticks the protocol machine until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._receive)
             while True:
-                self._next_tick = self.next_turn(self.transport.due)
+                self._next_tick = self.next_wakeup(self.transport.due)
                 with trio.move_on_at(self._next_tick):
                     await self._changed.wait()
                 self._changed = trio.Event()
@@ -86,7 +91,7 @@
 
     async def _receive(self) -> None:
         while True:
-            await trio.sleep_until(self.next_turn(trio.current_time() + MIN_PAUSE_SECONDS))
+            await trio.sleep_until(self.next_wakeup(trio.current_time() + MIN_PAUSE_SECONDS))
             for data, source in self._socket.receive(MAX_DATAGRAM_BYTES + 1):
                 self._write(self.transport.receive(trio.current_time(), data, source))
             if self.machine.changes or self.transport.due < self._next_tick:
--- a/yewrill/membership/transport.py
+++ b/yewrill/membership/transport.py
@@ -68,6 +68,7 @@
         # Handlers of payloads, by the first byte of the payload.
         self.handlers: dict[int, PayloadHandler] = {}
         self.refused: Counter[str] = Counter()  # number of rejected datagrams, by reason
+        # Number of datagrams sent, received, and not sent for lack of outbound budget.
         self.sent = self.received = self.held_back = 0
         self.held_back_by: Counter[Priority] = Counter()
         self.traffic = Traffic()
--- a/yewrill/views/facade.py
+++ b/yewrill/views/facade.py
@@ -137,7 +137,7 @@
                     },
                     trio.current_time(),
                 )
-            with trio.move_on_at(link.next_turn(machine.due)):
+            with trio.move_on_at(link.next_wakeup(machine.due)):
                 await self._wakeup.wait()
             self._wakeup = trio.Event()
             now = trio.current_time()
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -165,7 +165,7 @@
         task_status.started()
         version = machine.plan.version
         while True:
-            with trio.move_on_at(link.next_turn(machine.due)):
+            with trio.move_on_at(link.next_wakeup(machine.due)):
                 await self._wake_up.wait()
             self._wake_up = trio.Event()
             now = trio.current_time()
