--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -28,7 +28,7 @@
 
 import here  # noqa: F401
 
-from yewrill.lab.netsim import MembershipNet, Path
+from yewrill.lab.netsim import MembershipNet, NetworkPath
 
 LIMIT_SECONDS = 300.0
 FAULTS = ("deaf", "mute", "half_seen", "hearing", "loss_0.2", "loss_0.4", "pauses")
@@ -45,10 +45,10 @@
     found["death_s"] = net.until(net.agreed, LIMIT_SECONDS, 0.05) or LIMIT_SECONDS
     net.restart("m0001")
     found["return_s"] = net.until(net.agreed, LIMIT_SECONDS) or LIMIT_SECONDS
-    net.default = Path(loss=0.2)
+    net.default_path = NetworkPath(loss=0.2)
     net.run(60.0)
     found["false_deaths"] = len(net.false_deaths)
-    net.default = Path()
+    net.default_path = NetworkPath()
     net.until(net.agreed, LIMIT_SECONDS)
     net.false_deaths.clear()
     net.pause("m0002", 20.0)
@@ -83,7 +83,9 @@
     elif kind == "pauses":
         pause_repeatedly(net, names[: members // 3])
     else:
-        net.default = Path(delay=0.01, jitter=0.01, loss=float(kind.removeprefix("loss_")))
+        net.default_path = NetworkPath(
+            delay=0.01, jitter=0.01, loss=float(kind.removeprefix("loss_"))
+        )
     net.run(120.0)
     return {
         kind: sum(who in informed for _, who, _ in net.false_deaths),
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -27,7 +27,7 @@
 import here  # noqa: F401
 
 from yewrill.config.schema import OwnershipConfig
-from yewrill.lab.netsim import Path as Wire
+from yewrill.lab.netsim import NetworkPath
 from yewrill.lab.ownnet import OwnNet, run_random_faults
 from yewrill.lab.raftcheck import Bounds, Checker, InvariantViolation
 from yewrill.leases import disk as on_disk
@@ -51,7 +51,7 @@
         voters,
         lease_seconds=LEASE_SECONDS,
         drift=0.04,
-        path=Wire(delay=0.003, jitter=0.003, loss=0.02),
+        path=NetworkPath(delay=0.003, jitter=0.003, loss=0.02),
     )
     net.until(lambda: bool(net.owners()), 10)
     net.run(2.0 + net.rng.random())
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -31,7 +31,7 @@
 
 import here  # noqa: F401
 
-from yewrill.lab.netsim import Path
+from yewrill.lab.netsim import NetworkPath
 from yewrill.lab.viewnet import ViewNet
 
 NAMES = [f"m{i:04d}" for i in range(24)]
@@ -41,7 +41,7 @@
 
 def create_net(seed: int, loss: float = 0.0, members: int = 24) -> ViewNet:
     """Creates a network that has run for a while without faults."""
-    net = ViewNet(seed, members, path=Path(loss=loss)).run(8.0)
+    net = ViewNet(seed, members, path=NetworkPath(loss=loss)).run(8.0)
     net.seconds_without_lease.clear()
     return net
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -27,7 +27,7 @@
 import here  # noqa: F401
 
 from yewrill.lab.fleet import Fleet
-from yewrill.lab.netsim import Path as Wire
+from yewrill.lab.netsim import NetworkPath
 from yewrill.lab.zonenet import ZoneNet
 
 FAILURE_MODES = ("gone", "mute", "failing")
@@ -80,9 +80,9 @@
 
 def false_leaves(seed: int, seconds: float) -> tuple[int, float]:
     """Returns the plans made for healthy zones at 20% packet loss, and the zone-hours of the run."""
-    net = ZoneNet(seed, 24, 3, path=Wire(delay=0.02, jitter=0.05, loss=0.2, duplication=0.1)).run(
-        seconds
-    )
+    net = ZoneNet(
+        seed, 24, 3, path=NetworkPath(delay=0.02, jitter=0.05, loss=0.2, duplication=0.1)
+    ).run(seconds)
     return sum(m.machine.statistics.plans_made for m in net.members.values()), 3 * seconds / 3600
 
 
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yewrill.lab.netsim import MembershipNet, Path
+from yewrill.lab.netsim import MembershipNet, NetworkPath
 from yewrill.membership.evidence import WINDOW_GAPS, ArrivalHistory, LinkState, PeerLink
 from yewrill.membership.messages import Message
 
@@ -258,7 +258,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_loss_of_two_fifths_removes_no_healthy_member_and_a_dead_one_is_still_removed(seed):
     net = joined(seed)
-    net.default = Path(loss=0.4)
+    net.default_path = NetworkPath(loss=0.4)
     net.run(120.0)
     assert not net.false_deaths
     net.kill("m0003")
--- a/tests/test_log_states.py
+++ b/tests/test_log_states.py
@@ -7,7 +7,7 @@
 import msgpack
 import pytest
 
-from yewrill.lab.netsim import Path
+from yewrill.lab.netsim import NetworkPath
 from yewrill.lab.ownnet import OwnNet
 from yewrill.leases.format import Submit, Submitted, pack, unpack
 from yewrill.leases.lease_table import LeaseTable
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_acknowledged_submissions_survive_loss_kills_and_a_stop_of_all_voters(seed):
-    net = started_net(seed, path=Path(delay=0.003, jitter=0.01, loss=0.2, duplication=0.1))
+    net = started_net(seed, path=NetworkPath(delay=0.003, jitter=0.01, loss=0.2, duplication=0.1))
     submissions, positions = [], {}
     for i in range(30):
         member = f"m{3 + i % 3}"
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -18,7 +18,7 @@
 from yewrill.config.errors import ConfigError
 from yewrill.config.reading import read_config
 from yewrill.config.schema import MembersConfig
-from yewrill.lab.netsim import MembershipNet, Path
+from yewrill.lab.netsim import MembershipNet, NetworkPath
 from yewrill.membership import Members
 from yewrill.membership.format import MAX_DATAGRAM_BYTES, Codec, DatagramRejected, UnknownRun
 from yewrill.membership.intake import InboundBudget
@@ -165,11 +165,11 @@
 
 def test_loss_duplicates_and_delays_remove_at_most_one_member_and_only_for_a_while():
     net = joined(5)
-    net.default = Path(delay=0.02, jitter=0.03, loss=0.2, duplication=0.1)
+    net.default_path = NetworkPath(delay=0.02, jitter=0.03, loss=0.2, duplication=0.1)
     net.run(60.0)
     # At most one false death, declared by all 24 members, in one minute of 24 members.
     assert len(net.false_deaths) <= 24
-    net.default = Path()
+    net.default_path = NetworkPath()
     assert net.until(net.agreed, 20.0) is not None
 
 
@@ -233,7 +233,7 @@
     net = joined(9, members)
     before = {name: node.sent for name, node in net.nodes.items()}
     net.kill("m0001")
-    net.default = Path(loss=0.1)
+    net.default_path = NetworkPath(loss=0.1)
     net.run(10.0)
     assert max(node.sent - before[name] for name, node in net.nodes.items()) / 10.0 < 10_000
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from yewrill.lab.netsim import Path
+from yewrill.lab.netsim import NetworkPath
 from yewrill.lab.raftcheck import Bounds, Checker, InvariantViolation, World
 from yewrill.lab.raftnet import RaftNet
 from yewrill.leases import raft as raft_module
@@ -141,7 +141,7 @@
     """Run three or five voters with random faults, then without: they must be able to commit again."""
     rng = random.Random(seed)
     voters = rng.choice((3, 5))
-    path = Path(
+    path = NetworkPath(
         delay=0.005,
         jitter=rng.choice((0.005, 0.05)),
         loss=rng.choice((0.0, 0.05, 0.2)),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from yewrill.lab.netsim import Path
+from yewrill.lab.netsim import NetworkPath
 from yewrill.lab.scale import plan
 from yewrill.lab.scale.events import WideFleet, create_settled_fleet, send_rates
 from yewrill.lab.scale.fit import fit_line
@@ -45,7 +45,7 @@
 from yewrill.views.view import Entry, View
 from yewrill.views.view_member import ViewMember
 
-LOOPBACK = Path(delay=0.0002, jitter=0.0002)
+LOOPBACK = NetworkPath(delay=0.0002, jitter=0.0002)
 
 
 def entries(size):
@@ -66,7 +66,7 @@
 
 
 def test_dispatchers_in_several_regions_with_packet_loss_agree():
-    fleet = WideFleet(3, FleetParameters(33, path=Path(loss=0.02)))
+    fleet = WideFleet(3, FleetParameters(33, path=NetworkPath(loss=0.02)))
     assert fleet.form() is not None and not fleet.conflicts
 
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -6,7 +6,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from yewrill.lab.netsim import Path
+from yewrill.lab.netsim import NetworkPath
 from yewrill.lab.viewnet import ViewNet
 
 scenarios("stories")
@@ -75,7 +75,7 @@
 
 @given(step_text(r"(?P<part>\d+)% of all datagrams are lost"))
 def lose_datagrams(fleet, part):
-    fleet[0].net.default = Path(loss=int(part) / 100)
+    fleet[0].net.default_path = NetworkPath(loss=int(part) / 100)
 
 
 # ------------------------------------------------------------------------------------------------------- when
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yewrill.lab.netsim import Path
+from yewrill.lab.netsim import NetworkPath
 from yewrill.lab.viewnet import ViewNet
 from yewrill.membership.parts import MalformedPayload
 from yewrill.views.agreement import VoteState
@@ -328,7 +328,7 @@
 def test_founders_restarted_during_the_bootstrap_still_agree():
     for seed in range(25):
         net = ViewNet(
-            seed, 5, founders=5, formed=False, path=Path(delay=0.02, jitter=0.02, loss=0.3)
+            seed, 5, founders=5, formed=False, path=NetworkPath(delay=0.02, jitter=0.02, loss=0.3)
         )
         for _ in range(2):  # at most two: a majority of a view formed meanwhile must survive
             net.run(0.2 + 0.5 * net.rng.random())
@@ -341,7 +341,7 @@
 
 @pytest.mark.parametrize("loss, max_seconds", [(0.0, 3.0), (0.3, 6.0)])
 def test_killed_member_is_removed_from_all_views_in_time(loss, max_seconds):
-    net = settled_net(2, path=Path(loss=loss))
+    net = settled_net(2, path=NetworkPath(loss=loss))
     for name in ("m0007", "m0016"):
         net.exempt.add(name)
         net.kill(name)
@@ -353,7 +353,7 @@
 
 
 def test_nobody_is_removed_at_30_percent_loss():
-    net = settled_net(3, path=Path(loss=0.3)).run(30.0)
+    net = settled_net(3, path=NetworkPath(loss=0.3)).run(30.0)
     assert highest_number(net) == 1 and sum(net.seconds_without_lease.values()) < 1.0
     assert_no_violations(net)
 
@@ -573,7 +573,7 @@
 def test_random_faults_never_violate_safety_and_all_agree_at_the_end(seed):
     """Random pauses, restarts, partitions in one or both directions, and loss; all end in one view."""
     net = settled_net(
-        100 + seed, 12, founders=3, path=Path(loss=0.1, duplication=0.05, jitter=0.01)
+        100 + seed, 12, founders=3, path=NetworkPath(loss=0.1, duplication=0.05, jitter=0.01)
     )
     names = NAMES[:12]
     net.exempt.update(names)
@@ -596,7 +596,7 @@
             )
         net.run(net.rng.random() * 5.0)
     net.paths.clear()
-    net.default = Path()
+    net.default_path = NetworkPath()
     assert net.until(net.agreed, 200.0) is not None
     assert_no_violations(net)
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,7 +11,7 @@
 
 from yewrill.config.errors import ConfigError
 from yewrill.config.reading import read_config
-from yewrill.lab.netsim import Path
+from yewrill.lab.netsim import NetworkPath
 from yewrill.lab.zonenet import ZoneNet
 from yewrill.policy import Dispatcher
 from yewrill.policy import interface as api
@@ -149,14 +149,16 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_healthy_zones_are_not_left_on_a_lossy_network(seed):
-    net = ZoneNet(seed, 24, 3, path=Path(delay=0.02, jitter=0.05, loss=0.2, duplication=0.1)).run(
-        30
-    )
+    net = ZoneNet(
+        seed, 24, 3, path=NetworkPath(delay=0.02, jitter=0.05, loss=0.2, duplication=0.1)
+    ).run(30)
     assert not any(m.machine.plan.number for m in net.living())
 
 
 def test_members_agree_and_versions_only_rise_on_a_lossy_network():
-    net = ZoneNet(5, 24, 3, path=Path(delay=0.02, jitter=0.05, loss=0.2, duplication=0.1)).run(3)
+    net = ZoneNet(
+        5, 24, 3, path=NetworkPath(delay=0.02, jitter=0.05, loss=0.2, duplication=0.1)
+    ).run(3)
     net.loss["z1"] = 0.9
     assert net.until(lambda: is_left(net, "z1"), 8) is not None
     net.loss["z1"] = 0.0
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from yewrill.lab.netsim import Path
+from yewrill.lab.netsim import NetworkPath
 from yewrill.lab.zonenet import Dispatcher as Member
 from yewrill.lab.zonenet import ZoneNet
 from yewrill.policy import Dispatcher
@@ -89,7 +89,7 @@
         plan: bool = True,
         model: Model | None = None,
         rules: FailoverRules | None = None,
-        path: Path | None = None,
+        path: NetworkPath | None = None,
     ):
         self.model = model or Model()
         model = self.model
--- a/yewrill/lab/netsim.py
+++ b/yewrill/lab/netsim.py
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Path:
+class NetworkPath:
     """The network path in one direction between two members."""
 
     delay: float = 0.001
@@ -55,17 +55,17 @@
 class VirtualNetwork:
     """Virtual time, a queue of timed callbacks, and a path in each direction between any two members."""
 
-    def __init__(self, seed: int, path: Path | None = None):
+    def __init__(self, seed: int, path: NetworkPath | None = None):
         self.rng = random.Random(seed)
         self.now = 1000.0
-        self.default = path or Path()
-        self.paths: dict[tuple[str, str], Path] = {}
+        self.default_path = path or NetworkPath()
+        self.paths: dict[tuple[str, str], NetworkPath] = {}
         self._number = count()
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
 
-    def path(self, a: str, b: str) -> Path:
+    def path(self, a: str, b: str) -> NetworkPath:
         """Returns the path from `a` to `b`."""
-        return self.paths.get((a, b), self.default)
+        return self.paths.get((a, b), self.default_path)
 
     def cut(
         self,
@@ -83,7 +83,7 @@
         pairs = [(a, b) for a in group for b in others if a != b]
         pairs += [(b, a) for a, b in pairs] if both else []
         for pair in pairs:
-            self.paths[pair] = Path(cut=True)
+            self.paths[pair] = NetworkPath(cut=True)
         if heal_after:
             self.at(self.now + heal_after, lambda: [self.paths.pop(pair, None) for pair in pairs])
 
@@ -111,7 +111,7 @@
             self.run(step)
         return self.now - began
 
-    def deliver(self, path: Path, arrive: Callable[[], None]) -> None:
+    def deliver(self, path: NetworkPath, arrive: Callable[[], None]) -> None:
         """Calls `arrive` after the delay of a path: once, twice, or not at all if the message is lost."""
         if path.cut or self.rng.random() < path.loss:
             return
@@ -151,7 +151,7 @@
         members: int,
         zones: int = 1,
         config: SwimConfig | None = None,
-        path: Path | None = None,
+        path: NetworkPath | None = None,
         seeds_per_member: int = 3,
     ):
         super().__init__(seed, path)
--- a/yewrill/lab/ownnet.py
+++ b/yewrill/lab/ownnet.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import Path, VirtualNetwork
+from yewrill.lab.netsim import NetworkPath, VirtualNetwork
 from yewrill.lab.raftcheck import InvariantViolation
 from yewrill.leases.format import pack, unpack
 from yewrill.leases.lease_table import Fence
@@ -56,12 +56,12 @@
         voters: int = 3,
         duty: str = "zones",
         lease_seconds: float = 2.0,
-        path: Path | None = None,
+        path: NetworkPath | None = None,
         wanting: int | None = None,
         drift: float = 0.0,
         machines: Callable[[], dict[str, StateMachine]] | None = None,
     ):
-        super().__init__(seed, path or Path(delay=0.003, jitter=0.003))
+        super().__init__(seed, path or NetworkPath(delay=0.003, jitter=0.003))
         self.duty, self.lease_seconds = duty, lease_seconds
         self.voters = tuple(f"m{i}" for i in range(voters))
         self.members: dict[str, Member] = {}
@@ -200,7 +200,9 @@
     network. Commands of owners arrive up to 6 s late. Raises InvariantViolation.
     """
     rng = random.Random(seed)
-    path = Path(delay=0.004, jitter=0.01, loss=rng.choice((0.0, 0.05, 0.15)), duplication=0.1)
+    path = NetworkPath(
+        delay=0.004, jitter=0.01, loss=rng.choice((0.0, 0.05, 0.15)), duplication=0.1
+    )
     net = OwnNet(seed, members, rng.choice((3, 5)), path=path, drift=0.04)
     end = net.now + duration
     while net.now < end:
--- a/yewrill/lab/raftnet.py
+++ b/yewrill/lab/raftnet.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import Path, VirtualNetwork
+from yewrill.lab.netsim import NetworkPath, VirtualNetwork
 from yewrill.lab.raftcheck import InvariantViolation
 from yewrill.leases.raft import Raft
 from yewrill.leases.raft_types import (
@@ -53,11 +53,11 @@
         self,
         seed: int,
         voters: int = 3,
-        path: Path | None = None,
+        path: NetworkPath | None = None,
         times: RaftTiming | None = None,
         create_raft: Callable[..., Raft] = Raft,
     ):
-        super().__init__(seed, path or Path(delay=0.005, jitter=0.005))
+        super().__init__(seed, path or NetworkPath(delay=0.005, jitter=0.005))
         self.times, self.create_raft = times or RaftTiming(), create_raft
         self.names = tuple(f"v{i}" for i in range(voters))
         self.committed: list[LogEntry] = []
--- a/yewrill/lab/scale/events.py
+++ b/yewrill/lab/scale/events.py
@@ -15,13 +15,13 @@
 from functools import partial
 from typing import Any
 
-from yewrill.lab.netsim import Path
+from yewrill.lab.netsim import NetworkPath
 from yewrill.lab.scale import plan
 from yewrill.lab.scale.virtual import FleetParameters, Node, VirtualFleet
 from yewrill.views.view import View
 
-INSIDE_REGION = Path(delay=0.0002, jitter=0.0002)
-BETWEEN_REGIONS = Path(delay=0.008, jitter=0.001)  # one way
+INSIDE_REGION = NetworkPath(delay=0.0002, jitter=0.0002)
+BETWEEN_REGIONS = NetworkPath(delay=0.008, jitter=0.001)  # one way
 WINDOW_S = 10
 FORM_LIMIT_S = 90.0
 REST_S = 20.0
@@ -37,7 +37,7 @@
         self.worst = 0.0
         super().__init__(seed, parameters)
 
-    def path(self, a: str, b: str) -> Path:
+    def path(self, a: str, b: str) -> NetworkPath:
         """Returns the path set for the pair of dispatchers, else one with the delay for their regions."""
         found = self.paths.get((a, b))
         if found is not None:
--- a/yewrill/lab/scale/virtual.py
+++ b/yewrill/lab/scale/virtual.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import KEY, Path, VirtualNetwork
+from yewrill.lab.netsim import KEY, NetworkPath, VirtualNetwork
 from yewrill.membership.config import SwimConfig
 from yewrill.membership.format import Codec
 from yewrill.membership.machine import SwimMember
@@ -39,7 +39,7 @@
     founders: int = 3
     peers: int = PEERS
     bytes_per_s: float = SHIPPED_BYTES_PER_S
-    path: Path = field(default_factory=Path)
+    path: NetworkPath = field(default_factory=NetworkPath)
     swim_config: SwimConfig = field(default_factory=SwimConfig)
     view_timing: ViewTiming = field(default_factory=ViewTiming)
 
--- a/yewrill/lab/viewnet.py
+++ b/yewrill/lab/viewnet.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import Path, PausableNetwork
+from yewrill.lab.netsim import NetworkPath, PausableNetwork
 from yewrill.membership.parts import MalformedPayload
 from yewrill.views.format import MessageAssembler, pack
 from yewrill.views.machine import Step, ViewMachine
@@ -53,7 +53,7 @@
         *,
         founders: int = 3,
         timing: ViewTiming | None = None,
-        path: Path | None = None,
+        path: NetworkPath | None = None,
         formed: bool = True,
         check: bool = True,
     ):
--- a/yewrill/lab/zonenet.py
+++ b/yewrill/lab/zonenet.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from yewrill.lab.netsim import Path, VirtualNetwork
+from yewrill.lab.netsim import NetworkPath, VirtualNetwork
 from yewrill.zone_failover.machine import FailoverMachine, FailoverRules, Member
 
 
@@ -47,12 +47,12 @@
         *,
         rate: float = 20.0,
         load: float = 0.6,
-        path: Path | None = None,
+        path: NetworkPath | None = None,
         rules: FailoverRules | None = None,
         detection_delay: float = 9.0,
         plan: bool = True,
     ):
-        super().__init__(seed, path or Path(delay=0.005, jitter=0.002))
+        super().__init__(seed, path or NetworkPath(delay=0.005, jitter=0.002))
         self.rules = rules or FailoverRules()
         self.detection_delay = detection_delay
         self.with_plan = plan
