--- a/yewrill/lab/raftcheck.py
+++ b/yewrill/lab/raftcheck.py
@@ -316,7 +316,7 @@
                         queue.append((after, (path, step_name)))
             except InvariantViolation as error:
                 return ExplorationResult(
-                    len(seen), steps, False, str(error), (*unrolled(path), step_name)
+                    len(seen), steps, False, str(error), (*list_steps(path), step_name)
                 )
         return ExplorationResult(len(seen), steps, True)
 
@@ -330,7 +330,7 @@
         raft._start_election()
 
 
-def unrolled(path: tuple) -> list[str]:
+def list_steps(path: tuple) -> list[str]:
     """Returns the list of steps of a path that is stored as nested pairs (earlier path, last step)."""
     steps: list[str] = []
     while path:
--- a/yewrill/lab/viewcheck.py
+++ b/yewrill/lab/viewcheck.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from itertools import permutations
 
-from yewrill.lab.raftcheck import unrolled
+from yewrill.lab.raftcheck import list_steps
 from yewrill.views.agreement import Agreement, VoteState
 
 # One member: vote state, accepted ballot with its value, decided value, own proposal.
@@ -82,7 +82,7 @@
                     len(seen),
                     False,
                     f"decided {sorted(following.decided)}",
-                    (*unrolled(path), event),
+                    (*list_steps(path), event),
                 )
             key = _canonical_key(following, permuted_ranks)
             if key not in seen:
