--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -15,7 +15,7 @@
 from yewrill.lab.cluster.commands import SCENARIO_LIMIT_SECONDS
 from yewrill.lab.cluster.links import Links
 from yewrill.lab.cluster.pace import ScaledClock, measured_slowdown, run_until_not_starved
-from yewrill.lab.cluster.rig import InstallationSpec, ManagementCallRejected, installation
+from yewrill.lab.cluster.rig import ClusterSpec, ManagementCallRejected, open_cluster
 from yewrill.lab.cluster.scenarios import SCENARIOS, run_in_rig
 from yewrill.lab.cluster.standins import HttpConnection, open_listener
 
@@ -143,7 +143,7 @@
 def test_a_cut_link_between_members_makes_one_unreachable_until_it_heals(tmp_path):
     async def run():
         with trio.fail_after(SCENARIO_LIMIT_SECONDS):
-            async with installation(tmp_path, InstallationSpec(dispatchers=2, zones=2)) as rig:
+            async with open_cluster(tmp_path, ClusterSpec(dispatchers=2, zones=2)) as rig:
                 await rig.start_and_wait()
                 rig.links.set_faults(["d0"], ["d1"], cut=True)
                 while (await rig.call_management("d0", "/_members"))["members"][1][
@@ -234,7 +234,7 @@
         await http.answer(*answers.pop(0))
         await stream.aclose()
 
-    async with installation(tmp_path, InstallationSpec(dispatchers=1, zones=1)) as rig:
+    async with open_cluster(tmp_path, ClusterSpec(dispatchers=1, zones=1)) as rig:
         async with open_listener(rig.nursery, management) as rig.dispatchers["d0"].management:
             assert await rig.call_management("d0", "/_members") == {"members": []}
             with pytest.raises(ManagementCallRejected, match="503 not yet"):
@@ -299,7 +299,7 @@
 
         async def run():
             with trio.move_on_after(SCENARIO_LIMIT_SECONDS):
-                async with installation(directory, SCENARIOS[name].spec, 1, options) as rig:
+                async with open_cluster(directory, SCENARIOS[name].spec, 1, options) as rig:
                     rigs.append(rig)
                     async with trio.open_nursery() as nursery:
                         nursery.start_soon(cancel_once_found, rig, nursery.cancel_scope)
--- a/yewrill/lab/cluster/commands.py
+++ b/yewrill/lab/cluster/commands.py
@@ -13,7 +13,7 @@
 from yewrill.lab.cluster.audit import Breach, Terms, audit
 from yewrill.lab.cluster.history import Line, read_history
 from yewrill.lab.cluster.pace import ScaledClock, Starved, run_until_not_starved
-from yewrill.lab.cluster.rig import InstallationSpec, Rig, installation
+from yewrill.lab.cluster.rig import ClusterSpec, Rig, open_cluster
 from yewrill.lab.cluster.scenarios import SCENARIOS, run_in_rig
 from yewrill.lab.soak.commands import soak
 
@@ -58,7 +58,7 @@
 
         async def run_once() -> None:
             with trio.fail_after(SCENARIO_LIMIT_SECONDS):
-                async with installation(directory, scenario.spec, seed, scenario.options) as rig:
+                async with open_cluster(directory, scenario.spec, seed, scenario.options) as rig:
                     rigs.append(rig)
                     await run_in_rig(scenario, rig)
 
@@ -159,8 +159,8 @@
     """Run a small test cluster until Ctrl-C."""
 
     async def serve_until_cancelled() -> None:
-        spec = InstallationSpec(dispatchers=dispatchers, zones=zones, rate=rate)
-        async with installation(Path(tempfile.mkdtemp(prefix="yewrill-lab-")), spec) as rig:
+        spec = ClusterSpec(dispatchers=dispatchers, zones=zones, rate=rate)
+        async with open_cluster(Path(tempfile.mkdtemp(prefix="yewrill-lab-")), spec) as rig:
             await rig.start_and_wait()
             for dispatcher in rig.ready_dispatchers():
                 click.echo(
--- a/yewrill/lab/cluster/rig.py
+++ b/yewrill/lab/cluster/rig.py
@@ -47,7 +47,7 @@
 
 
 @dataclass
-class InstallationSpec:
+class ClusterSpec:
     """The size, load and settings of a test cluster."""
 
     dispatchers: int = 6
@@ -118,7 +118,7 @@
 class Rig:
     """The test cluster that a scenario acts on: injects faults and waits for their effects."""
 
-    def __init__(self, spec: InstallationSpec, seed: int, directory: Path, nursery: trio.Nursery):
+    def __init__(self, spec: ClusterSpec, seed: int, directory: Path, nursery: trio.Nursery):
         self.spec, self.seed, self.directory = spec, seed, directory
         self.nursery = nursery
         self.history = History()
@@ -567,9 +567,9 @@
 
 
 @asynccontextmanager
-async def installation(
+async def open_cluster(
     directory: Path,
-    spec: InstallationSpec | None = None,
+    spec: ClusterSpec | None = None,
     seed: int = 1,
     options: dict[str, tuple[str, ...]] | None = None,
 ) -> AsyncIterator[Rig]:
@@ -579,7 +579,7 @@
     dispatcher name, or under `all`. Raises an exception group with Starved if the machine is too busy.
     """
     async with trio.open_nursery() as nursery:
-        rig = Rig(spec or InstallationSpec(), seed, directory, nursery)
+        rig = Rig(spec or ClusterSpec(), seed, directory, nursery)
         lateness = LatenessInstrument(
             rig.clock, lambda late: rig.history.put("rig", "late", seconds=late)
         )
--- a/yewrill/lab/cluster/scenarios.py
+++ b/yewrill/lab/cluster/scenarios.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from yewrill.lab.cluster.rig import InstallationSpec, Rig
+from yewrill.lab.cluster.rig import ClusterSpec, Rig
 
 
 @dataclass(frozen=True)
@@ -19,7 +19,7 @@
     """A scenario: its function, the test cluster that it needs, and options of the dispatchers by name."""
 
     run: Callable[[Rig], Awaitable[None]]
-    spec: InstallationSpec
+    spec: ClusterSpec
     options: dict[str, tuple[str, ...]]
 
     @property
@@ -34,11 +34,11 @@
 SCENARIOS: dict[str, Scenario] = {}
 
 
-def scenario(spec: InstallationSpec | None = None, **options: tuple[str, ...]):
+def scenario(spec: ClusterSpec | None = None, **options: tuple[str, ...]):
     """Returns a decorator that registers a scenario; `options` are those of `entry`, by dispatcher."""
 
     def register(run: Callable[[Rig], Awaitable[None]]) -> Callable[[Rig], Awaitable[None]]:
-        registered = Scenario(run, spec or InstallationSpec(), options)
+        registered = Scenario(run, spec or ClusterSpec(), options)
         SCENARIOS[registered.name] = registered
         return run
 
@@ -59,7 +59,7 @@
     await fail_and_recover_zone(rig, "z0")
 
 
-@scenario(InstallationSpec(run_seconds=0.15, rate=17.0, cold_multiple=0.6))
+@scenario(ClusterSpec(run_seconds=0.15, rate=17.0, cold_multiple=0.6))
 async def cold_return(rig: Rig) -> None:
     """A zone restarts cold in a half loaded fleet; its full share at once would overload it."""
     await fail_and_recover_zone(rig, "z0")
@@ -136,7 +136,7 @@
     await rig.wait_until_zone_restored("z0")
 
 
-@scenario(InstallationSpec(dispatchers=7))
+@scenario(ClusterSpec(dispatchers=7))
 async def members_in_halves(rig: Rig) -> None:
     """The members are partitioned, three from four; a zone fails meanwhile; then the partition ends."""
     minority = ["d0", "d1", "d2"]
@@ -150,7 +150,7 @@
     await rig.wait_until_zone_restored("z2")
 
 
-@scenario(InstallationSpec(dispatchers=9))
+@scenario(ClusterSpec(dispatchers=9))
 async def paused_with_an_old_plan(rig: Rig) -> None:
     """A dispatcher is paused while a zone is left, and resumes with an outdated plan."""
     rig.pause("d1")
@@ -170,7 +170,7 @@
     await fail_and_recover_zone(rig, "z1")
 
 
-@scenario(InstallationSpec(dispatchers=9))
+@scenario(ClusterSpec(dispatchers=9))
 async def dispatchers_die_and_return(rig: Rig) -> None:
     """Two of nine dispatchers are killed as a zone fails, and restart before it recovers."""
     for name in ("d4", "d5"):
@@ -207,7 +207,7 @@
     await rig.wait_until_zone_restored("z2")
 
 
-@scenario(InstallationSpec(keep_state=True))
+@scenario(ClusterSpec(keep_state=True))
 async def killed_after_an_order(rig: Rig) -> None:
     """Operators detach a worker; two of the dispatchers are killed right after, and restart."""
     await rig.detach_worker("p-z1-0", *rig.dispatchers)
@@ -217,7 +217,7 @@
     await rig.wait_until_served(200)
 
 
-@scenario(InstallationSpec(dispatchers=12, rate=8.0))
+@scenario(ClusterSpec(dispatchers=12, rate=8.0))
 async def rolling_restart(rig: Rig) -> None:
     """Eleven of twelve dispatchers are restarted one after another, and a zone fails meanwhile."""
     for i, name in enumerate(list(rig.dispatchers)[1:]):
@@ -265,7 +265,7 @@
     )
 
 
-@scenario(InstallationSpec(dispatchers=9, voters=3))
+@scenario(ClusterSpec(dispatchers=9, voters=3))
 async def owner_dies(rig: Rig) -> None:
     """The dispatcher that holds the lease for plans is killed as a zone fails, and restarts."""
     await rig.wait_until(lambda: bool(rig.plan_owner()))
@@ -279,7 +279,7 @@
     await rig.wait_until_zone_restored("z0")
 
 
-@scenario(InstallationSpec(dispatchers=9, voters=3))
+@scenario(ClusterSpec(dispatchers=9, voters=3))
 async def owner_sleeps(rig: Rig) -> None:
     """The lease holder is paused for longer than its lease, and resumes when another holds it."""
     await rig.wait_until(lambda: bool(rig.plan_owner()))
@@ -295,7 +295,7 @@
     await rig.wait_until_zone_restored("z1")
 
 
-@scenario(InstallationSpec(dispatchers=9, voters=3))
+@scenario(ClusterSpec(dispatchers=9, voters=3))
 async def owner_cut_off(rig: Rig) -> None:
     """The lease holder is cut off from all members, not from the workers; then the partition ends."""
     await rig.wait_until(lambda: bool(rig.plan_owner()))
@@ -307,14 +307,14 @@
     await fail_and_recover_zone(rig, "z2")
 
 
-@scenario(InstallationSpec(voters=3), d0=("--disk", "eio"), d1=("--disk", "slow"))
+@scenario(ClusterSpec(voters=3), d0=("--disk", "eio"), d1=("--disk", "slow"))
 async def voters_with_bad_disks(rig: Rig) -> None:
     """One voter's disk begins to fail, another's needs two seconds per sync; plans are made as usual."""
     await rig.wait_until_served(150)
     await fail_and_recover_zone(rig, "z0")
 
 
-VIEWS = InstallationSpec(views=True, zones=2, workers_per_zone=1, rate=4.0)
+VIEWS = ClusterSpec(views=True, zones=2, workers_per_zone=1, rate=4.0)
 
 
 @scenario(replace(VIEWS, dispatchers=5))
