--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -274,7 +274,7 @@
 )
 def test_removal_of_a_node_moves_only_its_own_keys(names, data):
     removed = data.draw(st.sampled_from(sorted(names)))
-    numbers = {name: rendezvous.number(name) for name in names}
+    numbers = {name: rendezvous.hash_name(name) for name in names}
     for key in ("a", "b", "7f3a9c21e0b4d655", ""):
         before = rendezvous.top_nodes(key, sorted(names), 3, numbers.__getitem__)
         after = rendezvous.top_nodes(
@@ -287,7 +287,7 @@
 def test_rendezvous_hashing_spreads_keys_evenly():
     names = [f"s-{random.Random(i).getrandbits(32):08x}" for i in range(16)]
     homes = Counter(
-        rendezvous.top_nodes(f"{i:x}", names, 1, rendezvous.number)[0] for i in range(16_000)
+        rendezvous.top_nodes(f"{i:x}", names, 1, rendezvous.hash_name)[0] for i in range(16_000)
     )
     assert (
         len(homes) == 16 and max(homes.values()) < 1.15 * 1000 and min(homes.values()) > 0.85 * 1000
--- a/yewrill/lab/cluster/rig.py
+++ b/yewrill/lab/cluster/rig.py
@@ -405,7 +405,7 @@
         """Starts clients for dispatchers, all by default."""
         for name in self.dispatchers if names is None else names:
             # The seed does not use hash(), which would differ between processes.
-            seed = rendezvous.number(f"{self.seed}/{name}")
+            seed = rendezvous.hash_name(f"{self.seed}/{name}")
             clients = Clients(
                 name,
                 self.dispatchers[name].listen,
--- a/yewrill/policy/fleet.py
+++ b/yewrill/policy/fleet.py
@@ -125,7 +125,7 @@
             launched=min(0.0, entry.launched),
             fleet=self.estimate,
             max_inflight_slots=kind.slots + 1.0,
-            name_hash=rendezvous.number(entry.worker),
+            name_hash=rendezvous.hash_name(entry.worker),
         )
         return worker
 
--- a/yewrill/policy/rendezvous_hashing.py
+++ b/yewrill/policy/rendezvous_hashing.py
@@ -16,13 +16,13 @@
 _MASK = 2**64 - 1
 
 
-def number(name: str) -> int:
+def hash_name(name: str) -> int:
     """Returns a 32-bit hash of a name."""
     return crc32(name.encode())
 
 
 def weight(key: int, node: int) -> int:
-    """Returns the 64-bit weight of a node for a key, both given by `number`: the splitmix64 finalizer."""
+    """Returns the 64-bit weight of a node for a key, both given by `hash_name`: the splitmix64 finalizer."""
     x = (key << 32 | node) * 0x9E3779B97F4A7C15 & _MASK
     x = (x ^ x >> 30) * 0xBF58476D1CE4E5B9 & _MASK
     x = (x ^ x >> 27) * 0x94D049BB133111EB & _MASK
@@ -30,8 +30,8 @@
 
 
 def top_nodes(
-    key: str, nodes: Iterable[Node], count: int, number_of: Callable[[Node], int]
+    key: str, nodes: Iterable[Node], count: int, hash_of: Callable[[Node], int]
 ) -> list[Node]:
     """Returns the `count` nodes with the highest weights for a key, in descending order of weight."""
-    key_number = number(key)
-    return nlargest(count, nodes, key=lambda node: weight(key_number, number_of(node)))
+    key_hash = hash_name(key)
+    return nlargest(count, nodes, key=lambda node: weight(key_hash, hash_of(node)))
