--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -49,7 +49,7 @@
                 api.RequestClass("b", 500.0, 9000.0, 2.0, 0.3, objective_run_factor=1.75),
             ],
             dispatchers=dispatchers,
-            index=0,
+            dispatcher_index=0,
             reports_start=True,
             progress_interval=1000.0,
             max_attempts=3,
--- a/tests/fixture_simulator.py
+++ b/tests/fixture_simulator.py
@@ -269,7 +269,7 @@
     return [
         classes,
         [[one.name, one.quota_per_s, one.share] for one in read.tenants],
-        [read.kinds, read.zone, read.dispatchers, read.index, read.over_quota_weight],
+        [read.kinds, read.zone, read.dispatchers, read.dispatcher_index, read.over_quota_weight],
         [read.weight_by_work, read.list_on_request, read.reports_start, read.progress_interval],
         [list(read.report_fields), read.free_slots_field, read.reports_on_probe],
         [read.may_probe, read.may_cancel, read.fifo, read.marks_retry],
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -84,7 +84,7 @@
         self.slots, self.load = slots, load
         self.classes, self.spread, self.deadline, self.zones = classes, spread, deadline, zones
         # Index and zone in the settings of each dispatcher; workers are assigned to zones in turn.
-        self.places = places or [{"index": i} for i in range(dispatchers)]
+        self.places = places or [{"dispatcher_index": i} for i in range(dispatchers)]
         self.work = sum(
             c[0] * c[1] * (c[2][0] + 2 * c[2][1] + 4 * c[2][2]) for c in classes.values()
         )
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -132,7 +132,7 @@
     zones = rng.randint(1, 3)
     first = rng.uniform(0.4, 0.8) * dispatchers  # dispatchers per zone; the last zone has the rest
     places = [
-        {"index": i if zones > 1 else -1, "zone": min(zones - 1, int(i / first))}
+        {"dispatcher_index": i if zones > 1 else -1, "zone": min(zones - 1, int(i / first))}
         for i in range(dispatchers)
     ]
     world = random_fleet(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -26,7 +26,10 @@
 @pytest.mark.parametrize("index", [-1, 0, 39, 400])
 def test_subset_is_empty_only_if_the_worker_list_is(entries, index):
     d = Dispatcher(
-        Settings(classes=[api.RequestClass("c", 500.0, 5000.0)], dispatchers=40, index=index), 7
+        Settings(
+            classes=[api.RequestClass("c", 500.0, 5000.0)], dispatchers=40, dispatcher_index=index
+        ),
+        7,
     )
     # 5000 entries have a duplicate.
     whole = [api.WorkerEntry(f"w{i % 4999}") for i in range(entries)]
@@ -61,7 +64,9 @@
     found = []
     for i in range(dispatchers):
         request_class = api.RequestClass("c", 500.0, 5000.0)
-        d = Dispatcher(Settings(classes=[request_class], dispatchers=dispatchers, index=i), i)
+        d = Dispatcher(
+            Settings(classes=[request_class], dispatchers=dispatchers, dispatcher_index=i), i
+        )
         # Crossing zones costs nothing here, so the workers of both zones count as near.
         entries = [api.WorkerEntry(n, zone=int(n[-1], 16) % 2) for n in names]
         d.handle(0.0, [api.WorkerList(api.ListForm.FULL, entries)])
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -300,7 +300,7 @@
 
 
 def test_all_dispatchers_send_a_key_to_the_same_worker_unless_it_drains_or_fails():
-    dispatchers = [reporting(workers=12, dispatchers=4, index=i) for i in range(4)]
+    dispatchers = [reporting(workers=12, dispatchers=4, dispatcher_index=i) for i in range(4)]
     firsts = {sent_to(d, 1.0, "j", "k1") for d in dispatchers}
     assert len(firsts) == 1
     preferred = firsts.pop()
--- a/yewrill/lab/fleet.py
+++ b/yewrill/lab/fleet.py
@@ -121,7 +121,7 @@
             [spec],
             [api.Tenant("acme", 1.2 * self.total)],
             zone=int(zone[1:]),
-            index=index,
+            dispatcher_index=index,
             reports_start=True,
             may_cancel=True,
             fifo=True,
--- a/yewrill/policy/fleet.py
+++ b/yewrill/policy/fleet.py
@@ -160,7 +160,7 @@
             if len(side) > MIN_SUBSET_SIZE and dispatchers > SUBSETS_PER_WORKER:
                 side.sort(key=lambda worker: worker.name)
             self.subset[kind], self.rest[kind] = worker_subset(
-                side, dispatchers, settings.index, self.ring_position
+                side, dispatchers, settings.dispatcher_index, self.ring_position
             )
             for worker in self.rest[kind]:
                 worker.capacity_fraction = 0.0
--- a/yewrill/policy/interface.py
+++ b/yewrill/policy/interface.py
@@ -122,7 +122,7 @@
     kinds: int = 1
     zone: int = 0
     dispatchers: int = 1
-    index: int = -1  # index of this dispatcher among all dispatchers, from 0; -1: unknown
+    dispatcher_index: int = -1  # from 0, among all dispatchers; -1: unknown
     over_quota_weight: float = 1.0
     weight_by_work: bool = False  # the weight of an answer counts per unit of work, not per request
     list_on_request: bool = False  # the endpoint list is sent only on request
--- a/yewrill/policy/settings_codec.py
+++ b/yewrill/policy/settings_codec.py
@@ -46,7 +46,7 @@
         kinds=max(1, len(config.get("kinds", ()))),
         zone=config.get("zone", 0),
         dispatchers=max(1, config.get("instances", 1)),
-        index=config.get("index", -1),
+        dispatcher_index=config.get("index", -1),
         weight_by_work=config.get("counted_by", "request") == "work",
         over_quota_weight=config.get("over_share_worth", 1.0),
         list_on_request=config.get("registry_mode", "push") == "ask",
