--- a/tests/fixture_stores.py
+++ b/tests/fixture_stores.py
@@ -142,17 +142,17 @@
         OTHER_RUN_KEY, ujson.dumps(OTHER_RUN.encode())
     )
     spool = StoreSpool(
-        persistent_state.keep,
-        persistent_state.first,
-        persistent_state.drop,
+        persistent_state.put,
+        persistent_state.first_item,
+        persistent_state.delete,
         max_bytes=1000,
         prefix=SPOOL,
     )
     assert await spool.put(SPOOLED)
     unnamed = StoreSpool(
-        persistent_state.keep,
-        persistent_state.first,
-        persistent_state.drop,
+        persistent_state.put,
+        persistent_state.first_item,
+        persistent_state.delete,
         max_bytes=1000,
         number=1,
     )
@@ -160,7 +160,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(persistent_state.run)
         persistent_state.endpoint_list_changed()
-        while persistent_state.first(b"list") is None:
+        while persistent_state.first_item(b"list") is None:
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
     persistent_state.close_store()
@@ -179,9 +179,15 @@
         ):
             request = _request(number, request_class, key)
             persistent_state.attempts.begin_request(request, classes[request_class], "acme")
-            earlier.append([request.ran_ago, request.ran_zone, request.ran_cell])
-        held, number = persistent_state.usage_under(SPOOL)
-        first = persistent_state.first(SPOOL)
+            earlier.append(
+                [
+                    request.earlier_attempt_age,
+                    request.earlier_attempt_zone,
+                    request.earlier_attempt_cell,
+                ]
+            )
+        held, number = persistent_state.prefix_usage(SPOOL)
+        first = persistent_state.first_item(SPOOL)
         assert first is not None
         return [state, earlier, [held, number, first[0].hex(), first[1].hex()]]
     finally:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -197,10 +197,10 @@
         watch = harness.service.watch
         home = watch.address
         calls = len(harness.discovery.calls)
-        watch.move(full_backlog.address)
+        watch.change_address(full_backlog.address)
         await trio.sleep(1.3)
         harness.discovery.publish(set_draining(worker), full=True)
-        watch.move(home)
+        watch.change_address(home)
         began = trio.current_time()
         await harness.wait_until(lambda: not harness.service.endpoints.may_send("d1"))
         # Stricter than the usual limit: discovery already had the change when the watch moved back.
@@ -222,7 +222,7 @@
         other_discovery.version = 3
         address = await other_discovery.serve(harness.nursery)
         healthy, other_discovery.server.script = other_discovery.server.script, rejected
-        harness.service.watch.move(("127.0.0.1", int(address.partition(":")[2])))
+        harness.service.watch.change_address(("127.0.0.1", int(address.partition(":")[2])))
         await harness.wait_until(lambda: other_discovery.server.exchanges)
         other_discovery.server.script = healthy
         other_discovery.publish(set_draining(worker))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1190,7 +1190,9 @@
             assert reply.status == (200 if served else 502)
         await harness.wait_until(
             lambda: (
-                not engine.pending and not engine._live and not harness.service.open_requests.ids
+                not engine.pending
+                and not engine._active_attempts
+                and not harness.service.open_requests.ids
             )
         )
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -760,7 +760,7 @@
         assert (await harness.ask(X_Request_ID="r2")).status == 409
         assert [e.id for e in worker.exchanges] == ["r1", "r2"]
         worker.exchanges[1].go_on.set()
-        await harness.wait_until(lambda: not harness.service.engine._live)
+        await harness.wait_until(lambda: not harness.service.engine._active_attempts)
         worker.script = done
         assert (await harness.ask(X_Request_ID="r2")).status == 200
 
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -540,7 +540,7 @@
     ) as harness:
         slow = await harness.shared.client()
         await slow.send(X_Request_ID="slow", traceparent=f"00-{TRACE}-{SPAN}-01")
-        await harness.wait_until(lambda: harness.old_process.tracing_hooks.tracer.open == 1)
+        await harness.wait_until(lambda: harness.old_process.tracing_hooks.tracer.open_count == 1)
         harness.old_process.reload()
         await start_new_process(harness, tracing={"file": str(paths[1]), "share": 1.0})
         harness.nursery.start_soon(harness.old_process.drain)
@@ -597,7 +597,7 @@
     for i in range(10_000):
         finish_request(t, f"r{i}", "served", parent=f"00-{i + 1:032x}-{SPAN}-01")
         finish_request(t, f"s{i}", "served", parent=f"00-{TRACE}-{SPAN}-01")
-    assert t.counts["kept_ordinary"] == 5 and t.open == 0 and len(t.queue) == 5
+    assert t.counts["kept_ordinary"] == 5 and t.open_count == 0 and len(t.queue) == 5
 
 
 @pytest.mark.parametrize(
--- a/yewrill/dispatch/engine.py
+++ b/yewrill/dispatch/engine.py
@@ -50,7 +50,7 @@
         self._events: list[api.Event] = []
         self._requests: dict[str, Request] = {}
         # Running attempts by request key, including attempts of closed requests.
-        self._live: dict[str, Attempt] = {}
+        self._active_attempts: dict[str, Attempt] = {}
         self._submitted_count = 0
         self._rejection_watch = RejectionWatch()
         self._wake = trio.Event()
@@ -120,8 +120,8 @@
         spec = self._classes[request.request_class]
         request.class_name = spec.name
         request.idempotency, request.window = spec.idempotency, spec.window
-        if request.ran_ago >= 0:
-            request.ran_at = self.now() - request.ran_ago
+        if request.earlier_attempt_age >= 0:
+            request.ran_at = self.now() - request.earlier_attempt_age
         self._queue_event(
             api.RequestArrived(
                 request.key,
@@ -130,11 +130,11 @@
                 request.tenant,
                 request.width,
                 request.memory,
-                request.hint,
+                request.work_hint,
                 request.retry,
-                request.ran_ago,
-                request.ran_zone,
-                request.ran_cell,
+                request.earlier_attempt_age,
+                request.earlier_attempt_zone,
+                request.earlier_attempt_cell,
                 request.subject,
             )
         )
@@ -156,7 +156,7 @@
                 return None
             return self._answer_without_decision(request, expired)
         if isinstance(choice, Attempt):
-            request.live = self._live[request.key] = choice
+            request.active_attempt = self._active_attempts[request.key] = choice
         return choice
 
     def _answer_without_decision(self, request: Request, expired: bool) -> Rejection | Failure:
@@ -181,8 +181,8 @@
         request = attempt.request
         if attempt.trace is not None:
             attempt.trace.end, attempt.trace.outcome = trio.current_time(), outcome.value
-        request.live = None
-        self._live.pop(request.key, None)
+        request.active_attempt = None
+        self._active_attempts.pop(request.key, None)
         if outcome.policy_outcome not in api.NEVER_RAN and request.ran_at is None:
             request.ran_at = attempt.sent or self.now()
         if outcome is AttemptOutcome.SERVED:
@@ -240,8 +240,12 @@
         if isinstance(choice, Attempt):  # an attempt was chosen, but not yet returned by `pick`
             request.choice = None
             self.report(choice, AttemptOutcome.NOT_SENT)
-        if request.live is not None and request.live.sent and not request.live.written:
-            request.live.withdraw(AttemptOutcome.NOT_SENT)
+        if (
+            request.active_attempt is not None
+            and request.active_attempt.sent
+            and not request.active_attempt.written
+        ):
+            request.active_attempt.withdraw(AttemptOutcome.NOT_SENT)
         if request.choice_ready is not None:
             request.choice_ready.set()
 
@@ -250,8 +254,8 @@
         for request in list(self._requests.values()):
             if not request.closed:
                 self._close(request, notify=True)
-                if request.live is not None:
-                    request.live.withdraw(AttemptOutcome.CANCELLED)
+                if request.active_attempt is not None:
+                    request.active_attempt.withdraw(AttemptOutcome.CANCELLED)
                 self._set_choice(request, Failure("restarting"))
 
     # -- settings and workers
@@ -288,7 +292,7 @@
 
     def worker_reattached(self, name: str, ago: float) -> None:
         """Handles operators' reattachment of a worker, `ago` milliseconds ago."""
-        self._queue_event(api.WorkerReturned(name, max(1.0, self.now() - ago)))
+        self._queue_event(api.WorkerReattached(name, max(1.0, self.now() - ago)))
 
     # -- event batches
 
@@ -339,7 +343,7 @@
         """Fails the requests of a batch in which the policy module raised: it may never answer them."""
         for event in events:
             request = self._requests.get(getattr(event, "request_id", ""))
-            if request is not None and request.choice is None and request.live is None:
+            if request is not None and request.choice is None and request.active_attempt is None:
                 self._close(request, notify=True)
                 self._set_choice(request, Failure("internal fault"))
 
@@ -359,10 +363,10 @@
         if request is None:
             log.error("policy_sent_unknown_request request=%s ignored=yes", action.request_id)
             return
-        until = request.deadline
+        deadline = request.deadline
         if action.timeout:
-            until = min(until, now + action.timeout)
-        attempt = Attempt(request, request.attempt_count, action.worker, until)
+            deadline = min(deadline, now + action.timeout)
+        attempt = Attempt(request, request.attempt_count, action.worker, deadline)
         request.attempt_count += 1
         if request.trace is not None:
             attempt.trace = request.trace.begin_attempt(
@@ -423,8 +427,8 @@
                 request.attempt_count,
                 action.reason,
             )
-        if request.live is not None:
-            request.live.withdraw(AttemptOutcome.TIMED_OUT)
+        if request.active_attempt is not None:
+            request.active_attempt.withdraw(AttemptOutcome.TIMED_OUT)
         self._set_choice(request, answer)
 
     def _set_timer(self, action: api.SetTimer, now: float) -> None:
@@ -434,7 +438,8 @@
         self._health_checks.request(action.worker)
 
     def _cancel(self, action: api.Cancel, now: float) -> None:
-        attempt = self._live.get(action.request_id)  # None if the attempt has ended already
+        # None if the attempt has ended already.
+        attempt = self._active_attempts.get(action.request_id)
         if attempt is not None and attempt.number == action.attempt:
             attempt.withdraw(AttemptOutcome.CANCELLED)
 
@@ -465,7 +470,7 @@
             now,
             request.idempotency,
             request.window,
-            attempt_out=request.key in self._live or isinstance(request.choice, Attempt),
+            attempt_out=request.key in self._active_attempts or isinstance(request.choice, Attempt),
             ran_at=request.ran_at,
         )
 
--- a/yewrill/dispatch/request.py
+++ b/yewrill/dispatch/request.py
@@ -25,7 +25,7 @@
     tenant: int = 0
     width: float = 1.0  # number of slots that the request occupies
     memory: float = 0.0  # memory that the request occupies
-    hint: float = 0.0  # expected work as stated by the client; 0: unknown
+    work_hint: float = 0.0  # expected work as stated by the client; 0: unknown
     retry: bool = False  # the client marked the request as a retry
     # Affinity key: requests with the same subject need the same data, which workers cache.
     subject: str = ""
@@ -33,9 +33,9 @@
     client_left: bool = False
     # An attempt by an earlier process that may have run: how many milliseconds ago it was sent, and the zone
     # and cell of its worker. -1: there was none.
-    ran_ago: float = -1.0
-    ran_zone: int = -1
-    ran_cell: int = -1
+    earlier_attempt_age: float = -1.0
+    earlier_attempt_zone: int = -1
+    earlier_attempt_cell: int = -1
     class_name: str = ""
     # Input of the safety rules: idempotency and deduplication window of the request class, and the send time
     # of the first attempt that may have run.
@@ -44,12 +44,12 @@
     ran_at: float | None = None
     on_progress: Callable[[Attempt, float], None] | None = None
     # Polls the connection and returns whether the client has left.
-    has_left: Callable[[], bool] | None = None
+    poll_client_left: Callable[[], bool] | None = None
     trace: Any = None
     # The fields below are internal to the decision engine.
     key: str = ""  # unique key of the request; empty until it is submitted
     attempt_count: int = 0
-    live: Attempt | None = None
+    active_attempt: Attempt | None = None
     choice: Attempt | Rejection | Failure | None = None
     choice_ready: trio.Event | None = None
     closed: bool = False  # whether the final answer is decided, or none is due any more
@@ -62,7 +62,7 @@
     request: Request
     number: int
     worker: str
-    until: float  # time at which the dispatcher stops waiting for the worker
+    deadline: float  # time at which the dispatcher stops waiting for the worker
     trace: Any = None  # trace of the attempt; None if tracing is off
     sent: float = 0.0  # time at which the attempt's first byte was written
     # Whether the last byte was written; the worker may run the request from then on.
--- a/yewrill/policy/fleet.py
+++ b/yewrill/policy/fleet.py
@@ -125,7 +125,7 @@
             launched=min(0.0, entry.launched),
             fleet=self.estimate,
             max_inflight_slots=kind.slots + 1.0,
-            name_hash=rendezvous.number(entry.worker),
+            name_hash=rendezvous.hash_name(entry.worker),
         )
         return worker
 
@@ -160,7 +160,7 @@
             if len(side) > MIN_SUBSET_SIZE and dispatchers > SUBSETS_PER_WORKER:
                 side.sort(key=lambda worker: worker.name)
             self.subset[kind], self.rest[kind] = worker_subset(
-                side, dispatchers, settings.index, self.ring_position
+                side, dispatchers, settings.dispatcher_index, self.ring_position
             )
             for worker in self.rest[kind]:
                 worker.capacity_fraction = 0.0
--- a/yewrill/policy/interface.py
+++ b/yewrill/policy/interface.py
@@ -122,7 +122,7 @@
     kinds: int = 1
     zone: int = 0
     dispatchers: int = 1
-    index: int = -1  # index of this dispatcher among all dispatchers, from 0; -1: unknown
+    dispatcher_index: int = -1  # from 0, among all dispatchers; -1: unknown
     over_quota_weight: float = 1.0
     weight_by_work: bool = False  # the weight of an answer counts per unit of work, not per request
     list_on_request: bool = False  # the endpoint list is sent only on request
@@ -148,7 +148,7 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ValueError("settings name no job classes")
+            raise ValueError("settings name no request classes")
         for spec in self.classes:
             if spec.deadline <= 0:
                 raise ValueError(f"class {spec.name!r} has no positive deadline")
@@ -183,7 +183,7 @@
 
 
 @dataclass(slots=True)
-class WorkerReturned:
+class WorkerReattached:
     """An operator has reattached a worker that had been detached; it may have restarted in between."""
 
     worker: str
@@ -214,12 +214,12 @@
     tenant: int = 0
     width: float = 1.0
     memory: float = 0.0
-    hint: float = 0.0  # expected work as stated by the client, 0 if unknown
+    work_hint: float = 0.0  # expected work as stated by the client, 0 if unknown
     retry: bool = False  # the client marked the request as a retry
     # An attempt from before a restart that may have run: how long ago it was sent (-1: none), and where.
-    ran_ago: float = -1.0
-    ran_zone: int = -1
-    ran_cell: int = -1
+    earlier_attempt_age: float = -1.0
+    earlier_attempt_zone: int = -1
+    earlier_attempt_cell: int = -1
     # Affinity key: requests with the same key need the same data, which a worker caches for a while.
     key: str = ""
 
@@ -292,7 +292,7 @@
 
 Event = (
     WorkerList
-    | WorkerReturned
+    | WorkerReattached
     | SettingsChanged
     | ZoneTrafficWeights
     | RequestArrived
--- a/yewrill/policy/requests.py
+++ b/yewrill/policy/requests.py
@@ -83,7 +83,7 @@
         "expected_wait",
         "finished",
         "first_asked_at",
-        "hint",
+        "work_hint",
         "id",
         "key",
         "last_failed_worker",
@@ -121,7 +121,7 @@
         self.tenant = event.tenant
         self.key = event.key
         self.slots_needed = max(event.width, event.memory, 1e-3)
-        self.hint = event.hint
+        self.work_hint = event.work_hint
         self.expected_run_time = expected_run_time  # estimated run time on an average worker
         # Whether `expected_run_time` is based on measurements.
         self.run_time_known = class_state.run_times_seen >= MIN_RUN_TIMES
@@ -140,8 +140,8 @@
         self.expected_wait = 0.0  # expected wait at the worker that was selected last
         # Send time of the first attempt that may have run, None if there is none. An attempt that an earlier
         # process sent before a restart counts too; its time may lie before the start of this process's clock.
-        self.ran_at = now - event.ran_ago if event.ran_ago >= 0 else None
-        self.ran_zone, self.ran_cell = event.ran_zone, event.ran_cell
+        self.ran_at = now - event.earlier_attempt_age if event.earlier_attempt_age >= 0 else None
+        self.ran_zone, self.ran_cell = event.earlier_attempt_zone, event.earlier_attempt_cell
         self.last_failed_worker: WorkerEstimate | None = None
         self.sequence = 0
 
@@ -181,7 +181,7 @@
     @property
     def hinted(self) -> bool:
         """Whether the client has stated the expected work."""
-        return self.hint > 0
+        return self.work_hint > 0
 
     def late_by_estimate(self, now: float) -> bool:
         """Returns whether only the expected run time makes the request late: a short run would be in time."""
--- a/yewrill/zone_failover/facade.py
+++ b/yewrill/zone_failover/facade.py
@@ -88,7 +88,7 @@
             self._views.watch(lambda: self._wake_up.set())  # noqa: PLW0108
         self._ownership = context.subsystems.get("ownership")
         if self._ownership is not None:
-            self._ownership.want(ROLE)
+            self._ownership.request_lease(ROLE)
         self._run_attempt = context.run_attempt
         context.run_attempt = self._attempt
 
@@ -165,7 +165,7 @@
         task_status.started()
         version = machine.plan.version
         while True:
-            with trio.move_on_at(link.next_turn(machine.due)):
+            with trio.move_on_at(link.next_wakeup(machine.due)):
                 await self._wake_up.wait()
             self._wake_up = trio.Event()
             now = trio.current_time()
@@ -195,9 +195,9 @@
         Without leases, any member may make plans.
         """
         if self._ownership is not None:
-            number, owner = self._ownership.last_known_holder(ROLE, now)
+            number, lease_holder = self._ownership.last_known_holder(ROLE, now)
             machine.epoch = max(machine.epoch, number)
-            machine.owner = "" if owner == machine.me else owner
+            machine.lease_holder = "" if lease_holder == machine.me else lease_holder
 
     def _receive(self, data: bytes, sender: str, address: Address) -> list[OutgoingMessage]:
         assert self._machine is not None
