--- a/yewrill/lab/cluster/standins.py
+++ b/yewrill/lab/cluster/standins.py
@@ -146,7 +146,10 @@
 
     @staticmethod
     async def _cancel_when_closed(stream: trio.SocketStream, scope: trio.CancelScope) -> None:
-        """Cancels a run once the dispatcher closes the connection, on which it sends nothing more."""
+        """Cancels a run when the dispatcher closes the connection.
+
+        The dispatcher must send nothing on the connection during the run: any byte cancels the run too.
+        """
         with suppress(*DISCONNECTED):
             await stream.receive_some(1)
         scope.cancel()
--- a/yewrill/lab/raftnet.py
+++ b/yewrill/lab/raftnet.py
@@ -123,7 +123,10 @@
         for index, entry in output.committed:
             if index <= len(self.committed):
                 if self.committed[index - 1] != entry:
-                    raise InvariantViolation(f"{voter.name} commits another entry at {index}")
+                    raise InvariantViolation(
+                        f"{voter.name} commits an entry that differs from the one committed before "
+                        f"at index {index}"
+                    )
             else:
                 self.committed.append(entry)
             voter.applied_index = index
--- a/yewrill/lab/soak/nodes.py
+++ b/yewrill/lab/soak/nodes.py
@@ -198,7 +198,8 @@
         process = process or self.process
         if process is not None and process.poll() is None:
             if state is ProcessState.KILLED and self.ready.is_set():
-                self.ready = trio.Event()  # from now on, waits are for the next process
+                # Clients that wait from now on wait until the next process is ready.
+                self.ready = trio.Event()
             self._note(process, state)
             process.send_signal(number)
 
--- a/yewrill/lab/viewcheck.py
+++ b/yewrill/lab/viewcheck.py
@@ -146,7 +146,7 @@
 def _canonical_key(current: GlobalState, permuted_ranks: list[tuple[int, ...]]) -> int:
     """Returns a hash that is the same for states that differ only in the ranks of the members.
 
-    It is taken of the least renamed state over all permutations of the ranks.
+    It is the hash of the smallest of the states that the permutations of the ranks give.
     """
     return hash(min(_renamed(current, new_ranks) for new_ranks in permuted_ranks))
 
--- a/yewrill/membership/detector.py
+++ b/yewrill/membership/detector.py
@@ -20,7 +20,8 @@
     def __init__(self, table: MemberTable, config: SwimConfig):
         self._table = table
         self._config = config
-        # Arrivals of acks to the first pings of all probes. The unit of time is one first ping.
+        # Arrivals of acks to the first pings of all probes. The time of an arrival is the number of first
+        # pings recorded so far, so that each first ping advances the time by 1.
         self._answers = ArrivalHistory(1.0)
         self._answers.begin(0.0)
         self._first_ping_count = 0.0
@@ -58,8 +59,9 @@
     def phi(self, entry: MemberEntry, history: ArrivalHistory | None = None) -> float:
         """Returns -log10 of the probability that a live member is silent for so long.
 
-        The silence is measured in all of its messages, or in `history` if given. The loss is that of all
-        probes; if the link to the member shows loss too, the more lenient of the two results counts.
+        The silence is the number of probes of the member that have ended since the last arrival in `history`
+        (by default the history of all messages from the member). The loss is that of all probes; if `history`
+        shows loss too, the smaller of the two results is returned.
         """
         if entry.link is None:
             return 0.0
--- a/yewrill/membership/probe.py
+++ b/yewrill/membership/probe.py
@@ -89,7 +89,11 @@
         return [first, self._next_reconnect, *(p.until for p in self._indirect.values())]
 
     def exclude_pause(self, duration: float, now: float) -> None:
-        """Postpones every deadline by the duration of a pause of this process that began at `now`."""
+        """Postpones the deadlines of all probes in progress by the duration of a pause of this process.
+
+        `now` is the time of the last event before the pause. The next probe and the next reconnection attempt
+        are due at that time at the earliest; they are not postponed by the duration.
+        """
         if self.probe is not None:
             self.probe.exclude_pause(duration)
         for indirect in self._indirect.values():
--- a/yewrill/net/listener.py
+++ b/yewrill/net/listener.py
@@ -380,7 +380,8 @@
     async def _linger(self, client: ClientConnection, valid_request: bool = True) -> None:
         """Waits after the last reply until the client has it: a close with unread input is a reset.
 
-        `valid_request`: the reply answers a valid request. In a connection flood no other is waited for.
+        `valid_request`: the reply answers a valid request. In a connection flood, a client whose request was
+        invalid is not waited for.
         """
         client.connection.shutdown_write()
         if not valid_request and len(self.clients) > self._max_clients // 2:
--- a/yewrill/persistence/attempt_journal.py
+++ b/yewrill/persistence/attempt_journal.py
@@ -270,7 +270,8 @@
         """Writes a batch together with the pending deletions; returns whether it is on disk."""
         keys = self._keys_to_delete
         written = await self._write(self.take_pending_deletions(batch))
-        if not written:  # a later run would take records left on disk for attempts in flight
+        if not written:
+            # Otherwise a later run would mistake the records still on disk for attempts that were in flight.
             self._queue_deletions(keys)
         return written
 
--- a/yewrill/reservations/asking.py
+++ b/yewrill/reservations/asking.py
@@ -72,7 +72,7 @@
 
 
 class Tick(Struct, frozen=True, array_like=True, tag=True):
-    """Advances the time only."""
+    """An entry that only advances the calendar's time to the time of the entry."""
 
 
 class Offer(Struct, frozen=True, array_like=True):
--- a/yewrill/zone_failover/machine.py
+++ b/yewrill/zone_failover/machine.py
@@ -161,7 +161,8 @@
     plans_refused: int = 0
     malformed: int = 0
     late_ticks: int = 0
-    inconclusive_polls: int = 0  # polls that fewer than half of the members asked have answered
+    # Polls that were answered by fewer than half of the members to which they were sent.
+    inconclusive_polls: int = 0
 
 
 @dataclass
